--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -14,7 +14,7 @@
         term: 7,
         barrier: 2,
         stepped_down: true,
-        inheritance: PredecessorLeases::default(),
+        predecessor_leases: PredecessorLeases::default(),
         voters: BTreeMap::new(),
     }
 }
@@ -66,7 +66,7 @@
 fn voters_of_ended_terms_are_forgotten() {
     let mut record = record();
     record
-        .inheritance
+        .predecessor_leases
         .silent
         .insert(([10, 0, 0, 2], 7160).into(), SilentCoordinator { term: 5, remaining_ms: 9 });
     for term in 4..=7 {
