--- a/crates/geraniumpost-batch/src/coordinator/agents.rs
+++ b/crates/geraniumpost-batch/src/coordinator/agents.rs
@@ -6,14 +6,14 @@
 use crate::Now;
 
 /// Silence of an agent after which its minion gets no more work, in milliseconds: three missing beats.
-const SILENT_MS: u64 = 1_600;
+const HEARTBEAT_TIMEOUT_MS: u64 = 1_600;
 
 /// What the coordinator knows of one agent.
 #[derive(Debug, Default)]
 pub(super) struct Agent {
     pub(super) linked: bool,
     /// When it first linked to this coordinator, on the steady clock.
-    pub(super) linked_ms: Option<u64>,
+    pub(super) first_linked_ms: Option<u64>,
     /// When its present link opened, on the steady clock.
     pub(super) link_opened_ms: u64,
     /// The incarnation beside it.
@@ -21,23 +21,23 @@
     /// When all that runs beside it has surely ended if the lease that this coordinator granted is not
     /// extended any more. It belongs to the agent: a new incarnation is held under the lease that the
     /// agent has.
-    pub(super) lapsed_ms: u64,
+    pub(super) lease_expiry_ms: u64,
     /// When it was last heard of, on the steady clock.
-    pub(super) heard_ms: u64,
+    pub(super) last_heard_ms: u64,
 }
 
 impl Coordinator {
     /// Takes note of a new link from an agent.
-    pub(super) fn agent_linked(&mut self, agent: &Name, now: Now) {
+    pub(super) fn agent_connected(&mut self, agent: &Name, now: Now) {
         let known = self.agents.entry(agent.clone()).or_default();
         known.linked = true;
-        known.linked_ms.get_or_insert(now.steady_ms);
+        known.first_linked_ms.get_or_insert(now.steady_ms);
         known.link_opened_ms = now.steady_ms;
         for minion in self.minions.values_mut().filter(|minion| minion.agent == *agent) {
             minion.linked = true;
-            minion.looked = false;
+            minion.polled = false;
         }
-        self.note(format!("agent={agent} event=linked"));
+        self.log(format!("agent={agent} event=linked"));
     }
 
     /// Takes note that an agent's link is gone; what its minion runs goes on until its lease lapses.
@@ -47,13 +47,13 @@
         }
         for minion in self.minions.values_mut().filter(|minion| minion.agent == *agent) {
             minion.linked = false;
-            minion.looked = false;
+            minion.polled = false;
             for task in &minion.runs {
                 let Some(run) = self.runs.get_mut(task) else { continue };
-                run.link_lost(now.steady_ms);
+                run.record_link_loss(now.steady_ms);
             }
         }
-        self.note(format!("agent={agent} event=lost"));
+        self.log(format!("agent={agent} event=lost"));
     }
 
     /// Gives no more work to minions whose agents have fallen silent, until they are heard of again.
@@ -61,10 +61,11 @@
     /// A machine that is lost closes no link, and its minion, once emptied, looks like the best place of
     /// all. Tasks would be placed there again each time their lease has lapsed, and on nothing but lost
     /// machines if there are two, while others have room.
-    pub(super) fn pass_over_silent(&mut self, now: Now) {
-        for minion in self.minions.values_mut().filter(|minion| minion.answers) {
-            let heard_ms = self.agents.get(&minion.agent).map_or(0, |agent| agent.heard_ms);
-            minion.answers = now.steady_ms < heard_ms + SILENT_MS;
+    pub(super) fn mark_unresponsive_minions(&mut self, now: Now) {
+        for minion in self.minions.values_mut().filter(|minion| minion.responsive) {
+            let last_heard_ms =
+                self.agents.get(&minion.agent).map_or(0, |agent| agent.last_heard_ms);
+            minion.responsive = now.steady_ms < last_heard_ms + HEARTBEAT_TIMEOUT_MS;
         }
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -11,11 +11,11 @@
 use crate::{JobId, Now, StepSpec, TaskId};
 
 /// Minions that one question names: a step seldom needs more, and each one costs time.
-const MOST_NAMED: usize = 30;
+const MAX_MINIONS_PER_REQUEST: usize = 30;
 /// Time after which a question without an answer is asked again, in milliseconds.
-const ASK_AGAIN_MS: u64 = 2_000;
+const REQUEST_TIMEOUT_MS: u64 = 2_000;
 /// Part of a ticket's time that is left for the way of the start, in milliseconds.
-const WAY_MS: u64 = 250;
+const TICKET_MARGIN_MS: u64 = 250;
 
 /// A step of one occurrence.
 type StepKey = (JobId, u32, u16);
@@ -41,7 +41,7 @@
     /// Returns the ticket for a task on a minion, if one holds long enough.
     pub(super) fn ticket(&self, task: TaskId, minion: &Name, now: Now) -> Option<&Name> {
         let (ticket, until_ms) = self.0.get(&key(task))?.tickets.get(minion)?;
-        (now.steady_ms + WAY_MS < *until_ms).then_some(ticket)
+        (now.steady_ms + TICKET_MARGIN_MS < *until_ms).then_some(ticket)
     }
 
     /// Forgets a ticket that a minion did not accept.
@@ -84,18 +84,18 @@
             approval.tickets.insert(minion, (ticket, until_ms));
         }
         let (good, bad) = (approval.tickets.len(), approval.refused.len());
-        self.note(format!("decision=approval job={} step={step} good={good} bad={bad}", step.job));
-        self.placing_due = true;
+        self.log(format!("decision=approval job={} step={step} good={good} bad={bad}", step.job));
+        self.placement_due = true;
     }
 
     /// Asks for a step's approvals where tasks wait and no ticket lets them begin.
-    pub(super) fn ask_approval(&mut self, step: TaskId, spec: &StepSpec, now: Now) {
+    pub(super) fn request_approval(&mut self, step: TaskId, spec: &StepSpec, now: Now) {
         let Some(service) = self.jobs.get(&step.job).map(|job| job.record.terms.service.clone())
         else {
             return;
         };
         let approval = self.approvals.0.entry(key(step)).or_default();
-        if approval.asked_ms.is_some_and(|asked| now.steady_ms < asked + ASK_AGAIN_MS) {
+        if approval.asked_ms.is_some_and(|asked| now.steady_ms < asked + REQUEST_TIMEOUT_MS) {
             return;
         }
         let unknown = |id: &&Name| {
@@ -105,12 +105,12 @@
         let mut named: Vec<(i64, Name)> = self
             .minions
             .iter()
-            .filter(|(_, minion)| super::placing::suits(minion, &service, spec, now))
+            .filter(|(_, minion)| super::placement::is_eligible(minion, &service, spec, now))
             .filter(|(id, _)| unknown(id))
             .map(|(id, minion)| (-minion.free().milli_cpus, id.clone()))
             .collect();
         named.sort();
-        named.truncate(MOST_NAMED);
+        named.truncate(MAX_MINIONS_PER_REQUEST);
         if named.is_empty() {
             return;
         }
--- a/crates/geraniumpost-batch/src/coordinator/patience.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
@@ -1,32 +1,38 @@
 //! For how good a place a filling task waits, and how little asking for one may cost.
 
 use super::Coordinator;
-use super::rooms::FillSpeed;
+use super::headroom::BestEffortSpeed;
 use crate::{Demand, JobId, Now, StepSpec, TaskId};
 
 /// Share of its speed below which unused processors are too few for a filling task, so that it waits. A job
 /// is as slow as its slowest task, so one bound to a crowded minion holds up all the others; a full fleet
 /// that waits for more lets good enough places lie idle.
-const LEAST_UNUSED: f64 = 0.7;
+const MIN_CPU_SPEED: f64 = 0.7;
 /// The same for the share at which it harms nobody. It is higher, as what serving tasks bear shrinks when
 /// their load rises, and the task would be slowed down or moved halfway.
-const LEAST_HARMLESS: f64 = 0.9;
+const MIN_TOLERATED_SPEED: f64 = 0.9;
 /// How long a job may have nothing at work before its next filling task begins at any speed, in
 /// milliseconds. Where no minion bears it its users would otherwise wait beside unused processors.
-const IDLE_MS: u64 = 1_800;
+const JOB_IDLE_MS: u64 = 1_800;
 
 impl Coordinator {
     /// Returns whether a task begins at this speed rather than wait for a better place.
-    pub(super) fn takes(&self, task: TaskId, spec: &StepSpec, speed: FillSpeed, now: Now) -> bool {
-        let patient = spec.best_effort && !self.is_idle(task, now);
-        !patient || (speed.unused >= LEAST_UNUSED && speed.harmless >= LEAST_HARMLESS)
+    pub(super) fn accepts_speed(
+        &self,
+        task: TaskId,
+        spec: &StepSpec,
+        speed: BestEffortSpeed,
+        now: Now,
+    ) -> bool {
+        let patient = spec.best_effort && !self.job_is_idle(task, now);
+        !patient || (speed.unused >= MIN_CPU_SPEED && speed.tolerated_speed >= MIN_TOLERATED_SPEED)
     }
 
     /// Returns whether a task's job has had nothing at work for long.
-    pub(super) fn is_idle(&self, task: TaskId, now: Now) -> bool {
-        let since_ms = self.jobs.get(&task.job).and_then(|job| job.idle_ms);
-        since_ms.is_some_and(|since| now.steady_ms >= since + IDLE_MS)
-            && self.runs_of(task.job).is_empty()
+    pub(super) fn job_is_idle(&self, task: TaskId, now: Now) -> bool {
+        let since_ms = self.jobs.get(&task.job).and_then(|job| job.idle_since_ms);
+        since_ms.is_some_and(|since| now.steady_ms >= since + JOB_IDLE_MS)
+            && self.runs_of_job(task.job).is_empty()
     }
 
     /// Returns whether no minion takes a filling step, as one like it has just found none.
@@ -44,7 +50,7 @@
     }
 
     /// Takes note that a step has found no place in this round.
-    pub(super) fn note_unplaceable(&mut self, id: JobId, spec: &StepSpec) {
+    pub(super) fn record_unplaceable(&mut self, id: JobId, spec: &StepSpec) {
         let Some(job) = self.jobs.get(&id) else { return };
         let terms = &job.record.terms;
         let plain = spec.required_label.is_empty() && spec.max_per_minion == 0;
--- a/crates/geraniumpost-batch/src/coordinator/filling.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_tasks.rs
@@ -1,6 +1,6 @@
 /// The filling tasks of one image on a minion.
 #[derive(Debug, Clone)]
-pub(super) struct Filling {
+pub(super) struct BestEffortTasks {
     pub(super) runs: i32,
     /// Processors that they would use, in thousandths.
     pub(super) milli_cpus: i64,
@@ -8,15 +8,15 @@
     pub(super) percent: u8,
 }
 
-impl Default for Filling {
+impl Default for BestEffortTasks {
     fn default() -> Self {
         Self { runs: 0, milli_cpus: 0, percent: 100 }
     }
 }
 
-impl Filling {
+impl BestEffortTasks {
     /// Returns the processors that they use at a share of their speed, in thousandths.
-    pub(super) fn at(&self, percent: u8) -> f64 {
+    pub(super) fn milli_cpus_at(&self, percent: u8) -> f64 {
         self.milli_cpus as f64 * f64::from(percent) / 100.0
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/asking.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -44,17 +44,17 @@
             return;
         }
         if let Err(error) = spec.check() {
-            self.note(format!("decision=refuse job={id} why=\"{error}\""));
+            self.log(format!("decision=refuse job={id} why=\"{error}\""));
             self.reply(ticket, CallerResponse::Invalid);
             return;
         }
-        if self.open.len() >= self.max_open_jobs {
-            let open = self.open.len();
-            self.note(format!("decision=refuse job={id} why=\"too many jobs\" open={open}"));
+        if self.open_jobs.len() >= self.max_open_jobs {
+            let open = self.open_jobs.len();
+            self.log(format!("decision=refuse job={id} why=\"too many jobs\" open={open}"));
             self.reply(ticket, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
             return;
         }
-        self.note(format!(
+        self.log(format!(
             "decision=accept job={id} queue={} steps={} tasks={}",
             terms.queue,
             spec.steps.len(),
@@ -63,10 +63,10 @@
         let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
         job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Accepted));
         self.jobs.insert(id, job);
-        self.open.insert(id);
+        self.open_jobs.insert(id);
         self.dirty.insert(id);
-        self.begin_due(id, now);
-        self.placing_due = true;
+        self.begin_due_occurrences_of(id, now);
+        self.placement_due = true;
     }
 
     fn cancel(&mut self, ticket: u64, id: JobId, now: Now) {
@@ -75,26 +75,28 @@
             return;
         };
         let over = job.record.state.is_final();
-        if over && job.durable == job.version {
+        if over && job.durable_version == job.version {
             self.reply(ticket, CallerResponse::Cancelled);
             return;
         }
         job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Cancelled));
         if !over {
-            self.finish(id, JobState::Cancelled, now);
+            self.finish_job(id, JobState::Cancelled, now);
         }
     }
 
     fn state(&self, id: JobId) -> CallerResponse {
         match self.jobs.get(&id) {
-            Some(job) if job.is_durable() => CallerResponse::State(job.state()),
+            Some(job) if job.is_durable() => CallerResponse::State(job.reported_state()),
             _ => CallerResponse::Unknown,
         }
     }
 
     fn pending(&self, queue: &Name) -> u64 {
         let waits = |job: &&Job| {
-            job.record.terms.queue == *queue && job.is_durable() && job.state() == JobState::Queued
+            job.record.terms.queue == *queue
+                && job.is_durable()
+                && job.reported_state() == JobState::Queued
         };
         self.jobs.values().filter(waits).count() as u64
     }
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -6,14 +6,14 @@
 
 /// A write under way.
 #[derive(Debug)]
-pub(super) struct Batch {
-    jobs: Vec<Written>,
+pub(super) struct PendingBatch {
+    jobs: Vec<PendingRecord>,
     removed: Vec<JobId>,
 }
 
 /// One record of a write under way.
 #[derive(Debug)]
-struct Written {
+struct PendingRecord {
     job: JobId,
     version: u64,
     state: JobState,
@@ -31,7 +31,7 @@
 
 impl Coordinator {
     /// Marks a record as changed, and returns its version.
-    pub(super) fn touch(&mut self, id: JobId) -> u64 {
+    pub(super) fn mark_dirty(&mut self, id: JobId) -> u64 {
         let Some(job) = self.jobs.get_mut(&id) else { return 0 };
         job.version += 1;
         self.dirty.insert(id);
@@ -46,9 +46,9 @@
         let Some(batch) = self.batches.remove(&number) else { return };
         for written in batch.jobs {
             if let Some(job) = self.jobs.get_mut(&written.job) {
-                job.durable = job.durable.max(written.version);
-                job.writing = false;
-                job.shown = written.state;
+                job.durable_version = job.durable_version.max(written.version);
+                job.write_in_flight = false;
+                job.committed_state = written.state;
             }
             for deferred in written.then {
                 self.release(deferred, now);
@@ -57,8 +57,8 @@
         for id in batch.removed {
             self.jobs.remove(&id);
         }
-        self.acknowledge();
-        self.settle_departures();
+        self.acknowledge_ends();
+        self.report_recorded_departures();
     }
 
     fn release(&mut self, deferred: Deferred, now: Now) {
@@ -71,14 +71,15 @@
     }
 
     /// Lets minions forget the ends that the store holds.
-    pub(super) fn acknowledge(&mut self) {
+    pub(super) fn acknowledge_ends(&mut self) {
         let jobs = &self.jobs;
-        let durable =
-            |id: &JobId, version: u64| jobs.get(id).is_none_or(|job| job.durable >= version);
+        let durable = |id: &JobId, version: u64| {
+            jobs.get(id).is_none_or(|job| job.durable_version >= version)
+        };
         for (id, minion) in &mut self.minions {
             // An end that is listed after its acknowledgement left shows that this was lost with a link.
-            let again = std::mem::replace(&mut minion.acknowledge_again, false);
-            let mut up_to = again.then_some(minion.acknowledged);
+            let again = std::mem::replace(&mut minion.resend_acknowledgement, false);
+            let mut up_to = again.then_some(minion.acknowledged_up_to);
             while let Some((number, change)) = minion.unacknowledged.front() {
                 if change.as_ref().is_some_and(|(job, version)| !durable(job, *version)) {
                     break;
@@ -87,7 +88,7 @@
                 minion.unacknowledged.pop_front();
             }
             if let Some(up_to) = up_to {
-                minion.acknowledged = up_to;
+                minion.acknowledged_up_to = up_to;
                 let message = ToAgent::Acknowledge { minion: id.clone(), up_to };
                 self.effects.push(Effect::Send { agent: minion.agent.clone(), message });
             }
@@ -98,7 +99,7 @@
     pub(super) fn gather_writes(&mut self, now: Now) {
         while self.batches.len() < MAX_CONCURRENT_WRITES {
             let Some(mut write) = self.gather_write() else { return };
-            write.interference = self.knowledge_due(now);
+            write.interference = self.interference_to_write(now);
             self.effects.push(Effect::Write(write));
         }
     }
@@ -114,29 +115,30 @@
                 self.dirty.remove(&id);
                 continue;
             };
-            if job.writing {
+            if job.write_in_flight {
                 continue;
             }
             if written.len() >= MAX_RECORDS_PER_WRITE || bytes >= MAX_BYTES_PER_WRITE {
                 break;
             }
             self.dirty.remove(&id);
-            job.writing = true;
+            job.write_in_flight = true;
             let record = job.record.encode();
             bytes += record.len();
             write.put.push((id, record));
             let then = std::mem::take(&mut job.after_commit);
             let (version, state) = (job.version, job.record.state);
-            written.push(Written { job: id, version, state, then });
+            written.push(PendingRecord { job: id, version, state, then });
         }
         let room = MAX_RECORDS_PER_WRITE - written.len();
-        let removed: Vec<_> = self.expired.drain(..room.min(self.expired.len())).collect();
+        let removed: Vec<_> =
+            self.expired_jobs.drain(..room.min(self.expired_jobs.len())).collect();
         write.remove.clone_from(&removed);
         if written.is_empty() && removed.is_empty() {
             return None;
         }
         self.next_batch += 1;
-        self.batches.insert(number, Batch { jobs: written, removed });
+        self.batches.insert(number, PendingBatch { jobs: written, removed });
         Some(write)
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -12,7 +12,7 @@
     agent: Name,
     /// Records that were not written yet when it was said, and the versions that hold all that was known
     /// by then.
-    unwritten: Vec<(JobId, u64)>,
+    unwritten_jobs: Vec<(JobId, u64)>,
 }
 
 impl Coordinator {
@@ -22,21 +22,22 @@
     /// that the records hold it. A coordinator that is lost before it has written them would otherwise
     /// take the knowledge along: its successor waits for the lease of a minion that is gone, and users
     /// miss standing tasks for as long.
-    pub(super) fn minion_departed(&mut self, agent: &Name, id: &Name, now: Now) {
-        self.minion_gone(id, now);
+    pub(super) fn minion_terminated(&mut self, agent: &Name, id: &Name, now: Now) {
+        self.remove_minion(id, now);
         // What ran there may have ended before, by a stop or a lapse that is not written either.
-        let unwritten = self.jobs.iter().filter(|(_, job)| job.durable < job.version);
-        let unwritten = unwritten.map(|(id, job)| (*id, job.version)).collect();
-        self.departures.insert(id.clone(), Departure { agent: agent.clone(), unwritten });
-        self.settle_departures();
+        let unwritten_jobs = self.jobs.iter().filter(|(_, job)| job.durable_version < job.version);
+        let unwritten_jobs = unwritten_jobs.map(|(id, job)| (*id, job.version)).collect();
+        self.departures.insert(id.clone(), Departure { agent: agent.clone(), unwritten_jobs });
+        self.report_recorded_departures();
     }
 
     /// Tells agents which of their words need not be repeated any more.
-    pub(super) fn settle_departures(&mut self) {
+    pub(super) fn report_recorded_departures(&mut self) {
         let jobs = &self.jobs;
-        let durable =
-            |(id, version): &(JobId, u64)| jobs.get(id).is_none_or(|job| job.durable >= *version);
-        let settled = self.departures.extract_if(.., |_, d| d.unwritten.iter().all(durable));
+        let durable = |(id, version): &(JobId, u64)| {
+            jobs.get(id).is_none_or(|job| job.durable_version >= *version)
+        };
+        let settled = self.departures.extract_if(.., |_, d| d.unwritten_jobs.iter().all(durable));
         for (minion, departure) in settled {
             let message = ToAgent::DepartureRecorded { minion };
             self.effects.push(Effect::Send { agent: departure.agent, message });
--- a/crates/geraniumpost-batch/src/coordinator/barring.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -6,15 +6,15 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::bar::Bar;
 use super::minion::Minion;
-use super::placing::{leaves_room_for_short, room_for, spread_allows};
-use super::run::occupied;
+use super::placement::{available_for, leaves_short_task_reserve, spread_allows};
+use super::rejection::Rejection;
+use super::run::reserved;
 use crate::{Now, QueueTerms, StepSpec, TaskId};
 
 /// What a task asks of a minion.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct TaskNeeds<'a> {
+pub(super) struct TaskRequirements<'a> {
     task: TaskId,
     spec: &'a StepSpec,
     terms: &'a QueueTerms,
@@ -24,28 +24,37 @@
 
 impl Coordinator {
     /// Returns what a task asks of a minion.
-    pub(super) fn needs<'a>(&'a self, task: TaskId, spec: &'a StepSpec) -> Option<TaskNeeds<'a>> {
+    pub(super) fn needs<'a>(
+        &'a self,
+        task: TaskId,
+        spec: &'a StepSpec,
+    ) -> Option<TaskRequirements<'a>> {
         let terms = &self.jobs.get(&task.job)?.record.terms;
         let ran = self.task_record(task).is_some_and(|record| record.run > 0);
-        Some(TaskNeeds { task, spec, terms, ran })
+        Some(TaskRequirements { task, spec, terms, ran })
     }
 
     /// Returns why a minion does not take a task, or `None` if it does.
     #[inline]
-    pub(super) fn barred(&self, needs: &TaskNeeds<'_>, minion: &Minion, now: Now) -> Option<Bar> {
-        let TaskNeeds { task, spec, terms, ran } = *needs;
-        let bar = unsuitable(minion, &terms.service, spec, now);
+    pub(super) fn rejection(
+        &self,
+        needs: &TaskRequirements<'_>,
+        minion: &Minion,
+        now: Now,
+    ) -> Option<Rejection> {
+        let TaskRequirements { task, spec, terms, ran } = *needs;
+        let bar = step_rejection(minion, &terms.service, spec, now);
         if bar.is_some() {
             return bar;
         }
         if !spread_allows(task, spec, minion) {
-            return Some(Bar::Spread);
+            return Some(Rejection::Spread);
         }
         if terms.needs_approval && self.approvals.ticket(task, &minion.info.id, now).is_none() {
-            return Some(Bar::NoApproval);
+            return Some(Rejection::NoApproval);
         }
-        let kept = !ran && !leaves_room_for_short(minion, spec);
-        kept.then_some(Bar::RoomKeptForShort)
+        let kept = !ran && !leaves_short_task_reserve(minion, spec);
+        kept.then_some(Rejection::ReservedForShort)
     }
 }
 
@@ -54,48 +63,48 @@
 /// What never changes comes first, so that a minion of another service counts as that one, whatever
 /// else keeps it out.
 #[inline]
-pub(super) fn unsuitable(
+pub(super) fn step_rejection(
     minion: &Minion,
     service: &Name,
     spec: &StepSpec,
     now: Now,
-) -> Option<Bar> {
-    if !minion.known {
-        return Some(if minion.linked { Bar::NotHeardOf } else { Bar::NotLinked });
+) -> Option<Rejection> {
+    if !minion.reported {
+        return Some(if minion.linked { Rejection::NotReported } else { Rejection::NotLinked });
     }
     if minion.info.service != *service {
-        return Some(Bar::OtherService);
+        return Some(Rejection::OtherService);
     }
     if !spec.required_label.is_empty() && !minion.has_label(&spec.required_label) {
-        return Some(Bar::Label);
+        return Some(Rejection::Label);
     }
     closed(minion, now).or_else(|| full(minion, spec))
 }
 
 /// Returns why no new run at all may be placed on a minion.
 #[inline]
-fn closed(minion: &Minion, now: Now) -> Option<Bar> {
+fn closed(minion: &Minion, now: Now) -> Option<Rejection> {
     if !minion.linked {
-        return Some(Bar::NotLinked);
+        return Some(Rejection::NotLinked);
     }
-    if !minion.looked {
-        return Some(Bar::NotLookedAt);
+    if !minion.polled {
+        return Some(Rejection::NotPolled);
     }
-    if !minion.answers {
-        return Some(Bar::NoAnswer);
+    if !minion.responsive {
+        return Some(Rejection::NotResponding);
     }
-    if now.steady_ms < minion.shunned_ms {
-        return Some(Bar::Shunned);
+    if now.steady_ms < minion.quarantined_until_ms {
+        return Some(Rejection::Quarantined);
     }
-    minion.info.draining.then_some(Bar::Draining)
+    minion.info.draining.then_some(Rejection::Draining)
 }
 
 /// Returns why a minion cannot hold a task of a step beside what it has.
 #[inline]
-fn full(minion: &Minion, spec: &StepSpec) -> Option<Bar> {
-    if spec.best_effort && minion.over_for_ms > 0 {
-        return Some(Bar::OverBound);
+fn full(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
+    if spec.best_effort && minion.over_bound_ms > 0 {
+        return Some(Rejection::OverBound);
     }
-    let fits = occupied(spec).fits(room_for(minion, spec));
-    (!fits).then_some(Bar::NoRoom)
+    let fits = reserved(spec).fits(available_for(minion, spec));
+    (!fits).then_some(Rejection::NoCapacity)
 }
--- a/crates/geraniumpost-batch/src/coordinator/gauges.rs
+++ b/crates/geraniumpost-batch/src/coordinator/gauges.rs
@@ -29,17 +29,17 @@
     }
 
     /// Returns what was learnt of images, if a successor should be told anew.
-    pub(super) fn knowledge_due(&mut self, now: Now) -> Option<Vec<u8>> {
-        if now.steady_ms < self.told_ms + INTERFERENCE_WRITE_INTERVAL_MS {
+    pub(super) fn interference_to_write(&mut self, now: Now) -> Option<Vec<u8>> {
+        if now.steady_ms < self.interference_written_ms + INTERFERENCE_WRITE_INTERVAL_MS {
             return None;
         }
-        self.told_ms = now.steady_ms;
+        self.interference_written_ms = now.steady_ms;
         let knowledge = self.interference.snapshot();
         (!knowledge.pairs.is_empty()).then(|| knowledge.encode())
     }
 
     /// Forgets what is known of serving tasks that are gone.
-    pub(super) fn forget_groups(&mut self) {
+    pub(super) fn prune_serving_groups(&mut self) {
         let minions = &self.minions;
         self.interference.retain_groups(|group| {
             let last = TaskId { index: u32::MAX, ..group.step };
@@ -51,10 +51,10 @@
     /// Learns from a minion's gauges.
     pub(super) fn observe_gauges(&mut self, id: &Name, now: Now) {
         let Gauges { tails, used, over } = self.read_gauges(id);
-        self.note_over(id, over, now);
+        self.update_over_bound(id, over, now);
         let mut worst: BTreeMap<Name, f64> = BTreeMap::new();
         for ((image, group), tails) in tails {
-            let tail = typical(tails);
+            let tail = lower_median(tails);
             self.interference.observe(&image, &group, tail, &used, now.steady_ms);
             let of_image = worst.entry(image).or_default();
             *of_image = of_image.max(tail);
@@ -73,7 +73,7 @@
             let (Some(run), Some(step)) = (self.runs.get(task), self.step_spec(*task)) else {
                 continue;
             };
-            if step.serves() && run.percent == 100 && run.gauge > 0 {
+            if step.serves() && run.progress_percent == 100 && run.gauge > 0 {
                 let tail = f64::from(run.gauge) / f64::from(step.latency_bound_ms);
                 let group = (step.image.clone(), ServingGroup::of(*task, id));
                 gauges.tails.entry(group).or_default().push(tail);
@@ -87,16 +87,17 @@
     }
 
     /// Takes note of which serving tasks are over their bounds, and since when.
-    fn note_over(&mut self, id: &Name, over: Vec<(TaskId, bool)>, now: Now) {
+    fn update_over_bound(&mut self, id: &Name, over: Vec<(TaskId, bool)>, now: Now) {
         let mut longest_ms = 0;
         for (task, is_over) in over {
             let Some(run) = self.runs.get_mut(&task) else { continue };
-            run.over_ms = is_over.then(|| run.over_ms.unwrap_or(now.steady_ms));
-            let since_ms = run.over_ms.map_or(0, |since| now.steady_ms - since + 1);
+            run.over_bound_since_ms =
+                is_over.then(|| run.over_bound_since_ms.unwrap_or(now.steady_ms));
+            let since_ms = run.over_bound_since_ms.map_or(0, |since| now.steady_ms - since + 1);
             longest_ms = longest_ms.max(since_ms);
         }
         if let Some(minion) = self.minions.get_mut(id) {
-            minion.over_for_ms = longest_ms;
+            minion.over_bound_ms = longest_ms;
         }
     }
 }
@@ -105,7 +106,7 @@
 ///
 /// A single task now and then shows a tail several times its neighbours' for a second, by nobody's doing.
 /// The highest tail would blame what fills beside it, and slow it down for nothing.
-fn typical(mut tails: Vec<f64>) -> f64 {
+fn lower_median(mut tails: Vec<f64>) -> f64 {
     tails.sort_unstable_by(f64::total_cmp);
     tails.get(tails.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
 }
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -12,66 +12,66 @@
     /// Counts the changes of the record.
     pub(super) version: u64,
     /// Version of the record that the store is known to hold.
-    pub(super) durable: u64,
+    pub(super) durable_version: u64,
     /// Whether a write of this record is under way.
-    pub(super) writing: bool,
+    pub(super) write_in_flight: bool,
     /// State that callers are told: the last committed one.
-    pub(super) shown: JobState,
+    pub(super) committed_state: JobState,
     /// Whether some task has started.
-    pub(super) begun: bool,
+    pub(super) started: bool,
     /// What waits until the present version is committed.
     pub(super) after_commit: Vec<Deferred>,
     /// What is known of tasks beside the record.
-    pub(super) hints: HashMap<TaskId, Hint>,
+    pub(super) hints: HashMap<TaskId, PlacementHint>,
     /// Since when nothing of it has been at work, on the steady clock.
-    pub(super) idle_ms: Option<u64>,
+    pub(super) idle_since_ms: Option<u64>,
     /// Estimated length of the longest chain in milliseconds.
     pub(super) critical_path_ms: u64,
 }
 
 /// What helps to place a task again.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Hint {
+pub(super) struct PlacementHint {
     /// Last checkpoint; empty for none.
     pub(super) checkpoint: Name,
     /// Not placed before this time on the steady clock.
     pub(super) not_before_ms: u64,
     /// The minion of its last run that went wrong.
-    pub(super) avoid: Option<Name>,
+    pub(super) avoided_minion: Option<Name>,
 }
 
 impl Job {
     pub(super) fn new(record: JobRecord) -> Self {
         let critical_path_ms = record.spec.critical_path_ms();
         Self {
-            shown: record.state,
+            committed_state: record.state,
             record,
             version: 1,
-            durable: 0,
-            writing: false,
-            begun: false,
+            durable_version: 0,
+            write_in_flight: false,
+            started: false,
             after_commit: Vec::new(),
             hints: HashMap::new(),
-            idle_ms: None,
+            idle_since_ms: None,
             critical_path_ms,
         }
     }
 
     /// Returns a job whose record came from the store.
-    pub(super) fn loaded(record: JobRecord) -> Self {
-        let ran = record.occurrences.iter().flat_map(|o| o.steps.iter().flatten());
-        let begun = ran.into_iter().any(|task| task.run > 0);
-        Self { durable: 1, begun, ..Self::new(record) }
+    pub(super) fn from_store(record: JobRecord) -> Self {
+        let tasks = record.occurrences.iter().flat_map(|o| o.steps.iter().flatten());
+        let started = tasks.into_iter().any(|task| task.run > 0);
+        Self { durable_version: 1, started, ..Self::new(record) }
     }
 
     pub(super) fn is_durable(&self) -> bool {
-        self.durable > 0
+        self.durable_version > 0
     }
 
     /// Returns the state to tell callers.
-    pub(super) fn state(&self) -> JobState {
-        match self.shown {
-            JobState::Queued if self.begun => JobState::Running,
+    pub(super) fn reported_state(&self) -> JobState {
+        match self.committed_state {
+            JobState::Queued if self.started => JobState::Running,
             state => state,
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -11,7 +11,7 @@
 
 /// The support of other entries, as last heard.
 #[derive(Debug, Default)]
-pub(super) struct Supported {
+pub(super) struct EntrySupport {
     /// Until when a majority has promised to follow no successor, on the steady clock.
     until_ms: u64,
     supporters: usize,
@@ -33,8 +33,8 @@
     /// Takes note until when a majority of entries supports this coordinator, on the steady clock, and how
     /// many of the others do at present.
     pub const fn set_supported_until(&mut self, steady_ms: u64, supporters: usize) {
-        self.supported.until_ms = steady_ms;
-        self.supported.supporters = supporters;
+        self.support.until_ms = steady_ms;
+        self.support.supporters = supporters;
     }
 
     /// Returns what lets this coordinator extend leases, if anything does.
@@ -42,22 +42,22 @@
     /// Nothing does for long after the store was last asked: a successor that hears from too few entries
     /// takes the work for ended then.
     pub(super) const fn lease_basis(&self, now: Now) -> Option<LeaseBasis> {
-        if now.steady_ms >= self.asked_ms + STORE_OUTAGE_TOLERANCE_MS {
+        if now.steady_ms >= self.confirmation_requested_ms + STORE_OUTAGE_TOLERANCE_MS {
             return None;
         }
-        if now.steady_ms < self.supported.until_ms {
+        if now.steady_ms < self.support.until_ms {
             return Some(LeaseBasis::Entries);
         }
-        if now.steady_ms < self.asked_ms + STORE_CONFIRMATION_MS {
+        if now.steady_ms < self.confirmation_requested_ms + STORE_CONFIRMATION_MS {
             return Some(LeaseBasis::Store);
         }
         None
     }
 
     /// Tells what the extension of leases rests on when that has changed.
-    pub(super) fn tell_lease_basis(&mut self, now: Now) {
+    pub(super) fn log_lease_basis(&mut self, now: Now) {
         let basis = self.lease_basis(now);
-        let due = match self.supported.told {
+        let due = match self.support.told {
             None => true,
             Some((told, at_ms)) => {
                 told != basis && now.steady_ms >= at_ms + INTERFERENCE_WRITE_INTERVAL_MS
@@ -66,11 +66,11 @@
         if !due {
             return;
         }
-        self.supported.told = Some((basis, now.steady_ms));
+        self.support.told = Some((basis, now.steady_ms));
         let name = basis.map_or_else(|| "nothing".to_owned(), |basis| basis.to_string());
-        let store_age_ms = now.steady_ms.saturating_sub(self.asked_ms);
-        let supporters = self.supported.supporters;
-        self.note(format!(
+        let store_age_ms = now.steady_ms.saturating_sub(self.confirmation_requested_ms);
+        let supporters = self.support.supporters;
+        self.log(format!(
             "event=lease_basis basis={name} store_age_ms={store_age_ms} supporters={supporters}"
         ));
     }
--- a/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
@@ -17,8 +17,9 @@
     /// A standing task counts from the end of its last run, or from when its minion could not be
     /// reached any more, as far as this coordinator knows; after a takeover from that.
     pub fn longest_wait(&self, now: Now) -> LongestWait {
-        let down = self.waits.down.iter().filter(|(task, _)| self.open.contains(&task.job));
-        let steps = self.waits.steps.iter().filter(|(key, _)| self.open.contains(&key.0));
+        let down =
+            self.wait_state.down.iter().filter(|(task, _)| self.open_jobs.contains(&task.job));
+        let steps = self.wait_state.steps.iter().filter(|(key, _)| self.open_jobs.contains(&key.0));
         let others = steps.filter(|(_, step)| !step.standing).map(|(_, step)| step.since_ms);
         let waited_ms = |since_ms: Option<u64>| {
             since_ms.map_or(0, |since_ms| now.steady_ms.saturating_sub(since_ms))
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -2,9 +2,9 @@
 
 use geraniumpost_schema::Name;
 
-use super::filling::Filling;
-use super::rooms::Room;
-use super::serving::Serving;
+use super::best_effort_tasks::BestEffortTasks;
+use super::headroom::Headroom;
+use super::serving_tasks::ServingTasks;
 use crate::tuning::SERVING_UNUSED_CPU_PERCENT;
 use crate::{Demand, JobId, MinionInfo, TaskId};
 
@@ -16,48 +16,48 @@
     /// Whether its agent's link is open.
     pub(super) linked: bool,
     /// Whether it was heard of, or only stands in records.
-    pub(super) known: bool,
+    pub(super) reported: bool,
     /// Whether its lists have been read over the present link.
-    pub(super) looked: bool,
+    pub(super) polled: bool,
     /// Whether it answers its agent, which therefore holds a lease to give.
-    pub(super) answers: bool,
+    pub(super) responsive: bool,
     /// What the runs placed there occupy; filling tasks count memory only.
     pub(super) used: Demand,
     /// Processors that filling tasks there would use if they could.
-    pub(super) fill_cpus: i64,
+    pub(super) best_effort_cpus: i64,
     /// Processors that serving tasks there reserve.
     pub(super) serving_cpus: i64,
     /// Tasks there that serve within a bound.
-    pub(super) serving: u32,
+    pub(super) serving_runs: u32,
     pub(super) runs: BTreeSet<TaskId>,
     /// Number of the last end that was taken in.
-    pub(super) last_end: u64,
+    pub(super) last_end_sequence: u64,
     /// Ends taken in and not acknowledged: number, job and version that must be durable.
     pub(super) unacknowledged: VecDeque<(u64, Option<(JobId, u64)>)>,
     /// Number up to which ends were acknowledged.
-    pub(super) acknowledged: u64,
+    pub(super) acknowledged_up_to: u64,
     /// Whether an acknowledged end was listed again.
-    pub(super) acknowledge_again: bool,
+    pub(super) resend_acknowledgement: bool,
     /// Failed runs since the last good one.
-    pub(super) failures: u32,
+    pub(super) consecutive_failures: u32,
     /// The job of the last failed run.
-    pub(super) failed_job: Option<JobId>,
+    pub(super) last_failed_job: Option<JobId>,
     /// Gets no work before this time.
-    pub(super) shunned_ms: u64,
+    pub(super) quarantined_until_ms: u64,
     /// When it may leave, if it drains, on the steady clock.
-    pub(super) leaves_ms: u64,
+    pub(super) drain_deadline_ms: u64,
     /// When its tasks were last looked at for other places, if it drains.
-    pub(super) emptied_ms: u64,
+    pub(super) last_evacuation_ms: u64,
     /// Tasks that found no other place then.
-    pub(super) without_place: u32,
+    pub(super) tasks_without_place: u32,
     /// For how long some serving task there has been over its bound, in milliseconds.
-    pub(super) over_for_ms: u64,
+    pub(super) over_bound_ms: u64,
     /// What serves there, by image.
-    pub(super) serving_images: BTreeMap<Name, Serving>,
+    pub(super) serving_images: BTreeMap<Name, ServingTasks>,
     /// What each group of serving tasks there can bear, beside what fills at its paces.
-    pub(super) rooms: Vec<Room>,
+    pub(super) headroom: Vec<Headroom>,
     /// What fills there, by image.
-    pub(super) fill_images: BTreeMap<Name, Filling>,
+    pub(super) best_effort_images: BTreeMap<Name, BestEffortTasks>,
 }
 
 impl Minion {
@@ -66,28 +66,28 @@
             info,
             agent,
             linked: false,
-            known: false,
-            looked: false,
-            answers: false,
+            reported: false,
+            polled: false,
+            responsive: false,
             used: Demand::default(),
-            fill_cpus: 0,
+            best_effort_cpus: 0,
             serving_cpus: 0,
-            serving: 0,
+            serving_runs: 0,
             runs: BTreeSet::new(),
-            last_end: 0,
+            last_end_sequence: 0,
             unacknowledged: VecDeque::new(),
-            acknowledged: 0,
-            acknowledge_again: false,
-            failures: 0,
-            failed_job: None,
-            shunned_ms: 0,
-            leaves_ms: 0,
-            emptied_ms: 0,
-            without_place: 0,
-            over_for_ms: 0,
+            acknowledged_up_to: 0,
+            resend_acknowledgement: false,
+            consecutive_failures: 0,
+            last_failed_job: None,
+            quarantined_until_ms: 0,
+            drain_deadline_ms: 0,
+            last_evacuation_ms: 0,
+            tasks_without_place: 0,
+            over_bound_ms: 0,
             serving_images: BTreeMap::new(),
-            rooms: Vec::new(),
-            fill_images: BTreeMap::new(),
+            headroom: Vec::new(),
+            best_effort_images: BTreeMap::new(),
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Returns which share of its processors so many thousandths of one are.
-    pub(super) fn share(&self, milli_cpus: f64) -> f64 {
+    pub(super) fn cpu_share(&self, milli_cpus: f64) -> f64 {
         milli_cpus / self.info.capacity.milli_cpus.max(1) as f64
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -2,36 +2,36 @@
 
 mod agents;
 mod approvals;
-mod asking;
-mod bar;
-mod barring;
+mod best_effort_placement;
+mod best_effort_tasks;
+mod caller_requests;
 mod commits;
 mod departures;
+mod draining;
 mod effect;
-mod ends;
-mod filling;
+mod eligibility;
 mod gauges;
-mod inherited;
+mod headroom;
 mod job;
 mod lease_basis;
 mod leases;
-mod leaving;
 mod longest_wait;
-mod looks;
 mod minion;
+mod minion_lifecycle;
 mod order_results;
-mod ordering;
+mod orders;
 mod pacing;
-mod patience;
-mod placing;
-mod presence;
-mod rooms;
+mod placement;
+mod poll_results;
+mod predecessor_leases;
+mod rejection;
 mod run;
-mod serving;
+mod run_ends;
+mod serving_tasks;
 mod timers;
 mod unreachable;
-mod waiting;
-mod waits;
+mod wait_monitor;
+mod wait_state;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -46,14 +46,14 @@
 
 use agents::Agent;
 use approvals::Approvals;
-use commits::Batch;
+use commits::PendingBatch;
 use departures::Departure;
-use inherited::Inherited;
 use job::Job;
-use lease_basis::Supported;
+use lease_basis::EntrySupport;
 use minion::Minion;
+use predecessor_leases::PredecessorExpiry;
 use run::Run;
-use waits::Waits;
+use wait_state::WaitState;
 
 /// Decides which task runs where, for one service or many, while its fencing token is the highest.
 ///
@@ -67,40 +67,40 @@
     max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
     /// Jobs that may have waiting tasks.
-    open: BTreeSet<JobId>,
+    open_jobs: BTreeSet<JobId>,
     /// Jobs whose record differs from the store's.
     dirty: BTreeSet<JobId>,
     /// Finished jobs to be removed from the store.
-    expired: Vec<JobId>,
+    expired_jobs: Vec<JobId>,
     runs: BTreeMap<TaskId, Run>,
     minions: BTreeMap<Name, Minion>,
     agents: HashMap<Name, Agent>,
     /// Minions that are certainly gone, until the records say so.
     departures: BTreeMap<Name, Departure>,
-    batches: HashMap<u64, Batch>,
+    batches: HashMap<u64, PendingBatch>,
     next_batch: u64,
     /// When the store last confirmed this coordinator, on the steady clock.
     confirmed_ms: u64,
     /// When it was asked for that.
-    asked_ms: u64,
+    confirmation_requested_ms: u64,
     /// The support of other entries.
-    supported: Supported,
-    inherited: Inherited,
+    support: EntrySupport,
+    predecessor_expiry: PredecessorExpiry,
     /// Agents that are not reached though something may run beside them, and when their leases have
     /// surely lapsed.
-    unreached: BTreeMap<Name, u64>,
-    inheritance_changed: bool,
+    unreached_agents: BTreeMap<Name, u64>,
+    leases_for_successor_changed: bool,
     approvals: Approvals,
     /// How much images that fill slow images that serve.
     interference: InterferenceModel,
     /// Whether something changed that may let a task be placed.
-    placing_due: bool,
+    placement_due: bool,
     /// When a successor was last told what was learnt of images.
-    told_ms: u64,
+    interference_written_ms: u64,
     /// By service and image, what found no place in the present round of placements.
     unplaceable: BTreeMap<(Name, Name), crate::Demand>,
     /// What waits, as far as lines and gauges tell it; no decision rests on it.
-    waits: Waits,
+    wait_state: WaitState,
     effects: Vec<Effect>,
 }
 
@@ -112,9 +112,9 @@
             lease_ms: 0,
             max_open_jobs: crate::tuning::MAX_OPEN_JOBS,
             jobs: BTreeMap::new(),
-            open: BTreeSet::new(),
+            open_jobs: BTreeSet::new(),
             dirty: BTreeSet::new(),
-            expired: Vec::new(),
+            expired_jobs: Vec::new(),
             runs: BTreeMap::new(),
             minions: BTreeMap::new(),
             agents: HashMap::new(),
@@ -122,17 +122,17 @@
             batches: HashMap::new(),
             next_batch: 1,
             confirmed_ms: now.steady_ms,
-            asked_ms: now.steady_ms,
-            supported: Supported::default(),
-            inherited: Inherited::default(),
-            unreached: BTreeMap::new(),
-            inheritance_changed: false,
+            confirmation_requested_ms: now.steady_ms,
+            support: EntrySupport::default(),
+            predecessor_expiry: PredecessorExpiry::default(),
+            unreached_agents: BTreeMap::new(),
+            leases_for_successor_changed: false,
             approvals: Approvals::default(),
             interference: InterferenceModel::default(),
-            placing_due: false,
-            told_ms: now.steady_ms,
+            placement_due: false,
+            interference_written_ms: now.steady_ms,
             unplaceable: BTreeMap::new(),
-            waits: Waits::new(now.steady_ms),
+            wait_state: WaitState::new(now.steady_ms),
             effects: Vec::new(),
         }
     }
@@ -155,9 +155,9 @@
     #[must_use]
     pub fn with_records(mut self, records: Vec<(JobId, JobRecord)>, now: Now) -> Self {
         for (id, record) in records {
-            self.adopt(id, record, now);
+            self.load_job(id, record, now);
         }
-        self.placing_due = true;
+        self.placement_due = true;
         self
     }
 
@@ -174,21 +174,21 @@
     /// Takes a message from an agent.
     pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
-            FromAgent::Hello { .. } => self.agent_linked(agent, now),
+            FromAgent::Hello { .. } => self.agent_connected(agent, now),
             FromAgent::Heartbeat { sent_at_ms, minion_ok } => {
                 self.extend_lease(agent, sent_at_ms, minion_ok, now);
             }
-            FromAgent::Minion(info) => self.minion_reported(agent, info, now),
-            FromAgent::MinionTerminated { minion } => self.minion_departed(agent, &minion, now),
-            FromAgent::PollResult(look) => self.look(agent, look, now),
-            FromAgent::Result(result) => self.order_result(result, now),
+            FromAgent::Minion(info) => self.update_minion(agent, info, now),
+            FromAgent::MinionTerminated { minion } => self.minion_terminated(agent, &minion, now),
+            FromAgent::PollResult(poll) => self.handle_poll_result(agent, poll, now),
+            FromAgent::Result(result) => self.handle_order_result(result, now),
         }
     }
 
     /// Returns what is to be done now: decides placements that became possible, and gathers records
     /// to write.
     pub fn take_effects(&mut self, now: Now) -> Vec<Effect> {
-        if self.placing_due {
+        if self.placement_due {
             self.place_waiting(now);
         }
         self.gather_writes(now);
@@ -198,7 +198,7 @@
     /// Sets when the store was asked for the term, on the steady clock.
     #[must_use]
     pub const fn term_requested_at(mut self, steady_ms: u64) -> Self {
-        self.asked_ms = steady_ms;
+        self.confirmation_requested_ms = steady_ms;
         self
     }
 
@@ -208,23 +208,23 @@
     /// The answer holds for the time of asking only. It may be on its way for seconds, in which another
     /// entry takes over; that one waits for as long as leases are extended without the store, counted from
     /// its takeover.
-    pub fn store_confirmed(&mut self, asked_ms: u64, steady_ms: u64) {
-        self.asked_ms = self.asked_ms.max(asked_ms);
+    pub fn store_confirmed(&mut self, requested_ms: u64, steady_ms: u64) {
+        self.confirmation_requested_ms = self.confirmation_requested_ms.max(requested_ms);
         self.confirmed_ms = self.confirmed_ms.max(steady_ms);
     }
 
-    fn note(&mut self, line: String) {
+    fn log(&mut self, line: String) {
         self.effects.push(Effect::Log(line));
     }
 
     /// Puts a job from the store in place, with the runs that may exist.
-    fn adopt(&mut self, id: JobId, record: JobRecord, now: Now) {
+    fn load_job(&mut self, id: JobId, record: JobRecord, now: Now) {
         let placed: Vec<_> =
             record.occurrences.iter().flat_map(|occurrence| placed_tasks(id, occurrence)).collect();
         let is_final = record.state.is_final();
-        self.jobs.insert(id, Job::loaded(record));
+        self.jobs.insert(id, Job::from_store(record));
         if !is_final {
-            self.open.insert(id);
+            self.open_jobs.insert(id);
         }
         for (task, number, place) in placed {
             let order = if is_final {
@@ -235,8 +235,8 @@
             let spec = self.step_spec(task).cloned().unwrap_or_default();
             let mut run = Run::new(place, number, order, &spec, now.steady_ms);
             // The predecessor's order may have left, and may be carried out later than ours.
-            run.unanswered = true;
-            run.pace_known = false;
+            run.start_unresolved = true;
+            run.pace_confirmed = false;
             self.insert_run(task, run);
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/ordering.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -8,7 +8,7 @@
 
 /// Share of its speed below which a task counts as slowed down, in percent: it would take longer here than
 /// a move and the work elsewhere.
-const SLOW_PERCENT: u8 = 50;
+const THROTTLED_BELOW_PERCENT: u8 = 50;
 
 impl Coordinator {
     /// Gives the start order of a placement that is committed now.
@@ -38,7 +38,7 @@
         let sent = self.send(task, kind);
         let Some(run) = self.runs.get_mut(&task) else { return };
         if sent {
-            run.start_left(now.steady_ms);
+            run.record_start_sent(now.steady_ms);
         } else {
             run.order = OrderState::Unknown { since_ms: now.steady_ms };
         }
@@ -56,19 +56,19 @@
     pub(super) fn send_pace(&mut self, task: TaskId, percent: u8, now: Now) {
         let sent = self.send(task, OrderKind::Pace { percent });
         if let Some(run) = self.runs.get_mut(&task) {
-            run.pace = percent;
-            run.pace_known = sent;
-            run.throttled_ms =
-                (percent < SLOW_PERCENT).then(|| run.throttled_ms.unwrap_or(now.steady_ms));
+            run.pace_percent = percent;
+            run.pace_confirmed = sent;
+            run.throttled_since_ms = (percent < THROTTLED_BELOW_PERCENT)
+                .then(|| run.throttled_since_ms.unwrap_or(now.steady_ms));
         }
     }
 
     /// Stops a run that this coordinator does not know.
-    pub(super) fn stop_stranger(&mut self, minion: &Name, task: TaskId, run: u32) {
+    pub(super) fn stop_unknown_run(&mut self, minion: &Name, task: TaskId, run: u32) {
         let Some(view) = self.minions.get(minion) else { return };
         let agent = view.agent.clone();
         let order = Order { minion: minion.clone(), task, run, kind: OrderKind::Stop };
-        self.note(format!("decision=stop_stranger task={task} run={run} minion={minion}"));
+        self.log(format!("decision=stop_unknown_run task={task} run={run} minion={minion}"));
         self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -7,19 +7,19 @@
 use crate::{Now, TaskId};
 
 /// Share below which a pace is set to nothing, in percent.
-const LEAST_PERCENT: u8 = 8;
+const MIN_PACE_PERCENT: u8 = 8;
 /// Smallest change of pace that is worth an order, in percent.
-const LEAST_CHANGE: u8 = 10;
+const MIN_PACE_CHANGE: u8 = 10;
 /// How long a task is slowed down before it is moved, in milliseconds: longer than most changes of pace take
 /// to be taken back, as each second makes a whole job late.
-const THROTTLED_MS: u64 = 300;
+const MOVE_AFTER_THROTTLED_MS: u64 = 300;
 /// Progress below which a task without checkpoints is moved all the same, in percent.
-const LITTLE_DONE_PERCENT: u8 = 15;
+const CHEAP_RESTART_PERCENT: u8 = 15;
 /// Tasks moved in one tick, so that a full fleet does not spend its store's writes on moves alone.
-const MOVES_AT_ONCE: u32 = 30;
+const MAX_MOVES_PER_TICK: u32 = 30;
 /// How long a tail may stay over its bound before all that fills beside it stands still, in
 /// milliseconds: four looks, in which paces by blame did not help.
-const OVER_TOO_LONG_MS: u64 = 1_600;
+const SUSPEND_AFTER_OVER_BOUND_MS: u64 = 1_600;
 
 impl Coordinator {
     /// Sets the pace of what fills on a minion by the tail latencies of what serves there.
@@ -31,20 +31,22 @@
     pub(super) fn adjust_pace(&mut self, id: &Name, now: Now) {
         self.observe_gauges(id, now);
         self.change_paces(id, now);
-        self.refresh_room(id);
+        self.refresh_headroom(id);
     }
 
     fn change_paces(&mut self, id: &Name, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
-        if minion.fill_images.is_empty() {
+        if minion.best_effort_images.is_empty() {
             return;
         }
         let worst = minion.serving_images.values().map(|serving| serving.tail).fold(0.0, f64::max);
-        let stand_still = minion.over_for_ms >= OVER_TOO_LONG_MS;
+        let suspend = minion.over_bound_ms >= SUSPEND_AFTER_OVER_BOUND_MS;
         let mut changes = Vec::new();
-        for (image, bearable) in self.bearable_paces(minion) {
-            let present = minion.fill_images.get(&image).map_or(100, |filling| filling.percent);
-            let wanted = if stand_still || bearable < LEAST_PERCENT { 0 } else { bearable };
+        for (image, base_headroom) in self.tolerated_paces(minion) {
+            let present =
+                minion.best_effort_images.get(&image).map_or(100, |filling| filling.percent);
+            let wanted =
+                if suspend || base_headroom < MIN_PACE_PERCENT { 0 } else { base_headroom };
             if is_worth_an_order(present, wanted) {
                 changes.push((image, wanted));
             }
@@ -56,13 +58,13 @@
 
     fn set_pace(&mut self, id: &Name, filling: &Name, percent: u8, tail: f64, now: Now) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let Some(present) = minion.fill_images.get_mut(filling) else { return };
+        let Some(present) = minion.best_effort_images.get_mut(filling) else { return };
         let before = std::mem::replace(&mut present.percent, percent);
         if before == percent {
             return;
         }
-        let tasks = self.filling_on(id, filling);
-        self.note(format!(
+        let tasks = self.best_effort_runs(id, filling);
+        self.log(format!(
             "decision=pace minion={id} image={filling} from={before} to={percent} tasks={} \
              worst_tail_in_bounds={tail:.2}",
             tasks.len()
@@ -72,7 +74,7 @@
         }
     }
 
-    fn filling_on(&self, id: &Name, image: &Name) -> Vec<TaskId> {
+    fn best_effort_runs(&self, id: &Name, image: &Name) -> Vec<TaskId> {
         let Some(minion) = self.minions.get(id) else { return Vec::new() };
         let ours = |task: &&TaskId| {
             self.step_spec(**task).is_some_and(|s| s.best_effort && s.image == *image)
@@ -90,27 +92,25 @@
             .iter()
             .filter(|(_, run)| matches!(run.order, OrderState::Started { .. }))
             .filter(|(_, run)| {
-                run.throttled_ms.is_some_and(|since| now.steady_ms >= since + THROTTLED_MS)
+                run.throttled_since_ms
+                    .is_some_and(|since| now.steady_ms >= since + MOVE_AFTER_THROTTLED_MS)
             })
             .map(|(task, _)| *task)
             .collect();
         let mut moved = 0;
         for task in throttled {
             let Some((percent, minion)) =
-                self.runs.get(&task).map(|run| (run.percent, run.place.minion.clone()))
+                self.runs.get(&task).map(|run| (run.progress_percent, run.place.minion.clone()))
             else {
                 continue;
             };
             let keeps = self.step_spec(task).is_some_and(|step| step.checkpoints);
-            let cheap = keeps || percent < LITTLE_DONE_PERCENT;
-            if !cheap || moved >= MOVES_AT_ONCE || !self.has_other_place(task, now) {
+            let cheap = keeps || percent < CHEAP_RESTART_PERCENT;
+            if !cheap || moved >= MAX_MOVES_PER_TICK || !self.has_other_place(task, now) {
                 continue;
             }
             moved += 1;
-            self.note(format!(
-                "decision=move_throttled job={} task={task} from={minion}",
-                task.job
-            ));
+            self.log(format!("decision=move_throttled job={} task={task} from={minion}", task.job));
             self.stop_run(task, now);
         }
     }
@@ -120,5 +120,5 @@
 /// slowness.
 const fn is_worth_an_order(present: u8, wanted: u8) -> bool {
     let ends = (wanted == 0) != (present == 0) || (wanted == 100) != (present == 100);
-    wanted.abs_diff(present) >= LEAST_CHANGE || ends
+    wanted.abs_diff(present) >= MIN_PACE_CHANGE || ends
 }
--- a/crates/geraniumpost-batch/src/coordinator/placing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -3,19 +3,19 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::barring::unsuitable;
 use super::commits::Deferred;
+use super::eligibility::step_rejection;
+use super::headroom::BestEffortSpeed;
 use super::job::Job;
 use super::minion::Minion;
-use super::rooms::FillSpeed;
-use super::run::{OrderState, Run, occupied};
+use super::run::{OrderState, Run, reserved};
 use crate::tuning::{BEST_EFFORT_MEMORY_PERCENT, PERSISTENT_CPU_PERCENT};
 use crate::{Demand, JobId, JobRecord, Now, Place, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 /// Least share of its speed that is told of any place, so that places stay comparable.
-const LEAST_SPEED: f64 = 0.01;
+const MIN_SPEED: f64 = 0.01;
 /// Weight of what a filling task spends of what serving tasks can bear, against its speed.
-const SPENT_ROOM: f64 = 0.3;
+const HEADROOM_WEIGHT: f64 = 0.3;
 /// Costs are compared in millionths of a task's speed.
 const MILLION: f64 = 1e6;
 /// Thousandths in one.
@@ -29,10 +29,10 @@
     /// The queue's urgency; 0 is the most urgent.
     priority: u32,
     /// Whether it is never done, and so never makes room for the next.
-    lasts: bool,
+    persistent: bool,
     /// Work that is left of it, in processor milliseconds. When more is asked for than fits, the least first
     /// lets most jobs be done in time; by the end of their objectives all would be late together.
-    work_left: u64,
+    remaining_work: u64,
     /// When the objective ends, in milliseconds since 1970.
     objective_ends_ms: u64,
 }
@@ -51,9 +51,12 @@
 impl Coordinator {
     /// Places all waiting tasks that find room, in the order of their jobs' ranks.
     pub(super) fn place_waiting(&mut self, now: Now) {
-        self.placing_due = false;
-        let mut order: Vec<(Rank, JobId)> =
-            self.open.iter().filter_map(|id| Some((rank(self.jobs.get(id)?, now), *id))).collect();
+        self.placement_due = false;
+        let mut order: Vec<(Rank, JobId)> = self
+            .open_jobs
+            .iter()
+            .filter_map(|id| Some((rank(self.jobs.get(id)?, now), *id)))
+            .collect();
         order.sort_unstable();
         self.unplaceable.clear();
         for (_, id) in order {
@@ -62,16 +65,16 @@
     }
 
     fn place_job(&mut self, id: JobId, now: Now) {
-        let idle = self.runs_of(id).is_empty();
+        let idle = self.runs_of_job(id).is_empty();
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.idle_ms = idle.then(|| job.idle_ms.unwrap_or(now.steady_ms));
+        job.idle_since_ms = idle.then(|| job.idle_since_ms.unwrap_or(now.steady_ms));
         let ready = ready_steps(&job.record);
         let mut placed = 0;
         for (occurrence, step) in ready {
             placed += self.place_step(id, occurrence, step, now);
         }
         if placed > 0 {
-            self.touch(id);
+            self.mark_dirty(id);
         }
     }
 
@@ -83,18 +86,18 @@
         if waiting.is_empty() || (spec.gang && waiting.len() < spec.count as usize) {
             return 0;
         }
-        let rack = self.wanted_rack(first, &spec, waiting.len(), now);
+        let rack = self.preferred_rack(first, &spec, waiting.len(), now);
         let gang_run = spec.gang.then(|| self.next_gang_run(first, &spec));
         let mut placed = Vec::new();
         let wanted = waiting.len();
         for task in waiting {
-            let idle = self.is_idle(task, now);
+            let idle = self.job_is_idle(task, now);
             if !idle && self.is_unplaceable(id, &spec) {
                 break;
             }
-            let Some(minion) = self.choose(task, &spec, rack.as_ref(), now) else {
+            let Some(minion) = self.choose_minion(task, &spec, rack.as_ref(), now) else {
                 // Tasks of a step ask for the same, so that the others find no room either.
-                self.note_unplaceable(id, &spec);
+                self.record_unplaceable(id, &spec);
                 break;
             };
             self.assign(task, &minion, gang_run, now);
@@ -102,17 +105,17 @@
         }
         let approval = self.jobs.get(&id).is_some_and(|job| job.record.terms.needs_approval);
         if approval && placed.len() < wanted {
-            self.ask_approval(first, &spec, now);
+            self.request_approval(first, &spec, now);
         }
         if spec.gang && placed.len() < spec.count as usize {
-            self.take_back(&placed);
+            self.roll_back(&placed);
             return 0;
         }
         if let Some(task) = placed.first() {
             let count = placed.len();
             let minion =
                 self.runs.get(task).map(|run| run.place.minion.clone()).unwrap_or_default();
-            self.note(format!(
+            self.log(format!(
                 "decision=place job={id} step={occurrence}.{step} tasks={count} first_on={minion}"
             ));
         }
@@ -120,10 +123,10 @@
     }
 
     /// Takes placements back that were decided just now, as the rest of their gang found no room.
-    fn take_back(&mut self, placed: &[TaskId]) {
+    fn roll_back(&mut self, placed: &[TaskId]) {
         for task in placed {
             self.remove_run(*task);
-            self.change_tasks(*task, false, |record| {
+            self.update_tasks(*task, false, |record| {
                 record.run -= 1;
                 record.phase = TaskPhase::Waiting;
             });
@@ -160,7 +163,7 @@
         let Some(agent) = self.minions.get(minion).map(|m| m.agent.clone()) else { return };
         let place = Place { minion: minion.clone(), agent };
         let mut number = 0;
-        self.change_tasks(task, false, |record| {
+        self.update_tasks(task, false, |record| {
             record.run = run.unwrap_or(record.run + 1);
             record.phase = TaskPhase::Placed(place.clone());
             number = record.run;
@@ -176,11 +179,11 @@
     /// Returns whether a task could be placed on another minion than its present one.
     pub(super) fn has_other_place(&self, task: TaskId, now: Now) -> bool {
         let Some(spec) = self.step_spec(task) else { return false };
-        self.choose(task, spec, None, now).is_some()
+        self.choose_minion(task, spec, None, now).is_some()
     }
 
     /// Chooses the minion for a task.
-    pub(super) fn choose(
+    pub(super) fn choose_minion(
         &self,
         task: TaskId,
         spec: &StepSpec,
@@ -189,15 +192,16 @@
     ) -> Option<Name> {
         let job = self.jobs.get(&task.job)?;
         let needs = self.needs(task, spec)?;
-        let avoid = job.hints.get(&task).and_then(|hint| hint.avoid.as_ref());
-        let fits = |minion: &&Minion| self.barred(&needs, minion, now).is_none();
+        let avoid = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
+        let fits = |minion: &&Minion| self.rejection(&needs, minion, now).is_none();
         let fit = |minion: &&Minion| -> Fit {
             let far = rack.is_some_and(|rack| !minion.has_label(rack));
             let avoided = avoid == Some(&minion.info.id);
-            Fit { avoided, far, cost: self.preference(minion, spec) }
+            Fit { avoided, far, cost: self.placement_cost(minion, spec) }
         };
         let fast = |minion: &&Minion| {
-            !spec.best_effort || self.takes(task, spec, self.fill_speed(minion, spec), now)
+            !spec.best_effort
+                || self.accepts_speed(task, spec, self.best_effort_speed(minion, spec), now)
         };
         let best = self.minions.values().filter(fits).filter(fast).min_by_key(fit)?;
         Some(best.info.id.clone())
@@ -208,26 +212,27 @@
     /// What fills goes where it will work fastest without harm, and rather where it spends little of what
     /// serving tasks can bear: other images may have no other place. What serves goes where it leaves most
     /// to what fills, and the rest where most is free.
-    fn preference(&self, minion: &Minion, spec: &StepSpec) -> i64 {
+    fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
         /// Weight of one serving task against processors, in thousandths of a processor.
-        const BESIDE_SERVING: i64 = 1_000_000;
+        const MIXING_WEIGHT: i64 = 1_000_000;
         let free_cpus = minion.free().milli_cpus;
         if spec.best_effort {
-            let FillSpeed { unused, harmless, spent } = self.fill_speed(minion, spec);
+            let BestEffortSpeed { unused, tolerated_speed, headroom_share } =
+                self.best_effort_speed(minion, spec);
             // Among minions at full speed, the one with the most room keeps it longest.
-            let left = minion.unused_milli_cpus() - minion.fill_cpus;
-            let cost = SPENT_ROOM * spent - unused * harmless.max(LEAST_SPEED);
+            let left = minion.unused_milli_cpus() - minion.best_effort_cpus;
+            let cost = HEADROOM_WEIGHT * headroom_share - unused * tolerated_speed.max(MIN_SPEED);
             return (cost * MILLION) as i64 - left / MILLI;
         }
         if spec.serves() {
-            return mixing_cost(minion, &spec.image) * BESIDE_SERVING + free_cpus;
+            return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_cpus;
         }
-        -free_cpus + minion.fill_cpus
+        -free_cpus + minion.best_effort_cpus
     }
 
     /// Returns the rack on which a step's tasks should run: where its data lies, where its other
     /// tasks run, or where all of them fit.
-    pub(super) fn wanted_rack(
+    pub(super) fn preferred_rack(
         &self,
         first: TaskId,
         spec: &StepSpec,
@@ -247,9 +252,9 @@
         }
         let service = &self.jobs.get(&first.job)?.record.terms.service;
         let mut racks: std::collections::BTreeMap<&Name, usize> = std::collections::BTreeMap::new();
-        for minion in self.minions.values().filter(|m| suits(m, service, spec, now)) {
+        for minion in self.minions.values().filter(|m| is_eligible(m, service, spec, now)) {
             if let Some(rack) = minion.info.labels.last() {
-                *racks.entry(rack).or_default() += how_many(minion, spec);
+                *racks.entry(rack).or_default() += task_capacity(minion, spec);
             }
         }
         let best = racks.into_iter().max_by_key(|(_, room)| (*room).min(tasks))?;
@@ -284,15 +289,15 @@
 }
 
 /// Returns whether a minion can take one task of a step.
-pub(super) fn suits(minion: &Minion, service: &Name, spec: &StepSpec, now: Now) -> bool {
-    unsuitable(minion, service, spec, now).is_none()
+pub(super) fn is_eligible(minion: &Minion, service: &Name, spec: &StepSpec, now: Now) -> bool {
+    step_rejection(minion, service, spec, now).is_none()
 }
 
 /// Returns whether a task leaves some processors to short tasks, if it is one without end.
 ///
 /// One that ran before and ended takes its room back all the same: its users wait for it.
 #[inline]
-pub(super) fn leaves_room_for_short(minion: &Minion, spec: &StepSpec) -> bool {
+pub(super) fn leaves_short_task_reserve(minion: &Minion, spec: &StepSpec) -> bool {
     let kept = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
     !spec.persistent
         || spec.best_effort
@@ -301,7 +306,7 @@
 
 /// Returns what is free for a task of a step.
 #[inline]
-pub(super) fn room_for(minion: &Minion, spec: &StepSpec) -> Demand {
+pub(super) fn available_for(minion: &Minion, spec: &StepSpec) -> Demand {
     let mut free = minion.free();
     if spec.best_effort {
         let kept = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
@@ -311,8 +316,8 @@
 }
 
 /// Returns how many tasks of a step a minion can take.
-fn how_many(minion: &Minion, spec: &StepSpec) -> usize {
-    let (free, need) = (room_for(minion, spec), occupied(spec));
+fn task_capacity(minion: &Minion, spec: &StepSpec) -> usize {
+    let (free, need) = (available_for(minion, spec), reserved(spec));
     let by = |free: i64, need: i64| if need > 0 { free.max(0) / need } else { i64::MAX };
     by(free.milli_cpus, need.milli_cpus)
         .min(by(free.memory_mb, need.memory_mb))
@@ -334,18 +339,18 @@
     } else {
         2
     };
-    let lasts = job.record.spec.persistent();
+    let persistent = job.record.spec.persistent();
     Rank {
         lateness,
         priority: terms.priority,
-        lasts,
-        work_left: if lasts { 0 } else { work_left(&job.record) },
+        persistent,
+        remaining_work: if persistent { 0 } else { remaining_work(&job.record) },
         objective_ends_ms: due_ms + objective_ms,
     }
 }
 
 /// Returns the work that is left of a job by its estimates, in processor milliseconds.
-fn work_left(record: &JobRecord) -> u64 {
+fn remaining_work(record: &JobRecord) -> u64 {
     let steps = record.occurrences.iter().flat_map(|o| o.steps.iter().zip(&record.spec.steps));
     let of_step = |(tasks, spec): (&Vec<TaskRecord>, &StepSpec)| {
         let left = tasks.iter().filter(|task| task.phase != TaskPhase::Done).count() as u64;
--- a/crates/geraniumpost-batch/src/coordinator/looks.rs
+++ b/crates/geraniumpost-batch/src/coordinator/poll_results.rs
@@ -7,7 +7,7 @@
 use crate::{Now, PollResult, RunningTask, TaskId};
 
 /// What to do about a run that a minion's lists do not show.
-enum Missing {
+enum MissingRunAction {
     /// Nothing: its order may still be on its way.
     Wait,
     /// Give the start order again.
@@ -18,34 +18,34 @@
 
 impl Coordinator {
     /// Takes in a minion's lists.
-    pub(super) fn look(&mut self, agent: &Name, look: PollResult, now: Now) {
-        let Some(minion) = self.minions.get(&look.minion) else { return };
+    pub(super) fn handle_poll_result(&mut self, agent: &Name, poll: PollResult, now: Now) {
+        let Some(minion) = self.minions.get(&poll.minion) else { return };
         if minion.agent != *agent {
             return;
         }
-        let id = look.minion.clone();
-        for end in look.ended {
-            self.take_end(&id, end, now);
+        let id = poll.minion.clone();
+        for end in poll.ended {
+            self.handle_end(&id, end, now);
         }
-        if let Some(running) = look.running {
+        if let Some(running) = poll.running {
             let seen: std::collections::HashSet<TaskId> =
                 running.iter().map(|row| row.task).collect();
             for row in running {
-                self.seen_running(&id, row, look.orders_reported_before, now);
+                self.update_running(&id, row, poll.orders_reported_before, now);
             }
-            if !look.more_ends {
-                self.find_missing(&id, &seen, look.orders_reported_before, now);
+            if !poll.more_ends {
+                self.handle_missing_runs(&id, &seen, poll.orders_reported_before, now);
             }
             if let Some(minion) = self.minions.get_mut(&id) {
-                self.placing_due |= !minion.looked;
-                minion.looked = true;
+                self.placement_due |= !minion.polled;
+                minion.polled = true;
             }
             self.adjust_pace(&id, now);
         }
-        self.acknowledge();
+        self.acknowledge_ends();
     }
 
-    fn seen_running(
+    fn update_running(
         &mut self,
         minion: &Name,
         row: RunningTask,
@@ -53,25 +53,25 @@
         now: Now,
     ) {
         let Some(run) = self.runs.get_mut(&row.task) else {
-            self.stop_stranger(minion, row.task, row.run);
+            self.stop_unknown_run(minion, row.task, row.run);
             return;
         };
         if run.place.minion != *minion || run.number != row.run {
             let strange = run.place.minion != *minion || run.number > row.run;
             if strange {
-                self.stop_stranger(minion, row.task, row.run);
+                self.stop_unknown_run(minion, row.task, row.run);
             }
             return;
         }
-        if row.progress_percent != run.percent || run.pace == 0 {
-            run.percent = row.progress_percent;
-            run.progressed_ms = now.steady_ms;
+        if row.progress_percent != run.progress_percent || run.pace_percent == 0 {
+            run.progress_percent = row.progress_percent;
+            run.last_progress_ms = now.steady_ms;
         }
         run.gauge = row.gauge;
-        run.seen_ms = now.steady_ms;
-        if !run.stopping() {
+        run.last_seen_ms = now.steady_ms;
+        if !run.is_stopping() {
             run.order = OrderState::Started { number: orders_reported_before };
-            self.run_began(row.task, now);
+            self.record_started(row.task, now);
         }
         if !row.checkpoint.is_empty()
             && let Some(job) = self.jobs.get_mut(&row.task.job)
@@ -83,7 +83,7 @@
         }
     }
 
-    fn find_missing(
+    fn handle_missing_runs(
         &mut self,
         id: &Name,
         seen: &std::collections::HashSet<TaskId>,
@@ -95,12 +95,12 @@
             minion.runs.iter().filter(|task| !seen.contains(task)).copied().collect();
         for task in absent {
             let Some(run) = self.runs.get(&task) else { continue };
-            match judge(run.order, orders_reported_before) {
-                Missing::Wait => {}
-                Missing::Start => self.send_start(task, now),
-                Missing::Over => {
+            match missing_run_action(run.order, orders_reported_before) {
+                MissingRunAction::Wait => {}
+                MissingRunAction::Start => self.send_start(task, now),
+                MissingRunAction::Over => {
                     let number = run.number;
-                    self.note(format!("decision=missing task={task} run={number} minion={id}"));
+                    self.log(format!("decision=missing task={task} run={number} minion={id}"));
                     self.requeue(task, 0, false, now);
                 }
             }
@@ -109,16 +109,16 @@
 }
 
 /// Judges a run that is in neither list of its minion.
-fn judge(order: OrderState, orders_reported_before: u64) -> Missing {
+fn missing_run_action(order: OrderState, orders_reported_before: u64) -> MissingRunAction {
     match order {
-        OrderState::Unknown { .. } => Missing::Start,
+        OrderState::Unknown { .. } => MissingRunAction::Start,
         OrderState::Started { number }
-        | OrderState::Over { number }
-        | OrderState::Barred { number, .. }
+        | OrderState::Ended { number }
+        | OrderState::StopConfirmed { number, .. }
             if number <= orders_reported_before =>
         {
-            Missing::Over
+            MissingRunAction::Over
         }
-        _ => Missing::Wait,
+        _ => MissingRunAction::Wait,
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/inherited.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -10,30 +10,30 @@
 
 /// Age of an agent's last extension, in milliseconds, from which on a successor is told of it: three
 /// beats. Others are linked to the successor at once, as a rule.
-const UNREACHED_MS: u64 = 1_500;
+const UNREACHED_AFTER_MS: u64 = 1_500;
 
 /// A silent coordinator that is waited for.
 #[derive(Debug, Clone, Copy)]
-struct Waited {
+struct SilentExpiry {
     term: u64,
     until_ms: u64,
 }
 
 /// Until when leases may last that earlier coordinators extended, on the steady clock.
 #[derive(Debug, Default)]
-pub(super) struct Inherited {
+pub(super) struct PredecessorExpiry {
     /// Those that the direct predecessor extended.
     pub(super) predecessor_ms: u64,
     /// Those that silent coordinators may go on extending.
-    silent: BTreeMap<SocketAddr, Waited>,
+    silent: BTreeMap<SocketAddr, SilentExpiry>,
     /// Those of agents that the direct predecessor did not reach when it stepped down.
     unreached: BTreeMap<Name, u64>,
 }
 
-impl Inherited {
+impl PredecessorExpiry {
     fn new(inheritance: &PredecessorLeases, lease_ms: u64, now: Now) -> Self {
         let from_now = |ms: &u64| now.steady_ms + ms;
-        let waited = |silent: &SilentCoordinator| Waited {
+        let waited = |silent: &SilentCoordinator| SilentExpiry {
             term: silent.term,
             until_ms: from_now(&silent.remaining_ms),
         };
@@ -68,7 +68,7 @@
     /// Takes over what a predecessor left behind; call it after [`Self::lease_ms`].
     #[must_use]
     pub fn with_predecessor_leases(mut self, inheritance: &PredecessorLeases, now: Now) -> Self {
-        self.inherited = Inherited::new(inheritance, self.lease_ms, now);
+        self.predecessor_expiry = PredecessorExpiry::new(inheritance, self.lease_ms, now);
         self
     }
 
@@ -86,20 +86,21 @@
     /// steady clock, as the store has another one and too few entries support it.
     pub fn predecessor_extends_until(&mut self, address: SocketAddr, steady_ms: u64) {
         let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
-        let Some(waited) = self.inherited.silent.get_mut(&address) else { return };
+        let Some(waited) = self.predecessor_expiry.silent.get_mut(&address) else { return };
         let earlier_by_ms = waited.until_ms.saturating_sub(until_ms);
         waited.until_ms = until_ms.min(waited.until_ms);
-        self.note(format!("event=predecessor_ended at={address} earlier_by_ms={earlier_by_ms}"));
-        self.inheritance_changed = true;
+        self.log(format!("event=predecessor_ended at={address} earlier_by_ms={earlier_by_ms}"));
+        self.leases_for_successor_changed = true;
     }
 
     /// Returns what a successor has to know of leases at this moment.
     pub fn leases_for_successor(&self, now: Now) -> PredecessorLeases {
         let left = |until_ms: &u64| until_ms.saturating_sub(now.steady_ms);
-        let silent = self.inherited.silent.iter().map(|(at, waited)| {
+        let silent = self.predecessor_expiry.silent.iter().map(|(at, waited)| {
             (*at, SilentCoordinator { term: waited.term, remaining_ms: left(&waited.until_ms) })
         });
-        let unreached = self.unreached.iter().map(|(agent, until)| (agent.clone(), left(until)));
+        let unreached =
+            self.unreached_agents.iter().map(|(agent, until)| (agent.clone(), left(until)));
         PredecessorLeases {
             silent: silent.filter(|(_, silent)| silent.remaining_ms > 0).collect(),
             unreached: unreached.collect(),
@@ -112,27 +113,28 @@
     /// The shell tells the store's writer before it sends what was decided: an agent that is reached
     /// again must not be left to a successor as one whose lease ends soon.
     pub const fn take_leases_for_successor_changed(&mut self) -> bool {
-        std::mem::replace(&mut self.inheritance_changed, false)
+        std::mem::replace(&mut self.leases_for_successor_changed, false)
     }
 
     /// Takes note that an agent is reached, before its lease is extended.
     pub(super) fn agent_reached(&mut self, agent: &Name) {
-        self.inheritance_changed |= self.unreached.remove(agent).is_some();
+        self.leases_for_successor_changed |= self.unreached_agents.remove(agent).is_some();
     }
 
     /// Takes note of the agents that are not reached though something may run beside them.
-    pub(super) fn note_unreached(&mut self, now: Now) {
+    pub(super) fn update_unreached_agents(&mut self, now: Now) {
         let extended_ms = now.steady_ms + lease_expiry_bound_ms(self.lease_ms);
-        let lapsed_ms = |agent: &Name| self.agents.get(agent).map_or(0, |agent| agent.lapsed_ms);
+        let lease_expiry_ms =
+            |agent: &Name| self.agents.get(agent).map_or(0, |agent| agent.lease_expiry_ms);
         let busy = self.minions.values().filter(|minion| !minion.runs.is_empty());
         let unreached: BTreeMap<Name, u64> = busy
-            .map(|minion| (&minion.agent, lapsed_ms(&minion.agent)))
-            .filter(|(_, lapsed_ms)| lapsed_ms + UNREACHED_MS <= extended_ms)
-            .map(|(agent, lapsed_ms)| {
-                (agent.clone(), lapsed_ms.max(self.inherited.known_ms(agent)))
+            .map(|minion| (&minion.agent, lease_expiry_ms(&minion.agent)))
+            .filter(|(_, lease_expiry_ms)| lease_expiry_ms + UNREACHED_AFTER_MS <= extended_ms)
+            .map(|(agent, lease_expiry_ms)| {
+                (agent.clone(), lease_expiry_ms.max(self.predecessor_expiry.known_ms(agent)))
             })
             .collect();
-        self.inheritance_changed |= unreached != self.unreached;
-        self.unreached = unreached;
+        self.leases_for_successor_changed |= unreached != self.unreached_agents;
+        self.unreached_agents = unreached;
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/bar.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -5,13 +5,13 @@
 
 /// Why a minion does not take a task now; the first bound that fails counts.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Bar {
+pub(super) enum Rejection {
     /// Its agent's link is not open.
     #[display("not_linked")]
     NotLinked,
     /// It stands in records, and has not been heard of by this coordinator.
     #[display("not_reported")]
-    NotHeardOf,
+    NotReported,
     /// It runs another service's tasks.
     #[display("other_service")]
     OtherService,
@@ -20,13 +20,13 @@
     Label,
     /// Its lists have not been read over the present link.
     #[display("not_polled")]
-    NotLookedAt,
+    NotPolled,
     /// It does not answer its agent.
     #[display("no_answer")]
-    NoAnswer,
+    NotResponding,
     /// It failed or delayed what it was given.
     #[display("quarantined")]
-    Shunned,
+    Quarantined,
     /// It leaves.
     #[display("draining")]
     Draining,
@@ -35,7 +35,7 @@
     OverBound,
     /// What is free is less than the task occupies.
     #[display("no_capacity")]
-    NoRoom,
+    NoCapacity,
     /// It runs as many tasks of the step as one minion may.
     #[display("spread")]
     Spread,
@@ -44,7 +44,7 @@
     NoApproval,
     /// What is free is kept for short tasks, and the task has no end and never ran.
     #[display("reserved_for_short")]
-    RoomKeptForShort,
+    ReservedForShort,
     /// The place that suits best is too slow for what fills.
     #[display("too_slow")]
     TooSlow,
@@ -52,16 +52,16 @@
 
 /// Counts minions by what keeps them from taking a task; reads as `name=count`, without zeros.
 #[derive(Debug, Default)]
-pub(super) struct Bars(BTreeMap<Bar, usize>);
+pub(super) struct RejectionCounts(BTreeMap<Rejection, usize>);
 
-impl Bars {
+impl RejectionCounts {
     /// Counts minions that are kept out by a bound.
-    pub(super) fn add(&mut self, bar: Bar, minions: usize) {
+    pub(super) fn add(&mut self, bar: Rejection, minions: usize) {
         *self.0.entry(bar).or_default() += minions;
     }
 }
 
-impl fmt::Display for Bars {
+impl fmt::Display for RejectionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (bar, minions) in self.0.iter().filter(|(_, minions)| **minions > 0) {
             write!(f, " {bar}={minions}")?;
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -7,37 +7,37 @@
     pub(super) number: u32,
     pub(super) order: OrderState,
     /// What it occupies at the minion.
-    pub(super) occupied: Demand,
+    pub(super) reserved: Demand,
     /// Left-over processors that it would use if it could, in thousandths.
-    pub(super) fill_cpus: i64,
+    pub(super) best_effort_cpus: i64,
     /// Processors that it reserves to serve users within a latency bound, in thousandths; `None`
     /// for a run that serves nobody.
     pub(super) serving_cpus: Option<i64>,
     /// When it was first seen at work.
     pub(super) started_ms: Option<u64>,
     /// Its progress, and when that last changed.
-    pub(super) percent: u8,
-    pub(super) progressed_ms: u64,
+    pub(super) progress_percent: u8,
+    pub(super) last_progress_ms: u64,
     /// When a look last showed it.
-    pub(super) seen_ms: u64,
+    pub(super) last_seen_ms: u64,
     /// Share it is told to work at.
-    pub(super) pace: u8,
+    pub(super) pace_percent: u8,
     /// Whether the minion is known to have been told so: not if an order had no answer, nor after a
     /// takeover.
-    pub(super) pace_known: bool,
+    pub(super) pace_confirmed: bool,
     /// Since when it has been told to stand still or to work slowly, on the steady clock.
-    pub(super) throttled_ms: Option<u64>,
+    pub(super) throttled_since_ms: Option<u64>,
     /// Its last gauge.
     pub(super) gauge: u32,
     /// Since when its tail has been over its bound, on the steady clock.
-    pub(super) over_ms: Option<u64>,
+    pub(super) over_bound_since_ms: Option<u64>,
     /// Start orders given.
-    pub(super) starts: u32,
+    pub(super) start_count: u32,
     /// Copies of the start order that left over the present link and have no result yet.
-    pub(super) out: u32,
+    pub(super) starts_in_flight: u32,
     /// Whether a copy of the start order had no answer or was lost with its link, so that it may be
     /// carried out at any later time.
-    pub(super) unanswered: bool,
+    pub(super) start_unresolved: bool,
 }
 
 /// How far the last order for a run is.
@@ -52,11 +52,11 @@
     /// The minion has begun the run; looks from this number of results on must show it.
     Started { number: u64 },
     /// The minion says that the run is over; a look that began later must show its end.
-    Over { number: u64 },
+    Ended { number: u64 },
     /// A stop has left.
     Stopping { at_ms: u64 },
     /// The minion has taken the stop; looks from this number of results on must not show it.
-    Barred { at_ms: u64, number: u64 },
+    StopConfirmed { at_ms: u64, number: u64 },
 }
 
 impl Run {
@@ -71,28 +71,28 @@
             place,
             number,
             order,
-            occupied: occupied(spec),
-            fill_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
+            reserved: reserved(spec),
+            best_effort_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
             serving_cpus: spec.serves().then_some(spec.demand.milli_cpus),
             started_ms: None,
-            percent: 0,
-            progressed_ms: now_ms,
-            seen_ms: now_ms,
-            pace: 100,
-            pace_known: true,
-            throttled_ms: None,
+            progress_percent: 0,
+            last_progress_ms: now_ms,
+            last_seen_ms: now_ms,
+            pace_percent: 100,
+            pace_confirmed: true,
+            throttled_since_ms: None,
             gauge: 0,
-            over_ms: None,
-            starts: 0,
-            out: 0,
-            unanswered: false,
+            over_bound_since_ms: None,
+            start_count: 0,
+            starts_in_flight: 0,
+            start_unresolved: false,
         }
     }
 
     /// Takes note that a copy of the start order has left.
-    pub(super) const fn start_left(&mut self, now_ms: u64) {
-        self.starts += 1;
-        self.out += 1;
+    pub(super) const fn record_start_sent(&mut self, now_ms: u64) {
+        self.start_count += 1;
+        self.starts_in_flight += 1;
         self.order = OrderState::Sent { at_ms: now_ms };
     }
 
@@ -100,8 +100,8 @@
     ///
     /// A result that was meant for a copy of an earlier link counts for one of the present link, which
     /// does no harm: [`Run::link_lost`] has then marked the run as unanswered for ever.
-    pub(super) const fn result_came(&mut self) {
-        self.out = self.out.saturating_sub(1);
+    pub(super) const fn record_start_result(&mut self) {
+        self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
     }
 
     /// Takes note that the link to the run's agent is lost: copies may be anywhere between here and the
@@ -109,34 +109,34 @@
     ///
     /// A run that was said to be over is asked about again: the next link may be that of another process,
     /// which counts its results anew, and none of its lists would ever seem newer than that word.
-    pub(super) const fn link_lost(&mut self, now_ms: u64) {
-        self.unanswered |= self.out > 0;
-        self.out = 0;
-        if matches!(self.order, OrderState::Sent { .. } | OrderState::Over { .. }) {
+    pub(super) const fn record_link_loss(&mut self, now_ms: u64) {
+        self.start_unresolved |= self.starts_in_flight > 0;
+        self.starts_in_flight = 0;
+        if matches!(self.order, OrderState::Sent { .. } | OrderState::Ended { .. }) {
             self.order = OrderState::Unknown { since_ms: now_ms };
         }
     }
 
     /// Returns whether the run may begin although no copy of its start is known to be carried out.
-    pub(super) const fn may_still_begin(&self) -> bool {
-        self.unanswered || self.out > 0
+    pub(super) const fn may_still_start(&self) -> bool {
+        self.start_unresolved || self.starts_in_flight > 0
     }
 
     /// Returns whether the minion has begun the run, or says that it is over. What becomes of other copies
     /// of the start changes nothing of that: it begins a run at most once.
-    pub(super) const fn has_begun(&self) -> bool {
-        matches!(self.order, OrderState::Started { .. } | OrderState::Over { .. })
+    pub(super) const fn has_started(&self) -> bool {
+        matches!(self.order, OrderState::Started { .. } | OrderState::Ended { .. })
     }
 
     /// Returns whether the run is being stopped.
-    pub(super) const fn stopping(&self) -> bool {
-        matches!(self.order, OrderState::Stopping { .. } | OrderState::Barred { .. })
+    pub(super) const fn is_stopping(&self) -> bool {
+        matches!(self.order, OrderState::Stopping { .. } | OrderState::StopConfirmed { .. })
     }
 }
 
 /// Returns what a task of a step occupies on a minion: one that takes only what others leave over
 /// is given memory and accelerators, but no processors.
-pub(super) fn occupied(spec: &StepSpec) -> Demand {
+pub(super) fn reserved(spec: &StepSpec) -> Demand {
     let milli_cpus = if spec.best_effort { 0 } else { spec.demand.milli_cpus };
     Demand { milli_cpus, ..spec.demand }
 }
--- a/crates/geraniumpost-batch/src/coordinator/ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -9,23 +9,23 @@
 
 impl Coordinator {
     /// Takes in the end of a run from a minion's list.
-    pub(super) fn take_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
+    pub(super) fn handle_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
         let Some(view) = self.minions.get_mut(minion) else { return };
-        if end.sequence <= view.last_end {
-            view.acknowledge_again |= end.sequence <= view.acknowledged;
+        if end.sequence <= view.last_end_sequence {
+            view.resend_acknowledgement |= end.sequence <= view.acknowledged_up_to;
             return;
         }
-        view.last_end = end.sequence;
+        view.last_end_sequence = end.sequence;
         let ours = self
             .runs
             .get(&end.task)
             .is_some_and(|run| run.number == end.run && run.place.minion == *minion);
         let change = if ours {
-            self.note(format!(
+            self.log(format!(
                 "decision=end job={} task={} run={} minion={minion} end={}",
                 end.task.job, end.task, end.run, end.kind
             ));
-            self.judge_minion(minion, &end, now);
+            self.track_failures(minion, &end, now);
             let version = self.end_run(end.task, end.kind, &end.checkpoint, now);
             Some((end.task.job, version))
         } else {
@@ -46,101 +46,101 @@
         now: Now,
     ) -> u64 {
         let run = self.remove_run(task);
-        self.standing_ended(task, run.as_ref(), now);
-        self.placing_due = true;
+        self.record_persistent_end(task, run.as_ref(), now);
+        self.placement_due = true;
         let Some(job) = self.jobs.get_mut(&task.job) else { return 0 };
         if job.record.state.is_final() {
-            self.forget_placement(task);
-            return self.touch_final(task.job);
+            self.clear_placement(task);
+            return self.mark_final_dirty(task.job);
         }
         let spec = job.record.spec.steps[usize::from(task.step)].clone();
         if !checkpoint.is_empty() && spec.checkpoints {
-            self.keep_checkpoint(task, &spec, checkpoint);
+            self.store_checkpoint(task, &spec, checkpoint);
         }
         let bad = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
         let avoid = run.filter(|_| bad).map(|run| run.place.minion);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let hint = job.hints.entry(task).or_default();
             hint.not_before_ms = now.steady_ms + if bad { FAILURE_BACKOFF_MS } else { 0 };
-            hint.avoid = avoid;
+            hint.avoided_minion = avoid;
         }
         match kind {
-            EndKind::Done if !spec.persistent => self.task_done(task, &spec, now),
-            EndKind::Failed => self.task_failed(task, &spec, now),
-            _ => self.task_waits(task, &spec, now),
+            EndKind::Done if !spec.persistent => self.complete_task(task, &spec, now),
+            EndKind::Failed => self.fail_task(task, &spec, now),
+            _ => self.mark_waiting(task, &spec, now),
         }
-        self.touch(task.job)
+        self.mark_dirty(task.job)
     }
 
-    fn task_done(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
+    fn complete_task(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
         let all = spec.gang;
-        self.change_tasks(task, all, |record| record.phase = TaskPhase::Done);
+        self.update_tasks(task, all, |record| record.phase = TaskPhase::Done);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.hints.remove(&task);
         job.record.occurrences.retain(|occurrence| !occurrence.done());
         let over = job.record.occurrences.is_empty()
             && job.record.next_occurrence >= job.record.repetitions();
         if over {
-            self.finish(task.job, JobState::Completed, now);
+            self.finish_job(task.job, JobState::Completed, now);
         }
     }
 
-    fn task_failed(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
+    fn fail_task(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
         let run = self.task_record(task).map_or(0, |record| record.run);
         // Several members of a gang may fail in one run, which is one failed attempt.
-        self.change_tasks(task, spec.gang, |record| {
+        self.update_tasks(task, spec.gang, |record| {
             if record.failed_run < run {
                 record.failed_run = run;
                 record.failures += 1;
             }
         });
-        self.task_waits(task, spec, now);
+        self.mark_waiting(task, spec, now);
         let Some(job) = self.jobs.get(&task.job) else { return };
         let most = job.record.terms.max_attempts.max(1);
         let failures = self.task_record(task).map_or(0, |record| record.failures);
         if !spec.persistent && failures >= most {
-            self.note(format!("decision=fail job={} task={task} failures={failures}", task.job));
-            self.finish(task.job, JobState::Failed, now);
+            self.log(format!("decision=fail job={} task={task} failures={failures}", task.job));
+            self.finish_job(task.job, JobState::Failed, now);
         }
     }
 
-    fn task_waits(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
-        self.change_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
-        self.open.insert(task.job);
+    fn mark_waiting(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
+        self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
+        self.open_jobs.insert(task.job);
         if spec.gang {
-            self.stop_step(task, now);
+            self.stop_gang(task, now);
         }
     }
 
     /// Ends a job: stops what still runs of it.
-    pub(super) fn finish(&mut self, id: JobId, state: JobState, now: Now) {
+    pub(super) fn finish_job(&mut self, id: JobId, state: JobState, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.record.state = state;
         job.record.finished_ms = now.wall_ms;
         job.hints.clear();
         self.approvals.forget_job(id);
-        self.open.remove(&id);
-        self.note(format!("decision=finish job={id} state={state}"));
-        for task in self.runs_of(id) {
+        self.open_jobs.remove(&id);
+        self.log(format!("decision=finish job={id} state={state}"));
+        for task in self.runs_of_job(id) {
             self.stop_run(task, now);
         }
-        self.touch_final(id);
+        self.mark_final_dirty(id);
     }
 
     /// Writes a finished job again, without what it does not need once nothing of it runs.
-    fn touch_final(&mut self, id: JobId) -> u64 {
-        let runs = !self.runs_of(id).is_empty();
+    fn mark_final_dirty(&mut self, id: JobId) -> u64 {
+        let runs = !self.runs_of_job(id).is_empty();
         if let Some(job) = self.jobs.get_mut(&id)
             && !runs
         {
             job.record.compact();
         }
-        self.touch(id)
+        self.mark_dirty(id)
     }
 
     /// Marks the task of a finished job as not running.
-    pub(super) fn forget_placement(&mut self, task: TaskId) {
-        self.change_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
+    pub(super) fn clear_placement(&mut self, task: TaskId) {
+        self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
     }
 
     /// Lets a task that has no run wait for another.
@@ -152,11 +152,11 @@
         {
             let hint = job.hints.entry(task).or_default();
             hint.not_before_ms = now.steady_ms + delay_ms;
-            hint.avoid = place.filter(|_| avoid);
+            hint.avoided_minion = place.filter(|_| avoid);
         }
     }
 
-    fn keep_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
+    fn store_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         // Any member's checkpoint serves its gang, and all members must go on from the same one.
         let indices = if spec.gang { 0..spec.count } else { task.index..task.index + 1 };
@@ -170,20 +170,20 @@
     /// A minion that fails everything ends tasks faster than others, so it would draw ever more of
     /// them and use up their attempts. Jobs that always fail look alike from one run; failures of
     /// different jobs in a row do not.
-    fn judge_minion(&mut self, minion: &Name, end: &EndedTask, now: Now) {
+    fn track_failures(&mut self, minion: &Name, end: &EndedTask, now: Now) {
         let Some(view) = self.minions.get_mut(minion) else { return };
         match end.kind {
             EndKind::Done => {
-                view.failures = 0;
-                view.failed_job = None;
+                view.consecutive_failures = 0;
+                view.last_failed_job = None;
             }
-            EndKind::Failed if view.failed_job != Some(end.task.job) => {
-                view.failures += 1;
-                view.failed_job = Some(end.task.job);
-                if view.failures >= QUARANTINE_FAILURES {
-                    view.shunned_ms = now.steady_ms + QUARANTINE_MS;
-                    let failures = view.failures;
-                    self.note(format!(
+            EndKind::Failed if view.last_failed_job != Some(end.task.job) => {
+                view.consecutive_failures += 1;
+                view.last_failed_job = Some(end.task.job);
+                if view.consecutive_failures >= QUARANTINE_FAILURES {
+                    view.quarantined_until_ms = now.steady_ms + QUARANTINE_MS;
+                    let failures = view.consecutive_failures;
+                    self.log(format!(
                         "decision=shun minion={minion} failures_in_a_row={failures} for_ms={QUARANTINE_MS}"
                     ));
                 }
@@ -205,7 +205,7 @@
     }
 
     /// Changes the record of a task, or of all tasks of its step.
-    pub(super) fn change_tasks(
+    pub(super) fn update_tasks(
         &mut self,
         task: TaskId,
         all: bool,
@@ -223,14 +223,14 @@
     }
 
     /// Lists the runs of a job.
-    pub(super) fn runs_of(&self, id: JobId) -> Vec<TaskId> {
+    pub(super) fn runs_of_job(&self, id: JobId) -> Vec<TaskId> {
         let first = TaskId { job: id, occurrence: 0, step: 0, index: 0 };
         let last = TaskId { job: id, occurrence: u32::MAX, step: u16::MAX, index: u32::MAX };
         self.runs.range(first..=last).map(|(task, _)| *task).collect()
     }
 
     /// Stops the other members of a gang, which cannot work without this one.
-    fn stop_step(&mut self, task: TaskId, now: Now) {
+    fn stop_gang(&mut self, task: TaskId, now: Now) {
         let Some(count) = self.step_spec(task).map(|step| step.count) else { return };
         for index in 0..count {
             self.stop_run(TaskId { index, ..task }, now);
@@ -244,24 +244,24 @@
             super::Minion::new(info, run.place.agent.clone())
         });
         minion.runs.insert(task);
-        minion.used += run.occupied;
-        minion.fill_cpus += run.fill_cpus;
-        minion.serving += u32::from(run.serving_cpus.is_some());
+        minion.used += run.reserved;
+        minion.best_effort_cpus += run.best_effort_cpus;
+        minion.serving_runs += u32::from(run.serving_cpus.is_some());
         minion.serving_cpus += run.serving_cpus.unwrap_or(0);
         let id = run.place.minion.clone();
         self.runs.insert(task, run);
-        self.count_images(task, &id, true);
+        self.count_run(task, &id, true);
     }
 
     /// Removes a run, and what it occupied.
     pub(super) fn remove_run(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
-        self.count_images(task, &run.place.minion, false);
+        self.count_run(task, &run.place.minion, false);
         if let Some(minion) = self.minions.get_mut(&run.place.minion) {
             minion.runs.remove(&task);
-            minion.used -= run.occupied;
-            minion.fill_cpus -= run.fill_cpus;
-            minion.serving -= u32::from(run.serving_cpus.is_some());
+            minion.used -= run.reserved;
+            minion.best_effort_cpus -= run.best_effort_cpus;
+            minion.serving_runs -= u32::from(run.serving_cpus.is_some());
             minion.serving_cpus -= run.serving_cpus.unwrap_or(0);
         }
         Some(run)
@@ -270,12 +270,12 @@
     /// Orders a run to end; one whose start has not left yet simply never begins.
     pub(super) fn stop_run(&mut self, task: TaskId, now: Now) {
         let Some(run) = self.runs.get(&task) else { return };
-        if run.stopping() {
+        if run.is_stopping() {
             return;
         }
         if run.order == OrderState::Committing {
             self.remove_run(task);
-            self.forget_placement(task);
+            self.clear_placement(task);
             return;
         }
         self.send_stop(task, now);
--- a/crates/geraniumpost-batch/src/coordinator/waits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_state.rs
@@ -9,19 +9,19 @@
 
 /// What is remembered of waiting tasks between two looks at them, to tell operators of it.
 #[derive(Debug)]
-pub(super) struct Waits {
+pub(super) struct WaitState {
     /// When this coordinator began, on the steady clock.
-    pub(super) began_ms: u64,
+    pub(super) started_ms: u64,
     /// When waiting tasks were last looked at, on the steady clock; `None` before the first look.
-    pub(super) looked_ms: Option<u64>,
+    pub(super) last_check_ms: Option<u64>,
     /// Steps with waiting tasks whose earlier steps are done.
     pub(super) steps: BTreeMap<StepKey, WaitingStep>,
     /// Since when each standing task that is down has been down, on the steady clock.
     pub(super) down: BTreeMap<TaskId, u64>,
     /// Minions whose loss a line has told.
-    pub(super) told_unreachable: BTreeSet<Name>,
+    pub(super) logged_unreachable: BTreeSet<Name>,
     /// Lines that told of the wait inherited from a predecessor.
-    pub(super) told_inherited: usize,
+    pub(super) predecessor_wait_lines: usize,
 }
 
 /// A step with waiting tasks.
@@ -37,15 +37,15 @@
     pub(super) told_ms: Option<u64>,
 }
 
-impl Waits {
-    pub(super) const fn new(began_ms: u64) -> Self {
+impl WaitState {
+    pub(super) const fn new(started_ms: u64) -> Self {
         Self {
-            began_ms,
-            looked_ms: None,
+            started_ms,
+            last_check_ms: None,
             steps: BTreeMap::new(),
             down: BTreeMap::new(),
-            told_unreachable: BTreeSet::new(),
-            told_inherited: 0,
+            logged_unreachable: BTreeSet::new(),
+            predecessor_wait_lines: 0,
         }
     }
 }
