--- a/crates/geraniumpost-batch/src/coordinator/agents.rs
+++ b/crates/geraniumpost-batch/src/coordinator/agents.rs
@@ -1,38 +1,38 @@
-//! Agents: their links, and their silence.
+//! Agents: their links and heartbeats.
 
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
 use crate::Now;
 
-/// Silence of an agent after which its minion gets no more work, in milliseconds: three missing beats.
+/// Time without a heartbeat after which an agent's minion gets no new tasks, in milliseconds: three
+/// missed heartbeats.
 const HEARTBEAT_TIMEOUT_MS: u64 = 1_600;
 
-/// What the coordinator knows of one agent.
+/// State of one agent.
 #[derive(Debug, Default)]
 pub(super) struct Agent {
     pub(super) linked: bool,
-    /// When it first linked to this coordinator, on the steady clock.
+    /// When the agent first linked to this coordinator, on the steady clock.
     pub(super) first_linked_ms: Option<u64>,
-    /// When its present link opened, on the steady clock.
+    /// When its current link opened, on the steady clock.
     pub(super) link_opened_ms: u64,
-    /// The incarnation beside it.
+    /// The incarnation beside the agent.
     pub(super) minion: Option<Name>,
-    /// When all that runs beside it has surely ended if the lease that this coordinator granted is not
-    /// extended any more. It belongs to the agent: a new incarnation is held under the lease that the
-    /// agent has.
+    /// When the last lease that this coordinator granted has certainly expired, on the steady
+    /// clock. The lease belongs to the agent: a new incarnation beside it runs under the same one.
     pub(super) lease_expiry_ms: u64,
-    /// When it was last heard of, on the steady clock.
+    /// When the last heartbeat arrived, on the steady clock.
     pub(super) last_heard_ms: u64,
 }
 
 impl Coordinator {
-    /// Takes note of a new link from an agent.
+    /// Handles a new link from an agent.
     pub(super) fn agent_connected(&mut self, agent: &Name, now: Now) {
-        let known = self.agents.entry(agent.clone()).or_default();
-        known.linked = true;
-        known.first_linked_ms.get_or_insert(now.steady_ms);
-        known.link_opened_ms = now.steady_ms;
+        let state = self.agents.entry(agent.clone()).or_default();
+        state.linked = true;
+        state.first_linked_ms.get_or_insert(now.steady_ms);
+        state.link_opened_ms = now.steady_ms;
         for minion in self.minions.values_mut().filter(|minion| minion.agent == *agent) {
             minion.linked = true;
             minion.polled = false;
@@ -40,10 +40,10 @@
         self.log(format!("agent={agent} event=linked"));
     }
 
-    /// Takes note that an agent's link is gone; what its minion runs goes on until its lease lapses.
+    /// Handles the loss of an agent's link. Runs of its minion continue until the lease expires.
     pub fn agent_disconnected(&mut self, agent: &Name, now: Now) {
-        if let Some(known) = self.agents.get_mut(agent) {
-            known.linked = false;
+        if let Some(state) = self.agents.get_mut(agent) {
+            state.linked = false;
         }
         for minion in self.minions.values_mut().filter(|minion| minion.agent == *agent) {
             minion.linked = false;
@@ -56,11 +56,12 @@
         self.log(format!("agent={agent} event=lost"));
     }
 
-    /// Gives no more work to minions whose agents have fallen silent, until they are heard of again.
+    /// Stops placing tasks on minions whose agents missed their heartbeats, until the next one
+    /// arrives.
     ///
-    /// A machine that is lost closes no link, and its minion, once emptied, looks like the best place of
-    /// all. Tasks would be placed there again each time their lease has lapsed, and on nothing but lost
-    /// machines if there are two, while others have room.
+    /// A machine that fails closes no link, and its minion looks like the best place once its runs
+    /// have expired. Tasks would be placed there again each time their lease expires, or alternate
+    /// between failed machines if there are two, while healthy minions have free resources.
     pub(super) fn mark_unresponsive_minions(&mut self, now: Now) {
         for minion in self.minions.values_mut().filter(|minion| minion.responsive) {
             let last_heard_ms =
--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -1,7 +1,8 @@
-//! Steps that an admission service must approve for each minion.
+//! Approval of steps by an admission service, for each minion.
 //!
-//! Its answers hold for all tasks of a step and for a while, so that one question serves them all;
-//! questions take time for each minion they name, and the service answers one at a time.
+//! An approval holds for all tasks of a step for some time, so that one request covers them all. A
+//! request takes longer with each minion that it names, and the service handles one request at a
+//! time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,27 +11,28 @@
 use super::{Coordinator, Effect};
 use crate::{JobId, Now, StepSpec, TaskId};
 
-/// Minions that one question names: a step seldom needs more, and each one costs time.
+/// Most minions that one request names: a step seldom needs more, and each one takes time.
 const MAX_MINIONS_PER_REQUEST: usize = 30;
-/// Time after which a question without an answer is asked again, in milliseconds.
+/// Time after which a request without a response is repeated, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Part of a ticket's time that is left for the way of the start, in milliseconds.
+/// Validity that a ticket must have left to be used, in milliseconds, as the start order takes time
+/// to arrive.
 const TICKET_MARGIN_MS: u64 = 250;
 
-/// A step of one occurrence.
+/// A step of one occurrence: job, occurrence and step.
 type StepKey = (JobId, u32, u16);
 
-/// What is known of a step's approvals.
+/// Approvals of one step.
 #[derive(Debug, Default)]
 struct Approval {
-    /// When the last question left, on the steady clock, if it is not answered.
-    asked_ms: Option<u64>,
-    /// Ticket for each approved minion, and until when it holds.
+    /// When the last request was sent, on the steady clock, if it has no response yet.
+    requested_ms: Option<u64>,
+    /// Ticket and its expiry, on the steady clock, by approved minion.
     tickets: BTreeMap<Name, (Name, u64)>,
-    /// Minions that were not approved; that does not change.
+    /// Minions that were refused; a refusal is final.
     refused: Vec<Name>,
-    /// Minions that the last question named.
-    asked: Vec<Name>,
+    /// Minions that the last request named.
+    requested: Vec<Name>,
 }
 
 /// Approvals of all steps that need them.
@@ -38,85 +40,93 @@
 pub(super) struct Approvals(HashMap<StepKey, Approval>);
 
 impl Approvals {
-    /// Returns the ticket for a task on a minion, if one holds long enough.
+    /// Returns the ticket for a task on a minion, if it is valid for long enough.
     pub(super) fn ticket(&self, task: TaskId, minion: &Name, now: Now) -> Option<&Name> {
-        let (ticket, until_ms) = self.0.get(&key(task))?.tickets.get(minion)?;
-        (now.steady_ms + TICKET_MARGIN_MS < *until_ms).then_some(ticket)
+        let (ticket, expiry_ms) = self.0.get(&key(task))?.tickets.get(minion)?;
+        (now.steady_ms + TICKET_MARGIN_MS < *expiry_ms).then_some(ticket)
     }
 
-    /// Forgets a ticket that a minion did not accept.
-    pub(super) fn forget(&mut self, task: TaskId, minion: &Name) {
+    /// Removes a ticket that a minion did not accept.
+    pub(super) fn remove_ticket(&mut self, task: TaskId, minion: &Name) {
         if let Some(approval) = self.0.get_mut(&key(task)) {
             approval.tickets.remove(minion);
         }
     }
 
-    /// Forgets the steps of a job that is over.
-    pub(super) fn forget_job(&mut self, job: JobId) {
-        self.0.retain(|(of, _, _), _| *of != job);
+    /// Removes the approvals of a finished job.
+    pub(super) fn remove_job(&mut self, job: JobId) {
+        self.0.retain(|(owner, _, _), _| *owner != job);
     }
 }
 
 impl Coordinator {
-    /// Takes in the answer to an [`Effect::RequestApproval`] that named the minions `asked`: the approved ones
-    /// with their tickets, and how long these hold. `None` says that there was no answer.
+    /// Handles the response to an [`Effect::RequestApproval`] that named the minions `requested`:
+    /// the approved minions with their tickets, and the tickets' validity in milliseconds. `None`
+    /// stands for a request that got no response.
     ///
-    /// A question that waits for long is put again, perhaps with other minions, and the first answer may
-    /// come after that. It speaks only for the minions that it was asked about: one taken for refused is
-    /// never asked about again, and a step that has no other place would wait for ever.
+    /// A request that stays unanswered is repeated, perhaps with other minions, and the first
+    /// response may arrive after that. A response therefore applies only to the minions that its
+    /// own request named: a minion wrongly taken as refused is never requested again, and a step
+    /// without any other place would wait forever.
     pub fn handle_approval(
         &mut self,
         step: TaskId,
-        asked: &[Name],
-        answer: Option<(Vec<(Name, Name)>, u64)>,
+        requested: &[Name],
+        response: Option<(Vec<(Name, Name)>, u64)>,
         now: Now,
     ) {
         let Some(approval) = self.approvals.0.get_mut(&key(step)) else { return };
-        if approval.asked == *asked {
-            approval.asked_ms = None;
+        if approval.requested == *requested {
+            approval.requested_ms = None;
         }
-        let Some((tickets, valid_ms)) = answer else { return };
-        let until_ms = now.steady_ms + valid_ms;
-        let refused =
-            asked.iter().filter(|minion| !tickets.iter().any(|(good, _)| good == *minion));
+        let Some((tickets, valid_ms)) = response else { return };
+        let expiry_ms = now.steady_ms + valid_ms;
+        let refused = requested
+            .iter()
+            .filter(|minion| !tickets.iter().any(|(approved, _)| approved == *minion));
         approval.refused.extend(refused.cloned());
         for (minion, ticket) in tickets {
-            approval.tickets.insert(minion, (ticket, until_ms));
+            approval.tickets.insert(minion, (ticket, expiry_ms));
         }
-        let (good, bad) = (approval.tickets.len(), approval.refused.len());
-        self.log(format!("decision=approval job={} step={step} good={good} bad={bad}", step.job));
+        let (approved, refused) = (approval.tickets.len(), approval.refused.len());
+        self.log(format!(
+            "decision=approval job={} step={step} approved={approved} refused={refused}",
+            step.job
+        ));
         self.placement_due = true;
     }
 
-    /// Asks for a step's approvals where tasks wait and no ticket lets them begin.
+    /// Requests approvals for a step with waiting tasks from eligible minions that have neither a
+    /// valid ticket nor a refusal.
     pub(super) fn request_approval(&mut self, step: TaskId, spec: &StepSpec, now: Now) {
         let Some(service) = self.jobs.get(&step.job).map(|job| job.record.terms.service.clone())
         else {
             return;
         };
         let approval = self.approvals.0.entry(key(step)).or_default();
-        if approval.asked_ms.is_some_and(|asked| now.steady_ms < asked + REQUEST_TIMEOUT_MS) {
+        if approval.requested_ms.is_some_and(|at_ms| now.steady_ms < at_ms + REQUEST_TIMEOUT_MS) {
             return;
         }
-        let unknown = |id: &&Name| {
-            let held = approval.tickets.get(*id).is_some_and(|(_, until)| now.steady_ms < *until);
-            !held && !approval.refused.contains(id)
+        let is_undecided = |id: &&Name| {
+            let has_ticket =
+                approval.tickets.get(*id).is_some_and(|(_, expiry_ms)| now.steady_ms < *expiry_ms);
+            !has_ticket && !approval.refused.contains(id)
         };
-        let mut named: Vec<(i64, Name)> = self
+        let mut candidates: Vec<(i64, Name)> = self
             .minions
             .iter()
             .filter(|(_, minion)| super::placement::is_eligible(minion, &service, spec, now))
-            .filter(|(id, _)| unknown(id))
+            .filter(|(id, _)| is_undecided(id))
             .map(|(id, minion)| (-minion.free().milli_cpus, id.clone()))
             .collect();
-        named.sort();
-        named.truncate(MAX_MINIONS_PER_REQUEST);
-        if named.is_empty() {
+        candidates.sort();
+        candidates.truncate(MAX_MINIONS_PER_REQUEST);
+        if candidates.is_empty() {
             return;
         }
-        approval.asked = named.into_iter().map(|(_, id)| id).collect();
-        approval.asked_ms = Some(now.steady_ms);
-        let minions = approval.asked.clone();
+        approval.requested = candidates.into_iter().map(|(_, id)| id).collect();
+        approval.requested_ms = Some(now.steady_ms);
+        let minions = approval.requested.clone();
         self.effects.push(Effect::RequestApproval { step, minions });
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
@@ -1,22 +1,24 @@
-//! For how good a place a filling task waits, and how little asking for one may cost.
+//! How fast a place has to be for a best-effort task to accept it, and a shortcut for steps that
+//! find none.
 
 use super::Coordinator;
 use super::headroom::BestEffortSpeed;
 use crate::{Demand, JobId, Now, StepSpec, TaskId};
 
-/// Share of its speed below which unused processors are too few for a filling task, so that it waits. A job
-/// is as slow as its slowest task, so one bound to a crowded minion holds up all the others; a full fleet
-/// that waits for more lets good enough places lie idle.
+/// Minimum fraction of a best-effort task's speed that unused processors must allow; below it the
+/// task waits. A job is as slow as its slowest task, so one task on a crowded minion delays all
+/// others; with a higher bound, good enough places stay idle in a full fleet.
 const MIN_CPU_SPEED: f64 = 0.7;
-/// The same for the share at which it harms nobody. It is higher, as what serving tasks bear shrinks when
-/// their load rises, and the task would be slowed down or moved halfway.
+/// Minimum fraction of its speed that serving tasks must tolerate. It is higher, as their headroom
+/// shrinks when their load rises, and the task would be throttled or moved halfway.
 const MIN_TOLERATED_SPEED: f64 = 0.9;
-/// How long a job may have nothing at work before its next filling task begins at any speed, in
-/// milliseconds. Where no minion bears it its users would otherwise wait beside unused processors.
+/// How long a job may have no runs before its next best-effort task accepts any speed, in
+/// milliseconds. If no minion has headroom for it, its users would otherwise wait beside unused
+/// processors.
 const JOB_IDLE_MS: u64 = 1_800;
 
 impl Coordinator {
-    /// Returns whether a task begins at this speed rather than wait for a better place.
+    /// Returns whether a task accepts a place with this speed rather than wait for a better one.
     pub(super) fn accepts_speed(
         &self,
         task: TaskId,
@@ -24,37 +26,42 @@
         speed: BestEffortSpeed,
         now: Now,
     ) -> bool {
-        let patient = spec.best_effort && !self.job_is_idle(task, now);
-        !patient || (speed.unused >= MIN_CPU_SPEED && speed.tolerated_speed >= MIN_TOLERATED_SPEED)
+        let may_wait = spec.best_effort && !self.job_is_idle(task, now);
+        !may_wait
+            || (speed.cpu_speed >= MIN_CPU_SPEED && speed.tolerated_speed >= MIN_TOLERATED_SPEED)
     }
 
-    /// Returns whether a task's job has had nothing at work for long.
+    /// Returns whether a task's job has had no runs for [`JOB_IDLE_MS`].
     pub(super) fn job_is_idle(&self, task: TaskId, now: Now) -> bool {
         let since_ms = self.jobs.get(&task.job).and_then(|job| job.idle_since_ms);
         since_ms.is_some_and(|since| now.steady_ms >= since + JOB_IDLE_MS)
             && self.runs_of_job(task.job).is_empty()
     }
 
-    /// Returns whether no minion takes a filling step, as one like it has just found none.
+    /// Returns whether no minion accepts a best-effort step, as a similar step has just found none.
     ///
-    /// Under overload hundreds of steps wait for the same few kinds of places, and asking every
+    /// Under overload hundreds of steps wait for the same few kinds of places, and checking every
     /// minion for each of them would take most of a small VM's processor.
     pub(super) fn is_unplaceable(&self, id: JobId, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|_| spec.best_effort) else { return false };
-        let kind = (job.record.terms.service.clone(), spec.image.clone());
-        let at_least = |smaller: &Demand| {
+        let key = (job.record.terms.service.clone(), spec.image.clone());
+        let needs_at_least = |smaller: &Demand| {
             spec.demand.milli_cpus >= smaller.milli_cpus
                 && spec.demand.memory_mb >= smaller.memory_mb
         };
-        self.unplaceable.get(&kind).is_some_and(at_least)
+        self.unplaceable.get(&key).is_some_and(needs_at_least)
     }
 
-    /// Takes note that a step has found no place in this round.
+    /// Records that a step found no minion in this round.
     pub(super) fn record_unplaceable(&mut self, id: JobId, spec: &StepSpec) {
         let Some(job) = self.jobs.get(&id) else { return };
         let terms = &job.record.terms;
-        let plain = spec.required_label.is_empty() && spec.max_per_minion == 0;
-        if spec.best_effort && plain && !terms.needs_approval && !self.is_unplaceable(id, spec) {
+        let is_unconstrained = spec.required_label.is_empty() && spec.max_per_minion == 0;
+        if spec.best_effort
+            && is_unconstrained
+            && !terms.needs_approval
+            && !self.is_unplaceable(id, spec)
+        {
             self.unplaceable.insert((terms.service.clone(), spec.image.clone()), spec.demand);
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -1,4 +1,4 @@
-//! What callers ask for.
+//! Requests of callers.
 
 use geraniumpost_schema::Name;
 
@@ -9,33 +9,33 @@
 use crate::{CallerRequest, CallerResponse, JobId, JobRecord, JobSpec, JobState, Now, QueueTerms};
 
 impl Coordinator {
-    /// Takes a caller's request; the answer comes as [`Effect::Reply`] under `ticket`, after
-    /// everything it promises is committed.
-    pub fn handle_request(&mut self, ticket: u64, ask: CallerRequest, now: Now) {
-        match ask {
+    /// Handles a caller's request. The response follows as [`Effect::Reply`] with `ticket`, after
+    /// everything that it promises is committed.
+    pub fn handle_request(&mut self, ticket: u64, request: CallerRequest, now: Now) {
+        match request {
             CallerRequest::Submit { job, spec, terms } => {
                 self.submit(ticket, job, spec, terms, now)
             }
             CallerRequest::Cancel(job) => self.cancel(ticket, job, now),
             CallerRequest::State(job) => {
-                let answer = self.state(job);
-                self.reply(ticket, answer);
+                let response = self.state(job);
+                self.reply(ticket, response);
             }
             CallerRequest::Pending(queue) => {
-                let answer = CallerResponse::Pending(self.pending(&queue));
-                self.reply(ticket, answer);
+                let response = CallerResponse::Pending(self.pending(&queue));
+                self.reply(ticket, response);
             }
         }
     }
 
-    fn reply(&mut self, ticket: u64, answer: CallerResponse) {
-        self.effects.push(Effect::Reply { ticket, answer });
+    fn reply(&mut self, ticket: u64, response: CallerResponse) {
+        self.effects.push(Effect::Reply { ticket, response });
     }
 
     fn submit(&mut self, ticket: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            // The same job again, by a retry or a late copy. It is accepted once the record of the
-            // first is committed, and begins nothing.
+            // A retry or a late copy of a submission is accepted once the record of the first is
+            // committed, and starts nothing.
             if job.is_durable() {
                 self.reply(ticket, CallerResponse::Accepted);
             } else {
@@ -50,7 +50,7 @@
         }
         if self.open_jobs.len() >= self.max_open_jobs {
             let open = self.open_jobs.len();
-            self.log(format!("decision=refuse job={id} why=\"too many jobs\" open={open}"));
+            self.log(format!("decision=refuse job={id} why=\"too many open jobs\" open={open}"));
             self.reply(ticket, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
             return;
         }
@@ -74,13 +74,13 @@
             self.reply(ticket, CallerResponse::Unknown);
             return;
         };
-        let over = job.record.state.is_final();
-        if over && job.durable_version == job.version {
+        let finished = job.record.state.is_final();
+        if finished && job.durable_version == job.version {
             self.reply(ticket, CallerResponse::Cancelled);
             return;
         }
         job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Cancelled));
-        if !over {
+        if !finished {
             self.finish_job(id, JobState::Cancelled, now);
         }
     }
@@ -93,11 +93,11 @@
     }
 
     fn pending(&self, queue: &Name) -> u64 {
-        let waits = |job: &&Job| {
+        let is_queued = |job: &&Job| {
             job.record.terms.queue == *queue
                 && job.is_durable()
                 && job.reported_state() == JobState::Queued
         };
-        self.jobs.values().filter(waits).count() as u64
+        self.jobs.values().filter(is_queued).count() as u64
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -1,36 +1,36 @@
-//! What is written, and what waits for it.
+//! Writes of records, and actions that wait for them.
 
 use super::{Coordinator, Effect, WriteBatch};
 use crate::tuning::{MAX_BYTES_PER_WRITE, MAX_CONCURRENT_WRITES, MAX_RECORDS_PER_WRITE};
 use crate::{CallerResponse, JobId, JobState, Now, TaskId, ToAgent};
 
-/// A write under way.
+/// A write in flight.
 #[derive(Debug)]
 pub(super) struct PendingBatch {
     jobs: Vec<PendingRecord>,
     removed: Vec<JobId>,
 }
 
-/// One record of a write under way.
+/// One record of a write in flight.
 #[derive(Debug)]
 struct PendingRecord {
     job: JobId,
     version: u64,
     state: JobState,
-    then: Vec<Deferred>,
+    actions: Vec<Deferred>,
 }
 
-/// What is done once a version of a record is committed.
+/// An action that waits until a version of a record is committed.
 #[derive(Debug, Clone)]
 pub(super) enum Deferred {
-    /// Answer a request.
+    /// Respond to a caller's request: ticket and response.
     Reply(u64, CallerResponse),
-    /// Give the start order of a placement.
+    /// Send the start order of a run, given by its number.
     Start(TaskId, u32),
 }
 
 impl Coordinator {
-    /// Marks a record as changed, and returns its version.
+    /// Marks a record as changed and returns its new version.
     pub(super) fn mark_dirty(&mut self, id: JobId) -> u64 {
         let Some(job) = self.jobs.get_mut(&id) else { return 0 };
         job.version += 1;
@@ -38,10 +38,10 @@
         job.version
     }
 
-    /// Takes note that a batch is written.
+    /// Handles the completion of a batch.
     ///
-    /// The shell reports a batch only once no earlier attempt at it, or at an earlier batch, can
-    /// still change the store; an older record could otherwise replace a newer one.
+    /// The driver must report a batch only once no earlier attempt at it or at an earlier batch can
+    /// still change the store; otherwise an older record could replace a newer one.
     pub fn batch_written(&mut self, number: u64, now: Now) {
         let Some(batch) = self.batches.remove(&number) else { return };
         for written in batch.jobs {
@@ -50,8 +50,8 @@
                 job.write_in_flight = false;
                 job.committed_state = written.state;
             }
-            for deferred in written.then {
-                self.release(deferred, now);
+            for deferred in written.actions {
+                self.run_deferred(deferred, now);
             }
         }
         for id in batch.removed {
@@ -61,27 +61,28 @@
         self.report_recorded_departures();
     }
 
-    fn release(&mut self, deferred: Deferred, now: Now) {
+    fn run_deferred(&mut self, deferred: Deferred, now: Now) {
         match deferred {
-            Deferred::Reply(ticket, answer) => {
-                self.effects.push(Effect::Reply { ticket, answer });
+            Deferred::Reply(ticket, response) => {
+                self.effects.push(Effect::Reply { ticket, response });
             }
             Deferred::Start(task, run) => self.start_committed(task, run, now),
         }
     }
 
-    /// Lets minions forget the ends that the store holds.
+    /// Acknowledges the ends that the store holds, so that minions may forget them.
     pub(super) fn acknowledge_ends(&mut self) {
         let jobs = &self.jobs;
-        let durable = |id: &JobId, version: u64| {
+        let is_durable = |id: &JobId, version: u64| {
             jobs.get(id).is_none_or(|job| job.durable_version >= version)
         };
         for (id, minion) in &mut self.minions {
-            // An end that is listed after its acknowledgement left shows that this was lost with a link.
-            let again = std::mem::replace(&mut minion.resend_acknowledgement, false);
-            let mut up_to = again.then_some(minion.acknowledged_up_to);
+            // The last acknowledgement was lost with a link if the minion lists acknowledged ends
+            // again.
+            let resend = std::mem::replace(&mut minion.resend_acknowledgement, false);
+            let mut up_to = resend.then_some(minion.acknowledged_up_to);
             while let Some((number, change)) = minion.unacknowledged.front() {
-                if change.as_ref().is_some_and(|(job, version)| !durable(job, *version)) {
+                if change.as_ref().is_some_and(|(job, version)| !is_durable(job, *version)) {
                     break;
                 }
                 up_to = Some(*number);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Gathers changed records into writes, as far as writes may begin.
+    /// Gathers changed records into writes, up to the limit of concurrent writes.
     pub(super) fn gather_writes(&mut self, now: Now) {
         while self.batches.len() < MAX_CONCURRENT_WRITES {
             let Some(mut write) = self.gather_write() else { return };
@@ -126,13 +127,13 @@
             let record = job.record.encode();
             bytes += record.len();
             write.put.push((id, record));
-            let then = std::mem::take(&mut job.after_commit);
+            let actions = std::mem::take(&mut job.after_commit);
             let (version, state) = (job.version, job.record.state);
-            written.push(PendingRecord { job: id, version, state, then });
+            written.push(PendingRecord { job: id, version, state, actions });
         }
-        let room = MAX_RECORDS_PER_WRITE - written.len();
+        let remaining = MAX_RECORDS_PER_WRITE - written.len();
         let removed: Vec<_> =
-            self.expired_jobs.drain(..room.min(self.expired_jobs.len())).collect();
+            self.expired_jobs.drain(..remaining.min(self.expired_jobs.len())).collect();
         write.remove.clone_from(&removed);
         if written.is_empty() && removed.is_empty() {
             return None;
--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -1,44 +1,46 @@
-//! Minions that are certainly gone, until that is recorded.
+//! Terminated minions whose end the records do not hold yet.
 
 use geraniumpost_schema::Name;
 
 use super::{Coordinator, Effect};
 use crate::{JobId, Now, ToAgent};
 
-/// A minion whose agent has said that it is gone.
+/// A minion that its agent has reported as terminated.
 #[derive(Debug)]
 pub(super) struct Departure {
-    /// Who said so, and is told once it is settled.
+    /// The agent that reported it, and is notified once the records hold it.
     agent: Name,
-    /// Records that were not written yet when it was said, and the versions that hold all that was known
-    /// by then.
+    /// Records that were not written yet at the time of the report, and the versions that contain
+    /// everything known by then.
     unwritten_jobs: Vec<(JobId, u64)>,
 }
 
 impl Coordinator {
-    /// Takes an agent's word that a minion is gone, with all that ran there.
+    /// Handles an agent's report that a minion has terminated with all its runs.
     ///
-    /// The agent may be the only one that knows, and it repeats its word on every link until it is told
-    /// that the records hold it. A coordinator that is lost before it has written them would otherwise
-    /// take the knowledge along: its successor waits for the lease of a minion that is gone, and users
-    /// miss standing tasks for as long.
+    /// The agent may be the only process that knows, and it repeats the report on every link until
+    /// it is told that the records hold it. Otherwise a coordinator that fails before it has
+    /// written them would lose that knowledge: its successor would wait for the lease of a
+    /// terminated minion, and users would miss persistent tasks meanwhile.
     pub(super) fn minion_terminated(&mut self, agent: &Name, id: &Name, now: Now) {
         self.remove_minion(id, now);
-        // What ran there may have ended before, by a stop or a lapse that is not written either.
+        // Runs there may have ended earlier, by a stop or an expired lease that is not written
+        // either.
         let unwritten_jobs = self.jobs.iter().filter(|(_, job)| job.durable_version < job.version);
         let unwritten_jobs = unwritten_jobs.map(|(id, job)| (*id, job.version)).collect();
         self.departures.insert(id.clone(), Departure { agent: agent.clone(), unwritten_jobs });
         self.report_recorded_departures();
     }
 
-    /// Tells agents which of their words need not be repeated any more.
+    /// Notifies agents of reports that need not be repeated, as the records hold them.
     pub(super) fn report_recorded_departures(&mut self) {
         let jobs = &self.jobs;
-        let durable = |(id, version): &(JobId, u64)| {
+        let is_durable = |(id, version): &(JobId, u64)| {
             jobs.get(id).is_none_or(|job| job.durable_version >= *version)
         };
-        let settled = self.departures.extract_if(.., |_, d| d.unwritten_jobs.iter().all(durable));
-        for (minion, departure) in settled {
+        let recorded =
+            self.departures.extract_if(.., |_, d| d.unwritten_jobs.iter().all(is_durable));
+        for (minion, departure) in recorded {
             let message = ToAgent::DepartureRecorded { minion };
             self.effects.push(Effect::Send { agent: departure.agent, message });
         }
--- a/crates/geraniumpost-batch/src/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/src/coordinator/draining.rs
@@ -1,24 +1,24 @@
-//! Emptying minions that leave.
+//! Evacuation of draining minions.
 
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
 use crate::{Now, TaskId};
 
-/// Time that a leaving minion is taken to stay if it does not say, in milliseconds.
+/// Remaining time assumed for a draining minion that reports none, in milliseconds.
 pub(super) const DEFAULT_DRAIN_MS: u64 = 2_000;
-/// Time that moving a task costs anyway, in milliseconds: a stop, a commit and a start.
+/// Time that moving a task takes in any case, in milliseconds: a stop, a commit and a start.
 const MOVE_COST_MS: u64 = 400;
-/// Pause between two looks for other places, in milliseconds. Minions leave seconds after their notice,
-/// and each look asks every minion for each task that stays.
-const LOOK_EVERY_MS: u64 = 300;
+/// Interval between two evacuations of a minion, in milliseconds. Minions terminate seconds after
+/// their notice, and each evacuation checks every minion for each remaining task.
+const EVACUATION_INTERVAL_MS: u64 = 300;
 
 impl Coordinator {
-    /// Moves what leaving minions cannot finish, again and again until they are empty.
+    /// Evacuates draining minions repeatedly until they are empty.
     ///
-    /// At the moment of the notice there may be no other place: the fleet is full, or this coordinator
-    /// has just taken over and has looked at no other minion. A task that was then left alone would end
-    /// with its minion, and its users would miss it until that is known for certain.
+    /// At the time of the notice there may be no other place: the fleet is full, or this
+    /// coordinator has just taken over and has polled no other minion yet. A task that is not moved
+    /// later ends with its minion, and its users miss it until the coordinator knows of that end.
     pub(super) fn evacuate_draining(&mut self, now: Now) {
         let due: Vec<Name> = self
             .minions
@@ -26,7 +26,9 @@
             .filter(|(_, minion)| {
                 minion.reported && minion.info.draining && !minion.runs.is_empty()
             })
-            .filter(|(_, minion)| now.steady_ms >= minion.last_evacuation_ms + LOOK_EVERY_MS)
+            .filter(|(_, minion)| {
+                now.steady_ms >= minion.last_evacuation_ms + EVACUATION_INTERVAL_MS
+            })
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
@@ -34,54 +36,60 @@
         }
     }
 
-    /// Stops what a leaving minion cannot finish, where it can go on elsewhere.
+    /// Stops the runs that a draining minion cannot finish, if another minion accepts their tasks.
     pub(super) fn evacuate(&mut self, id: &Name, now: Now) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         minion.last_evacuation_ms = now.steady_ms;
-        let stays_ms = minion.drain_deadline_ms.saturating_sub(now.steady_ms);
+        let remaining_ms = minion.drain_deadline_ms.saturating_sub(now.steady_ms);
         let tasks: Vec<TaskId> = minion.runs.iter().copied().collect();
         let (mut stopped, mut tasks_without_place) = (0, 0);
         for task in tasks {
             if self.runs.get(&task).is_some_and(super::Run::is_stopping)
                 || self
                     .remaining_run_ms(task, now)
-                    .is_some_and(|left| left + MOVE_COST_MS < stays_ms)
+                    .is_some_and(|run_ms| run_ms + MOVE_COST_MS < remaining_ms)
             {
                 continue;
             }
-            if self.has_other_place(task, now) {
+            if self.has_eligible_minion(task, now) {
                 self.stop_run(task, now);
                 stopped += 1;
             } else {
                 tasks_without_place += 1;
             }
         }
-        self.log_evacuation(id, stays_ms, stopped, tasks_without_place);
+        self.log_evacuation(id, remaining_ms, stopped, tasks_without_place);
     }
 
-    /// Logs what was decided on a leaving minion, unless it is what the last line said.
-    fn log_evacuation(&mut self, id: &Name, stays_ms: u64, stopped: u32, tasks_without_place: u32) {
+    /// Logs an evacuation, unless it stopped nothing and as many tasks as before remain.
+    fn log_evacuation(
+        &mut self,
+        id: &Name,
+        remaining_ms: u64,
+        stopped: u32,
+        tasks_without_place: u32,
+    ) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let news = stopped > 0 || tasks_without_place != minion.tasks_without_place;
+        let changed = stopped > 0 || tasks_without_place != minion.tasks_without_place;
         minion.tasks_without_place = tasks_without_place;
-        if news {
+        if changed {
             self.log(format!(
-                "decision=empty minion={id} stays_ms={stays_ms} stopped={stopped} \
+                "decision=evacuate minion={id} remaining_ms={remaining_ms} stopped={stopped} \
                  without_other_place={tasks_without_place}"
             ));
         }
     }
 
-    /// Returns how long a run will still take in milliseconds; `None` for one without end.
+    /// Returns the estimated remaining time of a run in milliseconds; `None` for a persistent task.
     fn remaining_run_ms(&self, task: TaskId, now: Now) -> Option<u64> {
         let step = self.step_spec(task).filter(|step| !step.persistent)?;
         let run = self.runs.get(&task)?;
-        let whole_ms = u64::from(step.estimate_ms);
-        let Some(started_ms) = run.started_ms else { return Some(whole_ms) };
+        let estimate_ms = u64::from(step.estimate_ms);
+        let Some(started_ms) = run.started_ms else { return Some(estimate_ms) };
         let ran_ms = now.steady_ms.saturating_sub(started_ms);
         let percent = u64::from(run.progress_percent);
-        // The declared length is far off at times; progress tells better once there is some.
-        let known = percent >= 10;
-        Some(if known { ran_ms * (100 - percent.min(100)) / percent } else { whole_ms })
+        // Declared estimates may be far off; from 10% progress on, the progress is more accurate.
+        let is_accurate = percent >= 10;
+        Some(if is_accurate { ran_ms * (100 - percent.min(100)) / percent } else { estimate_ms })
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -2,17 +2,17 @@
 
 use crate::{CallerResponse, JobId, TaskId, ToAgent};
 
-/// What the shell has to do for the coordinator.
+/// An action that the driver has to perform for the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write records, and report it with [`Coordinator::batch_written`](super::Coordinator::batch_written).
+    /// Write records, then call [`Coordinator::batch_written`](super::Coordinator::batch_written).
     Write(WriteBatch),
-    /// Answer a request.
+    /// Respond to a caller's request.
     Reply {
-        /// The request's ticket.
+        /// Ticket that was passed with the request.
         ticket: u64,
-        /// The answer.
-        answer: CallerResponse,
+        /// The response.
+        response: CallerResponse,
     },
     /// Send a message to an agent.
     Send {
@@ -21,29 +21,29 @@
         /// The message.
         message: ToAgent,
     },
-    /// Ask the admission service which minions may run a step, and report it with
+    /// Ask the admission service which minions may run a step, then call
     /// [`Coordinator::handle_approval`](super::Coordinator::handle_approval).
     RequestApproval {
-        /// The step, named by its first task.
+        /// The step, identified by its first task.
         step: TaskId,
-        /// The minions in question.
+        /// The candidate minions.
         minions: Vec<Name>,
     },
-    /// A minion has obeyed a newer coordinator: check who coordinates.
+    /// A minion has obeyed a newer coordinator: the driver has to check who coordinates.
     Superseded,
-    /// Something was decided that the log should tell.
+    /// Write a log line.
     Log(String),
 }
 
-/// Records that are written together or not at all.
+/// Records that are written in one transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Names the batch when it is reported as written.
+    /// Identifies the batch in [`Coordinator::batch_written`](super::Coordinator::batch_written).
     pub number: u64,
-    /// Records to write.
+    /// Records to write, encoded.
     pub put: Vec<(JobId, Vec<u8>)>,
-    /// Records to remove.
+    /// Jobs whose records are to be removed.
     pub remove: Vec<JobId>,
-    /// What was learnt of images, for a successor ([`crate::InterferenceSnapshot`]).
+    /// Learned interference for a successor, encoded ([`crate::InterferenceSnapshot`]).
     pub interference: Option<Vec<u8>>,
 }
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -1,7 +1,7 @@
-//! Which bound keeps a minion from taking a task.
+//! Which minions can take a task.
 //!
-//! Placement and the lines that tell why a task waits both ask here, so that they cannot differ.
-//! Each waiting task asks every minion, so that the checks are inlined across modules.
+//! Placement and the log lines on waiting tasks both use these checks, so that they cannot differ.
+//! Each waiting task checks every minion, so that the checks are inlined across modules.
 
 use geraniumpost_schema::Name;
 
@@ -12,19 +12,19 @@
 use super::run::reserved;
 use crate::{Now, QueueTerms, StepSpec, TaskId};
 
-/// What a task asks of a minion.
+/// What a task requires of a minion.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TaskRequirements<'a> {
     task: TaskId,
     spec: &'a StepSpec,
     terms: &'a QueueTerms,
-    /// Whether it ran before, in which case it takes its room back.
+    /// Whether it ran before, in which case it may use the reserve for short tasks.
     ran: bool,
 }
 
 impl Coordinator {
-    /// Returns what a task asks of a minion.
-    pub(super) fn needs<'a>(
+    /// Returns what a task requires of a minion.
+    pub(super) fn requirements<'a>(
         &'a self,
         task: TaskId,
         spec: &'a StepSpec,
@@ -34,18 +34,18 @@
         Some(TaskRequirements { task, spec, terms, ran })
     }
 
-    /// Returns why a minion does not take a task, or `None` if it does.
+    /// Returns why a minion cannot take a task, or `None` if it can.
     #[inline]
     pub(super) fn rejection(
         &self,
-        needs: &TaskRequirements<'_>,
+        requirements: &TaskRequirements<'_>,
         minion: &Minion,
         now: Now,
     ) -> Option<Rejection> {
-        let TaskRequirements { task, spec, terms, ran } = *needs;
-        let bar = step_rejection(minion, &terms.service, spec, now);
-        if bar.is_some() {
-            return bar;
+        let TaskRequirements { task, spec, terms, ran } = *requirements;
+        let rejection = step_rejection(minion, &terms.service, spec, now);
+        if rejection.is_some() {
+            return rejection;
         }
         if !spread_allows(task, spec, minion) {
             return Some(Rejection::Spread);
@@ -53,15 +53,15 @@
         if terms.needs_approval && self.approvals.ticket(task, &minion.info.id, now).is_none() {
             return Some(Rejection::NoApproval);
         }
-        let kept = !ran && !leaves_short_task_reserve(minion, spec);
-        kept.then_some(Rejection::ReservedForShort)
+        let is_reserved = !ran && !leaves_short_task_reserve(minion, spec);
+        is_reserved.then_some(Rejection::ReservedForShort)
     }
 }
 
-/// Returns why a minion does not take any task of a step, or `None` if it does.
+/// Returns why a minion cannot take any task of a step, or `None` if it can.
 ///
-/// What never changes comes first, so that a minion of another service counts as that one, whatever
-/// else keeps it out.
+/// Reasons that never change come first, so that a minion of another service is counted as such,
+/// whatever else applies.
 #[inline]
 pub(super) fn step_rejection(
     minion: &Minion,
@@ -78,12 +78,12 @@
     if !spec.required_label.is_empty() && !minion.has_label(&spec.required_label) {
         return Some(Rejection::Label);
     }
-    closed(minion, now).or_else(|| full(minion, spec))
+    minion_rejection(minion, now).or_else(|| capacity_rejection(minion, spec))
 }
 
-/// Returns why no new run at all may be placed on a minion.
+/// Returns why a minion cannot take any new run, or `None` if it can.
 #[inline]
-fn closed(minion: &Minion, now: Now) -> Option<Rejection> {
+fn minion_rejection(minion: &Minion, now: Now) -> Option<Rejection> {
     if !minion.linked {
         return Some(Rejection::NotLinked);
     }
@@ -99,9 +99,9 @@
     minion.info.draining.then_some(Rejection::Draining)
 }
 
-/// Returns why a minion cannot hold a task of a step beside what it has.
+/// Returns why a minion has no capacity for a task of a step, or `None` if it has.
 #[inline]
-fn full(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
+fn capacity_rejection(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
     if spec.best_effort && minion.over_bound_ms > 0 {
         return Some(Rejection::OverBound);
     }
--- a/crates/geraniumpost-batch/src/coordinator/gauges.rs
+++ b/crates/geraniumpost-batch/src/coordinator/gauges.rs
@@ -1,4 +1,4 @@
-//! Learning from minions' gauges, and handing on what was learnt.
+//! Learning interference from minions' gauges, and passing it on to a successor.
 
 use std::collections::BTreeMap;
 
@@ -9,36 +9,36 @@
 use crate::tuning::INTERFERENCE_WRITE_INTERVAL_MS;
 use crate::{InterferenceSnapshot, Now, TaskId};
 
-/// What one look showed of a minion.
+/// Gauges of one poll of a minion.
 #[derive(Debug, Default)]
 struct Gauges {
-    /// Tails of each group of serving tasks, in bounds.
+    /// Tail latencies of each group of serving tasks, as multiples of their bound.
     tails: BTreeMap<(Name, ServingGroup), Vec<f64>>,
-    /// Share of the minion's processors that each filling image used.
+    /// Share of the minion's processors that each best-effort image used.
     used: BTreeMap<Name, f64>,
     /// Serving tasks, and whether they are over their bounds.
     over: Vec<(TaskId, bool)>,
 }
 
 impl Coordinator {
-    /// Takes over what a predecessor had learnt of images.
+    /// Loads interference that a predecessor learned.
     #[must_use]
-    pub fn with_interference(mut self, knowledge: &InterferenceSnapshot) -> Self {
-        self.interference.restore(knowledge);
+    pub fn with_interference(mut self, snapshot: &InterferenceSnapshot) -> Self {
+        self.interference.restore(snapshot);
         self
     }
 
-    /// Returns what was learnt of images, if a successor should be told anew.
+    /// Returns the encoded interference for a successor, if the next write is due.
     pub(super) fn interference_to_write(&mut self, now: Now) -> Option<Vec<u8>> {
         if now.steady_ms < self.interference_written_ms + INTERFERENCE_WRITE_INTERVAL_MS {
             return None;
         }
         self.interference_written_ms = now.steady_ms;
-        let knowledge = self.interference.snapshot();
-        (!knowledge.pairs.is_empty()).then(|| knowledge.encode())
+        let snapshot = self.interference.snapshot();
+        (!snapshot.pairs.is_empty()).then(|| snapshot.encode())
     }
 
-    /// Forgets what is known of serving tasks that are gone.
+    /// Removes the state of serving groups that have no runs left.
     pub(super) fn prune_serving_groups(&mut self) {
         let minions = &self.minions;
         self.interference.retain_groups(|group| {
@@ -48,7 +48,7 @@
         });
     }
 
-    /// Learns from a minion's gauges.
+    /// Updates the interference model from a minion's gauges.
     pub(super) fn observe_gauges(&mut self, id: &Name, now: Now) {
         let Gauges { tails, used, over } = self.read_gauges(id);
         self.update_over_bound(id, over, now);
@@ -56,8 +56,8 @@
         for ((image, group), tails) in tails {
             let tail = lower_median(tails);
             self.interference.observe(&image, &group, tail, &used, now.steady_ms);
-            let of_image = worst.entry(image).or_default();
-            *of_image = of_image.max(tail);
+            let image_tail = worst.entry(image).or_default();
+            *image_tail = image_tail.max(tail);
         }
         let Some(minion) = self.minions.get_mut(id) else { return };
         for (image, tail) in worst {
@@ -86,7 +86,7 @@
         gauges
     }
 
-    /// Takes note of which serving tasks are over their bounds, and since when.
+    /// Records which serving tasks are over their bounds, and since when.
     fn update_over_bound(&mut self, id: &Name, over: Vec<(TaskId, bool)>, now: Now) {
         let mut longest_ms = 0;
         for (task, is_over) in over {
@@ -102,10 +102,11 @@
     }
 }
 
-/// Returns the lower median of tails.
+/// Returns the lower median of tail latencies.
 ///
-/// A single task now and then shows a tail several times its neighbours' for a second, by nobody's doing.
-/// The highest tail would blame what fills beside it, and slow it down for nothing.
+/// A single task occasionally shows several times its neighbours' tail latency for a second,
+/// without any cause on its minion. Using the maximum would attribute that to best-effort tasks
+/// beside it and throttle them needlessly.
 fn lower_median(mut tails: Vec<f64>) -> f64 {
     tails.sort_unstable_by(f64::total_cmp);
     tails.get(tails.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -1,4 +1,5 @@
-//! How much the serving tasks of each minion can still bear of what fills beside them.
+//! Headroom: how much additional utilization the serving tasks of each minion tolerate from
+//! best-effort tasks.
 
 use geraniumpost_schema::Name;
 
@@ -8,113 +9,116 @@
 use crate::tuning::BEST_EFFORT_TAIL_LIMIT;
 use crate::{StepSpec, TaskId};
 
-/// Least utilization that counts as left, so that no share is divided by nothing.
+/// Smallest headroom used as a divisor, as a utilization.
 const MIN_HEADROOM: f64 = 0.01;
 
-/// What one group of serving tasks can still bear.
+/// Headroom of one group of serving tasks.
 #[derive(Debug, Clone)]
 pub(super) struct Headroom {
-    /// Its image.
+    /// The group's image.
     image: Name,
-    /// How much its utilization may rise before its tail reaches [`BEST_EFFORT_TAIL_LIMIT`]; negative if it is over.
-    left: f64,
+    /// How much the group's utilization may rise before its tail latency reaches
+    /// [`BEST_EFFORT_TAIL_LIMIT`]; negative if it is over that.
+    utilization: f64,
 }
 
-/// How fast a filling task would work on a minion, and what it would do there.
+/// Expected speed of a best-effort task on a minion, and its effect there.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BestEffortSpeed {
-    /// Share of its speed, from 0 to 1, for which processors are unused.
-    pub(super) unused: f64,
-    /// Share of its speed, from 0 to 1, at which it harms nobody.
+    /// Fraction of full speed, from 0 to 1, that unused processors allow.
+    pub(super) cpu_speed: f64,
+    /// Fraction of full speed, from 0 to 1, that serving tasks tolerate.
     pub(super) tolerated_speed: f64,
-    /// Largest part, from 0 to 1, that it would take of what some group can still bear.
+    /// Largest fraction, from 0 to 1, of any group's headroom that the task would use.
     pub(super) headroom_share: f64,
 }
 
 impl Coordinator {
-    /// Lists what each group of serving tasks on a minion could bear if nothing filled there.
+    /// Lists the headroom of each group of serving tasks on a minion without any best-effort tasks.
     fn base_headroom(&self, minion: &Minion) -> Vec<Headroom> {
         let mut last = None;
-        let mut rooms = Vec::new();
+        let mut headroom = Vec::new();
         for task in &minion.runs {
-            // Tasks of a step follow each other.
+            // Tasks of a step are adjacent.
             let step = TaskId { index: 0, ..*task };
             if last.replace(step) == Some(step) {
                 continue;
             }
             let Some(spec) = self.step_spec(*task).filter(|spec| spec.serves()) else { continue };
             let group = ServingGroup::of(*task, &minion.info.id);
-            let most = self.interference.utilization_at(&spec.image, BEST_EFFORT_TAIL_LIMIT);
-            let left = most - self.interference.own_utilization(&spec.image, &group);
-            rooms.push(Headroom { image: spec.image.clone(), left });
+            let limit = self.interference.utilization_at(&spec.image, BEST_EFFORT_TAIL_LIMIT);
+            let utilization = limit - self.interference.own_utilization(&spec.image, &group);
+            headroom.push(Headroom { image: spec.image.clone(), utilization });
         }
-        rooms
+        headroom
     }
 
-    /// Works out anew what a minion's serving tasks can bear beside what fills there at its paces;
-    /// placements read it many times.
+    /// Updates a minion's headroom beside its best-effort tasks at their current paces. It is
+    /// cached, as placements read it many times.
     pub(super) fn refresh_headroom(&mut self, id: &Name) {
         let Some(minion) = self.minions.get(id) else { return };
-        let mut rooms = self.base_headroom(minion);
-        for room in &mut rooms {
-            let added = |(image, filling): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
-                let share = minion.cpu_share(filling.milli_cpus_at(filling.percent));
-                self.interference.added_utilization(&room.image, image, share)
+        let mut headroom = self.base_headroom(minion);
+        for group in &mut headroom {
+            let added = |(image, tasks): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
+                let share = minion.cpu_share(tasks.milli_cpus_at(tasks.pace_percent));
+                self.interference.added_utilization(&group.image, image, share)
             };
-            room.left -= minion.best_effort_images.iter().map(added).sum::<f64>();
+            group.utilization -= minion.best_effort_images.iter().map(added).sum::<f64>();
         }
         if let Some(minion) = self.minions.get_mut(id) {
-            minion.headroom = rooms;
+            minion.headroom = headroom;
         }
     }
 
-    /// Returns how fast a task of a filling step would work on a minion.
+    /// Returns the expected speed of a best-effort task on a minion.
     pub(super) fn best_effort_speed(&self, minion: &Minion, spec: &StepSpec) -> BestEffortSpeed {
         let milli_cpus = spec.demand.milli_cpus;
         let unused = minion.unused_milli_cpus().max(0) as f64;
         let wanted = (minion.best_effort_cpus + milli_cpus).max(1) as f64;
         let share = minion.cpu_share(milli_cpus as f64);
-        let unused = (unused / wanted).min(1.0);
-        let mut speed = BestEffortSpeed { unused, tolerated_speed: 1.0, headroom_share: 0.0 };
-        for room in &minion.headroom {
-            let adds = self.interference.added_utilization(&room.image, &spec.image, share);
-            if adds > room.left {
-                speed.tolerated_speed = speed.tolerated_speed.min((room.left / adds).max(0.0));
+        let cpu_speed = (unused / wanted).min(1.0);
+        let mut speed = BestEffortSpeed { cpu_speed, tolerated_speed: 1.0, headroom_share: 0.0 };
+        for group in &minion.headroom {
+            let added = self.interference.added_utilization(&group.image, &spec.image, share);
+            if added > group.utilization {
+                speed.tolerated_speed =
+                    speed.tolerated_speed.min((group.utilization / added).max(0.0));
             }
             speed.headroom_share =
-                speed.headroom_share.max((adds / room.left.max(MIN_HEADROOM)).min(1.0));
+                speed.headroom_share.max((added / group.utilization.max(MIN_HEADROOM)).min(1.0));
         }
         speed
     }
 
-    /// Returns the share, in percent, that each filling image on a minion may work at.
+    /// Returns the pace, in percent, that serving tasks on a minion tolerate from each best-effort
+    /// image.
     pub(super) fn tolerated_paces(&self, minion: &Minion) -> Vec<(Name, u8)> {
-        let rooms = self.base_headroom(minion);
-        let room: Vec<f64> = rooms.iter().map(|room| room.left).collect();
-        let pressure = |(image, filling): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
-            let processors = filling.milli_cpus_at(100);
+        let headroom = self.base_headroom(minion);
+        let limits: Vec<f64> = headroom.iter().map(|group| group.utilization).collect();
+        let pressure = |(image, tasks): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
+            let processors = tasks.milli_cpus_at(100);
             let share = minion.cpu_share(processors);
-            let adds = rooms
+            let added = headroom
                 .iter()
-                .map(|room| self.interference.added_utilization(&room.image, image, share));
-            Pressure { processors, added_utilization: adds.collect() }
+                .map(|group| self.interference.added_utilization(&group.image, image, share));
+            Pressure { processors, added_utilization: added.collect() }
         };
         let pressures: Vec<Pressure> = minion.best_effort_images.iter().map(pressure).collect();
-        let shares = speed_limits(&room, &pressures);
+        let shares = speed_limits(&limits, &pressures);
         let paces = shares.into_iter().map(|share| (share * 100.0) as u8);
         minion.best_effort_images.keys().cloned().zip(paces).collect()
     }
 
-    /// Enters or removes a run in what serves and what fills on its minion.
-    pub(super) fn count_run(&mut self, task: TaskId, id: &Name, enters: bool) {
+    /// Adds a run to its minion's serving or best-effort runs by image, or removes it.
+    pub(super) fn count_run(&mut self, task: TaskId, id: &Name, added: bool) {
         let Some(step) = self.step_spec(task).cloned() else { return };
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let change = if enters { 1 } else { -1 };
+        let change = if added { 1 } else { -1 };
         if step.best_effort {
-            let filling = minion.best_effort_images.entry(step.image.clone()).or_default();
-            filling.runs += change;
-            filling.milli_cpus += i64::from(change) * step.demand.milli_cpus;
-            if filling.runs <= 0 {
+            let tasks = minion.best_effort_images.entry(step.image.clone()).or_default();
+            tasks.runs += change;
+            tasks.milli_cpus += i64::from(change) * step.demand.milli_cpus;
+            if tasks.runs <= 0 {
                 minion.best_effort_images.remove(&step.image);
             }
         } else if step.serves() {
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -5,38 +5,38 @@
 use super::commits::Deferred;
 use crate::{JobRecord, JobState, TaskId};
 
-/// A job with what need not outlive the process.
+/// A job's record, and state that is not persisted.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) record: JobRecord,
-    /// Counts the changes of the record.
+    /// Incremented with each change of the record.
     pub(super) version: u64,
-    /// Version of the record that the store is known to hold.
+    /// Latest version of the record that the store is known to hold; 0 for none.
     pub(super) durable_version: u64,
-    /// Whether a write of this record is under way.
+    /// Whether a write of this record is in flight.
     pub(super) write_in_flight: bool,
-    /// State that callers are told: the last committed one.
+    /// The last committed state.
     pub(super) committed_state: JobState,
-    /// Whether some task has started.
+    /// Whether any task has started.
     pub(super) started: bool,
-    /// What waits until the present version is committed.
+    /// Actions to run once the current version is committed.
     pub(super) after_commit: Vec<Deferred>,
-    /// What is known of tasks beside the record.
+    /// Per-task state for the next placement.
     pub(super) hints: HashMap<TaskId, PlacementHint>,
-    /// Since when nothing of it has been at work, on the steady clock.
+    /// Since when the job has had no runs, on the steady clock.
     pub(super) idle_since_ms: Option<u64>,
-    /// Estimated length of the longest chain in milliseconds.
+    /// Estimated duration of the longest chain of steps, in milliseconds.
     pub(super) critical_path_ms: u64,
 }
 
-/// What helps to place a task again.
+/// What the next placement of a task takes into account.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PlacementHint {
-    /// Last checkpoint; empty for none.
+    /// The last checkpoint; empty for none.
     pub(super) checkpoint: Name,
-    /// Not placed before this time on the steady clock.
+    /// Earliest time of the next placement, on the steady clock.
     pub(super) not_before_ms: u64,
-    /// The minion of its last run that went wrong.
+    /// The minion on which the last run failed or was refused; it is chosen last.
     pub(super) avoided_minion: Option<Name>,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns a job whose record came from the store.
+    /// Returns a job whose record was read from the store.
     pub(super) fn from_store(record: JobRecord) -> Self {
         let tasks = record.occurrences.iter().flat_map(|o| o.steps.iter().flatten());
         let started = tasks.into_iter().any(|task| task.run > 0);
@@ -68,7 +68,7 @@
         self.durable_version > 0
     }
 
-    /// Returns the state to tell callers.
+    /// Returns the state to report to callers.
     pub(super) fn reported_state(&self) -> JobState {
         match self.committed_state {
             JobState::Queued if self.started => JobState::Running,
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -1,4 +1,5 @@
-//! What lets a coordinator extend leases: the store's word, or the support of other entries.
+//! What allows a coordinator to extend leases: a confirmation by the store, or the support of other
+//! entries.
 
 use derive_more::Display;
 
@@ -6,41 +7,42 @@
 use crate::Now;
 use crate::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
 
-/// Shortest pause between two lines on what leases rest on, in milliseconds.
-const INTERFERENCE_WRITE_INTERVAL_MS: u64 = 1_000;
+/// Minimum interval between two log lines on the lease basis, in milliseconds.
+const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// The support of other entries, as last heard.
+/// The support of other entries, as last set.
 #[derive(Debug, Default)]
 pub(super) struct EntrySupport {
-    /// Until when a majority has promised to follow no successor, on the steady clock.
+    /// Until when a majority has promised not to follow a successor, on the steady clock.
     until_ms: u64,
     supporters: usize,
-    /// What was told of it last, and when.
-    told: Option<(Option<LeaseBasis>, u64)>,
+    /// The basis that was last logged, and when.
+    last_logged: Option<(Option<LeaseBasis>, u64)>,
 }
 
-/// What the extension of leases rests on.
+/// What allows the extension of leases.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 #[display(rename_all = "lowercase")]
 pub(super) enum LeaseBasis {
-    /// A majority of entries follows no successor.
+    /// A majority of entries does not follow a successor.
     Entries,
     /// The store has confirmed the term a moment ago.
     Store,
 }
 
 impl Coordinator {
-    /// Takes note until when a majority of entries supports this coordinator, on the steady clock, and how
-    /// many of the others do at present.
+    /// Sets until when a majority of entries supports this coordinator, on the steady clock, and
+    /// how many other entries support it now.
     pub const fn set_supported_until(&mut self, steady_ms: u64, supporters: usize) {
         self.support.until_ms = steady_ms;
         self.support.supporters = supporters;
     }
 
-    /// Returns what lets this coordinator extend leases, if anything does.
+    /// Returns what allows this coordinator to extend leases, if anything does.
     ///
-    /// Nothing does for long after the store was last asked: a successor that hears from too few entries
-    /// takes the work for ended then.
+    /// Nothing does once [`STORE_OUTAGE_TOLERANCE_MS`] have passed since the last confirmed request
+    /// to the store: a successor that hears from too few entries then assumes that the runs have
+    /// ended.
     pub(super) const fn lease_basis(&self, now: Now) -> Option<LeaseBasis> {
         if now.steady_ms >= self.confirmation_requested_ms + STORE_OUTAGE_TOLERANCE_MS {
             return None;
@@ -54,20 +56,18 @@
         None
     }
 
-    /// Tells what the extension of leases rests on when that has changed.
+    /// Logs the lease basis when it has changed.
     pub(super) fn log_lease_basis(&mut self, now: Now) {
         let basis = self.lease_basis(now);
-        let due = match self.support.told {
+        let due = match self.support.last_logged {
             None => true,
-            Some((told, at_ms)) => {
-                told != basis && now.steady_ms >= at_ms + INTERFERENCE_WRITE_INTERVAL_MS
-            }
+            Some((logged, at_ms)) => logged != basis && now.steady_ms >= at_ms + LOG_INTERVAL_MS,
         };
         if !due {
             return;
         }
-        self.support.told = Some((basis, now.steady_ms));
-        let name = basis.map_or_else(|| "nothing".to_owned(), |basis| basis.to_string());
+        self.support.last_logged = Some((basis, now.steady_ms));
+        let name = basis.map_or_else(|| "none".to_owned(), |basis| basis.to_string());
         let store_age_ms = now.steady_ms.saturating_sub(self.confirmation_requested_ms);
         let supporters = self.support.supporters;
         self.log(format!(
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that beats extend, and the end of what ran under those that have lapsed.
+//! Extension of leases by heartbeats, and the end of runs whose lease has expired.
 
 use geraniumpost_schema::Name;
 
@@ -7,18 +7,18 @@
 use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, STORE_UNREACHABLE_MS};
 use crate::{EndKind, Now, ToAgent};
 
-/// Time that an agent is given after it has linked to show its minion's lists, in milliseconds; most need
-/// less than half of it.
+/// Time that an agent has after its link opened to report its minion's lists, in milliseconds; most
+/// need less than half of it.
 const POLL_GRACE_MS: u64 = 1_000;
 
-/// Returns after how many milliseconds a lease that holds for `lease_ms` has surely lapsed, on the
+/// Returns the time in milliseconds after which a lease of `lease_ms` has expired even on the
 /// slowest clock that a minion may have.
 pub const fn lease_expiry_bound_ms(lease_ms: u64) -> u64 {
     lease_ms * LEASE_EXPIRY_PERCENT / 100 + LEASE_EXPIRY_MARGIN_MS
 }
 
 impl Coordinator {
-    /// Answers an agent's beat, and extends the lease of what its minion runs.
+    /// Answers an agent's heartbeat, and extends the lease on its minion's tasks.
     pub(super) fn extend_lease(
         &mut self,
         agent: &Name,
@@ -26,60 +26,59 @@
         minion_ok: bool,
         now: Now,
     ) {
-        let silent_ms = now.steady_ms.saturating_sub(self.confirmed_ms);
+        let store_age_ms = now.steady_ms.saturating_sub(self.confirmed_ms);
         let extend = minion_ok && self.lease_basis(now).is_some();
         let lease_ms = if extend { self.lease_ms } else { 0 };
         if extend {
             self.agent_reached(agent);
-            // The agent counts from its own sending, which was earlier than this moment.
+            // The agent counts from when it sent the heartbeat, which was earlier.
             let lease_expiry_ms = now.steady_ms + lease_expiry_bound_ms(lease_ms);
-            let known = self.agents.entry(agent.clone()).or_default();
-            known.lease_expiry_ms = known.lease_expiry_ms.max(lease_expiry_ms);
+            let state = self.agents.entry(agent.clone()).or_default();
+            state.lease_expiry_ms = state.lease_expiry_ms.max(lease_expiry_ms);
         }
         self.agents.entry(agent.clone()).or_default().last_heard_ms = now.steady_ms;
         for minion in self.minions.values_mut().filter(|minion| minion.agent == *agent) {
             self.placement_due |= minion_ok && !minion.responsive;
             minion.responsive = minion_ok;
         }
-        let store_ok = silent_ms < STORE_UNREACHABLE_MS;
+        let store_ok = store_age_ms < STORE_UNREACHABLE_MS;
         let message = ToAgent::Lease { sent_at_ms, lease_ms, fence: self.fence, store_ok };
         self.effects.push(Effect::Send { agent: agent.clone(), message });
     }
 
-    /// Returns when all that runs beside an agent has surely ended if its lease is not extended any more,
-    /// on the steady clock, and whether leases of earlier coordinators decide that rather than its own.
+    /// Returns when everything beside an agent has certainly ended unless its lease is extended
+    /// again, on the steady clock, and whether leases of earlier coordinators determine that time.
     pub(super) fn lease_expiry(&self, agent: &Name) -> (u64, bool) {
-        let inherited_ms = self.predecessor_expiry.until_ms(agent);
-        let Some(agent) = self.agents.get(agent) else { return (inherited_ms, true) };
-        // An agent that has linked to this coordinator obeys no earlier one any more.
-        let first_linked_ms = agent
-            .first_linked_ms
-            .map(|first_linked_ms| first_linked_ms + lease_expiry_bound_ms(self.lease_ms));
-        let inherited_ms = first_linked_ms.unwrap_or(inherited_ms).min(inherited_ms);
-        (agent.lease_expiry_ms.max(inherited_ms), inherited_ms > agent.lease_expiry_ms)
+        let predecessor_ms = self.predecessor_expiry.until_ms(agent);
+        let Some(agent) = self.agents.get(agent) else { return (predecessor_ms, true) };
+        // An agent that has linked to this coordinator no longer obeys an earlier one.
+        let expired_ms =
+            agent.first_linked_ms.map(|linked_ms| linked_ms + lease_expiry_bound_ms(self.lease_ms));
+        let predecessor_ms = expired_ms.unwrap_or(predecessor_ms).min(predecessor_ms);
+        (agent.lease_expiry_ms.max(predecessor_ms), predecessor_ms > agent.lease_expiry_ms)
     }
 
     fn lease_expired(&self, agent: &Name, now: Now) -> bool {
         now.steady_ms >= self.lease_expiry(agent).0
     }
 
-    /// Returns whether a minion's lists will be read in a moment, as its agent has just linked. They tell
-    /// what was done before the lease was over, and need not be done again.
+    /// Returns whether a minion is about to be polled, as its agent has just linked. Its lists show
+    /// which runs ended before the lease expired, so that these are not repeated.
     fn awaits_poll(&self, minion: &Minion, now: Now) -> bool {
         let opened_ms = self.agents.get(&minion.agent).map_or(0, |agent| agent.link_opened_ms);
         minion.linked && !minion.polled && now.steady_ms < opened_ms + POLL_GRACE_MS
     }
 
-    /// Ends what ran on minions whose leases have surely lapsed.
+    /// Ends the runs on minions whose leases have certainly expired.
     pub(super) fn expire_leases(&mut self, now: Now) {
-        let lapsed: Vec<Name> = self
+        let expired: Vec<Name> = self
             .minions
             .iter()
             .filter(|(_, minion)| !minion.runs.is_empty() && self.lease_expired(&minion.agent, now))
             .filter(|(_, minion)| !self.awaits_poll(minion, now))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in lapsed {
+        for id in expired {
             let Some(minion) = self.minions.get(&id) else { continue };
             let runs: Vec<_> = minion.runs.iter().copied().collect();
             self.log(format!("minion={id} event=lease_expired runs={}", runs.len()));
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -8,55 +8,56 @@
 use crate::tuning::SERVING_UNUSED_CPU_PERCENT;
 use crate::{Demand, JobId, MinionInfo, TaskId};
 
-/// What the coordinator knows of one minion.
+/// State of one minion.
 #[derive(Debug)]
 pub(super) struct Minion {
     pub(super) info: MinionInfo,
     pub(super) agent: Name,
     /// Whether its agent's link is open.
     pub(super) linked: bool,
-    /// Whether it was heard of, or only stands in records.
+    /// Whether the minion has been reported to this coordinator; otherwise only records name it.
     pub(super) reported: bool,
-    /// Whether its lists have been read over the present link.
+    /// Whether the minion was polled over the current link.
     pub(super) polled: bool,
-    /// Whether it answers its agent, which therefore holds a lease to give.
+    /// Whether the minion answers its agent, so that its lease is extended.
     pub(super) responsive: bool,
-    /// What the runs placed there occupy; filling tasks count memory only.
+    /// Resources reserved by the runs placed there; best-effort runs reserve no processors.
     pub(super) used: Demand,
-    /// Processors that filling tasks there would use if they could.
+    /// Processors that its best-effort runs could use, in thousandths.
     pub(super) best_effort_cpus: i64,
-    /// Processors that serving tasks there reserve.
+    /// Processors that its serving runs reserve, in thousandths.
     pub(super) serving_cpus: i64,
-    /// Tasks there that serve within a bound.
+    /// Number of runs that serve users within a latency bound.
     pub(super) serving_runs: u32,
     pub(super) runs: BTreeSet<TaskId>,
-    /// Number of the last end that was taken in.
+    /// Number of the last end that was handled.
     pub(super) last_end_sequence: u64,
-    /// Ends taken in and not acknowledged: number, job and version that must be durable.
+    /// Ends that were handled but not acknowledged: number, and the job and record version that
+    /// must be durable first.
     pub(super) unacknowledged: VecDeque<(u64, Option<(JobId, u64)>)>,
-    /// Number up to which ends were acknowledged.
+    /// Number of the last acknowledged end.
     pub(super) acknowledged_up_to: u64,
-    /// Whether an acknowledged end was listed again.
+    /// Whether the minion listed an end again that had been acknowledged.
     pub(super) resend_acknowledgement: bool,
-    /// Failed runs since the last good one.
+    /// Failures since the last successful run; failures of one job in a row count once.
     pub(super) consecutive_failures: u32,
     /// The job of the last failed run.
     pub(super) last_failed_job: Option<JobId>,
-    /// Gets no work before this time.
+    /// No task is placed there before this time on the steady clock.
     pub(super) quarantined_until_ms: u64,
-    /// When it may leave, if it drains, on the steady clock.
+    /// Earliest time at which a draining minion terminates, on the steady clock.
     pub(super) drain_deadline_ms: u64,
-    /// When its tasks were last looked at for other places, if it drains.
+    /// When the last evacuation was attempted, on the steady clock.
     pub(super) last_evacuation_ms: u64,
-    /// Tasks that found no other place then.
+    /// Number of tasks that found no eligible minion in the last evacuation.
     pub(super) tasks_without_place: u32,
-    /// For how long some serving task there has been over its bound, in milliseconds.
+    /// How long some serving run has been over its latency bound, in milliseconds.
     pub(super) over_bound_ms: u64,
-    /// What serves there, by image.
+    /// Serving runs by image.
     pub(super) serving_images: BTreeMap<Name, ServingTasks>,
-    /// What each group of serving tasks there can bear, beside what fills at its paces.
+    /// Headroom of each group of serving runs at the current paces of best-effort runs.
     pub(super) headroom: Vec<Headroom>,
-    /// What fills there, by image.
+    /// Best-effort runs by image.
     pub(super) best_effort_images: BTreeMap<Name, BestEffortTasks>,
 }
 
@@ -91,22 +92,21 @@
         }
     }
 
-    /// Returns what is free.
+    /// Returns the unreserved resources.
     pub(super) fn free(&self) -> Demand {
         self.info.capacity - self.used
     }
 
-    /// Returns the processors, in thousandths, that filling tasks there could use together.
+    /// Returns the processors, in thousandths, that best-effort runs could use together.
     pub(super) fn unused_milli_cpus(&self) -> i64 {
         self.free().milli_cpus + self.serving_cpus * SERVING_UNUSED_CPU_PERCENT / 100
     }
 
-    /// Returns which share of its processors so many thousandths of one are.
+    /// Returns an amount of processors, in thousandths, as a fraction of the minion's capacity.
     pub(super) fn cpu_share(&self, milli_cpus: f64) -> f64 {
         milli_cpus / self.info.capacity.milli_cpus.max(1) as f64
     }
 
-    /// Returns whether it has a label.
     pub(super) fn has_label(&self, label: &Name) -> bool {
         self.info.labels.contains(label)
     }
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator: every job, every minion's view, and all decisions on them.
+//! The coordinator: holds all jobs and the state of all minions, and decides which task runs where.
 
 mod agents;
 mod approvals;
@@ -55,57 +55,59 @@
 use run::Run;
 use wait_state::WaitState;
 
-/// Decides which task runs where, for one service or many, while its fencing token is the highest.
+/// Decides which task runs where, for one service or several, while its fencing token is the
+/// highest.
 ///
-/// Two processes may both believe that they coordinate. Correctness rests on the store, which
-/// writes a batch only for the holder of the coordinator's key, and on minions, which obey only the
-/// highest token; never on when a lease ends. See docs/design/0601-jobs-on-a-shared-store.md.
+/// Two processes may both believe that they are the coordinator. Correctness does not depend on
+/// when a lease ends, but on the store, which writes a batch only for the holder of the
+/// coordinator's key, and on minions, which obey only the highest token. See
+/// docs/design/0601-jobs-on-a-shared-store.md.
 #[derive(Debug)]
 pub struct Coordinator {
     fence: u64,
     lease_ms: u64,
     max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that may have waiting tasks.
+    /// Jobs in no final state, which may have waiting tasks.
     open_jobs: BTreeSet<JobId>,
     /// Jobs whose record differs from the store's.
     dirty: BTreeSet<JobId>,
-    /// Finished jobs to be removed from the store.
+    /// Finished jobs whose records are to be removed from the store.
     expired_jobs: Vec<JobId>,
     runs: BTreeMap<TaskId, Run>,
     minions: BTreeMap<Name, Minion>,
     agents: HashMap<Name, Agent>,
-    /// Minions that are certainly gone, until the records say so.
+    /// Terminated minions whose end the records do not hold yet.
     departures: BTreeMap<Name, Departure>,
     batches: HashMap<u64, PendingBatch>,
     next_batch: u64,
-    /// When the store last confirmed this coordinator, on the steady clock.
+    /// When the store's last confirmation of this coordinator was received, on the steady clock.
     confirmed_ms: u64,
-    /// When it was asked for that.
+    /// When that confirmation was requested, on the steady clock.
     confirmation_requested_ms: u64,
-    /// The support of other entries.
     support: EntrySupport,
     predecessor_expiry: PredecessorExpiry,
-    /// Agents that are not reached though something may run beside them, and when their leases have
-    /// surely lapsed.
+    /// Agents that are not reached although their minions may have runs, and when their leases have
+    /// certainly expired, on the steady clock.
     unreached_agents: BTreeMap<Name, u64>,
     leases_for_successor_changed: bool,
     approvals: Approvals,
-    /// How much images that fill slow images that serve.
+    /// How much best-effort images slow serving images.
     interference: InterferenceModel,
-    /// Whether something changed that may let a task be placed.
+    /// Whether a change may allow a waiting task to be placed.
     placement_due: bool,
-    /// When a successor was last told what was learnt of images.
+    /// When learned interference was last handed to a write, on the steady clock.
     interference_written_ms: u64,
-    /// By service and image, what found no place in the present round of placements.
+    /// Demand of a best-effort step that no minion accepted in the current placement round, by
+    /// service and image.
     unplaceable: BTreeMap<(Name, Name), crate::Demand>,
-    /// What waits, as far as lines and gauges tell it; no decision rests on it.
+    /// Waiting tasks, for log lines and metrics only; no decision depends on it.
     wait_state: WaitState,
     effects: Vec<Effect>,
 }
 
 impl Coordinator {
-    /// Returns a coordinator without jobs, whose orders carry the token `fence`.
+    /// Returns a coordinator without jobs whose orders carry the fencing token `fence`.
     pub fn new(fence: u64, now: Now) -> Self {
         Self {
             fence,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Sets how long a lease lets minions hold their tasks, in milliseconds.
+    /// Sets the duration of a lease on tasks, in milliseconds.
     #[must_use]
     pub const fn lease_ms(mut self, lease_ms: u64) -> Self {
         self.lease_ms = lease_ms;
@@ -151,7 +153,7 @@
         self
     }
 
-    /// Takes over the records that the store holds.
+    /// Loads the records that the store holds.
     #[must_use]
     pub fn with_records(mut self, records: Vec<(JobId, JobRecord)>, now: Now) -> Self {
         for (id, record) in records {
@@ -166,12 +168,12 @@
         self.fence
     }
 
-    /// Returns how many jobs are known, and how many runs may exist.
+    /// Returns the number of known jobs and the number of runs that may exist.
     pub fn job_and_run_counts(&self) -> (usize, usize) {
         (self.jobs.len(), self.runs.len())
     }
 
-    /// Takes a message from an agent.
+    /// Handles a message from an agent.
     pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
             FromAgent::Hello { .. } => self.agent_connected(agent, now),
@@ -185,8 +187,8 @@
         }
     }
 
-    /// Returns what is to be done now: decides placements that became possible, and gathers records
-    /// to write.
+    /// Places waiting tasks if a place may have become available, gathers records to write, and
+    /// returns everything that the driver has to do.
     pub fn take_effects(&mut self, now: Now) -> Vec<Effect> {
         if self.placement_due {
             self.place_waiting(now);
@@ -195,19 +197,19 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets when the store was asked for the term, on the steady clock.
+    /// Sets when the term was requested from the store, on the steady clock.
     #[must_use]
     pub const fn term_requested_at(mut self, steady_ms: u64) -> Self {
         self.confirmation_requested_ms = steady_ms;
         self
     }
 
-    /// Takes note that the store confirmed this coordinator: when it was asked, and when its answer was
-    /// read, on the steady clock.
+    /// Records that the store confirmed this coordinator: when the confirmation was requested and
+    /// when its response was read, on the steady clock.
     ///
-    /// The answer holds for the time of asking only. It may be on its way for seconds, in which another
-    /// entry takes over; that one waits for as long as leases are extended without the store, counted from
-    /// its takeover.
+    /// The confirmation holds for the time of the request only. The response may take seconds to
+    /// arrive, and another entry may take over meanwhile; that successor then waits for as long as
+    /// leases are extended without the store, counted from its takeover.
     pub fn store_confirmed(&mut self, requested_ms: u64, steady_ms: u64) {
         self.confirmation_requested_ms = self.confirmation_requested_ms.max(requested_ms);
         self.confirmed_ms = self.confirmed_ms.max(steady_ms);
@@ -217,7 +219,7 @@
         self.effects.push(Effect::Log(line));
     }
 
-    /// Puts a job from the store in place, with the runs that may exist.
+    /// Inserts a job from the store with the runs that may exist.
     fn load_job(&mut self, id: JobId, record: JobRecord, now: Now) {
         let placed: Vec<_> =
             record.occurrences.iter().flat_map(|occurrence| placed_tasks(id, occurrence)).collect();
@@ -234,7 +236,8 @@
             };
             let spec = self.step_spec(task).cloned().unwrap_or_default();
             let mut run = Run::new(place, number, order, &spec, now.steady_ms);
-            // The predecessor's order may have left, and may be carried out later than ours.
+            // An order of the predecessor may still be in flight and carried out after this
+            // coordinator's.
             run.start_unresolved = true;
             run.pace_confirmed = false;
             self.insert_run(task, run);
@@ -242,7 +245,7 @@
     }
 }
 
-/// Lists the tasks of an occurrence whose last run may exist.
+/// Lists the tasks of an occurrence whose last run may exist, with the run's number and place.
 fn placed_tasks(job: JobId, occurrence: &crate::Occurrence) -> Vec<(TaskId, u32, crate::Place)> {
     let mut placed = Vec::new();
     for (step, tasks) in occurrence.steps.iter().enumerate() {
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -1,15 +1,15 @@
-//! What becomes of orders.
+//! Results of orders.
 
 use super::run::{OrderState, Run};
 use super::{Coordinator, Effect};
 use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_MS};
 use crate::{Now, OrderOutcome, OrderResult, OrderVerb, TaskId};
 
-/// Unanswered starts after which a run is given up at its minion.
+/// Start orders without an answer after which a run is stopped on its minion.
 const MAX_START_ATTEMPTS: u32 = 4;
 
 impl Coordinator {
-    /// Takes in what became of an order.
+    /// Handles the result of an order.
     pub(super) fn handle_order_result(&mut self, result: OrderResult, now: Now) {
         if result.outcome == OrderOutcome::Superseded {
             self.effects.push(Effect::Superseded);
@@ -19,11 +19,11 @@
             self.remove_minion(&result.minion, now);
             return;
         }
-        let ours = self
+        let is_current = self
             .runs
             .get(&result.task)
             .is_some_and(|run| run.number == result.run && run.place.minion == result.minion);
-        if !ours {
+        if !is_current {
             return;
         }
         match result.verb {
@@ -41,11 +41,11 @@
         }
         let OrderResult { task, number, .. } = *result;
         if result.outcome != OrderOutcome::Done {
-            let (unanswered, starts, out) =
+            let (unresolved, starts, in_flight) =
                 (run.start_unresolved, run.start_count, run.starts_in_flight);
             self.log(format!(
-                "decision=start_failed job={} task={task} run={} minion={} why=\"{}\" starts={starts} \
-                 out={out} unanswered={unanswered}",
+                "decision=start_failed job={} task={task} run={} minion={} why=\"{}\" \
+                 starts={starts} in_flight={in_flight} unresolved={unresolved}",
                 task.job, result.run, result.minion, result.outcome
             ));
         }
@@ -56,7 +56,7 @@
                 self.record_started(task, now);
             }
             OrderOutcome::RunIsOver => run.order = OrderState::Ended { number },
-            // Another copy was carried out; the minion's lists tell what becomes of the run.
+            // Another copy was carried out; the minion's lists decide about the run.
             _ if run.has_started() => {}
             OrderOutcome::Unanswered => {
                 run.start_unresolved = true;
@@ -69,7 +69,7 @@
                 run.order = OrderState::Unknown { since_ms: now.steady_ms };
             }
             OrderOutcome::BadTicket => {
-                self.approvals.forget(task, &result.minion);
+                self.approvals.remove_ticket(task, &result.minion);
                 self.abandon_run(task, now);
             }
             OrderOutcome::Unhealthy => {
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Gives a refused run up at its minion.
+    /// Gives up a run that its minion refused, so that the task is placed elsewhere.
     ///
-    /// A refusal speaks for one copy of the order. Another copy that is on its way, or had no answer,
-    /// may still be carried out when there is room or a lease again, beside the run elsewhere: the task
-    /// would run twice. A stop bars them all first, as the minion refuses this run from then on. A start
-    /// that was given once is settled by its refusal and waits for nothing.
+    /// A refusal covers only one copy of the start order. Another copy that is in flight or had no
+    /// answer may still be carried out once the minion has free resources or a lease again, and the
+    /// task would run twice. A stop prevents that, as the minion refuses this run from then on. If
+    /// the refused copy was the only one, the task is requeued at once.
     fn abandon_run(&mut self, task: TaskId, now: Now) {
         if self.runs.get(&task).is_some_and(Run::may_still_start) {
             self.send_stop(task, now);
@@ -97,23 +97,23 @@
     }
 
     fn handle_stop_result(&mut self, result: &OrderResult, now: Now) {
-        let taken = matches!(result.outcome, OrderOutcome::Done | OrderOutcome::RunIsOver);
+        let accepted = matches!(result.outcome, OrderOutcome::Done | OrderOutcome::RunIsOver);
         let Some(run) = self.runs.get_mut(&result.task) else { return };
-        if taken && run.is_stopping() {
+        if accepted && run.is_stopping() {
             run.order = OrderState::StopConfirmed { at_ms: now.steady_ms, number: result.number };
         }
     }
 
-    /// Takes in what became of a pace. One that was not carried out is given again when the run is next
-    /// seen: what should stand still would press on the users of its neighbours to its end, and what was
-    /// slowed down would stay slow beside processors that nobody uses.
+    /// Handles the result of a pace order. An order that was not carried out is sent again when a
+    /// poll next lists the run: otherwise a task that should be suspended would slow its neighbours
+    /// until it ends, or a throttled task would stay slow beside idle processors.
     fn handle_pace_result(&mut self, result: &OrderResult) {
         if let Some(run) = self.runs.get_mut(&result.task) {
             run.pace_confirmed &= result.outcome == OrderOutcome::Done;
         }
     }
 
-    /// Takes note that a run is at work.
+    /// Records that a run has started.
     pub(super) fn record_started(&mut self, task: TaskId, now: Now) {
         let Some(run) = self.runs.get_mut(&task) else { return };
         if run.started_ms.is_none() {
@@ -127,9 +127,9 @@
         let image =
             self.step_spec(task).filter(|step| step.best_effort).map(|step| step.image.clone());
         let Some(image) = image else { return };
-        let filling =
+        let tasks =
             self.minions.get(&minion).and_then(|minion| minion.best_effort_images.get(&image));
-        let percent = filling.map_or(100, |filling| filling.percent);
+        let percent = tasks.map_or(100, |tasks| tasks.pace_percent);
         if self
             .runs
             .get(&task)
--- a/crates/geraniumpost-batch/src/coordinator/orders.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -6,27 +6,27 @@
 use super::{Coordinator, Effect};
 use crate::{Now, Order, OrderKind, TaskId, ToAgent};
 
-/// Share of its speed below which a task counts as slowed down, in percent: it would take longer here than
-/// a move and the work elsewhere.
+/// Pace below which a task counts as throttled, in percent: it would take longer here than a move
+/// and the work elsewhere.
 const THROTTLED_BELOW_PERCENT: u8 = 50;
 
 impl Coordinator {
-    /// Gives the start order of a placement that is committed now.
+    /// Sends the start order of a placement that has just been committed.
     pub(super) fn start_committed(&mut self, task: TaskId, number: u32, now: Now) {
-        let due = self
+        let is_due = self
             .runs
             .get(&task)
             .is_some_and(|run| run.number == number && run.order == OrderState::Committing);
-        if due {
+        if is_due {
             self.send_start(task, now);
         }
     }
 
-    /// Gives a start order, again if need be: a minion begins a run at most once.
+    /// Sends a start order. It may be sent repeatedly, as a minion starts a run at most once.
     pub(super) fn send_start(&mut self, task: TaskId, now: Now) {
         let Some(job) = self.jobs.get(&task.job) else { return };
-        let place = self.runs.get(&task).map(|run| run.place.minion.clone()).unwrap_or_default();
-        let ticket = self.approvals.ticket(task, &place, now).cloned().unwrap_or_default();
+        let minion = self.runs.get(&task).map(|run| run.place.minion.clone()).unwrap_or_default();
+        let ticket = self.approvals.ticket(task, &minion, now).cloned().unwrap_or_default();
         let kind = OrderKind::Start {
             payload: job.record.spec.payload.clone(),
             checkpoint: job
@@ -44,7 +44,6 @@
         }
     }
 
-    /// Gives a stop order.
     pub(super) fn send_stop(&mut self, task: TaskId, now: Now) {
         self.send(task, OrderKind::Stop);
         if let Some(run) = self.runs.get_mut(&task) {
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Tells a run at which share to work.
+    /// Sends the pace at which a run may work.
     pub(super) fn send_pace(&mut self, task: TaskId, percent: u8, now: Now) {
         let sent = self.send(task, OrderKind::Pace { percent });
         if let Some(run) = self.runs.get_mut(&task) {
@@ -63,16 +62,16 @@
         }
     }
 
-    /// Stops a run that this coordinator does not know.
+    /// Stops a run that this coordinator does not expect on a minion.
     pub(super) fn stop_unknown_run(&mut self, minion: &Name, task: TaskId, run: u32) {
-        let Some(view) = self.minions.get(minion) else { return };
-        let agent = view.agent.clone();
+        let Some(state) = self.minions.get(minion) else { return };
+        let agent = state.agent.clone();
         let order = Order { minion: minion.clone(), task, run, kind: OrderKind::Stop };
         self.log(format!("decision=stop_unknown_run task={task} run={run} minion={minion}"));
         self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
     }
 
-    /// Sends an order for a run; false if the minion's agent is not linked.
+    /// Sends an order for a run. Returns false if the minion's agent is not linked.
     fn send(&mut self, task: TaskId, kind: OrderKind) -> bool {
         let Some(run) = self.runs.get(&task) else { return false };
         let Some(minion) = self.minions.get(&run.place.minion) else { return false };
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -1,4 +1,4 @@
-//! Keeping what fills from harming what serves.
+//! Pacing of best-effort tasks, so that they do not slow serving tasks.
 
 use geraniumpost_schema::Name;
 
@@ -6,28 +6,30 @@
 use super::run::OrderState;
 use crate::{Now, TaskId};
 
-/// Share below which a pace is set to nothing, in percent.
+/// Pace below which tasks are suspended, in percent.
 const MIN_PACE_PERCENT: u8 = 8;
 /// Smallest change of pace that is worth an order, in percent.
 const MIN_PACE_CHANGE: u8 = 10;
-/// How long a task is slowed down before it is moved, in milliseconds: longer than most changes of pace take
-/// to be taken back, as each second makes a whole job late.
+/// How long a task is throttled before it is moved, in milliseconds: longer than it takes to revert
+/// most changes of pace, but short, as each second of delay makes a whole job late.
 const MOVE_AFTER_THROTTLED_MS: u64 = 300;
 /// Progress below which a task without checkpoints is moved all the same, in percent.
 const CHEAP_RESTART_PERCENT: u8 = 15;
-/// Tasks moved in one tick, so that a full fleet does not spend its store's writes on moves alone.
+/// Most tasks moved in one tick, so that a full fleet does not spend all writes to the store on
+/// moves.
 const MAX_MOVES_PER_TICK: u32 = 30;
-/// How long a tail may stay over its bound before all that fills beside it stands still, in
-/// milliseconds: four looks, in which paces by blame did not help.
+/// How long a serving task may stay over its bound before all best-effort tasks beside it are
+/// suspended, in milliseconds: four polls in which paces by learned interference did not help.
 const SUSPEND_AFTER_OVER_BOUND_MS: u64 = 1_600;
 
 impl Coordinator {
-    /// Sets the pace of what fills on a minion by the tail latencies of what serves there.
+    /// Sets the paces of best-effort tasks on a minion by the tail latencies of its serving tasks.
     ///
-    /// Users of a serving task notice slow answers while something beside it works too hard, and
-    /// the measured tail is the only sign. What was learnt of images tells whom to slow down and how far,
-    /// from what they really used, so that a change which has not shown yet is not made twice. If a tail
-    /// stays over its bound all the same, everything that fills there stands still.
+    /// Users of a serving task get slow responses while a task beside it works too hard, and the
+    /// measured tail latency is the only sign of that. Learned interference tells which image to
+    /// throttle and how far. It is applied to what the images really used, so that a change that
+    /// does not show yet is not made twice. If a tail latency stays over its bound nevertheless,
+    /// all best-effort tasks there are suspended.
     pub(super) fn adjust_pace(&mut self, id: &Name, now: Now) {
         self.observe_gauges(id, now);
         self.change_paces(id, now);
@@ -42,12 +44,11 @@
         let worst = minion.serving_images.values().map(|serving| serving.tail).fold(0.0, f64::max);
         let suspend = minion.over_bound_ms >= SUSPEND_AFTER_OVER_BOUND_MS;
         let mut changes = Vec::new();
-        for (image, base_headroom) in self.tolerated_paces(minion) {
-            let present =
-                minion.best_effort_images.get(&image).map_or(100, |filling| filling.percent);
-            let wanted =
-                if suspend || base_headroom < MIN_PACE_PERCENT { 0 } else { base_headroom };
-            if is_worth_an_order(present, wanted) {
+        for (image, tolerated) in self.tolerated_paces(minion) {
+            let current =
+                minion.best_effort_images.get(&image).map_or(100, |tasks| tasks.pace_percent);
+            let wanted = if suspend || tolerated < MIN_PACE_PERCENT { 0 } else { tolerated };
+            if is_worth_an_order(current, wanted) {
                 changes.push((image, wanted));
             }
         }
@@ -56,16 +57,16 @@
         }
     }
 
-    fn set_pace(&mut self, id: &Name, filling: &Name, percent: u8, tail: f64, now: Now) {
+    fn set_pace(&mut self, id: &Name, image: &Name, percent: u8, tail: f64, now: Now) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let Some(present) = minion.best_effort_images.get_mut(filling) else { return };
-        let before = std::mem::replace(&mut present.percent, percent);
+        let Some(current) = minion.best_effort_images.get_mut(image) else { return };
+        let before = std::mem::replace(&mut current.pace_percent, percent);
         if before == percent {
             return;
         }
-        let tasks = self.best_effort_runs(id, filling);
+        let tasks = self.best_effort_runs(id, image);
         self.log(format!(
-            "decision=pace minion={id} image={filling} from={before} to={percent} tasks={} \
+            "decision=pace minion={id} image={image} from={before} to={percent} tasks={} \
              worst_tail_in_bounds={tail:.2}",
             tasks.len()
         ));
@@ -76,16 +77,16 @@
 
     fn best_effort_runs(&self, id: &Name, image: &Name) -> Vec<TaskId> {
         let Some(minion) = self.minions.get(id) else { return Vec::new() };
-        let ours = |task: &&TaskId| {
+        let matches = |task: &&TaskId| {
             self.step_spec(**task).is_some_and(|s| s.best_effort && s.image == *image)
         };
-        minion.runs.iter().filter(ours).copied().collect()
+        minion.runs.iter().filter(matches).copied().collect()
     }
 
-    /// Moves what has been slowed down to where it can work.
+    /// Moves throttled tasks to minions on which they can work.
     ///
-    /// A task that was placed well is slowed down once the users of its neighbours become more. Its
-    /// own users would wait for as long as that lasts, while other minions have room for it.
+    /// A task that was placed well is throttled when the load of its neighbours rises. Its own
+    /// users would wait while that lasts, although other minions have free resources.
     pub(super) fn move_throttled(&mut self, now: Now) {
         let throttled: Vec<TaskId> = self
             .runs
@@ -104,9 +105,9 @@
             else {
                 continue;
             };
-            let keeps = self.step_spec(task).is_some_and(|step| step.checkpoints);
-            let cheap = keeps || percent < CHEAP_RESTART_PERCENT;
-            if !cheap || moved >= MAX_MOVES_PER_TICK || !self.has_other_place(task, now) {
+            let checkpoints = self.step_spec(task).is_some_and(|step| step.checkpoints);
+            let cheap = checkpoints || percent < CHEAP_RESTART_PERCENT;
+            if !cheap || moved >= MAX_MOVES_PER_TICK || !self.has_eligible_minion(task, now) {
                 continue;
             }
             moved += 1;
@@ -116,9 +117,9 @@
     }
 }
 
-/// Returns whether a change of pace is worth its orders: a large one, or one that ends standing still or
-/// slowness.
-const fn is_worth_an_order(present: u8, wanted: u8) -> bool {
-    let ends = (wanted == 0) != (present == 0) || (wanted == 100) != (present == 100);
-    wanted.abs_diff(present) >= MIN_PACE_CHANGE || ends
+/// Returns whether a change of pace is worth its orders: a large one, or one to or from suspension
+/// or full speed.
+const fn is_worth_an_order(current: u8, wanted: u8) -> bool {
+    let ends = (wanted == 0) != (current == 0) || (wanted == 100) != (current == 100);
+    wanted.abs_diff(current) >= MIN_PACE_CHANGE || ends
 }
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -1,4 +1,4 @@
-//! Which task is placed next, and where.
+//! The order in which tasks are placed, and the choice of minions.
 
 use geraniumpost_schema::Name;
 
@@ -12,44 +12,46 @@
 use crate::tuning::{BEST_EFFORT_MEMORY_PERCENT, PERSISTENT_CPU_PERCENT};
 use crate::{Demand, JobId, JobRecord, Now, Place, StepSpec, TaskId, TaskPhase, TaskRecord};
 
-/// Least share of its speed that is told of any place, so that places stay comparable.
+/// Minimum speed assumed for any place, as a fraction of full speed, so that places remain
+/// comparable.
 const MIN_SPEED: f64 = 0.01;
-/// Weight of what a filling task spends of what serving tasks can bear, against its speed.
+/// Weight of the headroom share that a best-effort task uses, relative to its speed.
 const HEADROOM_WEIGHT: f64 = 0.3;
 /// Costs are compared in millionths of a task's speed.
 const MILLION: f64 = 1e6;
 /// Thousandths in one.
 const MILLI: i64 = 1_000;
 
-/// Which jobs go first; compared field by field, smaller first.
+/// Order in which jobs are placed; compared field by field, smaller first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// 0 in time, 1 late but still worth something, 2 neither.
+    /// 0 for a job within its objective, 1 for a late job that still has value, 2 for any other.
     lateness: u8,
-    /// The queue's urgency; 0 is the most urgent.
+    /// The queue's priority; 0 is the most urgent.
     priority: u32,
-    /// Whether it is never done, and so never makes room for the next.
+    /// Whether the job never ends, and so never releases resources for the next one.
     persistent: bool,
-    /// Work that is left of it, in processor milliseconds. When more is asked for than fits, the least first
-    /// lets most jobs be done in time; by the end of their objectives all would be late together.
+    /// Remaining work, in processor milliseconds. Under overload, placing the job with the least
+    /// work first completes the most jobs in time; ordered by the end of their objectives, all jobs
+    /// would be late together.
     remaining_work: u64,
     /// When the objective ends, in milliseconds since 1970.
     objective_ends_ms: u64,
 }
 
-/// How well a place suits; compared field by field, smaller is better.
+/// How well a minion suits a task; compared field by field, smaller is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Fit {
-    /// The last run went wrong there.
+    /// Whether the task's last run failed or was refused there.
     avoided: bool,
-    /// It is not on the wanted rack.
-    far: bool,
-    /// How little it suits by load; for filling tasks their speed, negative, in millionths.
+    /// Whether the minion is not on the preferred rack.
+    off_rack: bool,
+    /// Cost of the minion's load; for best-effort tasks the negative speed in millionths.
     cost: i64,
 }
 
 impl Coordinator {
-    /// Places all waiting tasks that find room, in the order of their jobs' ranks.
+    /// Places all waiting tasks for which there is a minion, in the order of their jobs' ranks.
     pub(super) fn place_waiting(&mut self, now: Now) {
         self.placement_due = false;
         let mut order: Vec<(Rank, JobId)> = self
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Places the waiting tasks of one step; returns how many.
+    /// Places the waiting tasks of one step, and returns how many.
     fn place_step(&mut self, id: JobId, occurrence: u32, step: u16, now: Now) -> u32 {
         let first = TaskId { job: id, occurrence, step, index: 0 };
         let Some(spec) = self.step_spec(first).cloned() else { return 0 };
@@ -96,15 +98,16 @@
                 break;
             }
             let Some(minion) = self.choose_minion(task, &spec, rack.as_ref(), now) else {
-                // Tasks of a step ask for the same, so that the others find no room either.
+                // Tasks of a step have the same requirements, so that no minion accepts the others
+                // either.
                 self.record_unplaceable(id, &spec);
                 break;
             };
             self.assign(task, &minion, gang_run, now);
             placed.push(task);
         }
-        let approval = self.jobs.get(&id).is_some_and(|job| job.record.terms.needs_approval);
-        if approval && placed.len() < wanted {
+        let needs_approval = self.jobs.get(&id).is_some_and(|job| job.record.terms.needs_approval);
+        if needs_approval && placed.len() < wanted {
             self.request_approval(first, &spec, now);
         }
         if spec.gang && placed.len() < spec.count as usize {
@@ -122,7 +125,7 @@
         placed.len() as u32
     }
 
-    /// Takes placements back that were decided just now, as the rest of their gang found no room.
+    /// Reverts placements of this round, as the rest of their gang was not placed.
     fn roll_back(&mut self, placed: &[TaskId]) {
         for task in placed {
             self.remove_run(*task);
@@ -131,15 +134,16 @@
                 record.phase = TaskPhase::Waiting;
             });
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                let waits = |then: &Deferred| matches!(then, Deferred::Start(t, _) if t == task);
-                job.after_commit.retain(|then| !waits(then));
+                let is_start =
+                    |action: &Deferred| matches!(action, Deferred::Start(t, _) if t == task);
+                job.after_commit.retain(|action| !is_start(action));
             }
         }
     }
 
     fn waiting_tasks(&self, first: TaskId, spec: &StepSpec, now: Now) -> Vec<TaskId> {
         let Some(job) = self.jobs.get(&first.job) else { return Vec::new() };
-        let may_begin = |task: &TaskId| {
+        let is_ready = |task: &TaskId| {
             job.hints.get(task).is_none_or(|hint| hint.not_before_ms <= now.steady_ms)
         };
         let waits = |task: &TaskId| {
@@ -148,7 +152,7 @@
         };
         (0..spec.count)
             .map(|index| TaskId { index, ..first })
-            .filter(|task| may_begin(task) && waits(task))
+            .filter(|task| is_ready(task) && waits(task))
             .collect()
     }
 
@@ -158,7 +162,7 @@
         runs.max().unwrap_or(0) + 1
     }
 
-    /// Gives a task its place; its start order leaves once this is committed.
+    /// Assigns a task to a minion. The start order is sent once the assignment is committed.
     fn assign(&mut self, task: TaskId, minion: &Name, run: Option<u32>, now: Now) {
         let Some(agent) = self.minions.get(minion).map(|m| m.agent.clone()) else { return };
         let place = Place { minion: minion.clone(), agent };
@@ -176,8 +180,8 @@
         }
     }
 
-    /// Returns whether a task could be placed on another minion than its present one.
-    pub(super) fn has_other_place(&self, task: TaskId, now: Now) -> bool {
+    /// Returns whether any minion accepts a new run of a task now.
+    pub(super) fn has_eligible_minion(&self, task: TaskId, now: Now) -> bool {
         let Some(spec) = self.step_spec(task) else { return false };
         self.choose_minion(task, spec, None, now).is_some()
     }
@@ -191,38 +195,42 @@
         now: Now,
     ) -> Option<Name> {
         let job = self.jobs.get(&task.job)?;
-        let needs = self.needs(task, spec)?;
-        let avoid = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
-        let fits = |minion: &&Minion| self.rejection(&needs, minion, now).is_none();
+        let requirements = self.requirements(task, spec)?;
+        let avoided_minion = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
+        let is_eligible = |minion: &&Minion| self.rejection(&requirements, minion, now).is_none();
         let fit = |minion: &&Minion| -> Fit {
-            let far = rack.is_some_and(|rack| !minion.has_label(rack));
-            let avoided = avoid == Some(&minion.info.id);
-            Fit { avoided, far, cost: self.placement_cost(minion, spec) }
+            let off_rack = rack.is_some_and(|rack| !minion.has_label(rack));
+            let avoided = avoided_minion == Some(&minion.info.id);
+            Fit { avoided, off_rack, cost: self.placement_cost(minion, spec) }
         };
-        let fast = |minion: &&Minion| {
+        let is_fast_enough = |minion: &&Minion| {
             !spec.best_effort
                 || self.accepts_speed(task, spec, self.best_effort_speed(minion, spec), now)
         };
-        let best = self.minions.values().filter(fits).filter(fast).min_by_key(fit)?;
+        let best =
+            self.minions.values().filter(is_eligible).filter(is_fast_enough).min_by_key(fit)?;
         Some(best.info.id.clone())
     }
 
-    /// Returns how little a minion suits a task that fits there.
+    /// Returns the cost of placing a task on a minion that accepts it; smaller is better.
     ///
-    /// What fills goes where it will work fastest without harm, and rather where it spends little of what
-    /// serving tasks can bear: other images may have no other place. What serves goes where it leaves most
-    /// to what fills, and the rest where most is free.
+    /// A best-effort task goes where it works fastest without slowing serving tasks, preferably
+    /// where it uses little of their headroom, as other images may have no other place. A serving
+    /// task goes where it leaves the most headroom for best-effort tasks, and any other task where
+    /// the most processors are free.
     fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
-        /// Weight of one serving task against processors, in thousandths of a processor.
+        /// Weight of one level of [`mixing_cost`], in thousandths of a processor.
         const MIXING_WEIGHT: i64 = 1_000_000;
         let free_cpus = minion.free().milli_cpus;
         if spec.best_effort {
-            let BestEffortSpeed { unused, tolerated_speed, headroom_share } =
+            let BestEffortSpeed { cpu_speed, tolerated_speed, headroom_share } =
                 self.best_effort_speed(minion, spec);
-            // Among minions at full speed, the one with the most room keeps it longest.
-            let left = minion.unused_milli_cpus() - minion.best_effort_cpus;
-            let cost = HEADROOM_WEIGHT * headroom_share - unused * tolerated_speed.max(MIN_SPEED);
-            return (cost * MILLION) as i64 - left / MILLI;
+            // Among minions at full speed, the one with the most unused processors keeps it
+            // longest.
+            let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_cpus;
+            let cost =
+                HEADROOM_WEIGHT * headroom_share - cpu_speed * tolerated_speed.max(MIN_SPEED);
+            return (cost * MILLION) as i64 - unused_milli_cpus / MILLI;
         }
         if spec.serves() {
             return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_cpus;
@@ -230,8 +238,8 @@
         -free_cpus + minion.best_effort_cpus
     }
 
-    /// Returns the rack on which a step's tasks should run: where its data lies, where its other
-    /// tasks run, or where all of them fit.
+    /// Returns the rack on which a step's tasks should run: the one that holds its data, the one of
+    /// its other tasks, or the one with capacity for most of them.
     pub(super) fn preferred_rack(
         &self,
         first: TaskId,
@@ -257,20 +265,21 @@
                 *racks.entry(rack).or_default() += task_capacity(minion, spec);
             }
         }
-        let best = racks.into_iter().max_by_key(|(_, room)| (*room).min(tasks))?;
+        let best = racks.into_iter().max_by_key(|(_, capacity)| (*capacity).min(tasks))?;
         Some(best.0.clone())
     }
 }
 
-/// Lists the steps with waiting tasks whose earlier steps are done, by occurrence.
+/// Lists the steps with waiting tasks whose predecessors are done, as occurrence and step.
 pub(super) fn ready_steps(record: &JobRecord) -> Vec<(u32, u16)> {
     let mut ready = Vec::new();
     for occurrence in &record.occurrences {
         for (number, step) in record.spec.steps.iter().enumerate() {
             let waiting =
                 occurrence.steps[number].iter().any(|task| task.phase == TaskPhase::Waiting);
-            let due = waiting && step.after.iter().all(|&s| occurrence.step_done(usize::from(s)));
-            if due {
+            let is_ready =
+                waiting && step.after.iter().all(|&s| occurrence.step_done(usize::from(s)));
+            if is_ready {
                 ready.push((occurrence.number, number as u16));
             }
         }
@@ -288,29 +297,30 @@
     (minion.runs.range(first..=last).count() as u32) < spec.max_per_minion
 }
 
-/// Returns whether a minion can take one task of a step.
+/// Returns whether a minion can take a task of a step.
 pub(super) fn is_eligible(minion: &Minion, service: &Name, spec: &StepSpec, now: Now) -> bool {
     step_rejection(minion, service, spec, now).is_none()
 }
 
-/// Returns whether a task leaves some processors to short tasks, if it is one without end.
+/// Returns whether a persistent task leaves a reserve of processors for short tasks; true for all
+/// other tasks.
 ///
-/// One that ran before and ended takes its room back all the same: its users wait for it.
+/// The reserve does not apply to a task that ran before: its users wait for it.
 #[inline]
 pub(super) fn leaves_short_task_reserve(minion: &Minion, spec: &StepSpec) -> bool {
-    let kept = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
+    let reserve = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
     !spec.persistent
         || spec.best_effort
-        || spec.demand.milli_cpus + kept <= minion.free().milli_cpus
+        || spec.demand.milli_cpus + reserve <= minion.free().milli_cpus
 }
 
-/// Returns what is free for a task of a step.
+/// Returns the resources available for a task of a step.
 #[inline]
 pub(super) fn available_for(minion: &Minion, spec: &StepSpec) -> Demand {
     let mut free = minion.free();
     if spec.best_effort {
-        let kept = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
-        free.memory_mb -= kept;
+        let reserve = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
+        free.memory_mb -= reserve;
     }
     free
 }
@@ -318,20 +328,19 @@
 /// Returns how many tasks of a step a minion can take.
 fn task_capacity(minion: &Minion, spec: &StepSpec) -> usize {
     let (free, need) = (available_for(minion, spec), reserved(spec));
-    let by = |free: i64, need: i64| if need > 0 { free.max(0) / need } else { i64::MAX };
-    by(free.milli_cpus, need.milli_cpus)
-        .min(by(free.memory_mb, need.memory_mb))
-        .min(by(free.accelerators, need.accelerators))
+    let count_by = |free: i64, need: i64| if need > 0 { free.max(0) / need } else { i64::MAX };
+    count_by(free.milli_cpus, need.milli_cpus)
+        .min(count_by(free.memory_mb, need.memory_mb))
+        .min(count_by(free.accelerators, need.accelerators))
         .min(i64::from(spec.count)) as usize
 }
 
-/// Ranks a job.
 fn rank(job: &Job, now: Now) -> Rank {
     let terms = &job.record.terms;
     let objective_ms = terms.objective_ms(job.critical_path_ms);
     let due_ms = job.record.occurrences.first().map_or(job.record.accepted_ms, |o| o.due_ms);
     let age_ms = now.wall_ms.saturating_sub(due_ms);
-    // A late job is still worth something up to three times its objective, and nothing after it.
+    // A late job still has value up to three times its objective, and none after that.
     let lateness = if job.record.spec.persistent() || age_ms <= objective_ms {
         0
     } else if age_ms <= 3 * objective_ms {
@@ -349,7 +358,7 @@
     }
 }
 
-/// Returns the work that is left of a job by its estimates, in processor milliseconds.
+/// Returns the remaining work of a job by its estimates, in processor milliseconds.
 fn remaining_work(record: &JobRecord) -> u64 {
     let steps = record.occurrences.iter().flat_map(|o| o.steps.iter().zip(&record.spec.steps));
     let of_step = |(tasks, spec): (&Vec<TaskRecord>, &StepSpec)| {
@@ -360,11 +369,12 @@
     steps.map(of_step).sum()
 }
 
-/// Returns how much a serving task of an image would narrow what can fill a minion; smaller is
-/// better.
+/// Returns how much a serving task of an image would restrict which best-effort images may run on a
+/// minion; smaller is better.
 ///
-/// What fills must be harmless to every image that serves there, and about two pairs in five are.
-/// So images gather by themselves, and those that cannot share minions that are mixed already.
+/// A best-effort image has to be harmless to every serving image of its minion, and about two pairs
+/// in five are. So serving tasks of an image gather on the same minions, and images that cannot do
+/// so share minions that are mixed already.
 fn mixing_cost(minion: &Minion, image: &Name) -> i64 {
     let own = minion.serving_images.contains_key(image);
     match (own, minion.serving_images.len()) {
--- a/crates/geraniumpost-batch/src/coordinator/poll_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/poll_results.rs
@@ -1,4 +1,4 @@
-//! Minions' own lists, compared with what should be there.
+//! Comparison of minions' task lists with the expected runs.
 
 use geraniumpost_schema::Name;
 
@@ -6,18 +6,18 @@
 use super::run::OrderState;
 use crate::{Now, PollResult, RunningTask, TaskId};
 
-/// What to do about a run that a minion's lists do not show.
+/// What to do about a run that its minion does not list.
 enum MissingRunAction {
     /// Nothing: its order may still be on its way.
     Wait,
-    /// Give the start order again.
+    /// Send the start order again.
     Start,
-    /// Its end was seen, or it will never begin.
-    Over,
+    /// Requeue the task: the run has ended or will never start.
+    Requeue,
 }
 
 impl Coordinator {
-    /// Takes in a minion's lists.
+    /// Handles a minion's task lists.
     pub(super) fn handle_poll_result(&mut self, agent: &Name, poll: PollResult, now: Now) {
         let Some(minion) = self.minions.get(&poll.minion) else { return };
         if minion.agent != *agent {
@@ -28,13 +28,13 @@
             self.handle_end(&id, end, now);
         }
         if let Some(running) = poll.running {
-            let seen: std::collections::HashSet<TaskId> =
+            let listed: std::collections::HashSet<TaskId> =
                 running.iter().map(|row| row.task).collect();
             for row in running {
                 self.update_running(&id, row, poll.orders_reported_before, now);
             }
             if !poll.more_ends {
-                self.handle_missing_runs(&id, &seen, poll.orders_reported_before, now);
+                self.handle_missing_runs(&id, &listed, poll.orders_reported_before, now);
             }
             if let Some(minion) = self.minions.get_mut(&id) {
                 self.placement_due |= !minion.polled;
@@ -57,8 +57,8 @@
             return;
         };
         if run.place.minion != *minion || run.number != row.run {
-            let strange = run.place.minion != *minion || run.number > row.run;
-            if strange {
+            let is_unexpected = run.place.minion != *minion || run.number > row.run;
+            if is_unexpected {
                 self.stop_unknown_run(minion, row.task, row.run);
             }
             return;
@@ -86,19 +86,19 @@
     fn handle_missing_runs(
         &mut self,
         id: &Name,
-        seen: &std::collections::HashSet<TaskId>,
+        listed: &std::collections::HashSet<TaskId>,
         orders_reported_before: u64,
         now: Now,
     ) {
         let Some(minion) = self.minions.get(id) else { return };
-        let absent: Vec<TaskId> =
-            minion.runs.iter().filter(|task| !seen.contains(task)).copied().collect();
-        for task in absent {
+        let missing: Vec<TaskId> =
+            minion.runs.iter().filter(|task| !listed.contains(task)).copied().collect();
+        for task in missing {
             let Some(run) = self.runs.get(&task) else { continue };
             match missing_run_action(run.order, orders_reported_before) {
                 MissingRunAction::Wait => {}
                 MissingRunAction::Start => self.send_start(task, now),
-                MissingRunAction::Over => {
+                MissingRunAction::Requeue => {
                     let number = run.number;
                     self.log(format!("decision=missing task={task} run={number} minion={id}"));
                     self.requeue(task, 0, false, now);
@@ -108,7 +108,7 @@
     }
 }
 
-/// Judges a run that is in neither list of its minion.
+/// Returns what to do about a run that is in neither list of its minion.
 fn missing_run_action(order: OrderState, orders_reported_before: u64) -> MissingRunAction {
     match order {
         OrderState::Unknown { .. } => MissingRunAction::Start,
@@ -117,7 +117,7 @@
         | OrderState::StopConfirmed { number, .. }
             if number <= orders_reported_before =>
         {
-            MissingRunAction::Over
+            MissingRunAction::Requeue
         }
         _ => MissingRunAction::Wait,
     }
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -3,13 +3,13 @@
 
 use derive_more::Display;
 
-/// Why a minion does not take a task now; the first bound that fails counts.
+/// Why a minion cannot take a task now; the first check that fails determines the reason.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Rejection {
-    /// Its agent's link is not open.
+    /// The link to its agent is not open.
     #[display("not_linked")]
     NotLinked,
-    /// It stands in records, and has not been heard of by this coordinator.
+    /// Only records name the minion; it has not been reported to this coordinator.
     #[display("not_reported")]
     NotReported,
     /// It runs another service's tasks.
@@ -18,53 +18,53 @@
     /// It lacks the label that the step requires.
     #[display("label")]
     Label,
-    /// Its lists have not been read over the present link.
+    /// It was not polled over the current link.
     #[display("not_polled")]
     NotPolled,
     /// It does not answer its agent.
     #[display("no_answer")]
     NotResponding,
-    /// It failed or delayed what it was given.
+    /// It is quarantined after failed or stalled runs, or after it refused a task as unhealthy.
     #[display("quarantined")]
     Quarantined,
-    /// It leaves.
+    /// It is draining.
     #[display("draining")]
     Draining,
-    /// Something that serves there is over its bound, so that nothing more may fill.
+    /// A serving task there is over its latency bound, so that no more best-effort tasks are
+    /// placed.
     #[display("over_bound")]
     OverBound,
-    /// What is free is less than the task occupies.
+    /// Its free resources are less than the task reserves.
     #[display("no_capacity")]
     NoCapacity,
-    /// It runs as many tasks of the step as one minion may.
+    /// It runs as many tasks of the step as the step allows on one minion.
     #[display("spread")]
     Spread,
-    /// The admission service has given no ticket that holds.
+    /// The admission service has given no valid ticket.
     #[display("no_approval")]
     NoApproval,
-    /// What is free is kept for short tasks, and the task has no end and never ran.
+    /// Its free processors are reserved for short tasks, and the task is persistent and never ran.
     #[display("reserved_for_short")]
     ReservedForShort,
-    /// The place that suits best is too slow for what fills.
+    /// A best-effort task would be too slow there.
     #[display("too_slow")]
     TooSlow,
 }
 
-/// Counts minions by what keeps them from taking a task; reads as `name=count`, without zeros.
+/// Number of minions by rejection; displayed as ` name=count` fields without zeros.
 #[derive(Debug, Default)]
 pub(super) struct RejectionCounts(BTreeMap<Rejection, usize>);
 
 impl RejectionCounts {
-    /// Counts minions that are kept out by a bound.
-    pub(super) fn add(&mut self, bar: Rejection, minions: usize) {
-        *self.0.entry(bar).or_default() += minions;
+    pub(super) fn add(&mut self, rejection: Rejection, minions: usize) {
+        *self.0.entry(rejection).or_default() += minions;
     }
 }
 
 impl fmt::Display for RejectionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (bar, minions) in self.0.iter().filter(|(_, minions)| **minions > 0) {
-            write!(f, " {bar}={minions}")?;
+        for (rejection, minions) in self.0.iter().filter(|(_, minions)| **minions > 0) {
+            write!(f, " {rejection}={minions}")?;
         }
         Ok(())
     }
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -1,4 +1,4 @@
-//! How runs end, and what follows for their tasks and jobs.
+//! Ends of runs, and their effect on tasks and jobs.
 
 use geraniumpost_schema::Name;
 
@@ -8,19 +8,19 @@
 use crate::{EndKind, EndedTask, JobId, JobState, Now, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 impl Coordinator {
-    /// Takes in the end of a run from a minion's list.
+    /// Handles the end of a run that a minion lists.
     pub(super) fn handle_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
-        let Some(view) = self.minions.get_mut(minion) else { return };
-        if end.sequence <= view.last_end_sequence {
-            view.resend_acknowledgement |= end.sequence <= view.acknowledged_up_to;
+        let Some(state) = self.minions.get_mut(minion) else { return };
+        if end.sequence <= state.last_end_sequence {
+            state.resend_acknowledgement |= end.sequence <= state.acknowledged_up_to;
             return;
         }
-        view.last_end_sequence = end.sequence;
-        let ours = self
+        state.last_end_sequence = end.sequence;
+        let is_current = self
             .runs
             .get(&end.task)
             .is_some_and(|run| run.number == end.run && run.place.minion == *minion);
-        let change = if ours {
+        let change = if is_current {
             self.log(format!(
                 "decision=end job={} task={} run={} minion={minion} end={}",
                 end.task.job, end.task, end.run, end.kind
@@ -31,13 +31,13 @@
         } else {
             None
         };
-        if let Some(view) = self.minions.get_mut(minion) {
-            view.unacknowledged.push_back((end.sequence, change));
+        if let Some(state) = self.minions.get_mut(minion) {
+            state.unacknowledged.push_back((end.sequence, change));
         }
     }
 
-    /// Ends a run: frees its room, and lets its task wait, be done or fail its job. Returns the
-    /// version of the record that holds this.
+    /// Ends a run: releases its resources, and requeues or completes its task or fails its job.
+    /// Returns the version of the record that contains this change.
     pub(super) fn end_run(
         &mut self,
         task: TaskId,
@@ -57,12 +57,12 @@
         if !checkpoint.is_empty() && spec.checkpoints {
             self.store_checkpoint(task, &spec, checkpoint);
         }
-        let bad = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
-        let avoid = run.filter(|_| bad).map(|run| run.place.minion);
+        let failed = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
+        let avoided = run.filter(|_| failed).map(|run| run.place.minion);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let hint = job.hints.entry(task).or_default();
-            hint.not_before_ms = now.steady_ms + if bad { FAILURE_BACKOFF_MS } else { 0 };
-            hint.avoided_minion = avoid;
+            hint.not_before_ms = now.steady_ms + if failed { FAILURE_BACKOFF_MS } else { 0 };
+            hint.avoided_minion = avoided;
         }
         match kind {
             EndKind::Done if !spec.persistent => self.complete_task(task, &spec, now),
@@ -78,16 +78,16 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.hints.remove(&task);
         job.record.occurrences.retain(|occurrence| !occurrence.done());
-        let over = job.record.occurrences.is_empty()
+        let finished = job.record.occurrences.is_empty()
             && job.record.next_occurrence >= job.record.repetitions();
-        if over {
+        if finished {
             self.finish_job(task.job, JobState::Completed, now);
         }
     }
 
     fn fail_task(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
         let run = self.task_record(task).map_or(0, |record| record.run);
-        // Several members of a gang may fail in one run, which is one failed attempt.
+        // Several members of a gang may fail in the same run, which counts as one failure.
         self.update_tasks(task, spec.gang, |record| {
             if record.failed_run < run {
                 record.failed_run = run;
@@ -96,9 +96,9 @@
         });
         self.mark_waiting(task, spec, now);
         let Some(job) = self.jobs.get(&task.job) else { return };
-        let most = job.record.terms.max_attempts.max(1);
+        let max_attempts = job.record.terms.max_attempts.max(1);
         let failures = self.task_record(task).map_or(0, |record| record.failures);
-        if !spec.persistent && failures >= most {
+        if !spec.persistent && failures >= max_attempts {
             self.log(format!("decision=fail job={} task={task} failures={failures}", task.job));
             self.finish_job(task.job, JobState::Failed, now);
         }
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Ends a job: stops what still runs of it.
+    /// Finishes a job and stops its remaining runs.
     pub(super) fn finish_job(&mut self, id: JobId, state: JobState, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.record.state = state;
         job.record.finished_ms = now.wall_ms;
         job.hints.clear();
-        self.approvals.forget_job(id);
+        self.approvals.remove_job(id);
         self.open_jobs.remove(&id);
         self.log(format!("decision=finish job={id} state={state}"));
         for task in self.runs_of_job(id) {
@@ -127,64 +127,67 @@
         self.mark_final_dirty(id);
     }
 
-    /// Writes a finished job again, without what it does not need once nothing of it runs.
+    /// Marks the record of a finished job for another write, compacted once the job has no runs
+    /// left.
     fn mark_final_dirty(&mut self, id: JobId) -> u64 {
-        let runs = !self.runs_of_job(id).is_empty();
+        let has_runs = !self.runs_of_job(id).is_empty();
         if let Some(job) = self.jobs.get_mut(&id)
-            && !runs
+            && !has_runs
         {
             job.record.compact();
         }
         self.mark_dirty(id)
     }
 
-    /// Marks the task of a finished job as not running.
+    /// Marks a task as not running.
     pub(super) fn clear_placement(&mut self, task: TaskId) {
         self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
     }
 
-    /// Lets a task that has no run wait for another.
+    /// Ends a run that does not exist on its minion, and lets its task wait for another run.
     pub(super) fn requeue(&mut self, task: TaskId, delay_ms: u64, avoid: bool, now: Now) {
-        let place = self.runs.get(&task).map(|run| run.place.minion.clone());
+        let minion = self.runs.get(&task).map(|run| run.place.minion.clone());
         self.end_run(task, EndKind::Stopped, &Name::default(), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && !job.record.state.is_final()
         {
             let hint = job.hints.entry(task).or_default();
             hint.not_before_ms = now.steady_ms + delay_ms;
-            hint.avoided_minion = place.filter(|_| avoid);
+            hint.avoided_minion = minion.filter(|_| avoid);
         }
     }
 
     fn store_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        // Any member's checkpoint serves its gang, and all members must go on from the same one.
+        // A checkpoint of any member applies to the whole gang, whose members must all resume from
+        // the same one.
         let indices = if spec.gang { 0..spec.count } else { task.index..task.index + 1 };
         for index in indices {
             job.hints.entry(TaskId { index, ..task }).or_default().checkpoint = checkpoint.clone();
         }
     }
 
-    /// Notes whether a minion fails what it is given.
+    /// Counts consecutive failures on a minion, and quarantines it if there are too many.
     ///
-    /// A minion that fails everything ends tasks faster than others, so it would draw ever more of
-    /// them and use up their attempts. Jobs that always fail look alike from one run; failures of
-    /// different jobs in a row do not.
+    /// A minion that fails every run frees up faster than others, so it would attract ever more
+    /// tasks and use up their attempts. A single run does not distinguish it from a job that always
+    /// fails, but consecutive failures of different jobs do.
     fn track_failures(&mut self, minion: &Name, end: &EndedTask, now: Now) {
-        let Some(view) = self.minions.get_mut(minion) else { return };
+        let Some(state) = self.minions.get_mut(minion) else { return };
         match end.kind {
             EndKind::Done => {
-                view.consecutive_failures = 0;
-                view.last_failed_job = None;
+                state.consecutive_failures = 0;
+                state.last_failed_job = None;
             }
-            EndKind::Failed if view.last_failed_job != Some(end.task.job) => {
-                view.consecutive_failures += 1;
-                view.last_failed_job = Some(end.task.job);
-                if view.consecutive_failures >= QUARANTINE_FAILURES {
-                    view.quarantined_until_ms = now.steady_ms + QUARANTINE_MS;
-                    let failures = view.consecutive_failures;
+            EndKind::Failed if state.last_failed_job != Some(end.task.job) => {
+                state.consecutive_failures += 1;
+                state.last_failed_job = Some(end.task.job);
+                if state.consecutive_failures >= QUARANTINE_FAILURES {
+                    state.quarantined_until_ms = now.steady_ms + QUARANTINE_MS;
+                    let failures = state.consecutive_failures;
                     self.log(format!(
-                        "decision=shun minion={minion} failures_in_a_row={failures} for_ms={QUARANTINE_MS}"
+                        "decision=quarantine minion={minion} consecutive_failures={failures} \
+                         for_ms={QUARANTINE_MS}"
                     ));
                 }
             }
@@ -192,19 +195,17 @@
         }
     }
 
-    /// Returns the record of a task.
     pub(super) fn task_record(&self, task: TaskId) -> Option<&TaskRecord> {
         let job = self.jobs.get(&task.job)?;
         let occurrence = job.record.occurrences.iter().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get(usize::from(task.step))?.get(task.index as usize)
     }
 
-    /// Returns the step of a task.
     pub(super) fn step_spec(&self, task: TaskId) -> Option<&StepSpec> {
         self.jobs.get(&task.job)?.record.spec.steps.get(usize::from(task.step))
     }
 
-    /// Changes the record of a task, or of all tasks of its step.
+    /// Updates the record of a task, or of all tasks of its step.
     pub(super) fn update_tasks(
         &mut self,
         task: TaskId,
@@ -222,14 +223,13 @@
         }
     }
 
-    /// Lists the runs of a job.
     pub(super) fn runs_of_job(&self, id: JobId) -> Vec<TaskId> {
         let first = TaskId { job: id, occurrence: 0, step: 0, index: 0 };
         let last = TaskId { job: id, occurrence: u32::MAX, step: u16::MAX, index: u32::MAX };
         self.runs.range(first..=last).map(|(task, _)| *task).collect()
     }
 
-    /// Stops the other members of a gang, which cannot work without this one.
+    /// Stops all runs of a gang, as its members cannot work without each other.
     fn stop_gang(&mut self, task: TaskId, now: Now) {
         let Some(count) = self.step_spec(task).map(|step| step.count) else { return };
         for index in 0..count {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Enters a run, and what it occupies.
+    /// Inserts a run and reserves its resources.
     pub(super) fn insert_run(&mut self, task: TaskId, run: Run) {
         let minion = self.minions.entry(run.place.minion.clone()).or_insert_with(|| {
             let info = crate::MinionInfo { id: run.place.minion.clone(), ..Default::default() };
@@ -253,7 +253,7 @@
         self.count_run(task, &id, true);
     }
 
-    /// Removes a run, and what it occupied.
+    /// Removes a run and releases its resources.
     pub(super) fn remove_run(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
         self.count_run(task, &run.place.minion, false);
@@ -267,7 +267,7 @@
         Some(run)
     }
 
-    /// Orders a run to end; one whose start has not left yet simply never begins.
+    /// Stops a run. If its start order was not sent yet, the run is removed instead.
     pub(super) fn stop_run(&mut self, task: TaskId, now: Now) {
         let Some(run) = self.runs.get(&task) else { return };
         if run.is_stopping() {
--- a/crates/geraniumpost-batch/src/coordinator/serving_tasks.rs
+++ b/crates/geraniumpost-batch/src/coordinator/serving_tasks.rs
@@ -1,8 +1,9 @@
-/// What a minion's serving tasks of one image have shown.
+/// The serving runs of one image on a minion.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServingTasks {
-    /// Runs of the image.
+    /// Number of runs.
     pub(super) runs: u32,
-    /// The highest typical tail of its groups at the last look, in bounds.
+    /// The highest of its groups' median tail latencies in the last poll, as a multiple of the
+    /// bound.
     pub(super) tail: f64,
 }
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes.
+//! Periodic work.
 
 use geraniumpost_schema::Name;
 
@@ -11,7 +11,7 @@
 use crate::{JobId, Now, TaskId};
 
 impl Coordinator {
-    /// Does what has become due. The shell calls it about ten times a second.
+    /// Performs all work that is due. The driver calls it about ten times a second.
     pub fn tick(&mut self, now: Now) {
         self.mark_unresponsive_minions(now);
         self.expire_leases(now);
@@ -24,7 +24,7 @@
         self.expire_finished_jobs(now);
         self.prune_serving_groups();
         self.monitor_waits(now);
-        // Tasks that waited for a pause to pass may be placed now.
+        // The backoff of a waiting task may have ended.
         self.placement_due |= !self.open_jobs.is_empty();
     }
 
@@ -34,15 +34,15 @@
         }
     }
 
-    /// Begins the repetitions of a job that are due.
+    /// Begins the occurrences of a job that are due.
     pub(super) fn begin_due_occurrences_of(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let mut begun = false;
+        let mut started = false;
         while let Some(due_ms) = job.record.next_due_ms().filter(|due| *due <= now.wall_ms) {
             job.record.begin_occurrence(due_ms);
-            begun = true;
+            started = true;
         }
-        if begun {
+        if started {
             self.mark_dirty(id);
             self.placement_due = true;
         }
@@ -52,7 +52,7 @@
         let due: Vec<(TaskId, OrderState)> = self
             .runs
             .iter()
-            .filter(|(_, run)| is_due(run.order, now.steady_ms))
+            .filter(|(_, run)| is_order_due(run.order, now.steady_ms))
             .map(|(task, run)| (*task, run.order))
             .collect();
         for (task, order) in due {
@@ -67,19 +67,19 @@
         self.stop_stalled_runs(now);
     }
 
-    /// Returns whether the lists of a run's minion were read over the present link.
+    /// Returns whether a run's minion was polled expired the current link.
     fn minion_is_polled(&self, task: TaskId) -> bool {
         let minion = self.runs.get(&task).and_then(|run| self.minions.get(&run.place.minion));
         minion.is_some_and(|minion| minion.polled)
     }
 
-    /// Stops runs that make no progress, so that they go on elsewhere.
+    /// Stops runs that make no progress, so that they continue elsewhere.
     ///
-    /// On some minions tasks stand still while everything else seems well. Their callers would wait
-    /// for ever, as nothing ends. Progress that does not move for [`STALLED_RUN_TIMEOUT_MS`]
-    /// from look to look shows it; a minion that is not looked at shows nothing.
+    /// Tasks may stall on a minion that appears healthy otherwise. As nothing ends, their callers
+    /// would wait forever. A run counts as stalled if its progress did not change from poll to poll
+    /// for [`STALLED_RUN_TIMEOUT_MS`]; a minion that is not polled gives no evidence.
     fn stop_stalled_runs(&mut self, now: Now) {
-        let stuck: Vec<TaskId> = self
+        let stalled: Vec<TaskId> = self
             .runs
             .iter()
             .filter(|(_, run)| matches!(run.order, OrderState::Started { .. }))
@@ -87,18 +87,19 @@
             .filter(|(_, run)| run.last_seen_ms >= run.last_progress_ms + STALLED_RUN_TIMEOUT_MS)
             .map(|(task, _)| *task)
             .collect();
-        for task in stuck {
+        for task in stalled {
             let Some(step) = self.step_spec(task) else { continue };
             // One percent of a long task takes long.
-            let patience_ms = u64::from(step.estimate_ms) / 10 + STALLED_RUN_TIMEOUT_MS;
+            let allowed_ms = u64::from(step.estimate_ms) / 10 + STALLED_RUN_TIMEOUT_MS;
             let Some(run) = self.runs.get(&task) else { continue };
             let minion: Name = run.place.minion.clone();
-            let looked = self.minions.get(&minion).is_some_and(|minion| minion.polled);
-            if !looked || run.last_seen_ms < run.last_progress_ms + patience_ms {
+            let polled = self.minions.get(&minion).is_some_and(|minion| minion.polled);
+            if !polled || run.last_seen_ms < run.last_progress_ms + allowed_ms {
                 continue;
             }
             self.log(format!(
-                "decision=stop_stalled_runs job={} task={task} minion={minion} percent={} still_ms={}",
+                "decision=stop_stalled job={} task={task} minion={minion} percent={} \
+                 stalled_ms={}",
                 task.job,
                 run.progress_percent,
                 run.last_seen_ms - run.last_progress_ms
@@ -111,14 +112,14 @@
     }
 
     fn expire_finished_jobs(&mut self, now: Now) {
-        let over: Vec<JobId> = self
+        let expired: Vec<JobId> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.record.state.is_final() && job.durable_version == job.version)
             .filter(|(_, job)| now.wall_ms >= job.record.finished_ms + FINISHED_JOB_RETENTION_MS)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             if !self.expired_jobs.contains(&id) && self.runs_of_job(id).is_empty() {
                 self.expired_jobs.push(id);
             }
@@ -126,8 +127,8 @@
     }
 }
 
-/// Returns whether an order is to be given again.
-fn is_due(order: OrderState, now_ms: u64) -> bool {
+/// Returns whether an order has to be sent again.
+fn is_order_due(order: OrderState, now_ms: u64) -> bool {
     match order {
         OrderState::Unknown { since_ms } => now_ms >= since_ms + ORDER_RETRY_MS,
         OrderState::Sent { at_ms } => now_ms >= at_ms + ORDER_RESULT_TIMEOUT_MS,
--- a/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
@@ -1,6 +1,6 @@
-//! What waits and for how long, and lines that tell why a task is not placed.
+//! Tracking of waiting tasks, and log lines on why they are not placed.
 //!
-//! Nothing here changes a decision. Reasons are worked out only for the few lines that are written,
+//! Nothing here affects a decision. Reasons are determined only for the few lines that are written,
 //! as hundreds of steps may wait at once.
 
 use std::collections::BTreeMap;
@@ -12,26 +12,27 @@
 use super::wait_state::{StepKey, WaitingStep};
 use crate::{Now, StepSpec, TaskId, TaskPhase};
 
-/// Pause between two looks at what waits, in milliseconds: gauges and lines tell of seconds.
-const LOOK_EVERY_MS: u64 = 500;
-/// Wait of a standing task after which a line tells of it, in milliseconds. Its users miss it at once,
-/// and an ordinary end is followed by a new run in less.
+/// Interval between two checks of waiting tasks, in milliseconds; metrics and log lines have a
+/// resolution of seconds.
+const CHECK_INTERVAL_MS: u64 = 500;
+/// Wait of a persistent task after which it is logged, in milliseconds. Its users miss it at once,
+/// and an ordinary end is followed by a new run in less time.
 const PERSISTENT_LOG_DELAY_MS: u64 = 2_000;
-/// Wait of any other task after which a line tells of it, in milliseconds; waiting for room is
-/// ordinary for them.
+/// Wait of any other task after which it is logged, in milliseconds; these tasks ordinarily wait
+/// for free resources.
 const OTHER_LOG_DELAY_MS: u64 = 5_000;
-/// Pause between two lines on one step, in milliseconds.
+/// Interval between two lines on the same step, in milliseconds.
 const STEP_LOG_INTERVAL_MS: u64 = 5_000;
-/// Lines of one kind that one look may write: with two looks a second, four lines a second.
+/// Most lines of one kind that one check may write: with two checks a second, four lines a second.
 pub(super) const MAX_LINES_PER_CHECK: usize = 2;
 
 impl Coordinator {
-    /// Looks at what waits, now and then, and writes what operators should know of it.
+    /// Checks waiting tasks at intervals, and logs what operators should know about them.
     pub(super) fn monitor_waits(&mut self, now: Now) {
         if self
             .wait_state
             .last_check_ms
-            .is_some_and(|looked| now.steady_ms < looked + LOOK_EVERY_MS)
+            .is_some_and(|at_ms| now.steady_ms < at_ms + CHECK_INTERVAL_MS)
         {
             return;
         }
@@ -42,17 +43,17 @@
         self.log_unreachable(now);
     }
 
-    /// Takes note that a run of a standing task has ended. One that was not seen at work, or whose
-    /// minion could not be reached, has been down for longer.
+    /// Records the end of a run of a persistent task. If the run had not started or its minion was
+    /// unreachable, the task has been down for longer.
     pub(super) fn record_persistent_end(&mut self, task: TaskId, run: Option<&Run>, now: Now) {
-        let standing = self.step_spec(task).is_some_and(|step| step.persistent);
-        if !standing || !self.open_jobs.contains(&task.job) {
+        let persistent = self.step_spec(task).is_some_and(|step| step.persistent);
+        if !persistent || !self.open_jobs.contains(&task.job) {
             return;
         }
         let since_ms = self.wait_state.down.entry(task).or_insert(now.steady_ms);
         let minion = run.and_then(|run| self.minions.get(&run.place.minion));
-        let worked = run.is_some_and(|run| run.started_ms.is_some());
-        if worked && minion.is_some_and(|minion| !minion.unreachable()) {
+        let was_started = run.is_some_and(|run| run.started_ms.is_some());
+        if was_started && minion.is_some_and(|minion| !minion.is_unreachable()) {
             *since_ms = now.steady_ms;
         }
     }
@@ -73,12 +74,12 @@
         self.wait_state.down = down;
     }
 
-    /// Returns since when standing tasks have been down that have a run: one that has not begun, or
-    /// whose minion cannot be reached.
+    /// Returns since when persistent tasks that have a run have been down: the run has not started,
+    /// or its minion is unreachable.
     fn down_with_run(&self, now: Now) -> BTreeMap<TaskId, u64> {
-        let not_begun = self.runs.iter().filter(|(_, run)| run.started_ms.is_none());
-        let unreachable = self.minions.values().filter(|minion| minion.unreachable());
-        not_begun
+        let not_started = self.runs.iter().filter(|(_, run)| run.started_ms.is_none());
+        let unreachable = self.minions.values().filter(|minion| minion.is_unreachable());
+        not_started
             .map(|(task, _)| *task)
             .chain(unreachable.flat_map(|minion| minion.runs.iter().copied()))
             .filter(|task| self.open_jobs.contains(&task.job))
@@ -91,7 +92,7 @@
         self.wait_state.down.get(&task).copied().unwrap_or(now.steady_ms)
     }
 
-    /// Returns what waits of a step, and enters its standing tasks as down.
+    /// Returns the waiting tasks of a step, and adds its persistent tasks to `down`.
     fn waiting_step(
         &self,
         key: StepKey,
@@ -100,14 +101,19 @@
     ) -> Option<WaitingStep> {
         let waiting = self.waiting_tasks_of(key);
         let first = waiting.first()?;
-        let before = self.wait_state.steps.get(&key);
-        let told_ms = before.and_then(|before| before.told_ms);
-        let standing = self.step_spec(*first)?.persistent;
-        if !standing {
-            // Tasks are placed in their order, so that a later first one means progress.
-            let since_ms = before.filter(|before| first.index <= before.first);
-            let since_ms = since_ms.map_or(now.steady_ms, |before| before.since_ms);
-            return Some(WaitingStep { standing, first: first.index, since_ms, told_ms });
+        let previous = self.wait_state.steps.get(&key);
+        let last_logged_ms = previous.and_then(|previous| previous.last_logged_ms);
+        let persistent = self.step_spec(*first)?.persistent;
+        if !persistent {
+            // Tasks are placed in order, so that a later first waiting task means progress.
+            let since_ms = previous.filter(|previous| first.index <= previous.first_index);
+            let since_ms = since_ms.map_or(now.steady_ms, |previous| previous.since_ms);
+            return Some(WaitingStep {
+                persistent,
+                first_index: first.index,
+                since_ms,
+                last_logged_ms,
+            });
         }
         let mut since_ms = now.steady_ms;
         for task in &waiting {
@@ -115,14 +121,15 @@
             down.insert(*task, down_ms);
             since_ms = since_ms.min(down_ms);
         }
-        Some(WaitingStep { standing, first: first.index, since_ms, told_ms })
+        Some(WaitingStep { persistent, first_index: first.index, since_ms, last_logged_ms })
     }
 
-    /// Lists the tasks of a step that wait, also those that pause.
+    /// Lists the waiting tasks of a step, including those in backoff.
     fn waiting_tasks_of(&self, (job, occurrence, step): StepKey) -> Vec<TaskId> {
         let Some(record) = self.jobs.get(&job).map(|job| &job.record) else { return Vec::new() };
-        let found = record.occurrences.iter().find(|o| o.number == occurrence);
-        let tasks = found.and_then(|o| o.steps.get(usize::from(step))).into_iter().flatten();
+        let occurrence_record = record.occurrences.iter().find(|o| o.number == occurrence);
+        let tasks =
+            occurrence_record.and_then(|o| o.steps.get(usize::from(step))).into_iter().flatten();
         tasks
             .zip(0..)
             .filter(|(task, _)| task.phase == TaskPhase::Waiting)
@@ -130,41 +137,45 @@
             .collect()
     }
 
-    /// Writes why tasks are not placed, for the steps that are due: standing ones first, and then
-    /// those that no line has told for longest.
+    /// Logs why tasks are not placed, for the steps that are due: persistent ones first, then those
+    /// that were logged least recently.
     fn log_not_placed(&mut self, now: Now) {
         let is_due = |wait: &WaitingStep| {
-            let patience_ms =
-                if wait.standing { PERSISTENT_LOG_DELAY_MS } else { OTHER_LOG_DELAY_MS };
-            now.steady_ms >= wait.since_ms + patience_ms
-                && wait.told_ms.is_none_or(|told| now.steady_ms >= told + STEP_LOG_INTERVAL_MS)
+            let delay_ms =
+                if wait.persistent { PERSISTENT_LOG_DELAY_MS } else { OTHER_LOG_DELAY_MS };
+            now.steady_ms >= wait.since_ms + delay_ms
+                && wait
+                    .last_logged_ms
+                    .is_none_or(|at_ms| now.steady_ms >= at_ms + STEP_LOG_INTERVAL_MS)
         };
         let due = self.wait_state.steps.iter().filter(|(_, wait)| is_due(wait));
-        let mut due: Vec<_> =
-            due.map(|(key, wait)| (!wait.standing, wait.told_ms, wait.since_ms, *key)).collect();
+        let mut due: Vec<_> = due
+            .map(|(key, wait)| (!wait.persistent, wait.last_logged_ms, wait.since_ms, *key))
+            .collect();
         due.sort_unstable();
-        let left_out = due.len().saturating_sub(MAX_LINES_PER_CHECK);
+        let omitted = due.len().saturating_sub(MAX_LINES_PER_CHECK);
         due.truncate(MAX_LINES_PER_CHECK);
         for (_, _, _, key) in due {
-            self.log_wait(key, left_out, now);
+            self.log_wait(key, omitted, now);
         }
     }
 
-    fn log_wait(&mut self, key: StepKey, left_out: usize, now: Now) {
+    fn log_wait(&mut self, key: StepKey, omitted: usize, now: Now) {
         if let Some(line) = self.not_placed_line(key, now) {
-            self.log(format!("{line}{}", field_unless_zero("omitted", left_out as u64)));
+            self.log(format!("{line}{}", field_unless_zero("omitted", omitted as u64)));
         }
         if let Some(wait) = self.wait_state.steps.get_mut(&key) {
-            wait.told_ms = Some(now.steady_ms);
+            wait.last_logged_ms = Some(now.steady_ms);
         }
     }
 
     fn not_placed_line(&self, key: StepKey, now: Now) -> Option<String> {
         let since_ms = self.wait_state.steps.get(&key)?.since_ms;
         let waiting = self.waiting_tasks_of(key);
-        let may_begin = |task: &&TaskId| self.remaining_backoff_ms(**task, now) == 0;
-        // Placement begins with the first task that does not pause, and ends where one finds no place.
-        let task = *waiting.iter().find(may_begin).or_else(|| waiting.first())?;
+        let is_ready = |task: &&TaskId| self.remaining_backoff_ms(**task, now) == 0;
+        // Placement begins with the first task that is not in backoff, and ends at one without a
+        // place.
+        let task = *waiting.iter().find(is_ready).or_else(|| waiting.first())?;
         let spec = self.step_spec(task)?;
         let (job, occurrence, step) = key;
         let ran = |task: &&TaskId| self.task_record(**task).is_some_and(|record| record.run > 0);
@@ -178,39 +189,40 @@
             field_unless_zero("gang_size", if spec.gang { spec.count.into() } else { 0 }),
             field_unless_zero("pause_ms", self.remaining_backoff_ms(task, now)),
             self.minions.len(),
-            self.reasons(task, spec, waiting.len(), now),
+            self.rejection_fields(task, spec, waiting.len(), now),
         ))
     }
 
-    /// Returns how long a task still pauses before it may be placed, in milliseconds.
+    /// Returns the remaining backoff of a task before it may be placed, in milliseconds.
     fn remaining_backoff_ms(&self, task: TaskId, now: Now) -> u64 {
         let hint = self.jobs.get(&task.job).and_then(|job| job.hints.get(&task));
         hint.map_or(0, |hint| hint.not_before_ms.saturating_sub(now.steady_ms))
     }
 
-    /// Returns how many minions each bound keeps from taking a task, and how many take it.
-    fn reasons(&self, task: TaskId, spec: &StepSpec, waiting: usize, now: Now) -> String {
-        let Some(needs) = self.needs(task, spec) else { return String::new() };
-        let mut bars = RejectionCounts::default();
-        let mut open = 0;
+    /// Returns how many minions reject a task, by reason, and how many accept it, as fields of a
+    /// line.
+    fn rejection_fields(&self, task: TaskId, spec: &StepSpec, waiting: usize, now: Now) -> String {
+        let Some(requirements) = self.requirements(task, spec) else { return String::new() };
+        let mut rejections = RejectionCounts::default();
+        let mut accepting = 0;
         for minion in self.minions.values() {
-            match self.rejection(&needs, minion, now) {
-                Some(bar) => bars.add(bar, 1),
-                None => open += 1,
+            match self.rejection(&requirements, minion, now) {
+                Some(rejection) => rejections.add(rejection, 1),
+                None => accepting += 1,
             }
         }
-        if open > 0 {
+        if accepting > 0 {
             let rack = self.preferred_rack(task, spec, waiting, now);
             if self.choose_minion(task, spec, rack.as_ref(), now).is_some() {
-                return format!("{bars} fits={open}");
+                return format!("{rejections} fits={accepting}");
             }
-            bars.add(Rejection::TooSlow, open);
+            rejections.add(Rejection::TooSlow, accepting);
         }
-        bars.to_string()
+        rejections.to_string()
     }
 }
 
-/// Returns a field of a line, or nothing for 0.
+/// Returns a field of a log line, or nothing for 0.
 pub(super) fn field_unless_zero(name: &str, value: u64) -> String {
     if value == 0 { String::new() } else { format!(" {name}={value}") }
 }
--- a/crates/geraniumpost-batch/src/coordinator/wait_state.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_state.rs
@@ -4,23 +4,23 @@
 
 use crate::{JobId, TaskId};
 
-/// A step of one occurrence.
+/// A step of one occurrence: job, occurrence and step.
 pub(super) type StepKey = (JobId, u32, u16);
 
-/// What is remembered of waiting tasks between two looks at them, to tell operators of it.
+/// State of waiting tasks between two checks, for log lines and metrics.
 #[derive(Debug)]
 pub(super) struct WaitState {
-    /// When this coordinator began, on the steady clock.
+    /// When this coordinator started, on the steady clock.
     pub(super) started_ms: u64,
-    /// When waiting tasks were last looked at, on the steady clock; `None` before the first look.
+    /// When waiting tasks were last checked, on the steady clock; `None` before the first check.
     pub(super) last_check_ms: Option<u64>,
-    /// Steps with waiting tasks whose earlier steps are done.
+    /// Steps with waiting tasks whose predecessors are done.
     pub(super) steps: BTreeMap<StepKey, WaitingStep>,
-    /// Since when each standing task that is down has been down, on the steady clock.
+    /// Since when each persistent task that is down has been down, on the steady clock.
     pub(super) down: BTreeMap<TaskId, u64>,
-    /// Minions whose loss a line has told.
+    /// Minions that were logged as unreachable.
     pub(super) logged_unreachable: BTreeSet<Name>,
-    /// Lines that told of the wait inherited from a predecessor.
+    /// Number of lines logged on the wait for a predecessor's leases.
     pub(super) predecessor_wait_lines: usize,
 }
 
@@ -28,13 +28,13 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingStep {
     /// Whether its tasks run until the job is cancelled.
-    pub(super) standing: bool,
-    /// The first task that waits.
-    pub(super) first: u32,
-    /// Since when it waits, on the steady clock.
+    pub(super) persistent: bool,
+    /// Index of the first waiting task.
+    pub(super) first_index: u32,
+    /// Since when that task has been waiting, on the steady clock.
     pub(super) since_ms: u64,
-    /// When a line last told of it, on the steady clock; `None` if none did.
-    pub(super) told_ms: Option<u64>,
+    /// When the step was last logged, on the steady clock; `None` if never.
+    pub(super) last_logged_ms: Option<u64>,
 }
 
 impl WaitState {
