--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -19,7 +19,7 @@
     pub(super) reported: bool,
     /// Whether the minion was polled over the current link.
     pub(super) polled: bool,
-    /// Whether the minion answers its agent, so that its lease is extended.
+    /// Whether heartbeats arrive and report that the minion answers its agent.
     pub(super) responsive: bool,
     /// Resources reserved by the runs placed there; best-effort runs reserve no processors.
     pub(super) used: Demand,
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -83,7 +83,7 @@
     next_batch: u64,
     /// When the store's last confirmation of this coordinator was received, on the steady clock.
     confirmed_ms: u64,
-    /// When that confirmation was requested, on the steady clock.
+    /// When the last request that the store confirmed was sent, on the steady clock.
     confirmation_requested_ms: u64,
     support: EntrySupport,
     predecessor_expiry: PredecessorExpiry,
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -21,7 +21,7 @@
     /// It was not polled over the current link.
     #[display("not_polled")]
     NotPolled,
-    /// It does not answer its agent.
+    /// No heartbeats arrive from its agent, or they report that it does not answer.
     #[display("no_answer")]
     NotResponding,
     /// It is quarantined after failed or stalled runs, or after it refused a task as unhealthy.
