--- /dev/null
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -0,0 +1,103 @@
+//! Requests of callers.
+
+use geraniumpost_schema::Name;
+
+use super::commits::Deferred;
+use super::job::Job;
+use super::{Coordinator, Effect};
+use crate::tuning::RETRY_AFTER_MS;
+use crate::{CallerRequest, CallerResponse, JobId, JobRecord, JobSpec, JobState, Now, QueueTerms};
+
+impl Coordinator {
+    /// Handles a caller's request. The response follows as [`Effect::Reply`] with `ticket`, after
+    /// everything that it promises is committed.
+    pub fn handle_request(&mut self, ticket: u64, request: CallerRequest, now: Now) {
+        match request {
+            CallerRequest::Submit { job, spec, terms } => {
+                self.submit(ticket, job, spec, terms, now);
+            }
+            CallerRequest::Cancel(job) => self.cancel(ticket, job, now),
+            CallerRequest::State(job) => {
+                let response = self.state(job);
+                self.reply(ticket, response);
+            }
+            CallerRequest::Pending(queue) => {
+                let response = CallerResponse::Pending(self.pending(&queue));
+                self.reply(ticket, response);
+            }
+        }
+    }
+
+    fn reply(&mut self, ticket: u64, response: CallerResponse) {
+        self.effects.push(Effect::Reply { ticket, response });
+    }
+
+    fn submit(&mut self, ticket: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            // A retry or a late copy of a submission is accepted once the record of the first is
+            // committed, and starts nothing.
+            if job.is_durable() {
+                self.reply(ticket, CallerResponse::Accepted);
+            } else {
+                job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Accepted));
+            }
+            return;
+        }
+        if let Err(error) = spec.check() {
+            self.log(format!("decision=refuse job={id} why=\"{error}\""));
+            self.reply(ticket, CallerResponse::Invalid);
+            return;
+        }
+        if self.open_jobs.len() >= self.max_open_jobs {
+            let open = self.open_jobs.len();
+            self.log(format!("decision=refuse job={id} why=\"too many open jobs\" open={open}"));
+            self.reply(ticket, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
+            return;
+        }
+        self.log(format!(
+            "decision=accept job={id} queue={} steps={} tasks={}",
+            terms.queue,
+            spec.steps.len(),
+            spec.steps.iter().map(|step| step.count).sum::<u32>(),
+        ));
+        let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
+        job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Accepted));
+        self.jobs.insert(id, job);
+        self.open_jobs.insert(id);
+        self.dirty.insert(id);
+        self.begin_due_occurrences_of(id, now);
+        self.placement_due = true;
+    }
+
+    fn cancel(&mut self, ticket: u64, id: JobId, now: Now) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            self.reply(ticket, CallerResponse::Unknown);
+            return;
+        };
+        let finished = job.record.state.is_final();
+        if finished && job.durable_version == job.version {
+            self.reply(ticket, CallerResponse::Cancelled);
+            return;
+        }
+        job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Cancelled));
+        if !finished {
+            self.finish_job(id, JobState::Cancelled, now);
+        }
+    }
+
+    fn state(&self, id: JobId) -> CallerResponse {
+        match self.jobs.get(&id) {
+            Some(job) if job.is_durable() => CallerResponse::State(job.reported_state()),
+            _ => CallerResponse::Unknown,
+        }
+    }
+
+    fn pending(&self, queue: &Name) -> u64 {
+        let is_queued = |job: &&Job| {
+            job.record.terms.queue == *queue
+                && job.is_durable()
+                && job.reported_state() == JobState::Queued
+        };
+        self.jobs.values().filter(is_queued).count() as u64
+    }
+}
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -1,49 +1,49 @@
 use geraniumpost_schema::Name;
 
-use crate::{Answer, JobId, TaskId, ToAgent};
+use crate::{CallerResponse, JobId, TaskId, ToAgent};
 
-/// What the shell has to do for the coordinator.
+/// An action that the driver has to perform for the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write records, and report it with [`Coordinator::written`](super::Coordinator::written).
+    /// Write records, then call [`Coordinator::batch_written`](super::Coordinator::batch_written).
     Write(WriteBatch),
-    /// Answer a request.
+    /// Respond to a caller's request.
     Reply {
-        /// The request's ticket.
+        /// Ticket that was passed with the request.
         ticket: u64,
-        /// The answer.
-        answer: Answer,
+        /// The response.
+        response: CallerResponse,
     },
     /// Send a message to an agent.
-    Tell {
+    Send {
         /// The agent.
         agent: Name,
         /// The message.
         message: ToAgent,
     },
-    /// Ask the admission service which minions may run a step, and report it with
-    /// [`Coordinator::approved`](super::Coordinator::approved).
-    AskApproval {
-        /// The step, named by its first task.
+    /// Ask the admission service which minions may run a step, then call
+    /// [`Coordinator::handle_approval`](super::Coordinator::handle_approval).
+    RequestApproval {
+        /// The step, identified by its first task.
         step: TaskId,
-        /// The minions in question.
+        /// The candidate minions.
         minions: Vec<Name>,
     },
-    /// A minion has obeyed a newer coordinator: check who coordinates.
+    /// A minion has obeyed a newer coordinator: the driver has to check who coordinates.
     Superseded,
-    /// Something was decided that the log should tell.
-    Note(String),
+    /// Write a log line.
+    Log(String),
 }
 
-/// Records that are written together or not at all.
+/// Records that are written in one transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Names the batch when it is reported as written.
+    /// Identifies the batch in [`Coordinator::batch_written`](super::Coordinator::batch_written).
     pub number: u64,
-    /// Records to write.
+    /// Records to write, encoded.
     pub put: Vec<(JobId, Vec<u8>)>,
-    /// Records to remove.
+    /// Jobs whose records are to be removed.
     pub remove: Vec<JobId>,
-    /// What was learnt of images, for a successor ([`crate::Knowledge`]).
-    pub knowledge: Option<Vec<u8>>,
+    /// Learned interference for a successor, encoded ([`crate::InterferenceSnapshot`]).
+    pub interference: Option<Vec<u8>>,
 }
--- /dev/null
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -0,0 +1,110 @@
+//! Which minions can take a task.
+//!
+//! Placement and the log lines on waiting tasks both use these checks, so that they cannot differ.
+//! Each waiting task checks every minion, so that the checks are inlined across modules.
+
+use geraniumpost_schema::Name;
+
+use super::Coordinator;
+use super::minion::Minion;
+use super::placement::{available_for, leaves_short_task_reserve, spread_allows};
+use super::rejection::Rejection;
+use super::run::reserved;
+use crate::{Now, QueueTerms, StepSpec, TaskId};
+
+/// What a task requires of a minion.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct TaskRequirements<'a> {
+    task: TaskId,
+    spec: &'a StepSpec,
+    terms: &'a QueueTerms,
+    /// Whether it ran before, in which case it may use the reserve for short tasks.
+    ran: bool,
+}
+
+impl Coordinator {
+    /// Returns what a task requires of a minion.
+    pub(super) fn requirements<'a>(
+        &'a self,
+        task: TaskId,
+        spec: &'a StepSpec,
+    ) -> Option<TaskRequirements<'a>> {
+        let terms = &self.jobs.get(&task.job)?.record.terms;
+        let ran = self.task_record(task).is_some_and(|record| record.run > 0);
+        Some(TaskRequirements { task, spec, terms, ran })
+    }
+
+    /// Returns why a minion cannot take a task, or `None` if it can.
+    #[inline]
+    pub(super) fn rejection(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        minion: &Minion,
+        now: Now,
+    ) -> Option<Rejection> {
+        let TaskRequirements { task, spec, terms, ran } = *requirements;
+        let rejection = step_rejection(minion, &terms.service, spec, now);
+        if rejection.is_some() {
+            return rejection;
+        }
+        if !spread_allows(task, spec, minion) {
+            return Some(Rejection::Spread);
+        }
+        if terms.needs_approval && self.approvals.ticket(task, &minion.info.id, now).is_none() {
+            return Some(Rejection::NoApproval);
+        }
+        let is_reserved = !ran && !leaves_short_task_reserve(minion, spec);
+        is_reserved.then_some(Rejection::ReservedForShort)
+    }
+}
+
+/// Returns why a minion cannot take any task of a step, or `None` if it can.
+///
+/// Reasons that never change come first, so that a minion of another service is counted as such,
+/// whatever else applies.
+#[inline]
+pub(super) fn step_rejection(
+    minion: &Minion,
+    service: &Name,
+    spec: &StepSpec,
+    now: Now,
+) -> Option<Rejection> {
+    if !minion.reported {
+        return Some(if minion.linked { Rejection::NotReported } else { Rejection::NotLinked });
+    }
+    if minion.info.service != *service {
+        return Some(Rejection::OtherService);
+    }
+    if !spec.required_label.is_empty() && !minion.has_label(&spec.required_label) {
+        return Some(Rejection::Label);
+    }
+    minion_rejection(minion, now).or_else(|| capacity_rejection(minion, spec))
+}
+
+/// Returns why a minion cannot take any new run, or `None` if it can.
+#[inline]
+fn minion_rejection(minion: &Minion, now: Now) -> Option<Rejection> {
+    if !minion.linked {
+        return Some(Rejection::NotLinked);
+    }
+    if !minion.polled {
+        return Some(Rejection::NotPolled);
+    }
+    if !minion.responsive {
+        return Some(Rejection::NotResponding);
+    }
+    if now.steady_ms < minion.quarantined_until_ms {
+        return Some(Rejection::Quarantined);
+    }
+    minion.info.draining.then_some(Rejection::Draining)
+}
+
+/// Returns why a minion has no capacity for a task of a step, or `None` if it has.
+#[inline]
+fn capacity_rejection(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
+    if spec.best_effort && minion.over_bound_ms > 0 {
+        return Some(Rejection::OverBound);
+    }
+    let fits = reserved(spec).fits(available_for(minion, spec));
+    (!fits).then_some(Rejection::NoCapacity)
+}
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -5,73 +5,73 @@
 use super::commits::Deferred;
 use crate::{JobRecord, JobState, TaskId};
 
-/// A job with what need not outlive the process.
+/// A job's record, and state that is not persisted.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) record: JobRecord,
-    /// Counts the changes of the record.
+    /// Incremented with each change of the record.
     pub(super) version: u64,
-    /// Version of the record that the store is known to hold.
-    pub(super) durable: u64,
-    /// Whether a write of this record is under way.
-    pub(super) writing: bool,
-    /// State that callers are told: the last committed one.
-    pub(super) shown: JobState,
-    /// Whether some task has started.
-    pub(super) begun: bool,
-    /// What waits until the present version is committed.
+    /// Latest version of the record that the store is known to hold; 0 for none.
+    pub(super) durable_version: u64,
+    /// Whether a write of this record is in flight.
+    pub(super) write_in_flight: bool,
+    /// The last committed state.
+    pub(super) committed_state: JobState,
+    /// Whether any task has started.
+    pub(super) started: bool,
+    /// Actions to run once the current version is committed.
     pub(super) after_commit: Vec<Deferred>,
-    /// What is known of tasks beside the record.
-    pub(super) hints: HashMap<TaskId, Hint>,
-    /// Since when nothing of it has been at work, on the steady clock.
-    pub(super) idle_ms: Option<u64>,
-    /// Estimated length of the longest chain in milliseconds.
-    pub(super) chain_ms: u64,
+    /// Per-task state for the next placement.
+    pub(super) hints: HashMap<TaskId, PlacementHint>,
+    /// Since when the job has had no runs, on the steady clock.
+    pub(super) idle_since_ms: Option<u64>,
+    /// Estimated duration of the longest chain of steps, in milliseconds.
+    pub(super) critical_path_ms: u64,
 }
 
-/// What helps to place a task again.
+/// What the next placement of a task takes into account.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Hint {
-    /// Last checkpoint; empty for none.
-    pub(super) saved: Name,
-    /// Not placed before this time on the steady clock.
+pub(super) struct PlacementHint {
+    /// The last checkpoint; empty for none.
+    pub(super) checkpoint: Name,
+    /// Earliest time of the next placement, on the steady clock.
     pub(super) not_before_ms: u64,
-    /// The minion of its last run that went wrong.
-    pub(super) avoid: Option<Name>,
+    /// The minion on which the last run failed or was refused; it is chosen last.
+    pub(super) avoided_minion: Option<Name>,
 }
 
 impl Job {
     pub(super) fn new(record: JobRecord) -> Self {
-        let chain_ms = record.spec.chain_ms();
+        let critical_path_ms = record.spec.critical_path_ms();
         Self {
-            shown: record.state,
+            committed_state: record.state,
             record,
             version: 1,
-            durable: 0,
-            writing: false,
-            begun: false,
+            durable_version: 0,
+            write_in_flight: false,
+            started: false,
             after_commit: Vec::new(),
             hints: HashMap::new(),
-            idle_ms: None,
-            chain_ms,
+            idle_since_ms: None,
+            critical_path_ms,
         }
     }
 
-    /// Returns a job whose record came from the store.
-    pub(super) fn loaded(record: JobRecord) -> Self {
-        let ran = record.occurrences.iter().flat_map(|o| o.steps.iter().flatten());
-        let begun = ran.into_iter().any(|task| task.run > 0);
-        Self { durable: 1, begun, ..Self::new(record) }
+    /// Returns a job whose record was read from the store.
+    pub(super) fn from_store(record: JobRecord) -> Self {
+        let tasks = record.occurrences.iter().flat_map(|o| o.steps.iter().flatten());
+        let started = tasks.into_iter().any(|task| task.run > 0);
+        Self { durable_version: 1, started, ..Self::new(record) }
     }
 
     pub(super) fn is_durable(&self) -> bool {
-        self.durable > 0
+        self.durable_version > 0
     }
 
-    /// Returns the state to tell callers.
-    pub(super) fn state(&self) -> JobState {
-        match self.shown {
-            JobState::Queued if self.begun => JobState::Running,
+    /// Returns the state to report to callers.
+    pub(super) fn reported_state(&self) -> JobState {
+        match self.committed_state {
+            JobState::Queued if self.started => JobState::Running,
             state => state,
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -1,120 +1,122 @@
-//! The coordinator: every job, every minion's view, and all decisions on them.
+//! The coordinator: holds all jobs and the state of all minions, and decides which task runs where.
 
 mod agents;
 mod approvals;
-mod asking;
-mod bar;
-mod barring;
+mod best_effort_placement;
+mod best_effort_tasks;
+mod caller_requests;
 mod commits;
 mod departures;
+mod draining;
 mod effect;
-mod ends;
-mod filling;
+mod eligibility;
 mod gauges;
-mod inherited;
+mod headroom;
 mod job;
 mod lease_basis;
 mod leases;
-mod leaving;
 mod longest_wait;
-mod looks;
 mod minion;
+mod minion_lifecycle;
 mod order_results;
-mod ordering;
+mod orders;
 mod pacing;
-mod patience;
-mod placing;
-mod presence;
-mod rooms;
+mod placement;
+mod poll_results;
+mod predecessor_leases;
+mod rejection;
 mod run;
-mod serving;
+mod run_ends;
+mod serving_tasks;
 mod timers;
 mod unreachable;
-mod waiting;
-mod waits;
+mod wait_monitor;
+mod wait_state;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use geraniumpost_schema::Name;
 
-use crate::interference::Interference;
+use crate::interference::InterferenceModel;
 use crate::{FromAgent, JobId, JobRecord, Now, TaskId};
 
 pub use effect::{Effect, WriteBatch};
-pub use leases::surely_lapsed_ms;
+pub use leases::lease_expiry_bound_ms;
 pub use longest_wait::LongestWait;
 
 use agents::Agent;
 use approvals::Approvals;
-use commits::Batch;
+use commits::PendingBatch;
 use departures::Departure;
-use inherited::Inherited;
 use job::Job;
-use lease_basis::Supported;
+use lease_basis::EntrySupport;
 use minion::Minion;
+use predecessor_leases::PredecessorExpiry;
 use run::Run;
-use waits::Waits;
+use wait_state::WaitState;
 
-/// Decides which task runs where, for one service or many, while its fencing token is the highest.
+/// Decides which task runs where, for one service or several, while its fencing token is the
+/// highest.
 ///
-/// Two processes may both believe that they coordinate. Correctness rests on the store, which
-/// writes a batch only for the holder of the coordinator's key, and on minions, which obey only the
-/// highest token; never on when a lease ends. See docs/design/0601-jobs-on-a-shared-store.md.
+/// Two processes may both believe that they are the coordinator. Correctness does not depend on
+/// when a lease ends, but on the store, which writes a batch only for the holder of the
+/// coordinator's key, and on minions, which obey only the highest token. See
+/// docs/design/0601-jobs-on-a-shared-store.md.
 #[derive(Debug)]
 pub struct Coordinator {
     fence: u64,
-    hold_ms: u64,
-    most_open_jobs: usize,
+    lease_ms: u64,
+    max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that may have waiting tasks.
-    open: BTreeSet<JobId>,
+    /// Jobs in no final state, which may have waiting tasks.
+    open_jobs: BTreeSet<JobId>,
     /// Jobs whose record differs from the store's.
     dirty: BTreeSet<JobId>,
-    /// Finished jobs to be removed from the store.
-    expired: Vec<JobId>,
+    /// Finished jobs whose records are to be removed from the store.
+    expired_jobs: Vec<JobId>,
     runs: BTreeMap<TaskId, Run>,
     minions: BTreeMap<Name, Minion>,
     agents: HashMap<Name, Agent>,
-    /// Minions that are certainly gone, until the records say so.
+    /// Terminated minions whose end the records do not hold yet.
     departures: BTreeMap<Name, Departure>,
-    batches: HashMap<u64, Batch>,
+    batches: HashMap<u64, PendingBatch>,
     next_batch: u64,
-    /// When the store last confirmed this coordinator, on the steady clock.
+    /// When the store's last confirmation of this coordinator was received, on the steady clock.
     confirmed_ms: u64,
-    /// When it was asked for that.
-    asked_ms: u64,
-    /// The support of other entries.
-    supported: Supported,
-    inherited: Inherited,
-    /// Agents that are not reached though something may run beside them, and when their leases have
-    /// surely lapsed.
-    unreached: BTreeMap<Name, u64>,
-    inheritance_changed: bool,
+    /// When the last request that the store confirmed was sent, on the steady clock.
+    confirmation_requested_ms: u64,
+    support: EntrySupport,
+    predecessor_expiry: PredecessorExpiry,
+    /// Agents that are not reached although their minions may have runs, and when their leases have
+    /// certainly expired, on the steady clock.
+    unreached_agents: BTreeMap<Name, u64>,
+    leases_for_successor_changed: bool,
     approvals: Approvals,
-    /// How much images that fill slow images that serve.
-    interference: Interference,
-    /// Whether something changed that may let a task be placed.
-    placing_due: bool,
-    /// When a successor was last told what was learnt of images.
-    told_ms: u64,
-    /// By service and image, what found no place in the present round of placements.
+    /// How much best-effort images slow serving images.
+    interference: InterferenceModel,
+    /// Whether a change may allow a waiting task to be placed.
+    placement_due: bool,
+    /// When learned interference was last handed to a write, on the steady clock.
+    interference_written_ms: u64,
+    /// Demand of a best-effort step that no minion accepted in the current placement round, by
+    /// service and image.
     unplaceable: BTreeMap<(Name, Name), crate::Demand>,
-    /// What waits, as far as lines and gauges tell it; no decision rests on it.
-    waits: Waits,
+    /// Waiting tasks, for log lines and metrics only; no decision depends on it.
+    wait_state: WaitState,
     effects: Vec<Effect>,
 }
 
 impl Coordinator {
-    /// Returns a coordinator without jobs, whose orders carry the token `fence`.
+    /// Returns a coordinator without jobs whose orders carry the fencing token `fence`.
     pub fn new(fence: u64, now: Now) -> Self {
         Self {
             fence,
-            hold_ms: 0,
-            most_open_jobs: crate::tuning::MOST_OPEN_JOBS,
+            lease_ms: 0,
+            max_open_jobs: crate::tuning::MAX_OPEN_JOBS,
             jobs: BTreeMap::new(),
-            open: BTreeSet::new(),
+            open_jobs: BTreeSet::new(),
             dirty: BTreeSet::new(),
-            expired: Vec::new(),
+            expired_jobs: Vec::new(),
             runs: BTreeMap::new(),
             minions: BTreeMap::new(),
             agents: HashMap::new(),
@@ -122,42 +124,42 @@
             batches: HashMap::new(),
             next_batch: 1,
             confirmed_ms: now.steady_ms,
-            asked_ms: now.steady_ms,
-            supported: Supported::default(),
-            inherited: Inherited::default(),
-            unreached: BTreeMap::new(),
-            inheritance_changed: false,
+            confirmation_requested_ms: now.steady_ms,
+            support: EntrySupport::default(),
+            predecessor_expiry: PredecessorExpiry::default(),
+            unreached_agents: BTreeMap::new(),
+            leases_for_successor_changed: false,
             approvals: Approvals::default(),
-            interference: Interference::default(),
-            placing_due: false,
-            told_ms: now.steady_ms,
+            interference: InterferenceModel::default(),
+            placement_due: false,
+            interference_written_ms: now.steady_ms,
             unplaceable: BTreeMap::new(),
-            waits: Waits::new(now.steady_ms),
+            wait_state: WaitState::new(now.steady_ms),
             effects: Vec::new(),
         }
     }
 
-    /// Sets how long a lease lets minions hold their tasks, in milliseconds.
+    /// Sets the duration of a lease on tasks, in milliseconds.
     #[must_use]
-    pub const fn hold_ms(mut self, hold_ms: u64) -> Self {
-        self.hold_ms = hold_ms;
+    pub const fn lease_ms(mut self, lease_ms: u64) -> Self {
+        self.lease_ms = lease_ms;
         self
     }
 
     /// Sets how many jobs may be open before new ones are refused.
     #[must_use]
-    pub const fn most_open_jobs(mut self, jobs: usize) -> Self {
-        self.most_open_jobs = jobs;
+    pub const fn max_open_jobs(mut self, jobs: usize) -> Self {
+        self.max_open_jobs = jobs;
         self
     }
 
-    /// Takes over the records that the store holds.
+    /// Loads the records that the store holds.
     #[must_use]
     pub fn with_records(mut self, records: Vec<(JobId, JobRecord)>, now: Now) -> Self {
         for (id, record) in records {
-            self.adopt(id, record, now);
+            self.load_job(id, record, now);
         }
-        self.placing_due = true;
+        self.placement_due = true;
         self
     }
 
@@ -166,65 +168,65 @@
         self.fence
     }
 
-    /// Returns how many jobs are known, and how many runs may exist.
-    pub fn sizes(&self) -> (usize, usize) {
+    /// Returns the number of known jobs and the number of runs that may exist.
+    pub fn job_and_run_counts(&self) -> (usize, usize) {
         (self.jobs.len(), self.runs.len())
     }
 
-    /// Takes a message from an agent.
-    pub fn from_agent(&mut self, agent: &Name, message: FromAgent, now: Now) {
+    /// Handles a message from an agent.
+    pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
-            FromAgent::Hello { .. } => self.agent_linked(agent, now),
-            FromAgent::Beat { sent_at_ms, minion_ok } => {
+            FromAgent::Hello { .. } => self.agent_connected(agent, now),
+            FromAgent::Heartbeat { sent_at_ms, minion_ok } => {
                 self.extend_lease(agent, sent_at_ms, minion_ok, now);
             }
-            FromAgent::Minion(info) => self.minion_reported(agent, info, now),
-            FromAgent::MinionGone { minion } => self.minion_departed(agent, &minion, now),
-            FromAgent::Look(look) => self.look(agent, look, now),
-            FromAgent::Result(result) => self.order_result(result, now),
+            FromAgent::Minion(info) => self.update_minion(agent, info, now),
+            FromAgent::MinionTerminated { minion } => self.minion_terminated(agent, &minion, now),
+            FromAgent::PollResult(poll) => self.handle_poll_result(agent, poll, now),
+            FromAgent::Result(result) => self.handle_order_result(result, now),
         }
     }
 
-    /// Returns what is to be done now: decides placements that became possible, and gathers records
-    /// to write.
+    /// Places waiting tasks if a place may have become available, gathers records to write, and
+    /// returns everything that the driver has to do.
     pub fn take_effects(&mut self, now: Now) -> Vec<Effect> {
-        if self.placing_due {
+        if self.placement_due {
             self.place_waiting(now);
         }
         self.gather_writes(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets when the store was asked for the term, on the steady clock.
+    /// Sets when the term was requested from the store, on the steady clock.
     #[must_use]
-    pub const fn term_asked_for(mut self, steady_ms: u64) -> Self {
-        self.asked_ms = steady_ms;
+    pub const fn term_requested_at(mut self, steady_ms: u64) -> Self {
+        self.confirmation_requested_ms = steady_ms;
         self
     }
 
-    /// Takes note that the store confirmed this coordinator: when it was asked, and when its answer was
-    /// read, on the steady clock.
+    /// Records that the store confirmed this coordinator: when the confirmation was requested and
+    /// when its response was read, on the steady clock.
     ///
-    /// The answer holds for the time of asking only. It may be on its way for seconds, in which another
-    /// entry takes over; that one waits for as long as leases are extended without the store, counted from
-    /// its takeover.
-    pub fn store_confirmed(&mut self, asked_ms: u64, steady_ms: u64) {
-        self.asked_ms = self.asked_ms.max(asked_ms);
+    /// The confirmation holds for the time of the request only. The response may take seconds to
+    /// arrive, and another entry may take over meanwhile; that successor then waits for as long as
+    /// leases are extended without the store, counted from its takeover.
+    pub fn store_confirmed(&mut self, requested_ms: u64, steady_ms: u64) {
+        self.confirmation_requested_ms = self.confirmation_requested_ms.max(requested_ms);
         self.confirmed_ms = self.confirmed_ms.max(steady_ms);
     }
 
-    fn note(&mut self, line: String) {
-        self.effects.push(Effect::Note(line));
+    fn log(&mut self, line: String) {
+        self.effects.push(Effect::Log(line));
     }
 
-    /// Puts a job from the store in place, with the runs that may exist.
-    fn adopt(&mut self, id: JobId, record: JobRecord, now: Now) {
+    /// Inserts a job from the store with the runs that may exist.
+    fn load_job(&mut self, id: JobId, record: JobRecord, now: Now) {
         let placed: Vec<_> =
             record.occurrences.iter().flat_map(|occurrence| placed_tasks(id, occurrence)).collect();
         let is_final = record.state.is_final();
-        self.jobs.insert(id, Job::loaded(record));
+        self.jobs.insert(id, Job::from_store(record));
         if !is_final {
-            self.open.insert(id);
+            self.open_jobs.insert(id);
         }
         for (task, number, place) in placed {
             let order = if is_final {
@@ -234,15 +236,16 @@
             };
             let spec = self.step_spec(task).cloned().unwrap_or_default();
             let mut run = Run::new(place, number, order, &spec, now.steady_ms);
-            // The predecessor's order may have left, and may be carried out later than ours.
-            run.unanswered = true;
-            run.pace_known = false;
+            // An order of the predecessor may still be in flight and carried out after this
+            // coordinator's.
+            run.start_unresolved = true;
+            run.pace_confirmed = false;
             self.insert_run(task, run);
         }
     }
 }
 
-/// Lists the tasks of an occurrence whose last run may exist.
+/// Lists the tasks of an occurrence whose last run may exist, with the run's number and place.
 fn placed_tasks(job: JobId, occurrence: &crate::Occurrence) -> Vec<(TaskId, u32, crate::Place)> {
     let mut placed = Vec::new();
     for (step, tasks) in occurrence.steps.iter().enumerate() {
--- a/crates/geraniumpost-batch/src/coordinator/ordering.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -6,42 +6,44 @@
 use super::{Coordinator, Effect};
 use crate::{Now, Order, OrderKind, TaskId, ToAgent};
 
-/// Share of its speed below which a task counts as slowed down, in percent: it would take longer here than
-/// a move and the work elsewhere.
-const SLOW_PERCENT: u8 = 50;
+/// Pace below which a task counts as throttled, in percent: it would take longer here than a move
+/// and the work elsewhere.
+const THROTTLED_BELOW_PERCENT: u8 = 50;
 
 impl Coordinator {
-    /// Gives the start order of a placement that is committed now.
+    /// Sends the start order of a placement that has just been committed.
     pub(super) fn start_committed(&mut self, task: TaskId, number: u32, now: Now) {
-        let due = self
+        let is_due = self
             .runs
             .get(&task)
             .is_some_and(|run| run.number == number && run.order == OrderState::Committing);
-        if due {
+        if is_due {
             self.send_start(task, now);
         }
     }
 
-    /// Gives a start order, again if need be: a minion begins a run at most once.
+    /// Sends a start order. It may be sent repeatedly, as a minion starts a run at most once.
     pub(super) fn send_start(&mut self, task: TaskId, now: Now) {
         let Some(job) = self.jobs.get(&task.job) else { return };
-        let place = self.runs.get(&task).map(|run| run.place.minion.clone()).unwrap_or_default();
-        let ticket = self.approvals.ticket(task, &place, now).cloned().unwrap_or_default();
+        let minion = self.runs.get(&task).map(|run| run.place.minion.clone()).unwrap_or_default();
+        let ticket = self.approvals.ticket(task, &minion, now).cloned().unwrap_or_default();
         let kind = OrderKind::Start {
             payload: job.record.spec.payload.clone(),
-            saved: job.hints.get(&task).map_or_else(Name::default, |hint| hint.saved.clone()),
+            checkpoint: job
+                .hints
+                .get(&task)
+                .map_or_else(Name::default, |hint| hint.checkpoint.clone()),
             ticket,
         };
         let sent = self.send(task, kind);
         let Some(run) = self.runs.get_mut(&task) else { return };
         if sent {
-            run.start_left(now.steady_ms);
+            run.record_start_sent(now.steady_ms);
         } else {
             run.order = OrderState::Unknown { since_ms: now.steady_ms };
         }
     }
 
-    /// Gives a stop order.
     pub(super) fn send_stop(&mut self, task: TaskId, now: Now) {
         self.send(task, OrderKind::Stop);
         if let Some(run) = self.runs.get_mut(&task) {
@@ -49,27 +51,27 @@
         }
     }
 
-    /// Tells a run at which share to work.
+    /// Sends the pace at which a run may work.
     pub(super) fn send_pace(&mut self, task: TaskId, percent: u8, now: Now) {
         let sent = self.send(task, OrderKind::Pace { percent });
         if let Some(run) = self.runs.get_mut(&task) {
-            run.pace = percent;
-            run.pace_known = sent;
-            run.throttled_ms =
-                (percent < SLOW_PERCENT).then(|| run.throttled_ms.unwrap_or(now.steady_ms));
+            run.pace_percent = percent;
+            run.pace_confirmed = sent;
+            run.throttled_since_ms = (percent < THROTTLED_BELOW_PERCENT)
+                .then(|| run.throttled_since_ms.unwrap_or(now.steady_ms));
         }
     }
 
-    /// Stops a run that this coordinator does not know.
-    pub(super) fn stop_stranger(&mut self, minion: &Name, task: TaskId, run: u32) {
-        let Some(view) = self.minions.get(minion) else { return };
-        let agent = view.agent.clone();
+    /// Stops a run that this coordinator does not expect on a minion.
+    pub(super) fn stop_unknown_run(&mut self, minion: &Name, task: TaskId, run: u32) {
+        let Some(state) = self.minions.get(minion) else { return };
+        let agent = state.agent.clone();
         let order = Order { minion: minion.clone(), task, run, kind: OrderKind::Stop };
-        self.note(format!("decision=stop_stranger task={task} run={run} minion={minion}"));
-        self.effects.push(Effect::Tell { agent, message: ToAgent::Order(order) });
+        self.log(format!("decision=stop_unknown_run task={task} run={run} minion={minion}"));
+        self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
     }
 
-    /// Sends an order for a run; false if the minion's agent is not linked.
+    /// Sends an order for a run. Returns false if the minion's agent is not linked.
     fn send(&mut self, task: TaskId, kind: OrderKind) -> bool {
         let Some(run) = self.runs.get(&task) else { return false };
         let Some(minion) = self.minions.get(&run.place.minion) else { return false };
@@ -78,7 +80,7 @@
         }
         let order = Order { minion: run.place.minion.clone(), task, run: run.number, kind };
         let agent = minion.agent.clone();
-        self.effects.push(Effect::Tell { agent, message: ToAgent::Order(order) });
+        self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
         true
     }
 }
--- /dev/null
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -0,0 +1,387 @@
+//! The order in which tasks are placed, and the choice of minions.
+
+use geraniumpost_schema::Name;
+
+use super::Coordinator;
+use super::commits::Deferred;
+use super::eligibility::step_rejection;
+use super::headroom::BestEffortSpeed;
+use super::job::Job;
+use super::minion::Minion;
+use super::run::{OrderState, Run, reserved};
+use crate::tuning::{BEST_EFFORT_MEMORY_PERCENT, PERSISTENT_CPU_PERCENT};
+use crate::{Demand, JobId, JobRecord, Now, Place, StepSpec, TaskId, TaskPhase, TaskRecord};
+
+/// Minimum speed assumed for any place, as a fraction of full speed, so that places remain
+/// comparable.
+const MIN_SPEED: f64 = 0.01;
+/// Weight of the headroom share that a best-effort task uses, relative to its speed.
+const HEADROOM_WEIGHT: f64 = 0.3;
+/// Costs are compared in millionths of a task's speed.
+const MILLION: f64 = 1e6;
+/// Thousandths in one.
+const MILLI: i64 = 1_000;
+
+/// Order in which jobs are placed; compared field by field, smaller first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    /// 0 for a job within its objective, 1 for a late job that still has value, 2 for any other.
+    lateness: u8,
+    /// The queue's priority; 0 is the most urgent.
+    priority: u32,
+    /// Whether the job never ends, and so never releases resources for the next one.
+    persistent: bool,
+    /// Remaining work, in processor milliseconds. Under overload, placing the job with the least
+    /// work first completes the most jobs in time; ordered by the end of their objectives, all jobs
+    /// would be late together.
+    remaining_work: u64,
+    /// When the objective ends, in milliseconds since 1970.
+    objective_ends_ms: u64,
+}
+
+/// How well a minion suits a task; compared field by field, smaller is better.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Fit {
+    /// Whether the task's last run failed or was refused there.
+    avoided: bool,
+    /// Whether the minion is not on the preferred rack.
+    off_rack: bool,
+    /// Cost of the minion's load; for best-effort tasks the negative speed in millionths.
+    cost: i64,
+}
+
+impl Coordinator {
+    /// Places all waiting tasks for which there is a minion, in the order of their jobs' ranks.
+    pub(super) fn place_waiting(&mut self, now: Now) {
+        self.placement_due = false;
+        let mut order: Vec<(Rank, JobId)> = self
+            .open_jobs
+            .iter()
+            .filter_map(|id| Some((rank(self.jobs.get(id)?, now), *id)))
+            .collect();
+        order.sort_unstable();
+        self.unplaceable.clear();
+        for (_, id) in order {
+            self.place_job(id, now);
+        }
+    }
+
+    fn place_job(&mut self, id: JobId, now: Now) {
+        let idle = self.runs_of_job(id).is_empty();
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.idle_since_ms = idle.then(|| job.idle_since_ms.unwrap_or(now.steady_ms));
+        let ready = ready_steps(&job.record);
+        let mut placed = 0;
+        for (occurrence, step) in ready {
+            placed += self.place_step(id, occurrence, step, now);
+        }
+        if placed > 0 {
+            self.mark_dirty(id);
+        }
+    }
+
+    /// Places the waiting tasks of one step, and returns how many.
+    fn place_step(&mut self, id: JobId, occurrence: u32, step: u16, now: Now) -> u32 {
+        let first = TaskId { job: id, occurrence, step, index: 0 };
+        let Some(spec) = self.step_spec(first).cloned() else { return 0 };
+        let waiting = self.waiting_tasks(first, &spec, now);
+        if waiting.is_empty() || (spec.gang && waiting.len() < spec.count as usize) {
+            return 0;
+        }
+        let rack = self.preferred_rack(first, &spec, waiting.len(), now);
+        let gang_run = spec.gang.then(|| self.next_gang_run(first, &spec));
+        let mut placed = Vec::new();
+        let wanted = waiting.len();
+        for task in waiting {
+            let idle = self.job_is_idle(task, now);
+            if !idle && self.is_unplaceable(id, &spec) {
+                break;
+            }
+            let Some(minion) = self.choose_minion(task, &spec, rack.as_ref(), now) else {
+                // Tasks of a step have the same requirements, so that no minion accepts the others
+                // either.
+                self.record_unplaceable(id, &spec);
+                break;
+            };
+            self.assign(task, &minion, gang_run, now);
+            placed.push(task);
+        }
+        let needs_approval = self.jobs.get(&id).is_some_and(|job| job.record.terms.needs_approval);
+        if needs_approval && placed.len() < wanted {
+            self.request_approval(first, &spec, now);
+        }
+        if spec.gang && placed.len() < spec.count as usize {
+            self.roll_back(&placed);
+            return 0;
+        }
+        if let Some(task) = placed.first() {
+            let count = placed.len();
+            let minion =
+                self.runs.get(task).map(|run| run.place.minion.clone()).unwrap_or_default();
+            self.log(format!(
+                "decision=place job={id} step={occurrence}.{step} tasks={count} first_on={minion}"
+            ));
+        }
+        placed.len() as u32
+    }
+
+    /// Reverts placements of this round, as the rest of their gang was not placed.
+    fn roll_back(&mut self, placed: &[TaskId]) {
+        for task in placed {
+            self.remove_run(*task);
+            self.update_tasks(*task, false, |record| {
+                record.run -= 1;
+                record.phase = TaskPhase::Waiting;
+            });
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                let is_start =
+                    |action: &Deferred| matches!(action, Deferred::Start(t, _) if t == task);
+                job.after_commit.retain(|action| !is_start(action));
+            }
+        }
+    }
+
+    fn waiting_tasks(&self, first: TaskId, spec: &StepSpec, now: Now) -> Vec<TaskId> {
+        let Some(job) = self.jobs.get(&first.job) else { return Vec::new() };
+        let is_ready = |task: &TaskId| {
+            job.hints.get(task).is_none_or(|hint| hint.not_before_ms <= now.steady_ms)
+        };
+        let waits = |task: &TaskId| {
+            !self.runs.contains_key(task)
+                && self.task_record(*task).is_some_and(|r| r.phase == TaskPhase::Waiting)
+        };
+        (0..spec.count)
+            .map(|index| TaskId { index, ..first })
+            .filter(|task| is_ready(task) && waits(task))
+            .collect()
+    }
+
+    fn next_gang_run(&self, first: TaskId, spec: &StepSpec) -> u32 {
+        let runs = (0..spec.count).map(|index| TaskId { index, ..first });
+        let runs = runs.filter_map(|task| self.task_record(task)).map(|record| record.run);
+        runs.max().unwrap_or(0) + 1
+    }
+
+    /// Assigns a task to a minion. The start order is sent once the assignment is committed.
+    fn assign(&mut self, task: TaskId, minion: &Name, run: Option<u32>, now: Now) {
+        let Some(agent) = self.minions.get(minion).map(|m| m.agent.clone()) else { return };
+        let place = Place { minion: minion.clone(), agent };
+        let mut number = 0;
+        self.update_tasks(task, false, |record| {
+            record.run = run.unwrap_or(record.run + 1);
+            record.phase = TaskPhase::Placed(place.clone());
+            number = record.run;
+        });
+        let spec = self.step_spec(task).cloned().unwrap_or_default();
+        let run = Run::new(place, number, OrderState::Committing, &spec, now.steady_ms);
+        self.insert_run(task, run);
+        if let Some(job) = self.jobs.get_mut(&task.job) {
+            job.after_commit.push(Deferred::Start(task, number));
+        }
+    }
+
+    /// Returns whether any minion accepts a new run of a task now.
+    pub(super) fn has_eligible_minion(&self, task: TaskId, now: Now) -> bool {
+        let Some(spec) = self.step_spec(task) else { return false };
+        self.choose_minion(task, spec, None, now).is_some()
+    }
+
+    /// Chooses the minion for a task.
+    pub(super) fn choose_minion(
+        &self,
+        task: TaskId,
+        spec: &StepSpec,
+        rack: Option<&Name>,
+        now: Now,
+    ) -> Option<Name> {
+        let job = self.jobs.get(&task.job)?;
+        let requirements = self.requirements(task, spec)?;
+        let avoided_minion = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
+        let is_eligible = |minion: &&Minion| self.rejection(&requirements, minion, now).is_none();
+        let fit = |minion: &&Minion| -> Fit {
+            let off_rack = rack.is_some_and(|rack| !minion.has_label(rack));
+            let avoided = avoided_minion == Some(&minion.info.id);
+            Fit { avoided, off_rack, cost: self.placement_cost(minion, spec) }
+        };
+        let is_fast_enough = |minion: &&Minion| {
+            !spec.best_effort
+                || self.accepts_speed(task, spec, self.best_effort_speed(minion, spec), now)
+        };
+        let best =
+            self.minions.values().filter(is_eligible).filter(is_fast_enough).min_by_key(fit)?;
+        Some(best.info.id.clone())
+    }
+
+    /// Returns the cost of placing a task on a minion that accepts it; smaller is better.
+    ///
+    /// A best-effort task goes where it works fastest without slowing serving tasks, preferably
+    /// where it uses little of their headroom, as other images may have no other place. A serving
+    /// task goes where it leaves the most headroom for best-effort tasks, and any other task where
+    /// the most processors are free.
+    fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
+        /// Weight of one level of [`mixing_cost`], in thousandths of a processor.
+        const MIXING_WEIGHT: i64 = 1_000_000;
+        let free_cpus = minion.free().milli_cpus;
+        if spec.best_effort {
+            let BestEffortSpeed { cpu_speed, tolerated_speed, headroom_share } =
+                self.best_effort_speed(minion, spec);
+            // Among minions at full speed, the one with the most unused processors keeps it
+            // longest.
+            let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_cpus;
+            let cost =
+                HEADROOM_WEIGHT * headroom_share - cpu_speed * tolerated_speed.max(MIN_SPEED);
+            return (cost * MILLION) as i64 - unused_milli_cpus / MILLI;
+        }
+        if spec.serves() {
+            return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_cpus;
+        }
+        -free_cpus + minion.best_effort_cpus
+    }
+
+    /// Returns the rack on which a step's tasks should run: the one that holds its data, the one of
+    /// its other tasks, or the one with capacity for most of them.
+    pub(super) fn preferred_rack(
+        &self,
+        first: TaskId,
+        spec: &StepSpec,
+        tasks: usize,
+        now: Now,
+    ) -> Option<Name> {
+        if !spec.data_rack.is_empty() {
+            return Some(spec.data_rack.clone());
+        }
+        if !spec.same_rack {
+            return None;
+        }
+        let mut others = (0..spec.count).map(|index| TaskId { index, ..first });
+        let placed = others.find_map(|task| self.runs.get(&task));
+        if let Some(minion) = placed.and_then(|run| self.minions.get(&run.place.minion)) {
+            return minion.info.labels.last().cloned();
+        }
+        let service = &self.jobs.get(&first.job)?.record.terms.service;
+        let mut racks: std::collections::BTreeMap<&Name, usize> = std::collections::BTreeMap::new();
+        for minion in self.minions.values().filter(|m| is_eligible(m, service, spec, now)) {
+            if let Some(rack) = minion.info.labels.last() {
+                *racks.entry(rack).or_default() += task_capacity(minion, spec);
+            }
+        }
+        let best = racks.into_iter().max_by_key(|(_, capacity)| (*capacity).min(tasks))?;
+        Some(best.0.clone())
+    }
+}
+
+/// Lists the steps with waiting tasks whose predecessors are done, as occurrence and step.
+pub(super) fn ready_steps(record: &JobRecord) -> Vec<(u32, u16)> {
+    let mut ready = Vec::new();
+    for occurrence in &record.occurrences {
+        for (number, step) in record.spec.steps.iter().enumerate() {
+            let waiting =
+                occurrence.steps[number].iter().any(|task| task.phase == TaskPhase::Waiting);
+            let is_ready =
+                waiting && step.after.iter().all(|&s| occurrence.step_done(usize::from(s)));
+            if is_ready {
+                ready.push((occurrence.number, number as u16));
+            }
+        }
+    }
+    ready
+}
+
+#[inline]
+pub(super) fn spread_allows(task: TaskId, spec: &StepSpec, minion: &Minion) -> bool {
+    if spec.max_per_minion == 0 {
+        return true;
+    }
+    let first = TaskId { index: 0, ..task };
+    let last = TaskId { index: u32::MAX, ..task };
+    (minion.runs.range(first..=last).count() as u32) < spec.max_per_minion
+}
+
+/// Returns whether a minion can take a task of a step.
+pub(super) fn is_eligible(minion: &Minion, service: &Name, spec: &StepSpec, now: Now) -> bool {
+    step_rejection(minion, service, spec, now).is_none()
+}
+
+/// Returns whether a persistent task leaves a reserve of processors for short tasks; true for all
+/// other tasks.
+///
+/// The reserve does not apply to a task that ran before: its users wait for it.
+#[inline]
+pub(super) fn leaves_short_task_reserve(minion: &Minion, spec: &StepSpec) -> bool {
+    let reserve = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
+    !spec.persistent
+        || spec.best_effort
+        || spec.demand.milli_cpus + reserve <= minion.free().milli_cpus
+}
+
+/// Returns the resources available for a task of a step.
+#[inline]
+pub(super) fn available_for(minion: &Minion, spec: &StepSpec) -> Demand {
+    let mut free = minion.free();
+    if spec.best_effort {
+        let reserve = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
+        free.memory_mb -= reserve;
+    }
+    free
+}
+
+/// Returns how many tasks of a step a minion can take.
+fn task_capacity(minion: &Minion, spec: &StepSpec) -> usize {
+    let (free, need) = (available_for(minion, spec), reserved(spec));
+    let count_by = |free: i64, need: i64| if need > 0 { free.max(0) / need } else { i64::MAX };
+    count_by(free.milli_cpus, need.milli_cpus)
+        .min(count_by(free.memory_mb, need.memory_mb))
+        .min(count_by(free.accelerators, need.accelerators))
+        .min(i64::from(spec.count)) as usize
+}
+
+fn rank(job: &Job, now: Now) -> Rank {
+    let terms = &job.record.terms;
+    let objective_ms = terms.objective_ms(job.critical_path_ms);
+    let due_ms = job.record.occurrences.first().map_or(job.record.accepted_ms, |o| o.due_ms);
+    let age_ms = now.wall_ms.saturating_sub(due_ms);
+    // A late job still has value up to three times its objective, and none after that.
+    let lateness = if job.record.spec.persistent() || age_ms <= objective_ms {
+        0
+    } else if age_ms <= 3 * objective_ms {
+        1
+    } else {
+        2
+    };
+    let persistent = job.record.spec.persistent();
+    Rank {
+        lateness,
+        priority: terms.priority,
+        persistent,
+        remaining_work: if persistent { 0 } else { remaining_work(&job.record) },
+        objective_ends_ms: due_ms + objective_ms,
+    }
+}
+
+/// Returns the remaining work of a job by its estimates, in processor milliseconds.
+fn remaining_work(record: &JobRecord) -> u64 {
+    let steps = record.occurrences.iter().flat_map(|o| o.steps.iter().zip(&record.spec.steps));
+    let of_step = |(tasks, spec): (&Vec<TaskRecord>, &StepSpec)| {
+        let left = tasks.iter().filter(|task| task.phase != TaskPhase::Done).count() as u64;
+        let cpus = u64::try_from(spec.demand.milli_cpus).unwrap_or(0);
+        left * cpus * u64::from(spec.estimate_ms) / 1_000
+    };
+    steps.map(of_step).sum()
+}
+
+/// Returns how much a serving task of an image would restrict which best-effort images may run on a
+/// minion; smaller is better.
+///
+/// A best-effort image has to be harmless to every serving image of its minion, and about two pairs
+/// in five are. So serving tasks of an image gather on the same minions, and images that cannot do
+/// so share minions that are mixed already.
+fn mixing_cost(minion: &Minion, image: &Name) -> i64 {
+    let own = minion.serving_images.contains_key(image);
+    match (own, minion.serving_images.len()) {
+        (true, 1) => 0,
+        (true, _) => 1,
+        (false, 2..) => 2,
+        (false, 1) => 3,
+        (false, _) => 4,
+    }
+}
--- /dev/null
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -0,0 +1,71 @@
+use std::collections::BTreeMap;
+use std::fmt;
+
+use derive_more::Display;
+
+/// Why a minion cannot take a task now; the first check that fails determines the reason.
+#[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Rejection {
+    /// The link to its agent is not open.
+    #[display("not_linked")]
+    NotLinked,
+    /// Only records name the minion; it has not been reported to this coordinator.
+    #[display("not_reported")]
+    NotReported,
+    /// It runs another service's tasks.
+    #[display("other_service")]
+    OtherService,
+    /// It lacks the label that the step requires.
+    #[display("label")]
+    Label,
+    /// It was not polled over the current link.
+    #[display("not_polled")]
+    NotPolled,
+    /// No heartbeats arrive from its agent, or they report that it does not answer.
+    #[display("no_answer")]
+    NotResponding,
+    /// It is quarantined after failed or stalled runs, or after it refused a task as unhealthy.
+    #[display("quarantined")]
+    Quarantined,
+    /// It is draining.
+    #[display("draining")]
+    Draining,
+    /// A serving task there is over its latency bound, so that no more best-effort tasks are
+    /// placed.
+    #[display("over_bound")]
+    OverBound,
+    /// Its free resources are less than the task reserves.
+    #[display("no_capacity")]
+    NoCapacity,
+    /// It runs as many tasks of the step as the step allows on one minion.
+    #[display("spread")]
+    Spread,
+    /// The admission service has given no valid ticket.
+    #[display("no_approval")]
+    NoApproval,
+    /// Its free processors are reserved for short tasks, and the task is persistent and never ran.
+    #[display("reserved_for_short")]
+    ReservedForShort,
+    /// A best-effort task would be too slow there.
+    #[display("too_slow")]
+    TooSlow,
+}
+
+/// Number of minions by rejection; displayed as ` name=count` fields without zeros.
+#[derive(Debug, Default)]
+pub(super) struct RejectionCounts(BTreeMap<Rejection, usize>);
+
+impl RejectionCounts {
+    pub(super) fn add(&mut self, rejection: Rejection, minions: usize) {
+        *self.0.entry(rejection).or_default() += minions;
+    }
+}
+
+impl fmt::Display for RejectionCounts {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (rejection, minions) in self.0.iter().filter(|(_, minions)| **minions > 0) {
+            write!(f, " {rejection}={minions}")?;
+        }
+        Ok(())
+    }
+}
--- a/crates/geraniumpost-batch/tests/coordinator/site/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/succession.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use geraniumpost_batch::{Coordinator, Inheritance};
+use geraniumpost_batch::{Coordinator, PredecessorLeases};
 
 use super::Site;
 use super::act::Act;
@@ -22,7 +22,7 @@
     /// Losses of coordinators so far.
     losses: u64,
     /// What the coordinator's key leaves to the next one.
-    left: Inheritance,
+    left: PredecessorLeases,
     /// When the coordinator next asks silent ones for a word.
     ask_ms: u64,
     /// Losses whose coordinators answer again, and know who coordinates.
@@ -88,7 +88,7 @@
             self.agenda.push((now.steady_ms + word_ms, 0, word));
         }
         if loss == Loss::Planned && !self.succession.is_vacant() {
-            self.succession.left = self.world.coordinator.inheritance(now);
+            self.succession.left = self.world.coordinator.leases_for_successor(now);
         }
         self.succession.vacate(loss, now.steady_ms);
         for machine in &mut self.machines {
@@ -136,7 +136,7 @@
         }
         let now_ms = self.world.now.steady_ms;
         let until_ms = self.entries.support(self.world.coordinator.fence(), now_ms);
-        self.world.coordinator.supported_until(until_ms, 0);
+        self.world.coordinator.set_supported_until(until_ms, 0);
         if self.world.store_confirms {
             self.entries.name_voters(now_ms);
         }
@@ -147,7 +147,7 @@
             (vacancy.loss != Loss::Planned).then(|| (address(vacancy.number), vacancy.number));
         let own = address(self.succession.losses + 1);
         let left = std::mem::take(&mut self.succession.left);
-        let inheritance = left.taken_over(silent, own, HOLD_MS);
+        let inheritance = left.after_takeover(silent, own, HOLD_MS);
         self.world.take_over_with(&inheritance);
         self.entries.take_over(silent.map(|(address, _)| address), self.world.now.steady_ms);
         self.succession.left = inheritance.while_coordinating();
@@ -169,7 +169,7 @@
         }
         let fence = self.world.coordinator.fence();
         for (address, until_ms) in self.entries.ask(fence, now.steady_ms) {
-            if self.world.coordinator.inheritance(now).silent.contains_key(&address) {
+            if self.world.coordinator.leases_for_successor(now).silent.contains_key(&address) {
                 self.world.coordinator.predecessor_extends_until(address, until_ms);
             }
         }
@@ -179,7 +179,7 @@
         self.succession.ask_ms = now.steady_ms + DOUBT_MS;
         for number in self.succession.back.iter().copied() {
             let at = address(number);
-            if self.world.coordinator.inheritance(now).silent.contains_key(&at) {
+            if self.world.coordinator.leases_for_successor(now).silent.contains_key(&at) {
                 self.world.coordinator.predecessor_ended(at, now);
             }
         }
