--- a/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -1,4 +1,4 @@
-//! Work that fills left-over processors beside work that serves users.
+//! Best-effort tasks, which use processor time that serving tasks leave idle.
 
 use geraniumpost_batch::{Demand, OrderKind, StepSpec};
 
@@ -13,12 +13,13 @@
     StepSpec { fills: true, image: "logs".into(), demand, checkpoints: true, ..step(count) }
 }
 
-/// A serving task's tail stays over its bound beside filling work: users wait. Whatever the model
-/// thinks, all that fills there stands still within two seconds, and none is added.
+/// Best-effort tasks must not keep a serving task above its latency bound, whatever the
+/// interference model predicts. All of them on that minion are paused within two seconds, and none
+/// is added.
 #[test]
 fn filling_stands_still_beside_a_tail_that_stays_over_its_bound() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
-    // A quiet tail shows that there is room for both.
+    // A low tail latency shows that the minion has capacity for both.
     cluster.set_gauge(task(1, 0, 0), 25);
     cluster.poll("m1");
     cluster.submit(2, vec![best_effort_step(2)]);
@@ -40,8 +41,8 @@
     assert!(cluster.orders.is_empty());
 }
 
-/// Filling work asks for no processors of its own, so that it fits beside others that it could
-/// not run beside; its memory counts.
+/// A best-effort task reserves no processors, so it is placed even where none are free. Its memory
+/// is reserved.
 #[test]
 fn filling_takes_memory_but_no_processors() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
@@ -50,13 +51,14 @@
         ..best_effort_step(3)
     };
     cluster.submit(2, vec![large]);
-    // Half of the processors are in use, so that it begins there only for want of anything better.
+    // Half of the processors are in use, so the task starts here only because no minion is better.
     cluster.advance(2_000);
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// A job is done when its slowest task is. A task that is bound to a crowded minion holds up all
-/// others, so it waits for a place at speed, while others of its job are at work.
+/// A job completes with its slowest task. A task placed on a busy minion would delay the whole job,
+/// so it waits for a minion on which it runs at full speed while other tasks of its job are
+/// running.
 #[test]
 fn filling_waits_for_a_place_at_speed() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -74,8 +76,8 @@
     assert_eq!(&*cluster.orders[0].minion, "m2");
 }
 
-/// No minion bears a job's tasks at speed, and most processors are unused. The job's users must not
-/// wait for ever: its first task begins all the same, within two seconds.
+/// Where no minion runs a job's tasks at full speed, although most processors are idle, the job
+/// would wait for ever. Its first task starts anyway within two seconds.
 #[test]
 fn idle_job_begins_at_any_speed() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
@@ -93,8 +95,8 @@
     assert!(cluster.orders.is_empty(), "the second one waits for a better place");
 }
 
-/// The users of a serving task become more, and what fills beside it is told to stand still. Its own
-/// users wait for as long as that lasts, so it moves at once to a minion that has room.
+/// A best-effort task that is paused beside a busier serving task would delay its job for as long
+/// as the load lasts. It moves to a minion with capacity at once.
 #[test]
 fn task_that_stands_still_moves_at_once() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
@@ -113,8 +115,8 @@
     assert!(running.iter().any(|(id, minion, _)| *id == task(2, 0, 0) && &**minion == "m2"));
 }
 
-/// Standing tasks never make room again. If they filled a minion, short urgent work would wait
-/// behind them for ever.
+/// Persistent tasks never free their resources. If they could reserve a whole minion, short urgent
+/// tasks would wait behind them for ever.
 #[test]
 fn standing_tasks_leave_room_for_short_ones() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(16));
@@ -123,7 +125,8 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// Lets one filling image come and go beside a serving one, whose tail rises and falls with it.
+/// Alternates between a running and an idle best-effort task beside a serving task whose tail
+/// latency follows it.
 fn learn_that_logs_interfere(cluster: &mut Cluster) {
     for round in 0..40 {
         let running = round % 2 == 0;
@@ -136,9 +139,9 @@
     }
 }
 
-/// Every coordinator learns which images disturb which, which takes seconds. In a rolling restart each
-/// lasts no longer than that, so the next one must know what the last one knew, or users of serving
-/// tasks wait all the while.
+/// A coordinator learns within seconds which images interfere with each other. In a rolling restart
+/// each coordinator runs only for seconds, so it hands on what it has learned; otherwise serving
+/// tasks would be slow throughout the restart.
 #[test]
 fn successor_knows_what_presses() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -146,7 +149,7 @@
     cluster.submit(2, vec![best_effort_step(1)]);
     cluster.carry_out_orders();
     learn_that_logs_interfere(&mut cluster);
-    // Knowledge travels with the next write.
+    // Learned interference is stored with the next write.
     cluster.submit(3, vec![step(1)]);
     assert!(cluster.stored_interference.is_some());
     cluster.take_over();
@@ -159,7 +162,7 @@
     assert_eq!(started.count(), 0, "they would take the tail over its bound");
 }
 
-/// What lies in the store may be of another version, or damaged. It is refused as a whole.
+/// Stored data of another version, or damaged data, is rejected as a whole.
 #[test]
 fn damaged_knowledge_is_refused() {
     assert!(geraniumpost_batch::Knowledge::decode(&[0xff; 7]).is_err());
--- a/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
@@ -1,10 +1,10 @@
-//! Jobs of many tasks that fill a fleet beside serving tasks whose load swings.
+//! Simulation of wide best-effort jobs beside serving tasks whose load varies.
 //!
-//! The pattern: every minion serves users, at a load that rises and falls within seconds, and each
-//! filling image presses hard on some of what serves and hardly at all on the rest. There is room for
-//! all jobs in the right places, and a job is as slow as its slowest task. The figures are those of
-//! the users' ordinary days, scaled to minions of 16 processors: loads around 0.45 that swing by half
-//! within 14 s, tails of a fifth of the bound when idle, steps of eight tasks of 1.7 s.
+//! Every minion runs serving tasks at a load that rises and falls within seconds. Each best-effort
+//! image interferes strongly with some serving images and hardly with the others. Well placed, all
+//! jobs fit, and a job is as slow as its slowest task. The figures are those of the users' ordinary
+//! days, scaled to minions of 16 processors: loads around 0.45 that vary by half within 14 s, tail
+//! latencies of a fifth of the bound when idle, steps of eight tasks of 1.7 s.
 
 use std::collections::BTreeMap;
 use std::f64::consts::TAU;
@@ -16,23 +16,24 @@
 
 const MINIONS: [&str; 12] =
     ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9", "m10", "m11", "m12"];
-/// Images that serve; each has six tasks, on minions of their own.
+/// Number of serving images; each has six tasks, on minions of their own.
 const SERVING_IMAGES: u64 = 4;
-/// Images that fill.
+/// Number of best-effort images.
 const BEST_EFFORT_IMAGES: u64 = 6;
 const TICK_MS: u64 = 100;
-/// How long a filling task works at full speed, in milliseconds.
+/// Duration of a best-effort task at full speed, in milliseconds.
 const TASK_MS: f64 = 1_700.0;
-/// Time in which a job's callers want it done, in milliseconds.
+/// Time within which a job is to be completed, in milliseconds.
 const OBJECTIVE_MS: u64 = 4_400;
-/// Pause between two jobs in milliseconds: they ask for three quarters of what the fleet leaves unused.
+/// Interval between jobs in milliseconds. At this rate they need three quarters of what the fleet
+/// leaves unused.
 const JOB_INTERVAL_MS: u64 = 500;
-/// Bound of the serving tasks' tails in milliseconds.
+/// Latency bound of the serving tasks, in milliseconds.
 const LATENCY_BOUND_MS: u32 = 100;
-/// Tail of an idle serving task in milliseconds.
+/// Tail latency of an idle serving task, in milliseconds.
 const IDLE_TAIL_MS: f64 = 20.0;
-/// What four processors of each filling image (columns) add to the business of each serving image: three
-/// pairs in five press hard.
+/// Utilization that four processors of each best-effort image (columns) add to each serving image
+/// (rows): three pairs in five interfere strongly.
 const INTERFERENCE: [[f64; 6]; 4] = [
     [0.16, 0.01, 0.12, 0.02, 0.20, 0.10],
     [0.01, 0.18, 0.11, 0.14, 0.01, 0.02],
@@ -40,16 +41,16 @@
     [0.02, 0.01, 0.15, 0.01, 0.12, 0.16],
 ];
 
-/// A fleet that works by these rules.
+/// Minions, serving tasks and best-effort jobs.
 struct Fleet {
     cluster: Cluster,
-    /// Work done by each filling task, in milliseconds.
+    /// Work done of each best-effort task, in milliseconds at full speed.
     done_ms: BTreeMap<TaskId, f64>,
     submitted_ms: BTreeMap<JobId, u64>,
-    /// Jobs handed in, and done in time.
+    /// Jobs submitted, and jobs completed within the objective.
     jobs: u32,
     on_time: u32,
-    /// Looks at serving tasks, and those that showed a tail over its bound.
+    /// Polls of serving tasks, and those of them that showed a tail latency above the bound.
     polls: (u32, u32),
 }
 
@@ -73,7 +74,7 @@
         Self { cluster, done_ms, submitted_ms, jobs: 0, on_time: 0, polls: (0, 0) }
     }
 
-    /// Lets jobs come for some time, and returns the share that was done in time.
+    /// Submits jobs for a time, and returns the share that was completed within the objective.
     fn run(&mut self, ms: u64) -> f64 {
         let started_ms = self.cluster.now.steady_ms;
         let before = (self.jobs, self.on_time);
@@ -111,7 +112,7 @@
         self.cluster.submit(id.0, vec![spec]);
     }
 
-    /// Lets everything work for a tick, and sets what the gauges show.
+    /// Advances all tasks by one tick, and sets their gauges.
     fn run_tasks(&mut self, at_ms: u64) {
         for (number, name) in MINIONS.iter().enumerate() {
             let minion = Name::from(*name);
@@ -163,14 +164,14 @@
     }
 }
 
-/// Callers hand in jobs that the fleet has room for, in the right places. Nearly all are done in time,
-/// and the users of what serves beside them hardly notice. A fleet that lets tasks wait for places at
-/// nine tenths of their speed does a quarter of these jobs in time, and one that lets them begin at any
-/// speed half.
+/// The fleet has capacity for all submitted jobs if they are placed well. Nearly all must be
+/// completed within the objective, hardly ever pushing serving tasks above their bound. A scheduler
+/// that lets tasks wait for minions at nine tenths of their speed completes a quarter of these jobs
+/// in time, and one that starts them at any speed half.
 #[test]
 fn wide_jobs_are_done_in_time_beside_swinging_loads() {
     let mut fleet = Fleet::new();
-    // The first seconds teach which images press on which.
+    // During the first seconds the coordinator learns the interference between images.
     fleet.run(10_000);
     fleet.polls = (0, 0);
     let on_time = fleet.run(40_000);
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
@@ -1,4 +1,4 @@
-//! What agents tell the coordinator.
+//! Messages from agents to the coordinator.
 
 use geraniumpost_batch::{FromAgent, Look, MinionInfo, RunningTask, TaskId};
 use geraniumpost_schema::Name;
@@ -26,18 +26,18 @@
         self.process_effects();
     }
 
-    /// Lets an agent fall silent, while its link stays open.
+    /// Stops the heartbeats of a minion's agent, while its link stays open.
     pub fn stop_heartbeats(&mut self, minion: &str) {
         self.heartbeating_minions.remove(minion);
     }
 
-    /// Lets the coordinator lose the link to a minion's agent.
+    /// Closes the link between a minion's agent and the coordinator.
     pub fn disconnect_agent(&mut self, minion: &str) {
         self.stop_heartbeats(minion);
         self.coordinator.agent_lost(&agent_name(minion), self.now);
     }
 
-    /// Lets a minion's agent be killed and start again, which counts its results from the beginning.
+    /// Kills and restarts a minion's agent, which numbers its results from the beginning.
     pub fn restart_agent(&mut self, minion: &str) {
         self.disconnect_agent(minion);
         self.last_result_number = 0;
@@ -49,13 +49,13 @@
         self.send(minion, FromAgent::Beat { sent_at_ms, minion_ok: true });
     }
 
-    /// Lets an agent beat whose minion does not answer it.
+    /// Sends the heartbeat of an agent whose minion does not answer.
     pub fn heartbeat_with_unresponsive_minion(&mut self, minion: &str) {
         let sent_at_ms = self.now.steady_ms;
         self.send(minion, FromAgent::Beat { sent_at_ms, minion_ok: false });
     }
 
-    /// Lets a minion's agent pass its lists on.
+    /// Polls a minion, and sends its lists of running and ended tasks to the coordinator.
     pub fn poll(&mut self, minion: &str) {
         let name = Name::from(minion);
         let running = self.running.get(&name).into_iter().flatten();
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -1,11 +1,12 @@
-//! What the coordinator asks for, and the store that keeps what it is told.
+//! Effects of the coordinator, and the store that its writes go to.
 
 use geraniumpost_batch::{Effect, ToAgent, WriteBatch};
 
 use super::Cluster;
 
 impl Cluster {
-    /// Does what the coordinator asks for; writes pass if they may.
+    /// Performs all effects that the coordinator requests. Writes are held back unless
+    /// `confirm_writes` is set.
     pub fn process_effects(&mut self) {
         loop {
             let effects = self.coordinator.take_effects(self.now);
@@ -52,7 +53,7 @@
         self.coordinator.written(batch.number, self.now);
     }
 
-    /// Confirms the writes that were held back.
+    /// Applies and confirms the writes that were held back.
     pub fn confirm_pending_writes(&mut self) {
         self.confirm_writes = true;
         for batch in std::mem::take(&mut self.pending_writes) {
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/fixtures.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/fixtures.rs
@@ -1,9 +1,9 @@
-//! Minions, steps and terms that tests start from, and change as they need.
+//! Minions, steps and queue terms that tests start from.
 
 use geraniumpost_batch::{Demand, JobId, MinionInfo, QueueTerms, StepSpec, TaskId};
 use geraniumpost_schema::Name;
 
-/// Returns what a minion of 16 processors and 64 GB says of itself.
+/// Returns the description of a minion with 16 processors and 64 GB.
 pub fn minion_info(name: &str) -> MinionInfo {
     MinionInfo {
         id: name.into(),
@@ -19,11 +19,11 @@
 
 /// Returns the name of the agent beside a minion.
 pub fn agent_name(minion: &str) -> Name {
-    // The incarnation is behind a dash: "m1" and "m1-b" are lives of one machine.
+    // The incarnation follows a dash: "m1" and "m1-b" are incarnations of one machine's minion.
     Name::from(format!("agent-{}", minion.split('-').next().unwrap_or(minion)))
 }
 
-/// Returns what a queue grants: two attempts at a task, and no need of approval.
+/// Returns queue terms with two attempts per task and no approval.
 pub fn terms() -> QueueTerms {
     QueueTerms {
         queue: "studies".into(),
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! A coordinator with a store that keeps what it is told, and minions that do what they are told.
+//! A coordinator with a store, agents and minions that a test drives step by step.
 //!
-//! Nothing happens by itself but time ([`World::pass`]): a test says when minions join, look, and obey,
-//! so that it can hold each of these back. A day on which machines do all that by themselves is played
-//! on a [`Site`](crate::site::Site).
+//! Only the clock advances automatically, with the heartbeats ([`Cluster::advance`]). A test says
+//! when minions join, are polled and carry orders out, so that it can hold back each of these. In a
+//! [`Simulation`](crate::simulation::Simulation), machines do all of it themselves.
 
 mod agents;
 mod effects;
@@ -21,55 +21,56 @@
 };
 use geraniumpost_schema::Name;
 
-/// How long leases hold in these tests, in milliseconds.
+/// Duration of leases in these tests, in milliseconds.
 pub const LEASE_MS: u64 = 5_000;
 
-/// Other entries that support the coordinator.
+/// Number of other entries that support the coordinator.
 const SUPPORTERS: usize = 2;
-/// Pause between two beats of an agent, in milliseconds.
+/// Interval between heartbeats of an agent, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Where a coordinator was that fell silent.
+/// Address of a coordinator that stopped answering.
 pub const SILENT_COORDINATOR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
-/// Where its successor is.
+/// Address of its successor.
 const SUCCESSOR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 2);
 
-/// Everything around one coordinator.
+/// A coordinator and everything it communicates with.
 pub struct Cluster {
     pub coordinator: Coordinator,
     pub now: Now,
     pub store: BTreeMap<JobId, Vec<u8>>,
-    /// What the last coordinator had learnt of images.
+    /// Learned interference as last written by a coordinator.
     pub stored_interference: Option<Vec<u8>>,
-    /// Writes that were asked for and not confirmed yet.
+    /// Writes that are not confirmed yet.
     pub pending_writes: Vec<WriteBatch>,
     /// Whether writes are confirmed at once.
     pub confirm_writes: bool,
     pub responses: BTreeMap<u64, Answer>,
-    /// Orders that no minion has taken yet.
+    /// Orders that no minion has received yet.
     pub orders: Vec<Order>,
-    /// Ends acknowledged to minions.
+    /// Sequence number of the last acknowledged end, by minion.
     pub acknowledged: BTreeMap<Name, u64>,
-    /// Departures that agents were told to forget.
+    /// Departed minions that agents may forget.
     pub settled_departures: Vec<Name>,
-    /// What runs: by minion, the task and its run.
+    /// The run of each running task, by minion.
     pub running: BTreeMap<Name, BTreeMap<TaskId, u32>>,
     pub log_lines: Vec<String>,
-    /// Questions to the admission service: the step, and the minions named.
+    /// Requests to the admission service: the step, and the candidate minions.
     pub approval_requests: Vec<(TaskId, Vec<Name>)>,
-    /// Progress that minions show of all tasks that `progress` does not name.
+    /// Progress in percent that minions report of tasks that are not in `task_percent`.
     pub default_percent: u8,
     pub task_percent: BTreeMap<TaskId, u8>,
-    /// The share at which each task was told to work.
+    /// The pace that each task was last ordered to run at, in percent.
     pub paces: BTreeMap<TaskId, u8>,
-    /// Leases that were extended: the agent, when it sent its beat, and for how long they hold.
+    /// Lease extensions: the agent, when it sent its heartbeat, and the duration in milliseconds.
     pub lease_extensions: Vec<(Name, u64, u64)>,
-    /// Whether the store confirms the coordinator as time passes.
+    /// Whether the store confirms the coordinator's term as time passes.
     pub store_confirms: bool,
     /// Whether a majority of entries supports the coordinator as time passes.
     pub entries_support: bool,
-    /// Whether agents that have beaten go on doing so as time passes, until they are lost.
+    /// Whether agents that have sent a heartbeat continue to do so as time passes, until they are
+    /// disconnected.
     pub automatic_heartbeats: bool,
-    /// Minions whose agents do.
+    /// Minions whose agents send heartbeats.
     heartbeating_minions: BTreeSet<String>,
     ended_tasks: BTreeMap<Name, Vec<EndedTask>>,
     gauges: BTreeMap<TaskId, u32>,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Adds minions of 16 processors and 64 GB, linked and looked at.
+    /// Adds minions of 16 processors and 64 GB, linked and polled.
     pub fn with_minions(mut self, names: &[&str]) -> Self {
         for name in names {
             self.join(name, |info| info);
@@ -119,7 +120,7 @@
         self
     }
 
-    /// Returns a world with minions on which a job's only step is at work, if there is room for it.
+    /// Returns a cluster in which the only step of job 1 is running, as far as there is capacity.
     pub fn with_running_job(minions: &[&str], step: StepSpec) -> Self {
         let mut cluster = Self::new().with_minions(minions);
         cluster.submit(1, vec![step]);
@@ -175,7 +176,8 @@
         self.response(ticket).expect("job states are answered immediately")
     }
 
-    /// Answers a question to the admission service with the minions that it approves, or not at all.
+    /// Answers a request to the admission service with the approved minions, or reports it as
+    /// failed.
     pub fn answer_approval(&mut self, request: &(TaskId, Vec<Name>), good: Option<&[&str]>) {
         let ticket = |minion: &&str| (Name::from(*minion), Name::from("t-1"));
         let answer = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
@@ -183,7 +185,7 @@
         self.process_effects();
     }
 
-    /// Returns where tasks run, in the order of their ids.
+    /// Returns all running tasks with their minion and run, ordered by task.
     pub fn running_tasks(&self) -> Vec<(TaskId, Name, u32)> {
         let mut tasks: Vec<_> = self
             .running
@@ -194,12 +196,12 @@
         tasks
     }
 
-    /// Loses the coordinator, and lets another one take over from the store.
+    /// Loses the coordinator, and lets a successor take over from the store.
     pub fn take_over(&mut self) {
         self.take_over_with(&Inheritance::default());
     }
 
-    /// Lets another coordinator take over from one that may live on without the store.
+    /// Lets a successor take over from a coordinator that may still be running without the store.
     pub fn take_over_from_silent(&mut self) {
         let silent = Inheritance::default().taken_over(
             Some((SILENT_COORDINATOR, self.fence)),
@@ -209,7 +211,7 @@
         self.take_over_with(&silent);
     }
 
-    /// Lets another coordinator take over with what its predecessor left behind.
+    /// Lets a successor take over with the leases that its predecessors may have extended.
     pub fn take_over_with(&mut self, inheritance: &Inheritance) {
         self.fence += 1;
         let records = self.store.iter().map(|(id, bytes)| {
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
@@ -1,4 +1,4 @@
-//! Minions that do what they are told, and runs that end.
+//! Minions that carry out orders, and runs that end.
 
 use geraniumpost_batch::{
     EndKind, EndedTask, FromAgent, Order, OrderKind, OrderOutcome, OrderResult, OrderVerb, TaskId,
@@ -8,7 +8,7 @@
 use super::Cluster;
 
 impl Cluster {
-    /// Lets minions carry out the orders that they got.
+    /// Lets minions carry out all pending orders.
     pub fn carry_out_orders(&mut self) {
         while !self.orders.is_empty() {
             for order in std::mem::take(&mut self.orders) {
@@ -51,7 +51,7 @@
         self.send(&minion, FromAgent::Result(result));
     }
 
-    /// Ends a run in a minion's lists; the coordinator hears of it with the next look.
+    /// Ends a run in a minion's lists; the coordinator learns of it with the next poll.
     pub fn end_run(&mut self, minion: &Name, task: TaskId, kind: EndKind) {
         let run = self.running.get_mut(minion).and_then(|runs| runs.remove(&task));
         let run = run.expect("the task runs there");
@@ -60,7 +60,7 @@
         ends.push(EndedTask { sequence, task, run, kind, saved: Name::default() });
     }
 
-    /// Ends everything that runs, and lets all minions be looked at.
+    /// Ends all runs, and polls all minions.
     pub fn end_all_runs(&mut self, kind: EndKind) {
         for (minion, runs) in self.running.clone() {
             for task in runs.into_keys() {
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -1,4 +1,4 @@
-//! Who goes first and where, when filling and serving tasks of many images share few minions.
+//! Order and choice of minions when serving and best-effort tasks of many images share few minions.
 
 use geraniumpost_batch::{Demand, EndKind, JobId, Knowledge, LearntPair, StepSpec};
 use geraniumpost_schema::Name;
@@ -14,8 +14,8 @@
     StepSpec { fills: true, image: image.into(), demand, checkpoints: true, ..step(count) }
 }
 
-/// Returns a world in which this is known: what each filling image adds to the utilization of each serving
-/// one.
+/// Returns a cluster whose coordinator has learned how much utilization each best-effort image adds
+/// to each serving image.
 fn cluster_with_interference(slopes: &[(&str, &str, f64)]) -> Cluster {
     let pair = |(serving, best_effort, slope): &(&str, &str, f64)| LearntPair {
         serving: Name::from(*serving),
@@ -30,9 +30,9 @@
     cluster
 }
 
-/// One of three tasks of a serving step shows a tail several times that of the others for a moment, by
-/// nobody's doing. Were the highest tail to count, what fills beside them would be slowed down and moved,
-/// and its users would wait for nothing.
+/// One of three serving tasks briefly shows a tail latency several times that of the others,
+/// without interference. If the highest tail counted, best-effort tasks would be slowed down and
+/// moved for nothing.
 #[test]
 fn one_high_tail_of_three_slows_nobody() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step("kiosk", 3));
@@ -57,8 +57,8 @@
     assert!(cluster.orders.is_empty(), "{:?}", cluster.orders);
 }
 
-/// Two filling images have room on one minion, and only one of them on the other. Were the first to take
-/// any place at full speed, the second one would find none and its job wait.
+/// Two best-effort images run well on one minion, but only one of them does on the other. If the
+/// first took any minion at full speed, the second would find none and its job would wait.
 #[test]
 fn images_leave_room_to_those_that_have_no_other_place() {
     let mut cluster = cluster_with_interference(&[
@@ -96,8 +96,8 @@
     assert_eq!(place(4).as_deref(), Some("m1"));
 }
 
-/// More is asked for than fits. Were the jobs to go on by the ends of their objectives, all would be done a
-/// little too late; the smallest first lets most callers have theirs in time.
+/// More is submitted than fits. If jobs were ordered by deadline, all would be a little late; with
+/// the least remaining work first, most are completed in time.
 #[test]
 fn least_work_left_goes_first() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(16));
@@ -111,8 +111,8 @@
     assert_eq!(started, [JobId(3), JobId(3)]);
 }
 
-/// A job that lasts never makes room again, and takes little harm from a moment's wait. It does not keep
-/// short jobs of the same urgency from the room that has just become free.
+/// A persistent job never frees its resources, and a short wait harms it little. It must not keep
+/// short jobs of the same priority from capacity that has just become free.
 #[test]
 fn short_jobs_go_before_those_that_last() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(16));
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -1,4 +1,4 @@
-//! What the logs tell of tasks that wait, and of minions that cannot be reached.
+//! Log lines on tasks that wait for a minion, and on minions that cannot be reached.
 
 use geraniumpost_batch::tuning::STORE_LOST_MS;
 use geraniumpost_batch::{
@@ -9,9 +9,9 @@
     Cluster, LEASE_MS, agent_name, minion_info, persistent_step, step, task, terms,
 };
 
-/// Wait in milliseconds after which a line on a standing task is surely written.
+/// Wait in milliseconds after which a line on a persistent task has been written.
 const PERSISTENT_LOGGED_MS: u64 = 2_600;
-/// Wait in milliseconds after which a line on any other task is surely written.
+/// Wait in milliseconds after which a line on any other task has been written.
 const OTHERS_LOGGED_MS: u64 = 5_600;
 
 fn small_step(milli_cpus: i64) -> StepSpec {
@@ -26,7 +26,7 @@
     lines_with(cluster, part).pop().unwrap_or_default()
 }
 
-/// Returns the value of a field of a line.
+/// Returns the value of a field of a log line.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ').find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
@@ -36,7 +36,8 @@
     value.parse().unwrap_or_else(|_| panic!("{name} is no number in: {line}"))
 }
 
-/// Lets `arrange` make a world in which the standing step 7 finds no place, and returns its line.
+/// Prepares a cluster in which the persistent step of job 7 cannot be placed, and returns its log
+/// line.
 fn not_placed_line(arrange: impl Fn(&mut Cluster)) -> String {
     let mut cluster = Cluster::new();
     arrange(&mut cluster);
@@ -44,7 +45,7 @@
     last_line_with(&cluster, "event=not_placed job=0000000000000007")
 }
 
-/// Checks that a bound which keeps the only minion out is named, and no other one.
+/// Checks that the log line names the reason that rejects the only minion, and no other.
 macro_rules! rejection_is_named {
     ($($case:ident: $reason:literal, $arrange:expr;)*) => {$(
         #[test]
@@ -124,8 +125,8 @@
     };
 }
 
-/// A minion that failed two jobs in a row gets nothing for a while, which ends before a line on a
-/// waiting task is due; one that fails on is named in the line.
+/// A minion on which two jobs in a row failed is quarantined. The quarantine ends before a line on
+/// a waiting task is due, so only a minion that fails again is named in the line.
 #[test]
 fn shunned_minion_is_named() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -151,12 +152,12 @@
     );
 }
 
-/// What fills finds only a minion that would work it too slowly.
+/// A best-effort task finds only a minion that would run it too slowly.
 #[test]
 fn slow_place_is_named() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let best_effort = |count| StepSpec { fills: true, image: "sift".into(), ..step(count) };
-    // The job is not idle, so that its next task waits for a place at speed.
+    // Other tasks of the job are running, so the next one waits for a minion at full speed.
     cluster.submit(7, vec![best_effort(40)]);
     cluster.carry_out_orders();
     cluster.advance(OTHERS_LOGGED_MS);
@@ -164,7 +165,7 @@
     assert!(line.ends_with("minions=1 too_slow=1"), "{line}");
 }
 
-/// Each kind of minion is counted under the bound that keeps it out.
+/// Minions are counted by the reason that rejects them.
 #[test]
 fn minions_are_counted_by_bound() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2", "m3"]);
@@ -186,8 +187,8 @@
     assert!(line.ends_with("minions=5 not_linked=1 label=1 draining=1 no_room=2"), "{line}");
 }
 
-/// A standing task's line says how long it has been down, counted from the end of its run, and that
-/// it ran before.
+/// The line of a persistent task says how long it has been down, counted from the end of its run,
+/// and that it ran before.
 #[test]
 fn wait_counts_from_the_end_of_the_run() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -209,12 +210,13 @@
     assert!((2_000..=PERSISTENT_LOGGED_MS).contains(&number_field(&line, "waited_ms")), "{line}");
 }
 
-/// A task that waits only for its pause is told as such, with the minions that would take it.
+/// The line of a task that waits only for the pause after a refusal says so, with the number of
+/// minions that fit.
 #[test]
 fn pause_is_named() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![persistent_step(1)]);
-    // The minion refuses for lack of room again and again, and each time the task pauses.
+    // The minion refuses each start for lack of capacity, and the task pauses each time.
     for _ in 0..PERSISTENT_LOGGED_MS / 100 {
         while let Some(order) = cluster.orders.pop() {
             cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
@@ -226,7 +228,8 @@
     assert!(line.ends_with("minions=1 fits=1"), "{line}");
 }
 
-/// A gang for which there is room for some members only waits beside minions that take one.
+/// The line of a gang of which only some members fit says its size, and counts the minions that
+/// have capacity for one member.
 #[test]
 fn gang_is_told_with_its_size() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -241,8 +244,8 @@
     assert_eq!(number_field(&line, "fits"), 1, "{line}");
 }
 
-/// Waiting is ordinary for tasks that end, so that their lines come later; and each step has a line
-/// once in five seconds only.
+/// Waiting is normal for tasks that end, so their lines come later than those of persistent tasks.
+/// Each step has at most one line in five seconds.
 #[test]
 fn lines_come_late_and_seldom() {
     let mut cluster = Cluster::new();
@@ -261,8 +264,8 @@
     assert_eq!(lines_with(&cluster, "job=0000000000000002 step").len(), 5);
 }
 
-/// Hundreds of steps wait under overload. Lines stay at four a second, standing steps come first,
-/// every step has its turn, and the lines say how many more were due.
+/// Under overload hundreds of steps wait. The rate stays at four lines a second, persistent steps
+/// come first, every step has its turn, and the lines say how many more were due.
 #[test]
 fn lines_stay_bounded() {
     let mut cluster = Cluster::new();
@@ -292,7 +295,7 @@
     u64::from_str_radix(field(line, "job").expect("a job"), 16).expect("a hexadecimal number")
 }
 
-/// A step whose tasks find places one after the other makes progress, and is not told as waiting.
+/// A step whose tasks are placed one after another makes progress, and is not logged as waiting.
 #[test]
 fn progress_is_no_wait() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -306,8 +309,8 @@
     assert!(lines_with(&cluster, "event=not_placed").is_empty(), "{:?}", cluster.log_lines);
 }
 
-/// An agent is cut off. Its minion's tasks are kept until its own lease has lapsed, which the line
-/// says once; the end of the wait is told as before.
+/// Tasks beside a disconnected agent are kept until its lease has expired. One line says so, and
+/// the expiry is logged as well.
 #[test]
 fn lease_of_a_lost_agent_is_told() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -333,7 +336,8 @@
     assert_eq!(lines_with(&cluster, "event=unreachable").len(), 1);
 }
 
-/// A minion does not answer its agent, whose link is open: its lease is not extended either.
+/// The lease of a minion that does not answer its agent is not extended, although the agent's link
+/// is open. Its line names the lease as the reason of the wait.
 #[test]
 fn silent_minion_is_told() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -345,7 +349,7 @@
     assert_eq!((field(&line, "linked"), field(&line, "decides")), (Some("true"), Some("lease")));
 }
 
-/// The agent comes back and is lost again, which is told again.
+/// An agent that returns and is lost again is logged again.
 #[test]
 fn each_loss_is_told() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -359,8 +363,8 @@
     assert_eq!(lines_with(&cluster, "event=unreachable").len(), 2);
 }
 
-/// A successor takes over from a silent predecessor, and one agent does not link. The lines say how
-/// long the inherited wait is, that it decides, and which minion is missing.
+/// After a takeover from a silent predecessor, one agent does not link. The lines say how long the
+/// wait for predecessor leases is, that it decides, and which minion is missing.
 #[test]
 fn inherited_wait_is_told() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -388,8 +392,8 @@
     assert!((predecessor_wait_ms - 1_300..=predecessor_wait_ms - 1_000).contains(&remaining_ms));
 }
 
-/// After a takeover no agent links. The lines stay bounded, tell minions with standing tasks first,
-/// and say how many were left out.
+/// After a takeover no agent links. The number of lines is bounded, minions with persistent tasks
+/// come first, and the lines say how many were left out.
 #[test]
 fn lines_on_lost_minions_stay_bounded() {
     let names: Vec<String> = (10..60).map(|n| format!("m{n}")).collect();
--- a/crates/geraniumpost-batch/tests/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/draining.rs
@@ -1,11 +1,11 @@
-//! Minions that leave as planned, while coordinators change.
+//! Minions that leave as planned, also across takeovers.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{FromAgent, MinionInfo, Order, OrderKind, StepSpec};
 
 use crate::cluster::{Cluster, agent_name, minion_info, persistent_step, step, task};
 
-/// What a minion says that leaves in `remaining_ms`.
+/// Returns the description of a minion that drains and leaves in `remaining_ms`.
 fn draining_info(name: &str, remaining_ms: u64) -> MinionInfo {
     let mut info = minion_info(name);
     info.draining = true;
@@ -18,10 +18,9 @@
     orders.iter().filter(|order| order.kind == OrderKind::Stop).collect()
 }
 
-/// A minion has said that it leaves when the coordinator changes. Its agent is the first to link to
-/// the successor, which has not looked at any other minion yet and so knows no other place for the
-/// minion's tasks. Unless it tries again, a standing task stays until the minion is gone, and its users
-/// miss it for as long as it takes to learn of that.
+/// A minion drains when the coordinator changes, and its agent links to the successor first, before
+/// any other minion has been polled. If the successor did not retry, a persistent task would stay
+/// until the minion has left, and be down until that is detected.
 #[test]
 fn tasks_of_a_leaving_minion_are_moved_once_a_successor_knows_other_places() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -34,8 +33,8 @@
     assert_matches!(stop_orders(&cluster.orders)[..], [stop] if stop.task == task(1, 0, 0));
 }
 
-/// A minion says that it leaves while all others are full. Room comes before it is gone, and what
-/// runs there goes to it: its users need not wait until the minion has left.
+/// A minion drains while all others are full. When capacity appears, its tasks move before it
+/// leaves.
 #[test]
 fn tasks_of_a_leaving_minion_are_moved_when_room_comes() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -47,8 +46,8 @@
     assert_matches!(stop_orders(&cluster.orders)[..], [stop] if &*stop.minion == "m1");
 }
 
-/// A task could have ended before its minion leaves, but works at a third of the speed that was
-/// expected. Once it can't be done in time any more it moves, and what it has done is kept.
+/// A task could have ended before its minion leaves, but runs at a third of the expected speed. It
+/// moves with its checkpoint once it can no longer be done in time.
 #[test]
 fn task_that_will_not_be_done_in_time_is_moved_later() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -70,8 +69,8 @@
     assert_matches!(stop_orders(&cluster.orders).first(), Some(stop) if &*stop.minion == "m1");
 }
 
-/// Leaving minions are looked at again and again. One whose tasks were told to stop is not told so
-/// anew each time.
+/// Draining minions are reconsidered repeatedly. Tasks with a pending stop order are not stopped
+/// again.
 #[test]
 fn tasks_of_a_leaving_minion_are_stopped_once() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(2));
@@ -83,9 +82,9 @@
     assert_eq!(cluster.orders.iter().filter(|order| order.minion != leaving).count(), 0);
 }
 
-/// A minion's farewell is told to a coordinator that can't write just then and is lost before it can. Its
-/// agent is not told that it is settled, repeats it to the successor, and the task begins elsewhere
-/// at once, not when a lease has lapsed that nobody holds.
+/// A coordinator is lost before the write of a minion's departure is confirmed. The agent keeps the
+/// departure and repeats it to the successor, so that the task restarts at once instead of after a
+/// lease that nobody holds.
 #[test]
 fn farewell_is_settled_only_once_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -103,8 +102,8 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2" && order.run == 2);
 }
 
-/// An agent repeats its word, as the answer to it was lost with a link. Nothing is ended twice, and the
-/// agent is told again.
+/// An agent repeats a departure if the reply was lost with a link. No run is ended twice, and the
+/// agent is answered again.
 #[test]
 fn farewell_that_is_repeated_changes_nothing() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(1));
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -1,8 +1,8 @@
-//! Start orders of which several copies are on their way.
+//! Start orders that are sent more than once.
 //!
-//! A start without a result is given again under the same number while the first copy may still wait in a
-//! frozen agent. What becomes of one copy says nothing of the other: the agent judges each by the lease, the
-//! room and the health of the moment at which it reaches it.
+//! A start without a result is sent again with the same run number while the first copy may still
+//! wait in a paused agent. The outcome of one copy says nothing about another: the agent judges
+//! each copy by the lease, the capacity and the health of the minion when the copy arrives.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::tuning::{AFTER_NO_ROOM_MS, ORDER_RESULT_MS};
@@ -11,10 +11,10 @@
 use crate::cluster::{COMPLETED, Cluster, step, task};
 
 const MINIONS: [&str; 2] = ["m1", "m2"];
-/// More than a tick, in milliseconds: what has become due is done.
+/// Longer than a tick, in milliseconds, so that everything due has been done.
 const TICK_MS: u64 = 100;
 
-/// Submits one task, whose start is given twice over a link that is never lost.
+/// Submits one task whose start is sent twice over the same link.
 fn cluster_with_repeated_start() -> (Cluster, Order, Order) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
@@ -24,7 +24,7 @@
     (cluster, first, second)
 }
 
-/// Lets so much time pass that a start without a result is given again.
+/// Advances until a start without a result is sent again, and returns the new copy.
 fn await_repeated_start(cluster: &mut Cluster) -> Order {
     for minion in MINIONS {
         cluster.heartbeat(minion);
@@ -43,7 +43,8 @@
     cluster.orders.iter().filter(|order| matches!(order.kind, OrderKind::Start { .. })).count()
 }
 
-/// Lets all minions obey and show their lists, until the task has ended; it never runs twice.
+/// Lets all minions carry out orders and be polled until the task has ended, and checks that it
+/// never runs twice at once.
 fn assert_runs_once_to_completion(mut cluster: Cluster) {
     for _ in 0..6 {
         for order in std::mem::take(&mut cluster.orders) {
@@ -65,7 +66,8 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The first copy is refused while the second one is still on its way, and is carried out then.
+/// The first copy is refused while the second one is still on its way; the second one is then
+/// carried out.
 fn second_copy_is_carried_out(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     refuse(&mut cluster, &first, outcome);
@@ -74,7 +76,7 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// The second copy was carried out, and the refusal of the first one is told later.
+/// The second copy is carried out before the refusal of the first one is reported.
 fn refusal_comes_after_the_run_began(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.carry_out(second);
@@ -85,7 +87,7 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// A look shows that one copy was carried out before either result is told.
+/// A poll shows the run of one copy before either result is reported.
 fn refusal_comes_after_the_run_was_seen(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.running.entry(second.minion.clone()).or_default().insert(second.task, second.run);
@@ -96,8 +98,8 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// One copy is too late, and another one is lost with its link. The copy that is given over the next link
-/// is refused, but the lost one may still be carried out.
+/// One copy is too late, and another is lost with its link. The copy sent over the next link is
+/// refused, but the lost one may still be carried out.
 fn copy_is_lost_with_its_link(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&first, OrderVerb::Start, OrderOutcome::TooLate);
@@ -111,7 +113,8 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// The link is replaced between two copies, and the refusal of the first is told over the new link.
+/// The link is replaced between two copies, and the refusal of the first one arrives over the new
+/// link.
 fn link_is_replaced_between_copies(outcome: OrderOutcome) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
@@ -126,7 +129,8 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// The coordinator changes between two copies, and its successor is told of the predecessor's copy.
+/// The coordinator changes between two copies, and the refusal of the predecessor's copy is
+/// reported to the successor.
 fn coordinator_changes_between_copies(outcome: OrderOutcome) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
@@ -142,7 +146,7 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// Both copies are refused: the task goes elsewhere all the same.
+/// Both copies are refused, and the task starts on another minion.
 fn both_copies_are_refused(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     refuse(&mut cluster, &first, outcome);
@@ -150,7 +154,7 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// A copy without an answer may be carried out at any later time, whatever is said of the other one.
+/// A copy without an answer may be carried out at any time, whatever the result of the other copy.
 fn one_copy_is_refused_and_one_unanswered(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&second, OrderVerb::Start, OrderOutcome::Unanswered);
@@ -160,10 +164,10 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// An agent is frozen, while its link stays open and its start orders are given again. Once it goes on, it
-/// answers the copies one by one: some are refused, others are carried out. If the task began elsewhere
-/// after the first refusal, its user would see two runs of it at the same time, or a run that is thrown
-/// away although it was well.
+/// A paused agent keeps its link open while start orders are repeated. When it resumes it handles
+/// the copies one by one, refusing some and carrying out others. If the coordinator restarted the
+/// task elsewhere after the first refusal, it would run twice at once, or a healthy run would be
+/// thrown away.
 macro_rules! for_each_refusal {
     ($($case:ident),* $(,)?) => {$(
         mod $case {
@@ -208,9 +212,10 @@
     one_copy_is_refused_and_one_unanswered,
 );
 
-/// A minion says that a run is over, and its agent is killed before it has shown the minion's lists. The next
-/// process of the agent counts its results from the beginning. Were its lists compared with the number of
-/// the earlier one's result, none of them would ever seem new enough, and the task would wait for ever.
+/// A minion reports that a run is over, and its agent is killed before it has polled the minion.
+/// The restarted agent numbers its results from the beginning. If its polls were compared with the
+/// number of the earlier result, none would ever seem recent enough, and the task would wait for
+/// ever.
 #[test]
 fn run_that_is_over_begins_anew_although_its_agent_was_killed() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -229,8 +234,9 @@
     assert_matches!(cluster.orders[..], [ref start] if start.run == 2);
 }
 
-/// Returns the orders and the milliseconds from the refusal of all copies of a start until the task's
-/// start elsewhere leaves, where minions obey at once and are looked at every 100 ms.
+/// Returns the number of extra orders, and the milliseconds from the refusal of all copies of a
+/// start until the task is started elsewhere. Minions carry orders out at once and are polled every
+/// 100 ms.
 fn cost_of_refusals(copies: usize) -> (usize, u64) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
@@ -257,15 +263,15 @@
     (extra, cluster.now.steady_ms - refused_ms)
 }
 
-/// Minions refuse starts for want of room all day long. With a single copy there is nothing to bar: its
-/// user must not wait for a stop and a look on top of the usual pause.
+/// Minions often refuse starts for lack of capacity. After a single copy no other one can still be
+/// carried out, so the task waits for the usual pause only, without a stop and a poll.
 #[test]
 fn refusal_of_a_single_copy_costs_nothing_more() {
     let pause_ms = AFTER_NO_ROOM_MS.next_multiple_of(TICK_MS);
     assert_eq!(cost_of_refusals(1), (0, pause_ms));
 }
 
-/// A start that was given twice is seldom, and its task waits for one stop and one look more.
+/// A repeated start is rare; after its refusal the task waits for one additional stop and poll.
 #[test]
 fn refusal_of_a_repeated_start_costs_one_stop() {
     let pause_ms = AFTER_NO_ROOM_MS.next_multiple_of(TICK_MS);
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -1,4 +1,4 @@
-//! What callers are promised, while answers and processes are lost.
+//! Guarantees to callers that hold when messages are lost and processes fail.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{
@@ -7,8 +7,8 @@
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
 
-/// The coordinator could lose power right after it has answered. A caller that was told "accepted"
-/// would never see its job again, so the record is written before the answer.
+/// If the coordinator failed after accepting a job that is not in the store, the job would be lost.
+/// The record is written before the response.
 #[test]
 fn acceptance_waits_for_the_store() {
     let mut cluster = Cluster::new();
@@ -19,8 +19,8 @@
     assert_eq!(cluster.response(ticket), Some(Answer::Accepted));
 }
 
-/// A caller that lost its answer sends the job again, through any entry, perhaps seconds after it
-/// was done. It must be accepted again and run no second time.
+/// A caller that lost the response submits the job again, through any entry, perhaps seconds after
+/// its completion. The job is accepted again and runs once.
 #[test]
 fn repeated_submission_is_one_job() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -37,8 +37,8 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// If a start left before its placement was written, a successor would know nothing of the run and
-/// begin the task a second time beside it.
+/// If a start were sent before its placement is written, a successor would not know the run and
+/// would start the task a second time.
 #[test]
 fn start_leaves_after_its_placement_is_written() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -49,8 +49,8 @@
     assert_matches!(cluster.orders[..], [ref order] if matches!(order.kind, OrderKind::Start { .. }));
 }
 
-/// A minion forgets an end once it is acknowledged. If the store did not hold it by then, a
-/// successor would run the task again although it was done.
+/// A minion forgets an acknowledged end. If the store did not hold that end, a successor would run
+/// the completed task again.
 #[test]
 fn end_is_written_before_the_minion_may_forget_it() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -63,9 +63,8 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The coordinator dies between the write of a placement and its start order. Its successor finds
-/// the placement, and gives the same run again: were it a new run, a late copy of the first order
-/// could begin beside it.
+/// The coordinator fails between the write of a placement and its start order. The successor
+/// repeats the same run; with a new run number, a late copy of the first order could run beside it.
 #[test]
 fn successor_gives_lost_starts_again() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -80,7 +79,7 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The coordinator dies while tasks run. They go on, and nobody notices anything.
+/// Running tasks continue across a takeover.
 #[test]
 fn successor_leaves_running_work_alone() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], step(6));
@@ -93,8 +92,8 @@
     assert_eq!(cluster.running_tasks(), before);
 }
 
-/// A task fails twice, through its own fault, in a queue that allows two attempts. Its caller is
-/// told that the job has failed, and no third attempt is made.
+/// A task fails twice in a queue that allows two attempts. The job fails, and there is no third
+/// attempt.
 #[test]
 fn job_fails_after_its_attempts() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -108,7 +107,7 @@
     assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Failed));
 }
 
-/// A caller cancels a job that runs. Its tasks are stopped, and it is never shown as anything else.
+/// Tasks of a cancelled job are stopped, and its state stays cancelled.
 #[test]
 fn cancelled_job_is_stopped() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(2));
@@ -122,8 +121,9 @@
     assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Cancelled));
 }
 
-/// A minion leaves a start unanswered and then has no room for its copy. The first one may still be
-/// carried out when room comes, beside a run elsewhere; so the run is barred before it is replaced.
+/// A minion leaves a start unanswered, and refuses its copy for lack of capacity. The first copy
+/// may still be carried out later, so a stop order invalidates the run before the task is placed
+/// elsewhere.
 #[test]
 fn unanswered_start_is_barred_before_it_is_replaced() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -143,7 +143,7 @@
     assert_matches!(cluster.orders[..], [ref start] if start.run == 2 && start.task == task(1, 0, 0));
 }
 
-/// Without any answer lost, a refused start is simply placed elsewhere.
+/// If no answer was lost, a refused start is placed elsewhere without a stop.
 #[test]
 fn refused_start_goes_elsewhere() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -154,8 +154,8 @@
     assert_matches!(cluster.orders[..], [ref start] if start.minion != order.minion);
 }
 
-/// A minion runs what this coordinator never ordered, as after the job was cancelled and forgotten.
-/// It holds room that nobody accounts for, so it is stopped.
+/// A minion runs a task that the coordinator does not know, such as one of a cancelled and
+/// forgotten job. The run uses resources that are not accounted for, so it is stopped.
 #[test]
 fn unknown_runs_are_stopped() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -164,8 +164,8 @@
     assert_matches!(cluster.orders[..], [ref o] if o.kind == OrderKind::Stop && o.run == 3);
 }
 
-/// A minion that fails whatever it is given ends tasks faster than the others, and would draw ever
-/// more of them. After two jobs failed there in a row it gets none for a while.
+/// A minion that fails every task ends tasks faster than the others, and would attract ever more of
+/// them. After failures of two jobs in a row it is quarantined.
 #[test]
 fn sick_minion_gets_no_work() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -179,8 +179,8 @@
     assert!(cluster.orders.iter().all(|order| &*order.minion == "m2"));
 }
 
-/// A minion crashes and starts again at its address. Nothing of its earlier life runs, and the work
-/// begins anew at once instead of after its lease.
+/// A minion crashes and restarts at its address. Nothing of the old incarnation runs, so its tasks
+/// restart at once, without waiting for the lease.
 #[test]
 fn new_incarnation_frees_the_work_of_the_old_one() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -193,7 +193,7 @@
 }
 
 /// A predecessor's start may still be on its way when the successor's copy is not sent. The run is
-/// barred before the task begins elsewhere, or it could run at both places.
+/// stopped before the task starts elsewhere, as it could otherwise run twice.
 #[test]
 fn successor_bars_what_its_predecessor_may_have_started() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -207,8 +207,8 @@
     assert_matches!(cluster.orders[..], [ref order] if order.kind == OrderKind::Stop);
 }
 
-/// No look at a minion comes for two seconds, as its agent was busy. Its tasks have not moved in
-/// what is known of them, but nobody has looked; stopping them would throw their work away.
+/// A minion is not polled for two seconds because its agent was busy. Its tasks show no progress
+/// only because there was no poll; stopping them would discard their work.
 #[test]
 fn tasks_that_nobody_looked_at_are_not_stuck() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -227,8 +227,8 @@
     assert_eq!(cluster.orders.len(), 2);
 }
 
-/// More jobs come than can ever be held. Those beyond the bound are refused at once and told when to
-/// come back; a repeat of one that is held is still accepted, and the refused one never runs.
+/// Jobs beyond the limit of open jobs are refused at once with a retry delay, and never run. A
+/// repeated submission of an open job is still accepted.
 #[test]
 fn jobs_beyond_the_bound_are_refused() {
     let mut cluster = Cluster::new();
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of what runs, and minions that come, leave and vanish.
+//! Leases on running tasks, and minions that join, drain and disappear.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::tuning::STORE_LOST_MS;
@@ -9,8 +9,8 @@
     step,
 };
 
-/// An agent is cut off while its minion runs on. Its task must not begin elsewhere before the
-/// minion has surely ended it, or a user gets two results.
+/// An agent is disconnected while its minion still runs a task. The task must not restart elsewhere
+/// before the lease has expired, or it would run twice.
 #[test]
 fn work_of_a_lost_agent_waits_for_its_lease() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -22,7 +22,7 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2" && order.run == 2);
 }
 
-/// The agent comes back in time: the task has run all the while and goes on.
+/// The agent returns before its lease expires, and the task has run all the time.
 #[test]
 fn work_of_a_returning_agent_goes_on() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], step(1));
@@ -37,8 +37,8 @@
     assert_eq!(cluster.running_tasks(), before);
 }
 
-/// A successor reaches no agent of a minion that its predecessor may still be extending the lease
-/// of. It waits until that has surely ended.
+/// The successor cannot reach an agent whose lease its predecessor may still be extending. It waits
+/// until that lease has expired.
 #[test]
 fn successor_waits_for_inherited_leases() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -50,9 +50,9 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A successor takes over from a silent predecessor while the store is away, and an agent went away
-/// at the same time. Once the predecessor says that its term has ended, only leases that it had
-/// extended count; users of a standing task would otherwise miss it for eight seconds more.
+/// A successor takes over from a silent predecessor while the store is unavailable, and an agent is
+/// lost at the same time. Once the predecessor reports that its term has ended, only leases that it
+/// had extended before count; otherwise a persistent task would be down for eight more seconds.
 #[test]
 fn word_of_the_predecessor_shortens_the_wait() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -66,7 +66,7 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// The word comes late, when less is left to wait for than a lease: the wait does not grow.
+/// The report comes when the remaining wait is shorter than a lease; it must not prolong the wait.
 #[test]
 fn late_word_of_the_predecessor_changes_nothing() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -79,8 +79,8 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A coordinator that the store has not confirmed for long may have a successor, which takes work
-/// for ended after a time. It must not extend leases beyond that.
+/// A coordinator without recent confirmation by the store may have a successor, which treats runs
+/// as ended after a fixed time. It must not extend leases beyond that.
 #[test]
 fn unconfirmed_coordinator_extends_no_lease() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -98,9 +98,9 @@
     assert_eq!(lease, Some((0, false)));
 }
 
-/// The store's answer that an entry coordinates is on its way for three seconds, in which another entry
-/// takes over. Were the eight seconds counted from the reading of that answer, leases would be extended
-/// beyond what the successor waits for, and a task would run twice.
+/// The store's confirmation of a term takes three seconds to arrive, and another entry takes over
+/// meanwhile. If the eight seconds were counted from its arrival, leases would be extended beyond
+/// what the successor waits for, and a task would run twice.
 #[test]
 fn confirmation_holds_for_the_time_of_asking() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -113,7 +113,7 @@
     assert_matches!(cluster.lease_extensions[..], [(_, _, 0)]);
 }
 
-/// A minion says that it leaves. It gets no new work, and what it cannot finish moves.
+/// A draining minion gets no new task, and tasks that it cannot finish in time move.
 #[test]
 fn leaving_minion_is_emptied() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -139,8 +139,8 @@
     assert!(cluster.orders.iter().all(|order| &*order.minion == "m2"));
 }
 
-/// A heartbeat that was delayed arrives after a newer one, and says that a leaving minion is ready.
-/// It is older, so it changes nothing.
+/// A delayed message about a minion arrives after a newer one, and says that the draining minion is
+/// ready. It has an older sequence number and is ignored.
 #[test]
 fn delayed_heartbeat_changes_nothing() {
     let mut cluster = Cluster::new();
@@ -157,7 +157,7 @@
     assert!(cluster.orders.is_empty());
 }
 
-/// A standing task ends, however it ends: it is started again, for ever.
+/// A persistent task is restarted however often and for whatever reason it ends.
 #[test]
 fn standing_task_is_started_again() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -172,8 +172,8 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// A minion starts anew beside an agent whose lease is valid, long after the coordinator took over.
-/// What begins there at once must not be taken for ended before the next beat renews the lease: it
+/// A minion restarts beside an agent with a valid lease, long after the takeover. A task that
+/// starts there before the agent's next heartbeat is covered by that lease; treated as ended, it
 /// would run twice.
 #[test]
 fn new_incarnation_shares_its_agents_lease() {
@@ -189,8 +189,8 @@
     assert!(cluster.orders.is_empty());
 }
 
-/// A minion does not answer its agent, which sends no start to it. The tasks go elsewhere at once,
-/// and none is placed there until it answers.
+/// An agent sends no start to a minion that does not answer it. The tasks are placed elsewhere at
+/// once, and none is placed there until the minion answers.
 #[test]
 fn silent_minion_gets_no_work() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -205,8 +205,8 @@
     assert!(cluster.orders.iter().all(|order| order.minion != minion));
 }
 
-/// A standing task fails while its minion is nearly full. Its place is kept for it: short tasks are
-/// given some room of their own, but not that of a task that ran.
+/// A persistent task fails while its minion is nearly full. Its capacity stays reserved for it:
+/// short tasks have reserved capacity of their own, and must not take that of a task that ran.
 #[test]
 fn failed_standing_task_gets_its_room_back() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -232,8 +232,8 @@
     assert_matches!(cluster.orders[..], [ref order] if order.task == task && order.run == 2);
 }
 
-/// All processes have lost power. A minion is looked at before its agent holds a lease, and the
-/// agent would send no start; each would come back and be placed again, many times a second.
+/// After a power failure, a minion is polled before its agent holds a lease. The agent would refuse
+/// every start, and tasks would be placed again many times a second.
 #[test]
 fn nothing_is_placed_before_the_agent_holds_a_lease() {
     let mut cluster = Cluster::new();
@@ -246,9 +246,9 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// An agent is cut off from the coordinator for a while. If that steps down meanwhile, its successor
-/// waits only for what is left of the agent's lease; users of a standing task would otherwise wait
-/// for a whole one at each planned restart.
+/// An agent is disconnected, and the coordinator steps down meanwhile. The successor waits only for
+/// the rest of the agent's lease; otherwise each planned restart would keep persistent tasks down
+/// for a whole lease.
 #[test]
 fn successor_is_told_of_agents_that_are_not_reached() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -265,9 +265,9 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// The agent is reached again just before the coordinator steps down. Its lease is extended, and a
-/// successor that took it for ending soon would start its tasks elsewhere while they run. The word is
-/// taken back before the extension leaves.
+/// An agent is reached again just before the coordinator steps down, and its lease is extended. A
+/// successor that expects the lease to expire soon would restart tasks elsewhere while they run, so
+/// the agent is removed from the unreached ones before the extension is sent.
 #[test]
 fn agent_that_is_reached_again_is_not_left_as_unreached() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -280,9 +280,9 @@
     assert!(cluster.coordinator.inheritance(cluster.now).unreached.is_empty());
 }
 
-/// An agent has linked to a successor, whose predecessor is silent for good. It obeys nobody else any
-/// more, so that what runs beside it ends with the leases it had then, long before the silent one would
-/// have noticed that it lost the store.
+/// An agent that has linked to a successor no longer obeys its silent predecessor. Tasks beside it
+/// end with the leases of that moment, long before the silent coordinator would notice that it lost
+/// the store.
 #[test]
 fn linked_agent_obeys_no_silent_coordinator() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -295,8 +295,8 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A machine is lost without a word, and its link stays open. No task is placed on its minion once a few
-/// beats of its agent are missing: nobody would carry the order out.
+/// A machine is lost and its link stays open. After a few missing heartbeats of its agent no task
+/// is placed there, as nobody would carry the order out.
 #[test]
 fn silent_agent_gets_no_work() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -310,9 +310,9 @@
     assert!(cluster.orders.iter().any(|order| &*order.minion == "m1"));
 }
 
-/// An agent was cut off for as long as a lease, in which its minion has done a task. It links again in the
-/// moment in which the lease is surely over, and is about to show that. Were the task taken for ended before its
-/// minion's lists are read, it would be done once more, for nothing.
+/// An agent is disconnected for a whole lease, in which its minion completes a task. It links again
+/// just as the lease expires. If the task were treated as ended before the minion's lists are read,
+/// it would run a second time.
 #[test]
 fn lists_of_an_agent_that_just_linked_are_read_before_its_lease_counts() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -329,7 +329,7 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The same, but no lists come. The agent's link is no reason to wait for ever.
+/// The agent links again but sends no lists. The wait for them is bounded.
 #[test]
 fn lists_of_an_agent_that_just_linked_are_waited_for_a_second() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -1,4 +1,4 @@
-//! How long the task that waits longest has waited, as gauges tell it.
+//! The longest wait of a task, as reported by gauges.
 
 use geraniumpost_batch::{
     Ask, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderOutcome, OrderVerb, StepSpec,
@@ -7,20 +7,20 @@
 
 use crate::cluster::{Cluster, LEASE_MS, minion_info, persistent_step, step, task};
 
-/// How much later than it began a wait may be noticed, and its end too, in milliseconds.
+/// Largest delay in milliseconds until the beginning or the end of a wait is detected.
 const DETECTION_MS: u64 = 500;
 
 fn longest_wait(cluster: &Cluster) -> LongestWait {
     cluster.coordinator.longest_wait(cluster.now)
 }
 
-/// Checks that a wait began `since_ms` ago, or was noticed so much later.
+/// Checks that a wait began `since_ms` ago, up to the detection delay.
 #[track_caller]
 fn assert_wait(wait_ms: u64, since_ms: u64) {
     assert!((since_ms - DETECTION_MS..=since_ms).contains(&wait_ms), "{wait_ms} after {since_ms}");
 }
 
-/// Returns a world in which a standing task has been at work on m1 for a while.
+/// Returns a cluster in which a persistent task has been running on m1 for some seconds.
 fn with_running_task() -> Cluster {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.poll("m1");
@@ -32,7 +32,7 @@
     cluster
 }
 
-/// Lets the task start on a minion that joins, and checks that its wait is over.
+/// Lets the task start on a minion that joins, and checks that the wait ends.
 fn assert_wait_ends_on(mut cluster: Cluster, minion: &str) {
     cluster.join(minion, |info| info);
     cluster.advance(200);
@@ -42,7 +42,7 @@
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
-/// Lets the task's agent link, and checks that its wait is over, as it has run all the while.
+/// Links the task's agent again, and checks that the wait ends, as the task has been running.
 #[track_caller]
 fn assert_wait_ends_when_agent_returns(mut cluster: Cluster) {
     cluster.join("m1", |info| info);
@@ -55,8 +55,8 @@
     assert_eq!(longest_wait(&Cluster::new()), LongestWait::default());
 }
 
-/// A standing task ends and finds no place. Its wait counts from its end, to the millisecond, until
-/// it is at work again.
+/// A persistent task ends and cannot be placed. Its wait counts from its end, to the millisecond,
+/// until it runs again.
 #[test]
 fn wait_of_an_ended_task_grows_and_ends() {
     let mut cluster = with_running_task();
@@ -70,8 +70,8 @@
     assert_wait_ends_on(cluster, "m2");
 }
 
-/// An agent is cut off. Nobody knows whether its standing task runs on; its users may miss it from
-/// then on, and also after its lease has lapsed and it waits for a place.
+/// An agent is disconnected, so its persistent task may be down. The wait counts from then on, and
+/// continues after the lease has expired until the task runs elsewhere.
 #[test]
 fn wait_goes_on_from_a_lost_agent_to_a_new_run() {
     let mut cluster = with_running_task();
@@ -84,7 +84,7 @@
     assert_wait_ends_on(cluster, "m2");
 }
 
-/// The agent comes back, and its task has run all the while.
+/// The agent returns, and its task has been running.
 #[test]
 fn wait_ends_with_the_agents_return() {
     let mut cluster = with_running_task();
@@ -94,7 +94,7 @@
     assert_wait_ends_when_agent_returns(cluster);
 }
 
-/// A minion does not answer its agent. Its standing task may be gone.
+/// A minion does not answer its agent, so its persistent task may be down.
 #[test]
 fn wait_counts_on_a_silent_minion() {
     let mut cluster = with_running_task();
@@ -103,7 +103,8 @@
     assert_wait(longest_wait(&cluster).standing_ms, 1_500);
 }
 
-/// A successor knows nothing of runs whose agents have not linked: they count from its takeover.
+/// A successor does not know the state of runs whose agents have not linked. Their wait counts from
+/// the takeover.
 #[test]
 fn wait_counts_from_the_takeover() {
     let mut cluster = with_running_task();
@@ -113,8 +114,7 @@
     assert_wait_ends_when_agent_returns(cluster);
 }
 
-/// The minion takes the start order and refuses it again and again: the task is placed each time, and
-/// down all the while.
+/// The minion refuses every start. The task is placed each time, but is down throughout.
 #[test]
 fn refused_starts_do_not_end_the_wait() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -128,7 +128,7 @@
     assert_wait(longest_wait(&cluster).standing_ms, 4_000);
 }
 
-/// The store leaves writes without an answer, so that the start order cannot leave.
+/// The store does not confirm the placement, so the start order is not sent.
 #[test]
 fn wait_goes_on_while_a_placement_is_written() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -143,7 +143,7 @@
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
-/// A run that works well for a short while, between two looks, ends the wait before it.
+/// A run that starts and fails between two polls ends the wait before it.
 #[test]
 fn short_run_begins_a_new_wait() {
     let mut cluster = Cluster::new();
@@ -158,7 +158,7 @@
     assert_eq!(longest_wait(&cluster).standing_ms, 0);
 }
 
-/// A new incarnation answers beside the agent: what ran on the one before is down from then on.
+/// A new incarnation answers the agent. Tasks of the old incarnation are down from then on.
 #[test]
 fn wait_counts_from_a_crash() {
     let mut cluster = with_running_task();
@@ -167,7 +167,7 @@
     assert_eq!(longest_wait(&cluster).standing_ms, 700);
 }
 
-/// The task that has waited longest counts, and one of a cancelled job does not.
+/// The longest wait of all open jobs counts; a cancelled job no longer does.
 #[test]
 fn longest_wait_of_open_jobs_counts() {
     let mut cluster = Cluster::new();
@@ -182,8 +182,8 @@
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
-/// Tasks that end are counted apart. Their wait counts from when their step last got a place, and a
-/// step that waits for an earlier one does not wait for a place.
+/// Tasks that end are counted separately. Their wait counts from the last placement of their step,
+/// and a step that waits for another step does not wait for a minion.
 #[test]
 fn other_tasks_are_counted_apart() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
--- a/crates/geraniumpost-batch/tests/coordinator/main.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/main.rs
@@ -1,4 +1,4 @@
-//! The coordinator's decisions, without any network.
+//! Tests of the coordinator's decisions, without I/O.
 
 mod best_effort;
 mod best_effort_fleet;
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random days: whatever is lost, each task runs once at a time and to one end.
+//! Random sequences of faults: each task runs at most once at a time, and every job ends.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +16,30 @@
     Submit {
         count: u32,
     },
-    /// A minion takes its next order; its answer may be lost.
+    /// A minion carries out its next order; the result may be lost.
     CarryOut {
         answered: bool,
     },
-    /// An order overtakes others and is refused, by the agent or the minion.
+    /// An order arrives ahead of others, and the agent or the minion refuses it.
     Refuse {
         at: usize,
         outcome: OrderOutcome,
     },
-    /// An order overtakes others and is carried out.
+    /// An order arrives ahead of others and is carried out.
     CarryOutOfOrder {
         at: usize,
     },
-    /// An agent stands still, while its link stays open and its orders gather.
+    /// An agent's process pauses, while its link stays open and its orders queue up.
     PauseAgent {
         minion: usize,
     },
-    /// It goes on. If its lease is over it refuses so many orders before its next beat is answered.
+    /// The agent resumes. If its lease has expired, it refuses this many orders before its next
+    /// heartbeat is answered.
     ResumeAgent {
         minion: usize,
         refused: usize,
     },
-    /// An order is lost, and carried out by a later `ObeyLate`.
+    /// An order gets no answer, and is carried out by a later `CarryOutDelayed`.
     DelayOrder,
     CarryOutDelayed,
     EndTask {
@@ -77,7 +78,7 @@
             .prop_map(|(at, failed)| Event::EndTask { at, failed }),
         5 => (0..3_usize).prop_map(|minion| Event::Poll { minion }),
         3 => (50..800_u64).prop_map(|ms| Event::Advance { ms }),
-        // Longer than a start without a result waits for its next copy.
+        // Longer than the time after which a start without a result is repeated.
         1 => (800..3_000_u64).prop_map(|ms| Event::Advance { ms }),
         1 => Just(Event::HoldWrites),
         2 => Just(Event::ConfirmWrites),
@@ -100,26 +101,26 @@
 
 const MINIONS: [&str; 3] = ["m1", "m2", "m3"];
 
-/// How an agent is.
+/// State of an agent.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentState {
-    /// When its last answered beat was sent, on the steady clock.
+    /// When its last answered heartbeat was sent, on the steady clock.
     last_heartbeat_ms: u64,
     paused: bool,
-    /// Whether it has no link to the present coordinator.
+    /// Whether it has no link to the current coordinator.
     disconnected: bool,
-    /// Whether what its minion ran has ended with its lease.
+    /// Whether its minion's runs have ended with its lease.
     lease_ended: bool,
 }
 
-/// Minions as they are, and what they must remember to refuse.
+/// A cluster, and the state of agents and minions that its model does not hold.
 struct Scenario {
     cluster: Cluster,
     agents: [AgentState; 3],
     delayed: Vec<Order>,
     /// The highest run that was stopped or has ended, by minion and task.
     ended_runs: BTreeMap<(Name, TaskId), u32>,
-    /// Tasks whose end as done was acknowledged.
+    /// Number of submitted jobs.
     jobs: u64,
 }
 
@@ -187,7 +188,7 @@
                 }
             }
             Event::Advance { ms } => {
-                // Agents that are linked renew their leases.
+                // Linked agents renew their leases.
                 self.cluster.advance(ms);
                 for minion in 0..MINIONS.len() {
                     self.heartbeat(minion);
@@ -211,7 +212,7 @@
                 let now = self.cluster.now;
                 self.cluster.coordinator.agent_lost(&agent_name(MINIONS[minion]), now);
                 self.cluster.process_effects();
-                // Its orders are lost with the link, or on their way.
+                // Its orders are lost with the link, or still on their way.
                 let lost = self.take_orders_of(minion);
                 self.delay(lost);
                 self.agents[minion].disconnected = true;
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Takes one of the orders that wait at agents which are not frozen.
+    /// Removes one of the orders that wait at agents which are not paused.
     fn take_order(&mut self, at: usize) -> Option<Order> {
         let paused = |order: &Order| {
             let agents = MINIONS.iter().zip(&self.agents);
@@ -240,7 +241,7 @@
         taken
     }
 
-    /// Lets orders be carried out later, except those whose deadline is over.
+    /// Keeps orders to be carried out later, except those whose deadline has passed.
     fn delay(&mut self, orders: Vec<Order>) {
         let agents = MINIONS.iter().zip(&self.agents);
         let lease_ended: Vec<&str> =
@@ -270,9 +271,9 @@
         self.cluster.join(MINIONS[minion], |info| info);
     }
 
-    /// Lets an agent go on. If its lease is over it refuses the first orders that it reads; its next beat is
-    /// answered before the others are judged. Once the coordinator takes its work for ended, all that it
-    /// was given before is refused.
+    /// Resumes an agent. If its lease has expired, it refuses the first orders that it reads, and
+    /// its next heartbeat is answered before it handles the others. Once the coordinator treats its
+    /// runs as ended, it refuses all earlier orders.
     fn resume_agent(&mut self, minion: usize, refused: usize) {
         let agent = self.agents[minion];
         if !agent.paused {
@@ -299,8 +300,8 @@
         }
     }
 
-    /// Ends what runs on a minion whose lease is over. Starts that it has not carried out by then are too
-    /// late for ever, as their deadline is the end of that lease.
+    /// Ends the runs on a minion whose lease has expired. Starts that it has not carried out by
+    /// then are refused as too late, because their deadline is the end of that lease.
     fn expire_lease(&mut self, minion: usize) {
         let agent = &mut self.agents[minion];
         if agent.lease_ended || self.cluster.now.steady_ms < agent.last_heartbeat_ms + LEASE_MS {
@@ -315,14 +316,14 @@
         self.delayed.retain(|order| order.minion != name);
     }
 
-    /// Does nothing to an order and says so; only starts have reasons of their own.
+    /// Reports an order as not carried out; only starts have specific reasons.
     fn refuse(&mut self, order: &Order, outcome: OrderOutcome) {
         let verb = OrderVerb::from(&order.kind);
         let outcome = if verb == OrderVerb::Start { outcome } else { OrderOutcome::NotSent };
         self.cluster.report_result(order, verb, outcome);
     }
 
-    /// Does to an order what a minion does.
+    /// Carries out an order as a minion does.
     fn carry_out(&mut self, order: &Order, answered: bool) {
         let key = (order.minion.clone(), order.task);
         let last_ended = self.ended_runs.get(&key).copied().unwrap_or(0);
@@ -355,7 +356,7 @@
     }
 }
 
-/// Plays a day, lets everything that is out come to its end, and checks that all jobs are over.
+/// Applies events, lets everything pending finish, and checks that all jobs have ended.
 fn run_to_completion(events: Vec<Event>) {
     let mut scenario = Scenario::new();
     for event in events {
@@ -397,16 +398,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Orders are lost, refused, carried out late or past each other, agents stand still for longer than
-    /// their leases, writes are held up, links break and coordinators take over from each other. No task
-    /// ever runs at two places, and in the end all jobs are over.
+    /// Orders are lost, refused, delayed and reordered, agents pause for longer than their leases,
+    /// writes are delayed, links break, and coordinators take over. No task ever runs on two
+    /// minions at once, and all jobs end.
     #[test]
     fn tasks_run_once_at_a_time_and_jobs_end(events in vec(event(), 1..120)) {
         run_to_completion(events);
     }
 }
 
-/// Days that once showed a task at two places, made as short as they show it.
+/// Shortest sequences of events that once made a task run on two minions at once.
 macro_rules! scenarios {
     ($($(#[$doc:meta])* $name:ident: [$($event:expr),* $(,)?])*) => {$(
         $(#[$doc])*
@@ -418,16 +419,16 @@
 }
 
 scenarios! {
-    /// A start without a result is given again. The first copy is refused, the task is placed elsewhere, and
-    /// the second copy is carried out: its user sees the task run twice at once.
+    /// A start without a result is repeated. The first copy is refused and the task placed
+    /// elsewhere, and then the second copy is carried out: the task runs twice at once.
     one_copy_is_refused_and_the_other_carried_out: [
         Event::Submit { count: 1 },
         Event::Advance { ms: 2_500 },
         Event::Refuse { at: 0, outcome: OrderOutcome::NotSent },
         Event::Advance { ms: 150 },
     ]
-    /// The same at agents that stand still until their leases are over. Each refuses the first copy that it
-    /// reads, and carries the others out once its next beat is answered.
+    /// The same with agents that pause until their leases have expired. Each refuses the first copy
+    /// that it reads, and carries out the others once its next heartbeat is answered.
     frozen_agent_refuses_one_copy: [
         Event::Submit { count: 1 },
         Event::PauseAgent { minion: 0 },
--- a/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
@@ -1,4 +1,4 @@
-//! How long standing tasks are down while the site is troubled, against what is promised.
+//! Downtime of persistent tasks under faults and planned work, compared with the guarantee.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -8,10 +8,10 @@
 
 /// Pauses between two events, in milliseconds.
 const GAPS_MS: [u64; 5] = [0, 300, 1_000, 3_000, 5_000];
-/// Tasks that run on different machines.
+/// Indexes of tasks that run on different machines.
 const SAME_MACHINE: u32 = 0;
 const OTHER_MACHINE: u32 = 1;
-/// Lines of a trace that are shown.
+/// Number of trace lines that a failure shows.
 const TRACE_LINES: usize = 45;
 
 fn describe(events: &[(u64, Event, u32)], report: &Report) -> String {
@@ -30,8 +30,8 @@
     assert!(report.meets_guarantee(), "{}\n{trace}", describe(events, &report));
 }
 
-/// Plays an event before each of all, with all pauses between them, on the same machine and on
-/// another.
+/// Runs an event followed by each other event, after each pause, on the same machine and on another
+/// one.
 fn run_pairs_starting_with(first: Event) {
     let mut violations = Vec::new();
     for second in Event::ALL {
@@ -94,17 +94,17 @@
     full: OtherMachinesFull,
 }
 
-/// Two machines vanish without a word, and no link of theirs closes. Their leases lapse, but both
-/// still count as open and look emptiest, so that their tasks are placed on one and the other in
-/// turn. Users miss them until the links close, though other machines have room.
+/// Two machines are lost while their links stay open. If they counted as reachable after their
+/// leases expired, they would look emptiest, and tasks would be placed on one and the other in turn
+/// until the links close, although other machines have capacity.
 #[test]
 fn lost_machines_are_given_no_work() {
     check(&[(0, Event::MachineLost, SAME_MACHINE), (0, Event::MachineLost, OTHER_MACHINE)]);
 }
 
-/// The coordinator is cut off with one agent, and extends its lease for eight seconds. Its successor
-/// waits for that, but is asked to restart, and the next one waits only for the leases of the
-/// successor. A task begins elsewhere while it still runs, and its users get two of it.
+/// An isolated coordinator extends the lease of one agent for eight seconds. Its successor waits
+/// for that, but is restarted. If the next coordinator waited only for the leases of the successor,
+/// a task would restart elsewhere while it still runs.
 #[test]
 fn restarted_successor_hands_on_whom_it_waits_for() {
     check(&[
@@ -113,8 +113,8 @@
     ]);
 }
 
-/// The same, but the successor is killed. It comes back and says that its term has ended, which says
-/// nothing of the one before it that still extends the lease.
+/// As above, but the successor is killed. It returns and reports that its term has ended, which
+/// says nothing about the isolated coordinator before it that still extends the lease.
 #[test]
 fn word_of_a_killed_successor_says_nothing_of_who_was_before_it() {
     check(&[
@@ -123,29 +123,29 @@
     ]);
 }
 
-/// A minion crashes, and five seconds later the coordinator is asked to restart. The next one does
-/// not know when the lease lapses and waits for a whole one. Users miss the task for longer than
-/// promised, by planned work; each further restart adds as much.
+/// A minion crashes, and the coordinator is restarted five seconds later. If the next one did not
+/// know when the lease expires, it would wait for a whole lease, and each planned restart would add
+/// as much downtime.
 #[test]
 fn planned_restart_adds_no_wait_for_a_crashed_minion() {
     check(&[(0, Event::Crash, SAME_MACHINE), (5_000, Event::CoordinatorRestarted, SAME_MACHINE)]);
 }
 
-/// The coordinator's machine is lost with no trace, and a minion crashes with it. The successor waits
-/// until the coordinator would have missed the store, had it lived on, and for a lease after that.
+/// The coordinator's machine and a minion are lost together. The successor waits until the
+/// coordinator would have noticed the loss of the store, had it been alive, and then for a lease.
 #[test]
 fn lost_coordinator_and_minion_are_made_up_for_in_time() {
     check(&[(0, Event::CoordinatorMachineLost, SAME_MACHINE), (0, Event::Crash, SAME_MACHINE)]);
 }
 
-/// A minion crashes, and another one just before its tasks are placed anew. That one counts as
-/// answering for 2.5 s more, takes one of them, and keeps it until its own lease has lapsed.
+/// A minion crashes just before tasks of another crashed minion are placed again. It counts as
+/// answering for 2.5 s more; a task placed on it would stay there until its own lease has expired.
 #[test]
 fn crashed_minion_is_given_no_work() {
     check(&[(0, Event::Crash, SAME_MACHINE), (7_000, Event::Crash, 2)]);
 }
 
-/// Events of which no combination is known to break the promise.
+/// Events of which no combination is known to violate the guarantee.
 const TOLERATED_EVENTS: [Event; 20] = [
     Event::Deregister,
     Event::CoordinatorIsolated,
@@ -186,8 +186,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Up to five events of those that are borne; no task is down for longer than promised, and
-    /// none runs twice.
+    /// No task is down for longer than guaranteed, or runs twice at once, under up to five
+    /// tolerated events.
     #[test]
     fn borne_events_keep_the_promise(events in event_sequences(&TOLERATED_EVENTS), crowded in any::<bool>()) {
         let report = Simulation::new(crowded).run(&events);
@@ -195,7 +195,7 @@
         prop_assert!(!report.has_placement_gap);
     }
 
-    /// The same with all events.
+    /// The same for all events.
     #[test]
     fn all_events_keep_the_promise(events in event_sequences(&Event::ALL), crowded in any::<bool>()) {
         let report = Simulation::new(crowded).run(&events);
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -1,4 +1,4 @@
-//! What a cold reading of the mends found: each of these fails on the code as it is.
+//! Regression tests of takeovers, departures, paces and lost results.
 
 use geraniumpost_batch::{
     Demand, EndKind, FromAgent, OrderKind, OrderOutcome, OrderVerb, StepSpec,
@@ -6,10 +6,10 @@
 
 use crate::cluster::{Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, step, task};
 
-/// A coordinator that only one agent reaches falls silent for everybody else, and goes on extending that
-/// agent's lease for seven seconds. Then it hears of its successor, which is asked to restart, and takes
-/// over from it. Its earlier term has ended, but not the lease that it granted in it a moment ago: the
-/// agent's standing task begins elsewhere while it runs, and users see it twice.
+/// A coordinator that only one agent can reach extends that agent's lease for seven seconds, and
+/// then takes over from its successor, which is restarted. Its earlier term has ended, but not the
+/// lease that it extended in it: if the lease were ignored, the agent's task would restart
+/// elsewhere while it runs.
 #[test]
 fn coordinator_that_returns_waits_for_leases_of_its_earlier_term() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -24,7 +24,7 @@
     assert!(cluster.orders.is_empty(), "the successor waits for the silent coordinator");
     let predecessor_leases = cluster.coordinator.inheritance(cluster.now);
     assert!(predecessor_leases.unreached.contains_key(&agent_name("m1")));
-    // The silent one extended the lease until now, so that it lasts for as long as any.
+    // The silent coordinator extended the lease until now, so it has its full duration left.
     cluster.take_over_with(&predecessor_leases.taken_over(None, SILENT_COORDINATOR, LEASE_MS));
     cluster.join("m2", |info| info);
     cluster.advance(LEASE_MS);
@@ -35,10 +35,10 @@
     );
 }
 
-/// A task of a leaving minion is stopped, so that it goes on elsewhere, and the store leaves the write of
-/// that end without an answer. The minion leaves, its agent says so, is told at once that the records hold
-/// it, and is taken away with its VM. The coordinator is lost with the write: its successor finds the task
-/// on the minion that has left, nobody can tell it better, and users miss the task until a lease has lapsed.
+/// A task of a draining minion is stopped, and the write of that end is not confirmed. If the
+/// minion's departure were settled at once, its VM would be removed; and if the coordinator is then
+/// lost with the write, its successor finds the task on the departed minion, nobody can correct it,
+/// and the task is down for a whole lease.
 #[test]
 fn departure_is_not_settled_before_earlier_ends_are_recorded() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -61,8 +61,8 @@
     assert_eq!(cluster.settled_departures, [minion]);
 }
 
-/// The same with an agent that was cut off: what ran beside it is taken for ended once its lease has
-/// lapsed, while the store is away. Then the agent is there again and says that its minion has left.
+/// The same for a disconnected agent whose tasks count as ended once its lease has expired, while
+/// the store is unavailable. The agent then returns and reports that its minion has departed.
 #[test]
 fn departure_is_not_settled_before_a_lapse_is_recorded() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -78,7 +78,7 @@
     assert_eq!(cluster.settled_departures, ["m1".into()]);
 }
 
-/// A serving task that is over its bound, with a filling one beside it that was told to stand still.
+/// Returns a cluster with a serving task above its bound and a best-effort task beside it.
 fn cluster_with_overloaded_serving_task() -> Cluster {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let serving =
@@ -95,7 +95,7 @@
     cluster
 }
 
-/// Lets a minion's lists be read each 0.4 s, in which the filling task makes progress.
+/// Polls the minion every 0.4 s, while the best-effort task makes progress.
 fn poll_with_progress(cluster: &mut Cluster, from: u8, to: u8) {
     for percent in from..to {
         cluster.advance(400);
@@ -104,9 +104,9 @@
     }
 }
 
-/// The order to stand still is lost on its way, and its agent says that it had no answer. The tail stays
-/// over its bound beside work that goes on at full speed, and users wait until that is over: the order is
-/// taken for carried out and never given again.
+/// The order to pause a task is lost, and its agent reports it as unanswered. If it counted as
+/// carried out, it would never be repeated, and the serving task would stay above its bound beside
+/// a task at full speed.
 #[test]
 fn pace_without_an_answer_is_given_again() {
     let mut cluster = cluster_with_overloaded_serving_task();
@@ -120,9 +120,9 @@
     assert!(cluster.orders.iter().any(|o| o.kind == OrderKind::Pace { percent: 0 }));
 }
 
-/// A filling task was told to work slowly when its coordinator is lost, and what serves beside it is calm
-/// soon after. The successor takes it to be at full speed, tells it nothing, and it works slowly to its
-/// end, beside processors that nobody uses.
+/// A best-effort task runs at a reduced pace when its coordinator is lost, and the serving task
+/// beside it is below its bound soon after. A successor that assumes full speed would send no
+/// order, and the task would run slowly to its end beside idle processors.
 #[test]
 fn successor_takes_back_a_pace_that_is_no_longer_needed() {
     let mut cluster = cluster_with_overloaded_serving_task();
@@ -142,9 +142,9 @@
     assert_eq!(cluster.paces.get(&task(2, 0, 0)), Some(&100), "{:?}", cluster.running_tasks());
 }
 
-/// An end is written while its agent has no link, so that the word that the minion may forget it reaches
-/// nobody. The agent passes the end on again on its next link, and is not answered: the minion lists the
-/// end, and the agent asks for it seven times a second, until another task ends there.
+/// An end is written while its agent has no link, so the acknowledgement is not sent. If it were
+/// not repeated when the agent reports the end over its next link, the minion would keep listing
+/// the end, and the agent would request it seven times a second until another task ends there.
 #[test]
 fn acknowledgement_that_reached_nobody_is_given_again() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -154,7 +154,7 @@
     cluster.end_all_runs(EndKind::Done);
     cluster.disconnect_agent("m1");
     cluster.confirm_pending_writes();
-    // The driver has no link to send it on.
+    // There was no link to send it on.
     cluster.acknowledged.clear();
     cluster.join("m1", |info| info);
     cluster.advance(1_000);
@@ -162,9 +162,10 @@
     assert_eq!(cluster.acknowledged.get("m1"), Some(&1));
 }
 
-/// A minion refuses a start as its run is over there, and its agent is replaced before it reads the lists
-/// again. The next process counts its results from 0, and the coordinator waits for lists from after the
-/// refusal: the task goes nowhere until that many orders were given there, and on a quiet minion for ever.
+/// A minion refuses a start because its run is over, and its agent is replaced before the next
+/// poll. The new process numbers its results from 0. A coordinator that waits for a poll after the
+/// refusal would not place the task until as many orders were given there, and on an idle minion
+/// never.
 #[test]
 fn refused_run_goes_elsewhere_though_its_agent_counts_anew() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/action.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/action.rs
@@ -1,44 +1,44 @@
 use super::coordinator_loss::CoordinatorLoss;
 
-/// A part of an event, at one machine or at none.
+/// A step of an event, at one machine or at none.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Action {
-    /// The minion gives notice that it will leave.
+    /// The minion announces that it will leave.
     Drain,
-    /// The minion says its farewell, and ends with all it runs.
+    /// The minion deregisters, and terminates with all its runs.
     Deregister,
-    /// The minion ends with all it runs, and says nothing.
+    /// The minion terminates with all its runs, without deregistering.
     Crash,
     /// Another incarnation of the minion starts.
     RestartMinion,
-    /// Nothing passes between the machine and others, and no link says so.
+    /// The machine's network is cut, while its links stay open.
     Partition,
-    /// The machine is reached again.
+    /// The machine's network is restored.
     HealPartition,
     /// The agent is asked to stop.
     StopAgent,
-    /// The agent ends at once.
+    /// The agent is killed.
     KillAgent,
-    /// The agent starts, if need be once the one before has stopped.
+    /// The agent starts, after the previous one has stopped.
     StartAgent,
     /// The coordinator is lost, and another entry takes over.
     LoseCoordinator(CoordinatorLoss),
-    /// An entry that was lost so answers again, and knows who coordinates.
+    /// The entry with this loss number answers again, and knows the current coordinator.
     EntryAnswers(u64),
     /// The coordinator is cut off from all but the machine's agent.
     IsolateCoordinator,
-    /// The coordinator that was cut off learns of its successor.
+    /// The isolated coordinator learns of its successor.
     EndIsolation,
-    /// Writes are not confirmed from now on.
+    /// Writes are no longer confirmed.
     HoldWrites,
     /// Writes are confirmed again.
     ResumeWrites,
-    /// The store confirms nothing, not even the coordinator.
+    /// The store confirms neither writes nor the coordinator's term.
     StoreDown,
-    /// The store does so again.
+    /// The store is available again.
     StoreUp,
-    /// Whether orders are late.
+    /// Whether orders are delayed.
     DelayOrders(bool),
-    /// Whether all other machines are full.
+    /// Whether all other machines offer no free capacity.
     LimitOtherMachines(bool),
 }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -1,4 +1,4 @@
-//! Links, beats and leases of agents, and agents that stop.
+//! Links, heartbeats and leases of agents, and agents that stop.
 
 use geraniumpost_batch::{Effect, FromAgent, ToAgent};
 use geraniumpost_schema::Name;
@@ -6,35 +6,36 @@
 use super::Simulation;
 use crate::cluster::agent_name;
 
-/// Time between two beats of an agent, in milliseconds.
+/// Interval between heartbeats of an agent, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// By how much the next machine's agent is ahead in all it does from time to time, in milliseconds.
+/// Time by which the periodic work of each agent precedes that of the agent before it, in
+/// milliseconds.
 const AGENT_OFFSET_MS: u64 = 100;
 
 impl Simulation {
-    /// Returns which machine an incarnation belongs to.
+    /// Returns the index of the machine that an incarnation runs on.
     pub(super) fn machine_of(&self, minion: &Name) -> Option<usize> {
         self.machines.iter().position(|machine| agent_name(&machine.name) == agent_name(minion))
     }
 
-    /// Returns whether it is time for what an agent does so often.
+    /// Returns whether periodic work of an agent is due.
     pub(super) const fn is_due(&self, at: usize, every_ms: u64) -> bool {
         (self.cluster.now.steady_ms + AGENT_OFFSET_MS * at as u64).is_multiple_of(every_ms)
     }
 
-    /// Returns whether the coordinator hears an agent.
+    /// Returns whether messages of an agent reach the coordinator.
     pub(super) fn can_reach_coordinator(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         machine.linked && machine.network_up && !self.succession.is_vacant()
     }
 
-    /// Returns whether an agent could open a link to the coordinator, if there is one.
+    /// Returns whether an agent could open a link to a coordinator, if there is one.
     pub(super) fn can_link(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         machine.agent_up && machine.network_up && !self.succession.agent_follows_isolated(at)
     }
 
-    /// The agent tells the coordinator something; it is lost if it cannot.
+    /// Sends a message of an agent to the coordinator; without a link the message is lost.
     pub(super) fn send(&mut self, at: usize, message: FromAgent) {
         if self.can_reach_coordinator(at) {
             let name = self.machines[at].name.clone();
@@ -43,7 +44,7 @@
         self.settle_departures();
     }
 
-    /// The agent opens a link, if it has none.
+    /// Opens the agent's link, if it has none.
     pub(super) fn link_agent(&mut self, at: usize) {
         let can_link = self.can_link(at) && !self.succession.is_vacant();
         let machine = &mut self.machines[at];
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The agent beats, and its lease is extended by whom it reaches.
+    /// Sends the agent's heartbeat, and extends its lease if a coordinator answers.
     pub(super) fn heartbeat(&mut self, at: usize) {
         let machine = &self.machines[at];
         if !machine.agent_up {
@@ -84,8 +85,8 @@
         }
     }
 
-    /// The agent beats to a coordinator that is cut off from all others, and is answered as if there
-    /// were no successor.
+    /// Sends the agent's heartbeat to the isolated coordinator, which answers as if it had no
+    /// successor.
     fn heartbeat_to_isolated(&mut self, at: usize, heartbeat: FromAgent) {
         let now = self.cluster.now;
         let Some((coordinator, _)) = &mut self.succession.isolated else { return };
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Agents take in the leases that the coordinator has extended.
+    /// Applies the lease extensions that the coordinator has sent to agents.
     fn apply_lease_extensions(&mut self) {
         for (name, sent_at_ms, hold_ms) in std::mem::take(&mut self.cluster.lease_extensions) {
             let machine =
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Ends an agent that was asked to stop, once it has nothing to tell any more or may stay no longer.
+    /// Terminates an agent that was asked to stop, once its departures are settled or its deadline
+    /// has passed.
     pub(super) fn finish_agent_stop(&mut self, at: usize) {
         let machine = &self.machines[at];
         let Some(deadline_ms) = machine.stop_deadline_ms else { return };
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Ends an agent at once. The coordinator notices if its link can close.
+    /// Terminates an agent at once. The coordinator notices if the link can be closed.
     pub(super) fn terminate_agent(&mut self, at: usize) {
         let machine = &mut self.machines[at];
         machine.reset_agent();
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
@@ -1,32 +1,32 @@
-/// How long a killed entry is away, in milliseconds.
+/// Time until a killed entry is running again, in milliseconds.
 pub(super) const RESTART_MS: u64 = 2_000;
-/// How long a frozen entry is silent.
+/// Duration of a process pause, in milliseconds.
 pub(super) const PAUSE_MS: u64 = 2_500;
-/// After how long an entry that is lost for good is replaced.
+/// Time until an entry whose machine is lost is replaced, in milliseconds.
 const REPLACEMENT_MS: u64 = 10_000;
-/// How long an entry is cut off.
+/// Duration of an isolation, in milliseconds.
 pub(super) const ISOLATION_MS: u64 = 14_000;
 
-/// How a coordinator is lost.
+/// The way in which a coordinator is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CoordinatorLoss {
-    /// It has said so in its key.
+    /// It has announced its end in its key.
     Planned,
-    /// Links to it are refused, until its process is back. As a path may refuse links as well, it
-    /// counts as silent.
+    /// Links to it are refused until its process is running again. Since a network path may refuse
+    /// links as well, it counts as silent.
     Killed,
-    /// The same, and agents find the next one late.
+    /// Like `Killed`, and agents link to the successor late.
     KilledSlowRelink,
-    /// It is silent for a while.
+    /// Its process pauses.
     Paused,
-    /// It is silent for good.
+    /// Its machine is lost, which cannot be told from silence.
     MachineLost,
-    /// It is silent for those it is cut off from, and goes on for others.
+    /// Only one agent can reach it, and it continues to serve that one.
     Isolated,
 }
 
 impl CoordinatorLoss {
-    /// Returns how long nobody coordinates, in milliseconds.
+    /// Returns how long there is no coordinator, in milliseconds.
     pub(super) const fn vacancy_ms(self) -> u64 {
         match self {
             Self::Planned => 100,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns after how long the entry answers again, in milliseconds.
+    /// Returns the time until the entry answers again, in milliseconds, if it does.
     pub(super) const fn answers_after_ms(self) -> Option<u64> {
         match self {
             Self::Killed | Self::KilledSlowRelink => Some(RESTART_MS),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns how long nobody hears of the entry, in milliseconds; one that is lost for good is replaced.
+    /// Returns the time until the entry, or its replacement, is available, in milliseconds.
     pub(super) const fn unavailable_ms(self) -> u64 {
         match (self, self.answers_after_ms()) {
             (Self::Planned, _) => RESTART_MS,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Returns whether agents notice the loss by silence only, as no link closes.
+    /// Returns whether no link closes, so that agents detect the loss by a timeout.
     pub(super) const fn is_silent(self) -> bool {
         matches!(self, Self::Paused | Self::MachineLost | Self::Isolated)
     }
 
-    /// Returns how far apart agents link to the successor, in milliseconds.
+    /// Returns the interval in which agents link to the successor, in milliseconds.
     pub(super) const fn relink_interval_ms(self) -> u64 {
         if matches!(self, Self::KilledSlowRelink) { 600 } else { 100 }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of the site: who coordinates, who supports that one, and whom its successor asks.
+//! The entries: which one coordinates, which ones support it, and which ones its successor queries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,22 +8,21 @@
 use geraniumpost_batch::tuning::STORE_CONFIRMS_MS;
 use geraniumpost_schema::Name;
 
-/// Entries of the site.
+/// Number of entries.
 const ENTRIES: usize = 5;
-/// Pause between two questions to an entry that has not answered, in milliseconds.
+/// Interval between queries to an entry that has not answered, in milliseconds.
 const QUERY_INTERVAL_MS: u64 = 300;
 
-/// One entry.
 #[derive(Debug, Default)]
 struct Entry {
     name: Name,
     incarnation: u64,
     promises: Promises,
-    /// Until when nobody hears of it.
+    /// Time until which the entry cannot be reached.
     unavailable_until_ms: u64,
 }
 
-/// What a successor knows of the end of a silent coordinator.
+/// Query for the end of a silent coordinator's support.
 #[derive(Debug)]
 struct PredecessorQuery {
     releases: Releases,
@@ -31,14 +30,13 @@
     taken_over_ms: u64,
 }
 
-/// All entries.
 #[derive(Debug)]
 pub(super) struct Entries {
     all: Vec<Entry>,
     coordinator: usize,
     support: Support,
     next_query_ms: u64,
-    /// The voters of silent coordinators, by where those were.
+    /// The voters of silent coordinators, by the coordinators' addresses.
     voters: BTreeMap<SocketAddr, Voters>,
     queries: BTreeMap<SocketAddr, PredecessorQuery>,
 }
@@ -54,7 +52,8 @@
         Self { all, coordinator: 0, support, next_query_ms: now_ms, voters, queries }
     }
 
-    /// Entries that are up promise support to the coordinator of a term. Returns until when a majority does.
+    /// Lets available entries promise support to the coordinator of a term. Returns the time until
+    /// which a majority supports it.
     pub(super) fn support(&mut self, term: u64, now_ms: u64) -> u64 {
         for (number, entry) in self.all.iter_mut().enumerate() {
             let up = number != self.coordinator && entry.unavailable_until_ms <= now_ms;
@@ -65,7 +64,7 @@
         self.support.until_ms()
     }
 
-    /// The coordinator names the entries that answer in its key, from time to time.
+    /// Updates the voters that the coordinator's key names, if a change is due.
     pub(super) fn update_voters(&mut self, now_ms: u64) {
         if let Some(voters) = self.support.wanted(now_ms) {
             self.support.change(voters, now_ms);
@@ -73,8 +72,8 @@
         }
     }
 
-    /// The coordinator, or the entry that was about to take over, is away until a time; another process is
-    /// there after it, unless it only stood still.
+    /// Makes the coordinator, or the entry about to take over, unavailable until a time. Unless it
+    /// is only paused, a new process runs there afterwards.
     pub(super) fn mark_lost(&mut self, unavailable_until_ms: u64, paused: bool) {
         let lost = &mut self.all[self.coordinator];
         lost.unavailable_until_ms = unavailable_until_ms;
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Chooses who takes over: the next entry that is up, if there is one.
+    /// Elects the next available entry. Returns whether there is one.
     pub(super) fn elect(&mut self, now_ms: u64) -> bool {
         let from = self.coordinator;
         let mut next = (1..=ENTRIES).map(|step| (from + step) % ENTRIES);
@@ -92,8 +91,8 @@
         up.inspect(|number| self.coordinator = *number).is_some()
     }
 
-    /// The entry that was elected takes over, and begins to ask who supports the silent coordinator at an
-    /// address, and earlier ones.
+    /// Lets the elected entry take over, and starts queries for the supporters of the silent
+    /// coordinator at an address and of earlier ones.
     pub(super) fn take_over(&mut self, silent: Option<SocketAddr>, now_ms: u64) {
         let before = self.support.voters().clone();
         if let Some(address) = silent {
@@ -111,8 +110,8 @@
         self.queries = self.voters.iter().map(new_query).collect();
     }
 
-    /// Asks those that have not answered the coordinator of a term. Returns the silent coordinators whose end
-    /// is known, and when it is.
+    /// Queries all available entries on behalf of the coordinator of a term. Returns the silent
+    /// coordinators for which the end of their support is known, and that time.
     pub(super) fn query_voters(&mut self, term: u64, now_ms: u64) -> Vec<(SocketAddr, u64)> {
         if now_ms < self.next_query_ms {
             return Vec::new();
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
@@ -2,27 +2,27 @@
 use super::coordinator_loss::{CoordinatorLoss, ISOLATION_MS, PAUSE_MS, RESTART_MS};
 use super::orders::ORDER_DELAY_MS;
 
-/// What happens to the site, much of it at one machine.
+/// An event of a simulation, in most cases at one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     NoEvent,
-    /// The minion gives notice, and says its farewell three seconds later.
+    /// The minion drains, and deregisters three seconds later.
     DrainAndDeregister,
-    /// The same, and the agent is asked to stop 0.7 s after the farewell: the VM is taken away.
+    /// The same, and the agent is asked to stop 0.7 s after that because the VM is removed.
     VmRemoved,
-    /// The minion says its farewell without notice.
+    /// The minion deregisters without draining first.
     Deregister,
     /// The minion crashes, and another incarnation starts a second later.
     CrashAndRestart,
-    /// The minion crashes for good; its machine and the agent stay.
+    /// The minion crashes and does not return; its machine and the agent stay.
     Crash,
-    /// The machine is lost with all on it.
+    /// The machine is lost with its agent and minion.
     MachineLost,
-    /// The agent reaches nobody for 2.5 s; its link says nothing of it.
+    /// The agent is partitioned for 2.5 s, while its link stays open.
     AgentPartitioned,
-    /// The same for eight seconds, for longer than a lease.
+    /// The same for eight seconds, which is longer than a lease.
     AgentPartitionedLong,
-    /// The agent is asked to stop; the minion beside it stays.
+    /// The agent is asked to stop; its minion stays.
     AgentStopped,
     /// The agent is killed, and starts again a second later.
     AgentKilled,
@@ -30,34 +30,34 @@
     AgentRestarted,
     /// The coordinator is asked to restart.
     CoordinatorRestarted,
-    /// The coordinator is killed; its process is back after two seconds.
+    /// The coordinator is killed; its process is running again after two seconds.
     CoordinatorKilled,
-    /// The coordinator freezes for 2.5 s, and then learns of its successor.
+    /// The coordinator's process pauses for 2.5 s, and then learns of its successor.
     CoordinatorPaused,
-    /// The coordinator's machine is lost, which nobody can tell from silence.
+    /// The coordinator's machine is lost, which cannot be told from silence.
     CoordinatorMachineLost,
-    /// The coordinator is cut off for 14 s from all but the agent of the machine meant.
+    /// The coordinator is cut off from all but the agent of the machine for 14 s.
     CoordinatorIsolated,
-    /// Entries are restarted one after the other, as by a new version.
+    /// Entries are restarted one after another, as in an upgrade.
     RollingRestart,
-    /// Entries are killed one after the other.
+    /// Entries are killed one after another.
     EntriesKilledInTurn,
-    /// The coordinator is killed; agents find the next one 0.6 s apart.
+    /// The coordinator is killed, and agents link to its successor 0.6 s apart.
     AgentsRelinkSlowly,
-    /// Writes are held back for three seconds.
+    /// Writes are delayed for three seconds.
     WritesDelayed,
-    /// Writes are held back for three seconds, and lost with the coordinator.
+    /// Writes are delayed for three seconds, and lost with the coordinator.
     WritesLost,
-    /// The store is away for nine seconds.
+    /// The store is unavailable for nine seconds.
     StoreUnavailable,
-    /// For a second, orders have no answer and are carried out 2.5 s later.
+    /// For a second, orders get no answer and are carried out 2.5 s later.
     OrdersDelayed,
     /// All other machines are full for three seconds.
     OtherMachinesFull,
 }
 
 impl Event {
-    /// All of them, for tests that play each with each.
+    /// All events, for tests that run each with each.
     pub const ALL: [Self; 25] = [
         Self::NoEvent,
         Self::DrainAndDeregister,
@@ -86,7 +86,7 @@
         Self::OtherMachinesFull,
     ];
 
-    /// Returns how long the disturbance lasts, in milliseconds; `None` for planned work.
+    /// Returns the duration of the disturbance in milliseconds, or `None` for planned work.
     pub(super) const fn disturbance_ms(self) -> Option<u64> {
         match self {
             Self::NoEvent
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns what an event consists of, and how many milliseconds after its beginning each part comes.
+    /// Returns the actions of an event, each with its time after the beginning in milliseconds.
     pub(super) const fn actions(self) -> &'static [(u64, Action)] {
         use Action::{
             Crash, DelayOrders, Deregister, Drain, EndIsolation, HealPartition, HoldWrites,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
@@ -1,17 +1,17 @@
-//! How events begin, and what each part of them does to the site.
+//! Events, and the effect of each of their actions on the simulation.
 
 use super::action::Action;
 use super::machine::MACHINE_MILLI_CPUS;
 use super::{Event, STEP_MS, Simulation};
 use crate::cluster::task;
 
-/// Time from a farewell until the agent takes the minion for gone, in milliseconds.
+/// Time from a deregistration until the agent treats the minion as departed, in milliseconds.
 const DEREGISTRATION_MS: u64 = 300;
-/// How long an agent that was asked to stop may stay, in milliseconds.
+/// Time that an agent has to stop after it was asked to, in milliseconds.
 const AGENT_STOP_GRACE_MS: u64 = 5_000;
 
 impl Simulation {
-    /// Puts an event's parts on the agenda, at the machine where the task of an index ran last.
+    /// Schedules an event's actions at the machine where the checked task with an index ran last.
     pub(super) fn schedule_event(&mut self, event: Event, index: u32) {
         let now_ms = self.cluster.now.steady_ms;
         let at = self.checker.last_machine(task(1, 0, index)).unwrap_or(0);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Does what is due. A part may put another one on the agenda, so that each is looked for anew.
+    /// Applies all due actions. An action may schedule another one, so each is searched for again.
     pub(super) fn run_due_actions(&mut self) {
         let now_ms = self.cluster.now.steady_ms;
         while let Some(next) =
@@ -85,7 +85,7 @@
         self.machines[at].stop_deadline_ms = Some(self.cluster.now.steady_ms + AGENT_STOP_GRACE_MS);
     }
 
-    /// Starts an agent, or waits for the one that is still about to stop.
+    /// Starts an agent, or waits for the previous one to stop.
     fn start_agent(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let machine = &mut self.machines[at];
@@ -97,7 +97,7 @@
         machine.next_link_ms = now_ms + 300;
     }
 
-    /// Lets writes pass, unless the store is away, which ends by itself.
+    /// Confirms writes again, unless the store is unavailable until a later action.
     fn resume_writes(&mut self) {
         if self.cluster.store_confirms {
             self.cluster.confirm_pending_writes();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Lets all other machines offer what is in use there and no more, or all they have.
+    /// Reduces the capacity of all other machines to what is in use there, or restores it.
     fn limit_other_machines(&mut self, at: usize, limit: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != at) {
             let used = self.used_milli_cpus(other);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -4,48 +4,47 @@
 use super::incarnation::Incarnation;
 use crate::cluster::minion_info;
 
-/// What a machine offers, in thousandths of a processor.
+/// Capacity of a machine, in thousandths of a processor.
 pub(super) const MACHINE_MILLI_CPUS: i64 = 16_000;
-/// How long after its last answer a minion counts as answering, in milliseconds.
+/// Time after its last answer for which a minion counts as answering, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 1_600;
 
-/// A machine, the minion on it, and the agent beside that minion.
+/// A machine with a minion and its agent.
 ///
-/// What the agent knows of the minion may differ from what the minion does: tests are about the time
-/// until both agree.
+/// The agent's view of the minion may be outdated: tests examine the time until it is correct
+/// again.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) name: String,
-    /// Lives of its minion so far.
+    /// Number of incarnations of its minion so far.
     pub(super) incarnations: u32,
     pub(super) minion: Option<Incarnation>,
     pub(super) milli_cpus: i64,
     pub(super) agent_up: bool,
-    /// Whether anything passes between the agent and coordinators.
+    /// Whether messages pass between the agent and coordinators.
     pub(super) network_up: bool,
-    /// Whether the agent has a link, as far as it knows.
+    /// Whether the agent has an open link, as far as it knows.
     pub(super) linked: bool,
-    /// Whether the coordinator has a link of it, which may be dead.
+    /// Whether the coordinator has an open link of the agent, which may be dead.
     pub(super) coordinator_sees_link: bool,
-    /// When the agent opens another link, at the earliest.
+    /// The earliest time at which the agent opens its next link.
     pub(super) next_link_ms: u64,
     /// The incarnation that the agent knows.
     pub(super) known_minion: Option<Name>,
     /// Whether the agent knows that the minion drains.
     pub(super) reported_draining: bool,
-    /// What the minion offers, as far as the agent knows.
+    /// Capacity that the minion offers, as far as the agent knows.
     pub(super) reported_milli_cpus: i64,
-    /// Number of the last message about the minion.
+    /// Sequence number of the last message about the minion.
     pub(super) sequence: u64,
     /// When the minion last answered the agent.
     pub(super) last_answer_ms: u64,
-    /// When the lease that the agent holds ends.
+    /// When the agent's lease ends.
     pub(super) lease_until_ms: u64,
-    /// An incarnation that said its farewell, and when the agent takes it for gone.
+    /// A deregistered incarnation, and when the agent treats it as departed.
     pub(super) deregistered: Option<(u64, Name)>,
     pub(super) departures: Departures,
-    /// Until when the agent may stay that was asked to stop; it stays until all departures are
-    /// settled.
+    /// Deadline of an agent that was asked to stop; it stops earlier if all departures are settled.
     pub(super) stop_deadline_ms: Option<u64>,
 }
 
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Returns what the agent says of its minion, if it knows one.
+    /// Returns the agent's next message about its minion, if it knows one.
     pub(super) fn reported_info(&mut self) -> Option<MinionInfo> {
         let id = self.known_minion.clone()?;
         self.sequence += 1;
@@ -85,23 +84,22 @@
         Some(info)
     }
 
-    /// Returns the agent's beat.
     pub(super) const fn heartbeat(&self, now_ms: u64) -> FromAgent {
         let answering = now_ms < self.last_answer_ms + ANSWER_TIMEOUT_MS;
         FromAgent::Beat { sent_at_ms: now_ms, minion_ok: self.known_minion.is_some() && answering }
     }
 
-    /// Returns whether an incarnation lives.
+    /// Returns whether an incarnation is running here.
     pub(super) fn hosts(&self, id: &Name) -> bool {
         self.minion.as_ref().is_some_and(|minion| minion.id == *id)
     }
 
-    /// Returns whether the agent knows the incarnation that lives.
+    /// Returns whether the agent knows the running incarnation.
     pub(super) fn knows_minion(&self) -> bool {
         self.known_minion.as_ref().is_some_and(|id| self.hosts(id))
     }
 
-    /// Lets the agent learn how the minion is. Returns whether that is news.
+    /// Updates the agent's view of the minion. Returns whether it has changed.
     pub(super) fn refresh_reported(&mut self) -> bool {
         let Some(minion) = &self.minion else { return false };
         let draining = std::mem::replace(&mut self.reported_draining, minion.draining);
@@ -109,12 +107,12 @@
         draining != minion.draining || milli_cpus != self.milli_cpus
     }
 
-    /// Extends the agent's lease until a time, if it does not hold for longer.
+    /// Extends the agent's lease until a time, unless it already lasts longer.
     pub(super) fn extend_lease(&mut self, until_ms: u64) {
         self.lease_until_ms = self.lease_until_ms.max(until_ms);
     }
 
-    /// Forgets what the agent knew.
+    /// Clears the state of the agent, which is no longer running.
     pub(super) fn reset_agent(&mut self) {
         self.stop_deadline_ms = None;
         self.departures = Departures::default();
@@ -125,8 +123,8 @@
         self.linked = false;
     }
 
-    /// Returns whether nothing changes here by itself: a minion without an agent ends what it runs when
-    /// its lease has lapsed.
+    /// Returns whether no change is pending here: a minion without an agent ends its runs when its
+    /// lease has expired.
     pub(super) fn is_stable(&self) -> bool {
         self.linked || self.minion.as_ref().is_none_or(|minion| minion.lease_until_ms == 0)
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
@@ -1,22 +1,23 @@
-//! A site to play bad days on: four machines with an agent and a minion each, entries that take over
+//! A simulated deployment: four machines with an agent and a minion each, entries that take over
 //! from each other, and a clock.
 //!
-//! A test says what happens and when ([`Event`]); [`Site::play`] lets time pass in small steps until
-//! nothing follows from it any more, and returns what users would have seen ([`Report`]). Each step
-//! has the same order: what the events bring, a successor if one is due, each machine in turn, then
-//! orders, then the check of what is promised.
+//! A test lists what happens and when ([`Event`]). [`Simulation::run`] advances the clock in small
+//! steps until nothing is pending, and returns what users would have noticed ([`Report`]). Each
+//! step has the same order: due actions of events, a due takeover, each machine in turn, then
+//! orders, then the check of the guarantees.
 //!
-//! Agents do what `geraniumpost`'s `batch/agent` does: they beat each half second, look each 0.4 s,
-//! tell what happens only over an open link, and tell a new link of the present minion and of departures
-//! that are not settled.
+//! Agents behave like `batch/agent` of the `geraniumpost` crate: they send a heartbeat each half
+//! second, poll each 0.4 s, report only over an open link, and report the present minion and
+//! unsettled departures over a new link.
 //!
-//! The coordinator is the real one, and so is what it leaves to its successor
-//! ([`Inheritance`](geraniumpost_batch::Inheritance)) and what agents keep of departures
-//! ([`Departures`](geraniumpost_batch::Departures)), and whom entries support
-//! ([`quorum`](geraniumpost_batch::quorum)). What the shell around them does is copied here,
-//! and must follow it: when an entry takes over and whom it asks for a word (`Candidate`,
-//! `await_predecessor`), when the key names the voters and how they are asked (`Writer`, `Asker`), what an agent says to whom (`State`), and that a coordinator does not notice a
-//! link that dies without a word (`Doorway::pass_on`).
+//! The coordinator is the real one, and so are the predecessor leases that it leaves to its
+//! successor ([`Inheritance`](geraniumpost_batch::Inheritance)), the departures that agents keep
+//! ([`Departures`](geraniumpost_batch::Departures)), and the support of entries
+//! ([`quorum`](geraniumpost_batch::quorum)). The behaviour of the processes around them is modelled
+//! here and must be kept in line with them: when an entry takes over and which predecessors it
+//! queries (`Candidate`, `await_predecessor`), when the key names the voters and how they are
+//! queried (`Writer`, `Asker`), what an agent reports to whom (`State`), and that a coordinator
+//! does not notice a dead link that was not closed (`Doorway::pass_on`).
 
 mod action;
 mod agents;
@@ -46,20 +47,21 @@
 
 use crate::cluster::Cluster;
 
-/// One step of the clock, in milliseconds; ticks of the coordinator are that far apart.
+/// One step of the clock, in milliseconds, which is also the interval between ticks of the
+/// coordinator.
 const STEP_MS: u64 = 100;
-/// When a day ends at the latest, after its last event.
+/// Longest time that a simulation runs after its last event.
 const SETTLE_TIMEOUT_MS: u64 = 32_000;
-/// A day is over when nothing was under way for so long.
+/// A simulation ends when nothing was pending for this time.
 const IDLE_MS: u64 = 1_000;
 
-/// Everything that a day is played on. A machine is meant by its place in `machines`.
+/// A simulated deployment. Machines are referred to by their index in `machines`.
 pub struct Simulation {
-    /// The coordinator, its store, and what runs on minions.
+    /// The coordinator, its store, and the runs on minions.
     cluster: Cluster,
     machines: Vec<Machine>,
     started_ms: u64,
-    /// What events still bring: when, at which machine, and what.
+    /// Pending actions of events: the time, the machine and the action.
     scheduled_actions: Vec<(u64, usize, Action)>,
     entries: Entries,
     succession: Succession,
@@ -68,9 +70,9 @@
 }
 
 impl Simulation {
-    /// Returns a site of four machines where a standing step of six tasks is at work. If it is
-    /// crowded, each machine also runs a large standing task, and one more has never run for lack of
-    /// room.
+    /// Returns a simulation of four machines that run a persistent step of six tasks. If it is
+    /// crowded, each machine also runs a large persistent task, and a fifth one is waiting for
+    /// capacity.
     pub fn new(crowded: bool) -> Self {
         let mut cluster = Cluster::new();
         cluster.automatic_heartbeats = false;
@@ -91,9 +93,10 @@
         simulation
     }
 
-    /// Plays events, each so many milliseconds after the one before, and what follows from them.
+    /// Runs a list of events, each given with its delay in milliseconds after the one before, and
+    /// then what follows from them.
     ///
-    /// An event that means a machine means the one where the task of its index ran last.
+    /// Events at a machine happen where the checked task with the given index ran last.
     pub fn run(mut self, events: &[(u64, Event, u32)]) -> Report {
         for (gap_ms, event, index) in events {
             self.advance_until(self.elapsed_ms() + gap_ms);
@@ -103,12 +106,12 @@
         self.into_report()
     }
 
-    /// Returns the time since the site's beginning.
+    /// Returns the time since the simulation started.
     const fn elapsed_ms(&self) -> u64 {
         self.cluster.now.steady_ms - self.started_ms
     }
 
-    /// Adds a line to the report, with the time.
+    /// Adds a line with the time to the report.
     fn trace(&mut self, line: &str) {
         let at_s = self.elapsed_ms() as f64 / 1_000.0;
         self.checker.trace(format!("{at_s:5.1} {line}"));
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Lets time pass until nothing is under way any more, or the day is over.
+    /// Advances until nothing is pending, at most until the time-out.
     fn run_until_idle(&mut self) {
         let until_ms = self.elapsed_ms() + SETTLE_TIMEOUT_MS;
         let mut idle_ms = 0;
@@ -137,7 +140,7 @@
             && self.machines.iter().all(Machine::is_stable)
     }
 
-    /// Lets a tenth of a second pass.
+    /// Advances by one step.
     fn run_step(&mut self) {
         self.advance_clock();
         self.run_due_actions();
@@ -155,7 +158,7 @@
         self.check_guarantees();
     }
 
-    /// Moves the clock; a coordinator decides on that only while there is one.
+    /// Advances the clock, and ticks the coordinator if there is one.
     fn advance_clock(&mut self) {
         self.support_coordinator();
         if self.succession.is_vacant() {
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -1,33 +1,33 @@
-//! Orders on their way from the coordinator by agents to minions, and their results.
+//! Orders on their way from the coordinator through agents to minions, and their results.
 
 use geraniumpost_batch::{Order, OrderOutcome, OrderVerb};
 
 use super::Simulation;
 
-/// How late an order is carried out that is under way for long, in milliseconds.
+/// Delay of delayed orders, in milliseconds.
 pub(super) const ORDER_DELAY_MS: u64 = 2_500;
-/// Time that an agent gives an order, in milliseconds.
+/// Time after which an agent reports an order as unanswered, in milliseconds.
 const ORDER_TIMEOUT_MS: u64 = 700;
 
 /// Orders that have no result yet.
 #[derive(Debug, Default)]
 pub(super) struct OrdersInFlight {
-    /// Whether orders are late at present.
+    /// Whether new orders are delayed.
     pub(super) delay_orders: bool,
     /// Orders that are carried out later, and when.
     delayed: Vec<(u64, Order)>,
-    /// Orders whose agents give up on them, and when.
+    /// Orders that agents will report as unanswered, and when.
     unanswered: Vec<(u64, Order)>,
 }
 
-/// Takes the first order out whose time has come.
+/// Removes the first order that is due.
 fn take_due(orders: &mut Vec<(u64, Order)>, now_ms: u64) -> Option<Order> {
     let next = orders.iter().position(|(at_ms, _)| *at_ms <= now_ms)?;
     Some(orders.remove(next).1)
 }
 
 impl Simulation {
-    /// Agents pass orders on, and minions carry them out.
+    /// Lets agents forward orders, and minions carry them out.
     pub(super) fn deliver_orders(&mut self) {
         let now_ms = self.cluster.now.steady_ms;
         while let Some(order) = take_due(&mut self.orders.delayed, now_ms) {
@@ -36,13 +36,14 @@
         while let Some(order) = take_due(&mut self.orders.unanswered, now_ms) {
             self.report_result(&order, OrderOutcome::Unanswered);
         }
-        // What is decided on these results is carried out a step later, as after a round trip.
+        // Orders that follow from these results are delivered one step later, as after a round
+        // trip.
         for order in std::mem::take(&mut self.cluster.orders) {
             self.forward_order(order);
         }
     }
 
-    /// An agent passes an order on; one that it does not hear of is lost.
+    /// Forwards an order through its agent; without a link the order is lost.
     fn forward_order(&mut self, order: Order) {
         let now_ms = self.cluster.now.steady_ms;
         let Some(at) = self.machine_of(&order.minion).filter(|at| self.can_reach_coordinator(*at))
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Returns whether an agent does not send an order: it starts nothing on a minion that drains, or
-    /// without a lease.
+    /// Returns whether an agent refuses an order without sending it: it starts nothing on a
+    /// draining minion or without a lease.
     fn withholds(&self, at: usize, order: &Order) -> bool {
         let machine = &self.machines[at];
         let starts = OrderVerb::from(&order.kind) == OrderVerb::Start;
@@ -76,7 +77,7 @@
         starts && (draining || machine.lease_until_ms <= self.cluster.now.steady_ms)
     }
 
-    /// An agent tells an order's result, if it can.
+    /// Reports an order's result, if its agent has a link.
     fn report_result(&mut self, order: &Order, outcome: OrderOutcome) {
         if self.machine_of(&order.minion).is_some_and(|at| self.can_reach_coordinator(at)) {
             self.cluster.report_result(order, OrderVerb::from(&order.kind), outcome);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
@@ -1,15 +1,15 @@
-//! What agents learn of their minions, and how they tell of it.
+//! Agents that poll their minions and report changes to the coordinator.
 
 use geraniumpost_batch::FromAgent;
 use geraniumpost_schema::Name;
 
 use super::Simulation;
 
-/// Time between two looks of an agent at its minion, in milliseconds.
+/// Interval between polls of a minion, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 400;
 
 impl Simulation {
-    /// The agent hears its minion: heartbeats, looks and farewells.
+    /// Updates the agent's view of its minion: deregistrations, polls and messages about its state.
     pub(super) fn observe_minion(&mut self, at: usize) {
         if !self.machines[at].agent_up {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The agent takes a minion for gone that said its farewell a while ago.
+    /// Records the departure of a minion that deregistered some time ago.
     fn complete_deregistration(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let deregistered = &mut self.machines[at].deregistered;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The agent finds an incarnation that it does not know, and tells of it at once.
+    /// Detects an incarnation that the agent does not know, and reports it at once.
     fn discover_minion(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let machine = &mut self.machines[at];
@@ -49,7 +49,7 @@
         self.heartbeat(at);
     }
 
-    /// The agent reads its minion's lists, extends its hold, and passes the lists on.
+    /// Polls the minion's lists, extends its lease, and reports the lists.
     pub(super) fn poll_minion(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let machine = &mut self.machines[at];
@@ -64,14 +64,14 @@
         }
     }
 
-    /// The agent learns that an incarnation is gone, and says so if it knew it.
+    /// Records the departure of an incarnation, if the agent knew it.
     pub(super) fn detect_departure(&mut self, at: usize, id: &Name) {
         if self.machines[at].known_minion.as_ref() == Some(id) {
             self.record_departure(at, id);
         }
     }
 
-    /// The agent keeps a departure in mind, and says so if it can.
+    /// Records a departure until it is settled, and reports it.
     fn record_departure(&mut self, at: usize, id: &Name) {
         let machine = &mut self.machines[at];
         machine.known_minion.take_if(|known_minion| known_minion == id);
@@ -81,7 +81,7 @@
         self.send(at, FromAgent::MinionGone { minion: id.clone() });
     }
 
-    /// Agents forget the departures that the records hold.
+    /// Removes departures that the coordinator has recorded.
     pub(super) fn settle_departures(&mut self) {
         for minion in std::mem::take(&mut self.cluster.settled_departures) {
             if let Some(at) = self.machine_of(&minion).filter(|at| self.can_reach_coordinator(*at))
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The agent says how its minion is, if it knows one and can.
+    /// Reports the state of the minion, if the agent knows one.
     pub(super) fn report_minion(&mut self, at: usize) {
         if self.can_reach_coordinator(at)
             && let Some(info) = self.machines[at].reported_info()
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
@@ -1,4 +1,4 @@
-//! The check of what is promised: no task runs twice, and none is down for too long.
+//! Check of the guarantees: no task runs twice at once, and none is down for too long.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
 use super::workload::{TASK_MILLI_CPUS, is_checked};
 use super::{Report, STEP_MS, Simulation};
 
-/// What is promised: a task whose run ended is at work again after so long, at most, in milliseconds.
+/// Guaranteed time until a task whose run ended is running again, in milliseconds.
 const RECOVERY_LIMIT_MS: u64 = 9_000;
 /// The same, counted from the end of the last disturbance.
 const RECOVERY_AFTER_DISTURBANCE_MS: u64 = 7_000;
 
-/// What the check keeps in mind from step to step.
+/// State of the check between steps.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryChecker {
-    /// When each disturbance begins and ends.
+    /// Beginning and end of each disturbance.
     disturbances: Vec<(u64, u64)>,
     /// The machine where each task ran last.
     last_machine: BTreeMap<TaskId, usize>,
     /// Since when each task is down.
     down_since: BTreeMap<TaskId, u64>,
-    /// Since when there has been room for one more task.
+    /// Since when there has been capacity for one more task.
     capacity_since_ms: Option<u64>,
-    /// Notes of the coordinator that are in the trace.
+    /// Number of the coordinator's log lines that are in the trace.
     traced_lines: usize,
     report: Report,
 }
@@ -46,7 +46,7 @@
         self.down_since.is_empty()
     }
 
-    /// Takes note that a task is down at a time.
+    /// Records that a task is down at a time.
     fn record_downtime(&mut self, task: TaskId, now_ms: u64) {
         let since_ms = *self.down_since.entry(task).or_insert(now_ms);
         let Some(capacity_since_ms) = self.capacity_since_ms else { return };
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Returns until when a task may be down that could have been placed since `since_ms`.
+    /// Returns the time until which a task may be down that could have been placed since
+    /// `since_ms`.
     fn limit_ms(&self, since_ms: u64, now_ms: u64) -> u64 {
         let started = self.disturbances.iter().filter(|(start_ms, _)| *start_ms <= now_ms);
         let recovered_by_ms =
@@ -66,7 +67,7 @@
 }
 
 impl Simulation {
-    /// Checks that no task runs twice, and for how long each is down.
+    /// Checks that no task runs twice at once, and for how long each is down.
     pub(super) fn check_guarantees(&mut self) {
         self.trace_log_lines();
         let running = self.find_running();
@@ -82,13 +83,13 @@
         }
     }
 
-    /// Returns what the day has shown.
+    /// Returns the report at the end of the simulation.
     pub(super) fn into_report(self) -> Report {
         let has_placement_gap = self.has_placement_gap();
         Report { has_placement_gap, ..self.checker.report }
     }
 
-    /// Enters what the coordinator has noted since the last step.
+    /// Adds the coordinator's new log lines to the trace.
     fn trace_log_lines(&mut self) {
         for at in self.checker.traced_lines..self.cluster.log_lines.len() {
             let line = self.cluster.log_lines[at].clone();
@@ -97,7 +98,7 @@
         self.checker.traced_lines = self.cluster.log_lines.len();
     }
 
-    /// Returns which task runs on which minion, and reports those that run on two.
+    /// Returns the minion of each running task, and reports tasks that run on two.
     fn find_running(&mut self) -> BTreeMap<TaskId, Name> {
         let mut running: BTreeMap<TaskId, Name> = BTreeMap::new();
         for (task, minion, run) in self.cluster.running_tasks() {
@@ -113,13 +114,13 @@
         running
     }
 
-    /// Takes note since when there has been room: nobody can promise to place tasks without it.
+    /// Updates since when there has been capacity: without it no task can be placed.
     fn update_capacity(&mut self) {
         let since_ms = self.checker.capacity_since_ms.unwrap_or(self.cluster.now.steady_ms);
         self.checker.capacity_since_ms = self.has_capacity().then_some(since_ms);
     }
 
-    /// Returns whether some machine that can be reached has room for one more task.
+    /// Returns whether a machine that can be linked has capacity for one more task.
     fn has_capacity(&self) -> bool {
         (0..self.machines.len()).any(|at| {
             let machine = &self.machines[at];
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Returns whether the store holds a step where a task that was never placed stands before one
+    /// Returns whether the store holds a step in which a task that was never placed precedes one
     /// that was.
     fn has_placement_gap(&self) -> bool {
         self.cluster.store.values().any(|record| {
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -10,61 +10,61 @@
 use super::coordinator_loss::CoordinatorLoss;
 use crate::cluster::LEASE_MS;
 
-/// Silence of the coordinator after which agents look for another one, in milliseconds.
+/// Time after which agents treat a coordinator that does not answer as lost, in milliseconds.
 const COORDINATOR_TIMEOUT_MS: u64 = 700;
-/// Pause between two looks at a predecessor, in milliseconds.
+/// Interval between queries to a silent predecessor, in milliseconds.
 const PREDECESSOR_QUERY_INTERVAL_MS: u64 = 300;
 
-/// Who coordinated before, and what is left of them.
+/// State of takeovers and of earlier coordinators.
 #[derive(Debug, Default)]
 pub(super) struct Succession {
     vacancy: Option<Vacancy>,
-    /// Losses of coordinators so far.
+    /// Number of coordinators lost so far.
     losses: u64,
-    /// What the coordinator's key leaves to the next one.
+    /// Predecessor leases that the coordinator's key leaves to the next one.
     predecessor_leases: Inheritance,
-    /// When the coordinator next asks silent ones for a word.
+    /// When the coordinator next queries silent predecessors.
     next_query_ms: u64,
-    /// Losses whose coordinators answer again, and know who coordinates.
+    /// Loss numbers of earlier coordinators that answer again and know the current one.
     answering: BTreeSet<u64>,
-    /// A coordinator that is cut off from all but one agent, and the machine of that agent.
+    /// An isolated coordinator, and the machine of the only agent that it reaches.
     pub(super) isolated: Option<(Coordinator, usize)>,
 }
 
-/// Nobody coordinates.
+/// A time without a coordinator.
 #[derive(Debug)]
 struct Vacancy {
     until_ms: u64,
     loss: CoordinatorLoss,
-    /// Number of the loss of the coordinator that the key names.
+    /// Loss number of the coordinator that the key names.
     number: u64,
-    /// When agents look for another link at the earliest.
+    /// Earliest time at which agents link again.
     relink_ms: u64,
 }
 
 impl Succession {
-    /// Returns whether nobody coordinates.
+    /// Returns whether there is no coordinator.
     pub(super) const fn is_vacant(&self) -> bool {
         self.vacancy.is_some()
     }
 
-    /// Returns whether a machine's agent still takes the coordinator that is cut off for the present
-    /// one.
+    /// Returns whether a machine's agent still follows the isolated coordinator.
     pub(super) fn agent_follows_isolated(&self, at: usize) -> bool {
         self.isolated.as_ref().is_some_and(|(_, machine)| *machine == at)
     }
 
-    /// Takes note that an entry answers again.
+    /// Records that an earlier coordinator answers again.
     pub(super) fn mark_answering(&mut self, number: u64) {
         self.answering.insert(number);
     }
 
-    /// Opens a vacancy, or prolongs the one there is.
+    /// Opens a vacancy, or extends the present one.
     fn open_vacancy(&mut self, loss: CoordinatorLoss, now_ms: u64) {
         let until_ms = now_ms + loss.vacancy_ms();
         let relink_ms =
             if loss.is_silent() { until_ms.max(now_ms + COORDINATOR_TIMEOUT_MS) } else { until_ms };
-        // Whoever was about to take over is lost as well; the key still names the one before.
+        // The entry about to take over is lost as well; the key still names the coordinator before
+        // it.
         let (loss, number) = match &self.vacancy {
             Some(before) => (before.loss, before.number),
             None => (loss, self.losses),
@@ -74,12 +74,12 @@
 }
 
 impl Simulation {
-    /// Loses the coordinator, or the entry that was about to take over.
+    /// Loses the coordinator, or the entry about to take over.
     pub(super) fn lose_coordinator(&mut self, loss: CoordinatorLoss) {
         let now = self.cluster.now;
         self.succession.losses += 1;
         self.trace(&format!("coordinator is lost: {loss:?}"));
-        // One that cannot write to the store does not say so in its key either.
+        // Without the store, the coordinator cannot announce its end in its key.
         let unannounced = loss == CoordinatorLoss::Planned && !self.cluster.store_confirms;
         let loss = if unannounced { CoordinatorLoss::Killed } else { loss };
         let unavailable_until_ms = now.steady_ms + loss.unavailable_ms();
@@ -102,7 +102,7 @@
         self.cluster.orders.clear();
     }
 
-    /// Cuts the coordinator off from all but a machine's agent; it goes on beside its successor.
+    /// Isolates the coordinator from all but a machine's agent; it continues beside its successor.
     pub(super) fn isolate_coordinator(&mut self, at: usize) {
         if self.succession.is_vacant() || self.succession.isolated.is_some() {
             return;
@@ -113,14 +113,14 @@
         self.lose_coordinator(CoordinatorLoss::Isolated);
     }
 
-    /// Ends the coordinator that was cut off; its agent looks for the present one.
+    /// Ends the isolated coordinator; its agent links to the current one.
     pub(super) fn end_isolation(&mut self) {
         if let Some((_, at)) = self.succession.isolated.take() {
             self.machines[at].next_link_ms = self.cluster.now.steady_ms + 300;
         }
     }
 
-    /// Lets another entry take over when the vacancy ends; none can without the store.
+    /// Lets another entry take over once the vacancy ends and the store is available.
     pub(super) fn take_over_if_due(&mut self) {
         let (now_ms, store) = (self.cluster.now.steady_ms, self.cluster.store_confirms);
         let due = |vacancy: &mut Vacancy| store && vacancy.until_ms <= now_ms;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Entries promise support to the coordinator, which names those that do in its key.
+    /// Lets entries promise support to the coordinator, which names its voters in its key.
     pub(super) fn support_coordinator(&mut self) {
         if self.succession.is_vacant() {
             return;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// The coordinator asks those that fell silent whether their terms have ended, and all entries whether
-    /// they still support them.
+    /// Queries silent predecessors for the end of their terms, and all entries for the end of their
+    /// support.
     pub(super) fn query_predecessors(&mut self) {
         let now = self.cluster.now;
         if self.succession.is_vacant() {
@@ -190,7 +190,7 @@
     }
 }
 
-/// Returns where the coordinator was whose loss has a number.
+/// Returns the address of the coordinator with a loss number.
 fn coordinator_address(number: u64) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], number as u16))
 }
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -1,4 +1,4 @@
-//! Steps: their order, gangs, spread, labels and repetitions.
+//! Steps: order, gangs, spread, labels, repetitions and approvals.
 
 use geraniumpost_batch::{
     Answer, Ask, EndKind, JobId, JobSpec, OrderKind, OrderOutcome, OrderVerb, StepSpec,
@@ -24,8 +24,8 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// Some members of a gang are started, and the others find no room. Those that wait would hold
-/// their room in vain, so none is started before all fit.
+/// If only some members of a gang were started, they would hold resources while waiting for the
+/// others. No member starts before all fit.
 #[test]
 fn gang_starts_whole_or_not_at_all() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -38,7 +38,7 @@
     assert!(cluster.orders.iter().all(|order| order.run == 1));
 }
 
-/// One member of a gang fails, which breaks the others. All start again with one common number.
+/// One member of a gang fails, which ends the others. All restart under the same run number.
 #[test]
 fn broken_gang_starts_again_together() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -94,7 +94,7 @@
     assert_eq!(cluster.orders.len(), 16);
 }
 
-/// Repetitions begin when they are due, not before, and the job is complete after the last.
+/// Repetitions start when they are due, and the job completes after the last one.
 #[test]
 fn repetitions_begin_when_due() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -121,7 +121,7 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// A step that waits for itself could never begin, and its caller would wait for ever.
+/// A step that depends on itself could never start, and its caller would wait for ever.
 #[test]
 fn impossible_order_of_steps_is_refused() {
     let mut cluster = Cluster::new();
@@ -145,8 +145,8 @@
     assert_eq!(pending(&mut cluster), Some(Answer::Pending(1)));
 }
 
-/// A queue whose steps need approval: tasks begin only where the admission service allows it, with
-/// its ticket, and one question serves all of them.
+/// Steps of this queue need approval. Tasks start only on approved minions, with the ticket of the
+/// admission service, and one request covers all tasks of a step.
 #[test]
 fn tasks_begin_only_where_they_are_approved() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -165,8 +165,8 @@
     assert!(cluster.approval_requests.is_empty());
 }
 
-/// A ticket has run out before the minion got the start. Nothing began, and the step is asked for
-/// again.
+/// A ticket expires before the minion receives the start. Nothing was started, and approval is
+/// requested again.
 #[test]
 fn expired_ticket_is_asked_for_again() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -181,10 +181,10 @@
     assert_eq!(cluster.approval_requests.len(), 1);
 }
 
-/// The admission service is slow: a question is put again, now with a minion that has joined since, before
-/// the first one is answered. That answer approves nothing, and says nothing of the minion that it was not
-/// asked about. Were that one taken for refused, it would never be asked about again, and the caller's job
-/// would wait for ever beside a free minion.
+/// The admission service is slow, and a second request with a minion that joined since is sent
+/// before the first one is answered. The late response approves nothing, and says nothing about the
+/// new minion. If that one counted as refused, it would never be requested again, and the job would
+/// wait for ever beside a free minion.
 #[test]
 fn late_answer_speaks_only_for_the_minions_that_it_was_asked_about() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -204,8 +204,8 @@
     assert!(matches!(&cluster.orders[..], [order] if &*order.minion == "m2"));
 }
 
-/// The question that was put again is answered first, and approves both minions. The late answer to the
-/// first one must not take a minion's approval back.
+/// The second request is answered first and approves both minions. The late response to the first
+/// one must not withdraw an approval.
 #[test]
 fn late_answer_takes_no_approval_back() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -221,8 +221,8 @@
     assert_eq!(cluster.running_tasks().len(), 18);
 }
 
-/// Two members of a gang fail in the same run. That is one failed attempt of the gang, and its queue
-/// allows two; the job goes on.
+/// Two members of a gang fail in the same run. This counts as one failed attempt of the two that
+/// the queue allows.
 #[test]
 fn gang_fails_once_a_run() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
