--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -38,8 +38,8 @@
             |(id, version): &(JobId, u64)| jobs.get(id).is_none_or(|job| job.durable >= *version);
         let settled = self.departures.extract_if(.., |_, d| d.unwritten.iter().all(durable));
         for (minion, departure) in settled {
-            let message = ToAgent::DepartureSettled { minion };
-            self.effects.push(Effect::Tell { agent: departure.agent, message });
+            let message = ToAgent::DepartureRecorded { minion };
+            self.effects.push(Effect::Send { agent: departure.agent, message });
         }
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/ordering.rs
+++ b/crates/geraniumpost-batch/src/coordinator/ordering.rs
@@ -29,7 +29,10 @@
         let ticket = self.approvals.ticket(task, &place, now).cloned().unwrap_or_default();
         let kind = OrderKind::Start {
             payload: job.record.spec.payload.clone(),
-            saved: job.hints.get(&task).map_or_else(Name::default, |hint| hint.saved.clone()),
+            checkpoint: job
+                .hints
+                .get(&task)
+                .map_or_else(Name::default, |hint| hint.checkpoint.clone()),
             ticket,
         };
         let sent = self.send(task, kind);
@@ -66,7 +69,7 @@
         let agent = view.agent.clone();
         let order = Order { minion: minion.clone(), task, run, kind: OrderKind::Stop };
         self.note(format!("decision=stop_stranger task={task} run={run} minion={minion}"));
-        self.effects.push(Effect::Tell { agent, message: ToAgent::Order(order) });
+        self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
     }
 
     /// Sends an order for a run; false if the minion's agent is not linked.
@@ -78,7 +81,7 @@
         }
         let order = Order { minion: run.place.minion.clone(), task, run: run.number, kind };
         let agent = minion.agent.clone();
-        self.effects.push(Effect::Tell { agent, message: ToAgent::Order(order) });
+        self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
         true
     }
 }
--- a/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -10,7 +10,7 @@
 
 fn best_effort_step(count: u32) -> StepSpec {
     let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
-    StepSpec { fills: true, image: "logs".into(), demand, checkpoints: true, ..step(count) }
+    StepSpec { best_effort: true, image: "logs".into(), demand, checkpoints: true, ..step(count) }
 }
 
 /// Best-effort tasks must not keep a serving task above its latency bound, whatever the
@@ -165,5 +165,5 @@
 /// Stored data of another version, or damaged data, is rejected as a whole.
 #[test]
 fn damaged_knowledge_is_refused() {
-    assert!(geraniumpost_batch::Knowledge::decode(&[0xff; 7]).is_err());
+    assert!(geraniumpost_batch::InterferenceSnapshot::decode(&[0xff; 7]).is_err());
 }
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
@@ -1,6 +1,6 @@
 //! Messages from agents to the coordinator.
 
-use geraniumpost_batch::{FromAgent, Look, MinionInfo, RunningTask, TaskId};
+use geraniumpost_batch::{FromAgent, MinionInfo, PollResult, RunningTask, TaskId};
 use geraniumpost_schema::Name;
 
 use super::{Cluster, agent_name, minion_info};
@@ -16,13 +16,15 @@
 
     pub fn send(&mut self, minion: &str, message: FromAgent) {
         match message {
-            FromAgent::Beat { minion_ok: true, .. } => {
+            FromAgent::Heartbeat { minion_ok: true, .. } => {
                 self.heartbeating_minions.insert(minion.to_owned());
             }
-            FromAgent::Beat { .. } | FromAgent::MinionGone { .. } => self.stop_heartbeats(minion),
+            FromAgent::Heartbeat { .. } | FromAgent::MinionTerminated { .. } => {
+                self.stop_heartbeats(minion)
+            }
             _ => {}
         }
-        self.coordinator.from_agent(&agent_name(minion), message, self.now);
+        self.coordinator.handle_agent_message(&agent_name(minion), message, self.now);
         self.process_effects();
     }
 
@@ -34,7 +36,7 @@
     /// Closes the link between a minion's agent and the coordinator.
     pub fn disconnect_agent(&mut self, minion: &str) {
         self.stop_heartbeats(minion);
-        self.coordinator.agent_lost(&agent_name(minion), self.now);
+        self.coordinator.agent_disconnected(&agent_name(minion), self.now);
     }
 
     /// Kills and restarts a minion's agent, which numbers its results from the beginning.
@@ -46,13 +48,13 @@
 
     pub fn heartbeat(&mut self, minion: &str) {
         let sent_at_ms = self.now.steady_ms;
-        self.send(minion, FromAgent::Beat { sent_at_ms, minion_ok: true });
+        self.send(minion, FromAgent::Heartbeat { sent_at_ms, minion_ok: true });
     }
 
     /// Sends the heartbeat of an agent whose minion does not answer.
     pub fn heartbeat_with_unresponsive_minion(&mut self, minion: &str) {
         let sent_at_ms = self.now.steady_ms;
-        self.send(minion, FromAgent::Beat { sent_at_ms, minion_ok: false });
+        self.send(minion, FromAgent::Heartbeat { sent_at_ms, minion_ok: false });
     }
 
     /// Polls a minion, and sends its lists of running and ended tasks to the coordinator.
@@ -62,20 +64,20 @@
         let running = running.map(|(task, run)| RunningTask {
             task: *task,
             run: *run,
-            saved: Name::default(),
-            percent: self.task_percent.get(task).copied().unwrap_or(self.default_percent),
+            checkpoint: Name::default(),
+            progress_percent: self.task_percent.get(task).copied().unwrap_or(self.default_percent),
             gauge: self.gauges.get(task).copied().unwrap_or(0),
         });
         let acknowledged = self.acknowledged.get(&name).copied().unwrap_or(0);
         let ended = self.ended_tasks.get(&name).into_iter().flatten();
-        let poll_result = Look {
+        let poll_result = PollResult {
             minion: name.clone(),
             running: Some(running.collect()),
             ended: ended.filter(|end| end.sequence > acknowledged).cloned().collect(),
             more_ends: false,
-            orders_before: self.last_result_number,
+            orders_reported_before: self.last_result_number,
         };
-        self.send(minion, FromAgent::Look(poll_result));
+        self.send(minion, FromAgent::PollResult(poll_result));
     }
 
     pub fn set_gauge(&mut self, task: TaskId, gauge: u32) {
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -26,18 +26,18 @@
             Effect::Reply { ticket, answer } => {
                 self.responses.insert(ticket, answer);
             }
-            Effect::Tell { message: ToAgent::Order(order), .. } => self.orders.push(order),
-            Effect::Tell { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
+            Effect::Send { message: ToAgent::Order(order), .. } => self.orders.push(order),
+            Effect::Send { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
                 self.acknowledged.insert(minion, up_to);
             }
-            Effect::Tell { message: ToAgent::DepartureSettled { minion }, .. } => {
+            Effect::Send { message: ToAgent::DepartureRecorded { minion }, .. } => {
                 self.settled_departures.push(minion);
             }
-            Effect::Tell { agent, message: ToAgent::Lease { sent_at_ms, hold_ms, .. } } => {
-                self.lease_extensions.push((agent, sent_at_ms, hold_ms));
+            Effect::Send { agent, message: ToAgent::Lease { sent_at_ms, lease_ms, .. } } => {
+                self.lease_extensions.push((agent, sent_at_ms, lease_ms));
             }
-            Effect::Note(line) => self.log_lines.push(line),
-            Effect::AskApproval { step, minions } => self.approval_requests.push((step, minions)),
+            Effect::Log(line) => self.log_lines.push(line),
+            Effect::RequestApproval { step, minions } => self.approval_requests.push((step, minions)),
             Effect::Superseded => {}
         }
     }
@@ -46,11 +46,11 @@
         for (job, record) in batch.put {
             self.store.insert(job, record);
         }
-        self.stored_interference = batch.knowledge.or_else(|| self.stored_interference.take());
+        self.stored_interference = batch.interference.or_else(|| self.stored_interference.take());
         for job in batch.remove {
             self.store.remove(&job);
         }
-        self.coordinator.written(batch.number, self.now);
+        self.coordinator.batch_written(batch.number, self.now);
     }
 
     /// Applies and confirms the writes that were held back.
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -16,8 +16,8 @@
 
 use geraniumpost_batch::tuning::PROMISE_MS;
 use geraniumpost_batch::{
-    Answer, Ask, Coordinator, EndedTask, Inheritance, JobId, JobRecord, JobSpec, JobState,
-    Knowledge, Now, Order, QueueTerms, StepSpec, TaskId, WriteBatch,
+    CallerRequest, CallerResponse, Coordinator, EndedTask, InterferenceSnapshot, JobId, JobRecord,
+    JobSpec, JobState, Now, Order, PredecessorLeases, QueueTerms, StepSpec, TaskId, WriteBatch,
 };
 use geraniumpost_schema::Name;
 
@@ -44,7 +44,7 @@
     pub pending_writes: Vec<WriteBatch>,
     /// Whether writes are confirmed at once.
     pub confirm_writes: bool,
-    pub responses: BTreeMap<u64, Answer>,
+    pub responses: BTreeMap<u64, CallerResponse>,
     /// Orders that no minion has received yet.
     pub orders: Vec<Order>,
     /// Sequence number of the last acknowledged end, by minion.
@@ -83,7 +83,7 @@
     pub fn new() -> Self {
         let now = Now { steady_ms: 100_000, wall_ms: 1_000_000 };
         Self {
-            coordinator: Coordinator::new(1, now).hold_ms(LEASE_MS),
+            coordinator: Coordinator::new(1, now).lease_ms(LEASE_MS),
             now,
             store: BTreeMap::new(),
             stored_interference: None,
@@ -144,16 +144,16 @@
             }
             if self.entries_support {
                 let until_ms = self.now.steady_ms + PROMISE_MS;
-                self.coordinator.supported_until(until_ms, SUPPORTERS);
+                self.coordinator.set_supported_until(until_ms, SUPPORTERS);
             }
             self.coordinator.tick(self.now);
             self.process_effects();
         }
     }
 
-    pub fn request(&mut self, ask: Ask) -> u64 {
+    pub fn request(&mut self, ask: CallerRequest) -> u64 {
         self.last_ticket += 1;
-        self.coordinator.ask(self.last_ticket, ask, self.now);
+        self.coordinator.handle_request(self.last_ticket, ask, self.now);
         self.process_effects();
         self.last_ticket
     }
@@ -164,15 +164,15 @@
 
     pub fn submit_with_terms(&mut self, id: u64, steps: Vec<StepSpec>, terms: QueueTerms) -> u64 {
         let spec = JobSpec { payload: "work".into(), steps, ..JobSpec::default() };
-        self.request(Ask::Submit { job: JobId(id), spec, terms })
+        self.request(CallerRequest::Submit { job: JobId(id), spec, terms })
     }
 
-    pub fn response(&self, ticket: u64) -> Option<Answer> {
+    pub fn response(&self, ticket: u64) -> Option<CallerResponse> {
         self.responses.get(&ticket).copied()
     }
 
-    pub fn job_state(&mut self, id: u64) -> Answer {
-        let ticket = self.request(Ask::State(JobId(id)));
+    pub fn job_state(&mut self, id: u64) -> CallerResponse {
+        let ticket = self.request(CallerRequest::State(JobId(id)));
         self.response(ticket).expect("job states are answered immediately")
     }
 
@@ -181,7 +181,7 @@
     pub fn answer_approval(&mut self, request: &(TaskId, Vec<Name>), good: Option<&[&str]>) {
         let ticket = |minion: &&str| (Name::from(*minion), Name::from("t-1"));
         let answer = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
-        self.coordinator.approved(request.0, &request.1, answer, self.now);
+        self.coordinator.handle_approval(request.0, &request.1, answer, self.now);
         self.process_effects();
     }
 
@@ -198,12 +198,12 @@
 
     /// Loses the coordinator, and lets a successor take over from the store.
     pub fn take_over(&mut self) {
-        self.take_over_with(&Inheritance::default());
+        self.take_over_with(&PredecessorLeases::default());
     }
 
     /// Lets a successor take over from a coordinator that may still be running without the store.
     pub fn take_over_from_silent(&mut self) {
-        let silent = Inheritance::default().taken_over(
+        let silent = PredecessorLeases::default().after_takeover(
             Some((SILENT_COORDINATOR, self.fence)),
             SUCCESSOR,
             LEASE_MS,
@@ -212,20 +212,22 @@
     }
 
     /// Lets a successor take over with the leases that its predecessors may have extended.
-    pub fn take_over_with(&mut self, inheritance: &Inheritance) {
+    pub fn take_over_with(&mut self, inheritance: &PredecessorLeases) {
         self.fence += 1;
         let records = self.store.iter().map(|(id, bytes)| {
             (*id, JobRecord::decode(bytes).expect("the record was written by this version"))
         });
-        self.coordinator = Coordinator::new(self.fence, self.now)
-            .hold_ms(LEASE_MS)
-            .inheriting(inheritance, self.now)
-            .with_knowledge(
-                &self.stored_interference.as_ref().map_or_else(Knowledge::default, |bytes| {
-                    Knowledge::decode(bytes).expect("the stored snapshot is valid")
-                }),
-            )
-            .with_records(records.collect(), self.now);
+        self.coordinator =
+            Coordinator::new(self.fence, self.now)
+                .lease_ms(LEASE_MS)
+                .with_predecessor_leases(inheritance, self.now)
+                .with_interference(&self.stored_interference.as_ref().map_or_else(
+                    InterferenceSnapshot::default,
+                    |bytes| {
+                        InterferenceSnapshot::decode(bytes).expect("the stored snapshot is valid")
+                    },
+                ))
+                .with_records(records.collect(), self.now);
         self.orders.clear();
         self.pending_writes.clear();
         self.heartbeating_minions.clear();
@@ -233,4 +235,4 @@
     }
 }
 
-pub const COMPLETED: Answer = Answer::State(JobState::Completed);
+pub const COMPLETED: CallerResponse = CallerResponse::State(JobState::Completed);
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
@@ -57,7 +57,7 @@
         let run = run.expect("the task runs there");
         let ends = self.ended_tasks.entry(minion.clone()).or_default();
         let sequence = ends.len() as u64 + 1;
-        ends.push(EndedTask { sequence, task, run, kind, saved: Name::default() });
+        ends.push(EndedTask { sequence, task, run, kind, checkpoint: Name::default() });
     }
 
     /// Ends all runs, and polls all minions.
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -1,6 +1,8 @@
 //! Order and choice of minions when serving and best-effort tasks of many images share few minions.
 
-use geraniumpost_batch::{Demand, EndKind, JobId, Knowledge, LearntPair, StepSpec};
+use geraniumpost_batch::{
+    Demand, EndKind, InterferencePair, InterferenceSnapshot, JobId, StepSpec,
+};
 use geraniumpost_schema::Name;
 
 use crate::cluster::{Cluster, persistent_step, step, task};
@@ -11,21 +13,22 @@
 
 fn best_effort_step(image: &str, count: u32) -> StepSpec {
     let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
-    StepSpec { fills: true, image: image.into(), demand, checkpoints: true, ..step(count) }
+    StepSpec { best_effort: true, image: image.into(), demand, checkpoints: true, ..step(count) }
 }
 
 /// Returns a cluster whose coordinator has learned how much utilization each best-effort image adds
 /// to each serving image.
 fn cluster_with_interference(slopes: &[(&str, &str, f64)]) -> Cluster {
-    let pair = |(serving, best_effort, slope): &(&str, &str, f64)| LearntPair {
+    let pair = |(serving, best_effort, slope): &(&str, &str, f64)| InterferencePair {
         serving: Name::from(*serving),
-        filling: Name::from(*best_effort),
+        best_effort: Name::from(*best_effort),
         slope: *slope,
         deviation: 0.05,
     };
     let pairs = slopes.iter().map(pair).collect();
     let mut cluster = Cluster::new();
-    cluster.stored_interference = Some(Knowledge { pairs, quiet: Vec::new() }.encode());
+    cluster.stored_interference =
+        Some(InterferenceSnapshot { pairs, idle_tails: Vec::new() }.encode());
     cluster.take_over();
     cluster
 }
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -1,8 +1,9 @@
 //! Log lines on tasks that wait for a minion, and on minions that cannot be reached.
 
-use geraniumpost_batch::tuning::STORE_LOST_MS;
+use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
 use geraniumpost_batch::{
-    Demand, EndKind, FromAgent, MinionInfo, OrderOutcome, OrderVerb, StepSpec, surely_lapsed_ms,
+    Demand, EndKind, FromAgent, MinionInfo, OrderOutcome, OrderVerb, StepSpec,
+    lease_expiry_bound_ms,
 };
 
 use crate::cluster::{
@@ -70,7 +71,7 @@
         cluster.submit(7, vec![StepSpec { required_label: "b".into(), ..persistent_step(1) }]);
         cluster.take_over();
     };
-    minion_not_heard_of_is_named: "not_heard_of", |cluster: &mut Cluster| {
+    minion_not_heard_of_is_named: "not_reported", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![step(1)]);
         cluster.carry_out_orders();
@@ -78,7 +79,7 @@
         cluster.take_over();
         cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
     };
-    missing_look_is_named: "not_looked_at", |cluster: &mut Cluster| {
+    missing_look_is_named: "not_polled", |cluster: &mut Cluster| {
         cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
         cluster.send("m1", FromAgent::Minion(minion_info("m1")));
         cluster.heartbeat("m1");
@@ -101,14 +102,14 @@
         cluster.join("m1", |info| info);
         cluster.submit(7, vec![StepSpec { required_label: "b".into(), ..persistent_step(1) }]);
     };
-    lack_of_room_is_named: "no_room", |cluster: &mut Cluster| {
+    lack_of_room_is_named: "no_capacity", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![step(16)]);
         cluster.submit(7, vec![persistent_step(1)]);
     };
     spread_is_named: "spread", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
-        cluster.submit(7, vec![StepSpec { most_per_minion: 1, ..persistent_step(2) }]);
+        cluster.submit(7, vec![StepSpec { max_per_minion: 1, ..persistent_step(2) }]);
         cluster.carry_out_orders();
     };
     approval_is_named: "no_approval", |cluster: &mut Cluster| {
@@ -117,7 +118,7 @@
         terms.needs_approval = true;
         cluster.submit_with_terms(7, vec![persistent_step(1)], terms);
     };
-    room_for_short_tasks_is_named: "room_kept_for_short", |cluster: &mut Cluster| {
+    room_for_short_tasks_is_named: "reserved_for_short", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![small_step(15_000)]);
         cluster.carry_out_orders();
@@ -146,7 +147,7 @@
     cluster.advance(PERSISTENT_LOGGED_MS);
     let logged = lines_with(&cluster, "event=not_placed");
     assert!(
-        logged.iter().any(|line| line.ends_with("minions=1 shunned=1")),
+        logged.iter().any(|line| line.ends_with("minions=1 quarantined=1")),
         "{:?}",
         cluster.log_lines
     );
@@ -156,7 +157,7 @@
 #[test]
 fn slow_place_is_named() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
-    let best_effort = |count| StepSpec { fills: true, image: "sift".into(), ..step(count) };
+    let best_effort = |count| StepSpec { best_effort: true, image: "sift".into(), ..step(count) };
     // Other tasks of the job are running, so the next one waits for a minion at full speed.
     cluster.submit(7, vec![best_effort(40)]);
     cluster.carry_out_orders();
@@ -184,7 +185,7 @@
         ),
         "{line}"
     );
-    assert!(line.ends_with("minions=5 not_linked=1 label=1 draining=1 no_room=2"), "{line}");
+    assert!(line.ends_with("minions=5 not_linked=1 label=1 draining=1 no_capacity=2"), "{line}");
 }
 
 /// The line of a persistent task says how long it has been down, counted from the end of its run,
@@ -219,7 +220,7 @@
     // The minion refuses each start for lack of capacity, and the task pauses each time.
     for _ in 0..PERSISTENT_LOGGED_MS / 100 {
         while let Some(order) = cluster.orders.pop() {
-            cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
+            cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
         }
         cluster.advance(100);
     }
@@ -237,7 +238,7 @@
     cluster.advance(OTHERS_LOGGED_MS);
     let line = last_line_with(&cluster, "event=not_placed");
     assert_eq!(
-        (number_field(&line, "waiting"), number_field(&line, "gang_of")),
+        (number_field(&line, "waiting"), number_field(&line, "gang_size")),
         (20, 20),
         "{line}"
     );
@@ -281,7 +282,7 @@
     assert_eq!(first, [301, 302, 303]);
     assert!((20..=40).contains(&logged.len()), "{}", logged.len());
     let left_out =
-        logged.iter().filter_map(|line| field(line, "left_out")).map(|n| n.parse().unwrap());
+        logged.iter().filter_map(|line| field(line, "omitted")).map(|n| n.parse().unwrap());
     assert!((295..=300).contains(&left_out.max().unwrap_or(0)));
     cluster.log_lines.clear();
     cluster.advance(100_000);
@@ -324,15 +325,18 @@
     let logged = lines_with(&cluster, "event=unreachable");
     assert_eq!(logged.len(), 1, "{:?}", cluster.log_lines);
     assert!(logged[0].starts_with(
-        "minion=m1 agent=agent-m1 event=unreachable linked=false runs=3 standing=2 wait_ms="
+        "minion=m1 agent=agent-m1 event=unreachable linked=false runs=3 persistent=2 wait_ms="
     ));
-    assert_eq!(field(&logged[0], "decides"), Some("lease"));
+    assert_eq!(field(&logged[0], "lease_of"), Some("coordinator"));
     let remaining_ms = number_field(&logged[0], "wait_ms");
-    assert!((surely_lapsed_ms(LEASE_MS) - 600..surely_lapsed_ms(LEASE_MS)).contains(&remaining_ms));
+    assert!(
+        (lease_expiry_bound_ms(LEASE_MS) - 600..lease_expiry_bound_ms(LEASE_MS))
+            .contains(&remaining_ms)
+    );
     cluster.advance(remaining_ms - 600);
-    assert!(lines_with(&cluster, "event=lapsed").is_empty());
+    assert!(lines_with(&cluster, "event=lease_expired").is_empty());
     cluster.advance(1_200);
-    assert_eq!(lines_with(&cluster, "event=lapsed").len(), 1);
+    assert_eq!(lines_with(&cluster, "event=lease_expired").len(), 1);
     assert_eq!(lines_with(&cluster, "event=unreachable").len(), 1);
 }
 
@@ -346,7 +350,7 @@
     cluster.heartbeat_with_unresponsive_minion("m1");
     cluster.advance(600);
     let line = last_line_with(&cluster, "event=unreachable");
-    assert_eq!((field(&line, "linked"), field(&line, "decides")), (Some("true"), Some("lease")));
+    assert_eq!((field(&line, "linked"), field(&line, "lease_of")), (Some("true"), Some("coordinator")));
 }
 
 /// An agent that returns and is lost again is logged again.
@@ -368,12 +372,12 @@
 #[test]
 fn inherited_wait_is_told() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
-    cluster.submit(1, vec![StepSpec { most_per_minion: 1, ..persistent_step(2) }]);
+    cluster.submit(1, vec![StepSpec { max_per_minion: 1, ..persistent_step(2) }]);
     cluster.carry_out_orders();
     cluster.take_over_from_silent();
     cluster.advance(100);
-    let first = last_line_with(&cluster, "event=inherited_wait");
-    let predecessor_wait_ms = surely_lapsed_ms(LEASE_MS) + STORE_LOST_MS;
+    let first = last_line_with(&cluster, "event=predecessor_lease_wait");
+    let predecessor_wait_ms = lease_expiry_bound_ms(LEASE_MS) + STORE_OUTAGE_TOLERANCE_MS;
     assert_eq!(number_field(&first, "wait_ms"), predecessor_wait_ms - 100);
     assert_eq!(
         (number_field(&first, "minions_with_runs"), number_field(&first, "not_linked")),
@@ -382,12 +386,12 @@
     cluster.join("m2", |info| info);
     assert!(lines_with(&cluster, "event=unreachable").is_empty());
     cluster.advance(1_200);
-    let logged = lines_with(&cluster, "event=inherited_wait");
+    let logged = lines_with(&cluster, "event=predecessor_lease_wait");
     assert_eq!((logged.len(), number_field(&logged[1], "not_linked")), (2, 1));
     let logged = lines_with(&cluster, "event=unreachable");
     assert_eq!(logged.len(), 1, "{logged:?}");
     assert_eq!((field(&logged[0], "minion"), field(&logged[0], "runs")), (Some("m1"), Some("1")));
-    assert_eq!(field(&logged[0], "decides"), Some("inherited"));
+    assert_eq!(field(&logged[0], "lease_of"), Some("predecessor"));
     let remaining_ms = number_field(&logged[0], "wait_ms");
     assert!((predecessor_wait_ms - 1_300..=predecessor_wait_ms - 1_000).contains(&remaining_ms));
 }
@@ -401,13 +405,13 @@
     for name in &names {
         cluster.join(name, |info| info);
     }
-    cluster.submit(1, vec![StepSpec { most_per_minion: 1, ..step(50) }]);
+    cluster.submit(1, vec![StepSpec { max_per_minion: 1, ..step(50) }]);
     cluster.submit(2, vec![persistent_step(1)]);
     cluster.carry_out_orders();
     cluster.take_over();
     cluster.advance(2_000);
     let logged = lines_with(&cluster, "event=unreachable");
     assert!((2..=6).contains(&logged.len()), "{}", logged.len());
-    assert_eq!(field(&logged[0], "standing"), Some("1"));
-    assert_eq!(field(&logged[0], "left_out"), Some("48"));
+    assert_eq!(field(&logged[0], "persistent"), Some("1"));
+    assert_eq!(field(&logged[0], "omitted"), Some("48"));
 }
--- a/crates/geraniumpost-batch/tests/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/draining.rs
@@ -89,7 +89,7 @@
 fn farewell_is_settled_only_once_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.confirm_writes = false;
-    let departure = || FromAgent::MinionGone { minion: "m1".into() };
+    let departure = || FromAgent::MinionTerminated { minion: "m1".into() };
     cluster.send("m1", departure());
     assert!(cluster.settled_departures.is_empty());
     cluster.confirm_writes = true;
@@ -109,7 +109,7 @@
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(1));
     let (_, departed, _) = cluster.running_tasks()[0].clone();
     for _ in 0..3 {
-        cluster.send(&departed, FromAgent::MinionGone { minion: departed.clone() });
+        cluster.send(&departed, FromAgent::MinionTerminated { minion: departed.clone() });
         cluster.advance(300);
     }
     assert_eq!(cluster.settled_departures.len(), 3);
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -5,7 +5,7 @@
 //! each copy by the lease, the capacity and the health of the minion when the copy arrives.
 
 use assert_matches::assert_matches;
-use geraniumpost_batch::tuning::{AFTER_NO_ROOM_MS, ORDER_RESULT_MS};
+use geraniumpost_batch::tuning::{NO_CAPACITY_BACKOFF_MS, ORDER_RESULT_TIMEOUT_MS};
 use geraniumpost_batch::{EndKind, Order, OrderKind, OrderOutcome, OrderVerb};
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
@@ -29,14 +29,14 @@
     for minion in MINIONS {
         cluster.heartbeat(minion);
     }
-    cluster.advance(ORDER_RESULT_MS + TICK_MS);
+    cluster.advance(ORDER_RESULT_TIMEOUT_MS + TICK_MS);
     assert_matches!(cluster.orders[..], [_]);
     cluster.orders.remove(0)
 }
 
 fn refuse(cluster: &mut Cluster, copy: &Order, outcome: OrderOutcome) {
     cluster.report_result(copy, OrderVerb::Start, outcome);
-    cluster.advance(AFTER_NO_ROOM_MS + TICK_MS);
+    cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
 }
 
 fn start_orders(cluster: &Cluster) -> usize {
@@ -59,7 +59,7 @@
             cluster.heartbeat(minion);
             cluster.poll(minion);
         }
-        cluster.advance(AFTER_NO_ROOM_MS + TICK_MS);
+        cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
     }
     assert_matches!(cluster.running_tasks()[..], [(of, ..)] if of == task(1, 0, 0));
     cluster.end_all_runs(EndKind::Done);
@@ -150,7 +150,7 @@
 fn both_copies_are_refused(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     refuse(&mut cluster, &first, outcome);
-    refuse(&mut cluster, &second, OrderOutcome::NoRoom);
+    refuse(&mut cluster, &second, OrderOutcome::NoCapacity);
     assert_runs_once_to_completion(cluster);
 }
 
@@ -180,7 +180,7 @@
 
             #[test]
             fn no_room() {
-                super::$case(OrderOutcome::NoRoom);
+                super::$case(OrderOutcome::NoCapacity);
             }
 
             #[test]
@@ -246,7 +246,7 @@
         refused.push(copy);
     }
     for copy in &refused {
-        cluster.report_result(copy, OrderVerb::Start, OrderOutcome::NoRoom);
+        cluster.report_result(copy, OrderVerb::Start, OrderOutcome::NoCapacity);
     }
     let refused_ms = cluster.now.steady_ms;
     let mut extra = 0;
@@ -267,14 +267,14 @@
 /// carried out, so the task waits for the usual pause only, without a stop and a poll.
 #[test]
 fn refusal_of_a_single_copy_costs_nothing_more() {
-    let pause_ms = AFTER_NO_ROOM_MS.next_multiple_of(TICK_MS);
+    let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     assert_eq!(cost_of_refusals(1), (0, pause_ms));
 }
 
 /// A repeated start is rare; after its refusal the task waits for one additional stop and poll.
 #[test]
 fn refusal_of_a_repeated_start_costs_one_stop() {
-    let pause_ms = AFTER_NO_ROOM_MS.next_multiple_of(TICK_MS);
+    let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     let (stops, waited_ms) = cost_of_refusals(2);
     assert_eq!(stops, 1);
     assert!(waited_ms <= pause_ms + 2 * TICK_MS, "waited {waited_ms} ms");
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{
-    Answer, Ask, EndKind, FromAgent, JobId, OrderKind, OrderOutcome, OrderVerb,
+    CallerRequest, CallerResponse, EndKind, FromAgent, JobId, OrderKind, OrderOutcome, OrderVerb,
 };
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
@@ -16,7 +16,7 @@
     let ticket = cluster.submit(1, vec![step(1)]);
     assert_eq!(cluster.response(ticket), None);
     cluster.confirm_pending_writes();
-    assert_eq!(cluster.response(ticket), Some(Answer::Accepted));
+    assert_eq!(cluster.response(ticket), Some(CallerResponse::Accepted));
 }
 
 /// A caller that lost the response submits the job again, through any entry, perhaps seconds after
@@ -26,13 +26,13 @@
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(2)]);
     let repeat = cluster.submit(1, vec![step(2)]);
-    assert_eq!(cluster.response(repeat), Some(Answer::Accepted));
+    assert_eq!(cluster.response(repeat), Some(CallerResponse::Accepted));
     cluster.carry_out_orders();
     assert_eq!(cluster.running_tasks().len(), 2);
     cluster.end_all_runs(EndKind::Done);
     assert_eq!(cluster.job_state(1), COMPLETED);
     let late = cluster.submit(1, vec![step(2)]);
-    assert_eq!(cluster.response(late), Some(Answer::Accepted));
+    assert_eq!(cluster.response(late), Some(CallerResponse::Accepted));
     assert!(cluster.orders.is_empty());
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
@@ -57,7 +57,7 @@
     cluster.confirm_writes = false;
     cluster.end_all_runs(EndKind::Done);
     assert!(cluster.acknowledged.is_empty());
-    assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Running));
+    assert_eq!(cluster.job_state(1), CallerResponse::State(geraniumpost_batch::JobState::Running));
     cluster.confirm_pending_writes();
     assert_eq!(cluster.acknowledged.get("m1"), Some(&1));
     assert_eq!(cluster.job_state(1), COMPLETED);
@@ -104,21 +104,24 @@
         cluster.advance(200);
     }
     assert!(cluster.orders.is_empty());
-    assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Failed));
+    assert_eq!(cluster.job_state(1), CallerResponse::State(geraniumpost_batch::JobState::Failed));
 }
 
 /// Tasks of a cancelled job are stopped, and its state stays cancelled.
 #[test]
 fn cancelled_job_is_stopped() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(2));
-    let ticket = cluster.request(Ask::Cancel(JobId(1)));
-    assert_eq!(cluster.response(ticket), Some(Answer::Cancelled));
+    let ticket = cluster.request(CallerRequest::Cancel(JobId(1)));
+    assert_eq!(cluster.response(ticket), Some(CallerResponse::Cancelled));
     cluster.carry_out_orders();
     cluster.poll("m1");
     assert!(cluster.running_tasks().is_empty());
     cluster.advance(500);
     assert!(cluster.orders.is_empty());
-    assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Cancelled));
+    assert_eq!(
+        cluster.job_state(1),
+        CallerResponse::State(geraniumpost_batch::JobState::Cancelled)
+    );
 }
 
 /// A minion leaves a start unanswered, and refuses its copy for lack of capacity. The first copy
@@ -133,7 +136,7 @@
     cluster.advance(400);
     let copy = cluster.orders.remove(0);
     assert_eq!((copy.task, copy.run, &copy.minion), (order.task, order.run, &order.minion));
-    cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::NoRoom);
+    cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::NoCapacity);
     assert_matches!(cluster.orders[..], [ref stop] if stop.kind == OrderKind::Stop);
     cluster.carry_out_orders();
     assert!(cluster.orders.is_empty());
@@ -149,7 +152,7 @@
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
-    cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
+    cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
     cluster.advance(300);
     assert_matches!(cluster.orders[..], [ref start] if start.minion != order.minion);
 }
@@ -188,7 +191,7 @@
     cluster.join("m1-b", |info| info);
     cluster.advance(200);
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m1-b" && order.run == 2);
-    cluster.send("m1", FromAgent::MinionGone { minion: "m1".into() });
+    cluster.send("m1", FromAgent::MinionTerminated { minion: "m1".into() });
     assert_eq!(cluster.orders.len(), 1);
 }
 
@@ -234,13 +237,16 @@
     let mut cluster = Cluster::new();
     let most = 5;
     cluster.coordinator =
-        geraniumpost_batch::Coordinator::new(1, cluster.now).most_open_jobs(most as usize);
+        geraniumpost_batch::Coordinator::new(1, cluster.now).max_open_jobs(most as usize);
     for id in 1..=most {
         cluster.submit(id, vec![step(1)]);
     }
     let refused = cluster.submit(most + 1, vec![step(1)]);
-    assert_matches!(cluster.response(refused), Some(Answer::Refused { retry_after_ms: 1..=5_000 }));
+    assert_matches!(
+        cluster.response(refused),
+        Some(CallerResponse::Refused { retry_after_ms: 1..=5_000 })
+    );
     let repeat = cluster.submit(1, vec![step(1)]);
-    assert_eq!(cluster.response(repeat), Some(Answer::Accepted));
-    assert_eq!(cluster.job_state(most + 1), Answer::Unknown);
+    assert_eq!(cluster.response(repeat), Some(CallerResponse::Accepted));
+    assert_eq!(cluster.job_state(most + 1), CallerResponse::Unknown);
 }
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -1,8 +1,8 @@
 //! Leases on running tasks, and minions that join, drain and disappear.
 
 use assert_matches::assert_matches;
-use geraniumpost_batch::tuning::STORE_LOST_MS;
-use geraniumpost_batch::{EndKind, FromAgent, OrderKind, OrderOutcome, surely_lapsed_ms};
+use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
+use geraniumpost_batch::{EndKind, FromAgent, OrderKind, OrderOutcome, lease_expiry_bound_ms};
 
 use crate::cluster::{
     COMPLETED, Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, minion_info, persistent_step,
@@ -72,7 +72,7 @@
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
-    cluster.advance(LEASE_MS + STORE_LOST_MS);
+    cluster.advance(LEASE_MS + STORE_OUTAGE_TOLERANCE_MS);
     cluster.coordinator.predecessor_ended(SILENT_COORDINATOR, cluster.now);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
@@ -84,15 +84,15 @@
 #[test]
 fn unconfirmed_coordinator_extends_no_lease() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
-    cluster.now.steady_ms += STORE_LOST_MS + 1;
-    let beat = FromAgent::Beat { sent_at_ms: 5, minion_ok: true };
-    cluster.coordinator.from_agent(&agent_name("m1"), beat, cluster.now);
+    cluster.now.steady_ms += STORE_OUTAGE_TOLERANCE_MS + 1;
+    let beat = FromAgent::Heartbeat { sent_at_ms: 5, minion_ok: true };
+    cluster.coordinator.handle_agent_message(&agent_name("m1"), beat, cluster.now);
     let effects = cluster.coordinator.take_effects(cluster.now);
     let lease = effects.iter().find_map(|effect| match effect {
-        geraniumpost_batch::Effect::Tell {
-            message: geraniumpost_batch::ToAgent::Lease { hold_ms, store_ok, .. },
+        geraniumpost_batch::Effect::Send {
+            message: geraniumpost_batch::ToAgent::Lease { lease_ms, store_ok, .. },
             ..
-        } => Some((*hold_ms, *store_ok)),
+        } => Some((*lease_ms, *store_ok)),
         _ => None,
     });
     assert_eq!(lease, Some((0, false)));
@@ -107,7 +107,7 @@
     let asked_ms = cluster.now.steady_ms;
     cluster.now.steady_ms += 3_000;
     cluster.coordinator.store_confirmed(asked_ms, cluster.now.steady_ms);
-    cluster.now.steady_ms = asked_ms + STORE_LOST_MS;
+    cluster.now.steady_ms = asked_ms + STORE_OUTAGE_TOLERANCE_MS;
     cluster.lease_extensions.clear();
     cluster.heartbeat("m1");
     assert_matches!(cluster.lease_extensions[..], [(_, _, 0)]);
@@ -162,7 +162,8 @@
 fn standing_task_is_started_again() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![persistent_step(1)]);
-    for kind in [EndKind::Failed, EndKind::Failed, EndKind::Failed, EndKind::Lapsed, EndKind::Done]
+    for kind in
+        [EndKind::Failed, EndKind::Failed, EndKind::Failed, EndKind::LeaseExpired, EndKind::Done]
     {
         cluster.carry_out_orders();
         assert_eq!(cluster.running_tasks().len(), 1, "before it ended as {kind}");
@@ -254,9 +255,9 @@
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
-    let predecessor_leases = cluster.coordinator.inheritance(cluster.now);
+    let predecessor_leases = cluster.coordinator.leases_for_successor(cluster.now);
     let remaining_ms = predecessor_leases.unreached.get(&agent_name("m1")).copied();
-    assert_eq!(remaining_ms, Some(surely_lapsed_ms(LEASE_MS) - 3_000));
+    assert_eq!(remaining_ms, Some(lease_expiry_bound_ms(LEASE_MS) - 3_000));
     cluster.take_over_with(&predecessor_leases);
     cluster.join("m2", |info| info);
     cluster.advance(2_300);
@@ -273,11 +274,11 @@
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
-    assert!(cluster.coordinator.take_inheritance_changed());
-    let beat = FromAgent::Beat { sent_at_ms: cluster.now.steady_ms, minion_ok: true };
-    cluster.coordinator.from_agent(&agent_name("m1"), beat, cluster.now);
-    assert!(cluster.coordinator.take_inheritance_changed());
-    assert!(cluster.coordinator.inheritance(cluster.now).unreached.is_empty());
+    assert!(cluster.coordinator.take_leases_for_successor_changed());
+    let beat = FromAgent::Heartbeat { sent_at_ms: cluster.now.steady_ms, minion_ok: true };
+    cluster.coordinator.handle_agent_message(&agent_name("m1"), beat, cluster.now);
+    assert!(cluster.coordinator.take_leases_for_successor_changed());
+    assert!(cluster.coordinator.leases_for_successor(cluster.now).unreached.is_empty());
 }
 
 /// An agent that has linked to a successor no longer obeys its silent predecessor. Tasks beside it
@@ -321,7 +322,7 @@
     let (task, minion, _) = cluster.running_tasks()[0].clone();
     cluster.disconnect_agent(&minion);
     cluster.end_run(&minion, task, EndKind::Done);
-    cluster.advance(surely_lapsed_ms(LEASE_MS) - 100);
+    cluster.advance(lease_expiry_bound_ms(LEASE_MS) - 100);
     cluster.send(&minion, FromAgent::Hello { agent: agent_name(&minion) });
     cluster.advance(200);
     cluster.poll(&minion);
@@ -337,7 +338,7 @@
     cluster.carry_out_orders();
     let (_, minion, _) = cluster.running_tasks()[0].clone();
     cluster.disconnect_agent(&minion);
-    cluster.advance(surely_lapsed_ms(LEASE_MS) - 100);
+    cluster.advance(lease_expiry_bound_ms(LEASE_MS) - 100);
     cluster.send(&minion, FromAgent::Hello { agent: agent_name(&minion) });
     cluster.advance(900);
     assert!(cluster.orders.is_empty());
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -1,8 +1,8 @@
 //! The longest wait of a task, as reported by gauges.
 
 use geraniumpost_batch::{
-    Ask, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderOutcome, OrderVerb, StepSpec,
-    surely_lapsed_ms,
+    CallerRequest, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderOutcome, OrderVerb,
+    StepSpec, lease_expiry_bound_ms,
 };
 
 use crate::cluster::{Cluster, LEASE_MS, minion_info, persistent_step, step, task};
@@ -65,7 +65,7 @@
     cluster.poll("m1");
     for passed_ms in (1_000..=6_000).step_by(1_000) {
         cluster.advance(1_000);
-        assert_eq!(longest_wait(&cluster), LongestWait { standing_ms: passed_ms, others_ms: 0 });
+        assert_eq!(longest_wait(&cluster), LongestWait { persistent_ms: passed_ms, other_ms: 0 });
     }
     assert_wait_ends_on(cluster, "m2");
 }
@@ -77,10 +77,10 @@
     let mut cluster = with_running_task();
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
-    assert_wait(longest_wait(&cluster).standing_ms, 3_000);
-    cluster.advance(surely_lapsed_ms(LEASE_MS));
-    assert!(cluster.log_lines.iter().any(|line| line.contains("event=lapsed")));
-    assert_wait(longest_wait(&cluster).standing_ms, 3_000 + surely_lapsed_ms(LEASE_MS));
+    assert_wait(longest_wait(&cluster).persistent_ms, 3_000);
+    cluster.advance(lease_expiry_bound_ms(LEASE_MS));
+    assert!(cluster.log_lines.iter().any(|line| line.contains("event=lease_expired")));
+    assert_wait(longest_wait(&cluster).persistent_ms, 3_000 + lease_expiry_bound_ms(LEASE_MS));
     assert_wait_ends_on(cluster, "m2");
 }
 
@@ -90,7 +90,7 @@
     let mut cluster = with_running_task();
     cluster.disconnect_agent("m1");
     cluster.advance(2_000);
-    assert_wait(longest_wait(&cluster).standing_ms, 2_000);
+    assert_wait(longest_wait(&cluster).persistent_ms, 2_000);
     assert_wait_ends_when_agent_returns(cluster);
 }
 
@@ -100,7 +100,7 @@
     let mut cluster = with_running_task();
     cluster.heartbeat_with_unresponsive_minion("m1");
     cluster.advance(1_500);
-    assert_wait(longest_wait(&cluster).standing_ms, 1_500);
+    assert_wait(longest_wait(&cluster).persistent_ms, 1_500);
 }
 
 /// A successor does not know the state of runs whose agents have not linked. Their wait counts from
@@ -110,7 +110,7 @@
     let mut cluster = with_running_task();
     cluster.take_over();
     cluster.advance(2_000);
-    assert_wait(longest_wait(&cluster).standing_ms, 2_000);
+    assert_wait(longest_wait(&cluster).persistent_ms, 2_000);
     assert_wait_ends_when_agent_returns(cluster);
 }
 
@@ -121,11 +121,11 @@
     cluster.submit(1, vec![persistent_step(1)]);
     for _ in 0..40 {
         while let Some(order) = cluster.orders.pop() {
-            cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
+            cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
         }
         cluster.advance(100);
     }
-    assert_wait(longest_wait(&cluster).standing_ms, 4_000);
+    assert_wait(longest_wait(&cluster).persistent_ms, 4_000);
 }
 
 /// The store does not confirm the placement, so the start order is not sent.
@@ -135,7 +135,7 @@
     cluster.confirm_writes = false;
     cluster.submit(1, vec![persistent_step(1)]);
     cluster.advance(3_000);
-    assert_wait(longest_wait(&cluster).standing_ms, 3_000);
+    assert_wait(longest_wait(&cluster).persistent_ms, 3_000);
     cluster.confirm_pending_writes();
     cluster.carry_out_orders();
     cluster.poll("m1");
@@ -155,7 +155,7 @@
     cluster.advance(100);
     cluster.end_run(&"m1".into(), task(1, 0, 0), EndKind::Failed);
     cluster.poll("m1");
-    assert_eq!(longest_wait(&cluster).standing_ms, 0);
+    assert_eq!(longest_wait(&cluster).persistent_ms, 0);
 }
 
 /// A new incarnation answers the agent. Tasks of the old incarnation are down from then on.
@@ -164,7 +164,7 @@
     let mut cluster = with_running_task();
     cluster.send("m1", FromAgent::Minion(MinionInfo { draining: true, ..minion_info("m1-b") }));
     cluster.advance(700);
-    assert_eq!(longest_wait(&cluster).standing_ms, 700);
+    assert_eq!(longest_wait(&cluster).persistent_ms, 700);
 }
 
 /// The longest wait of all open jobs counts; a cancelled job no longer does.
@@ -175,10 +175,10 @@
     cluster.advance(3_000);
     cluster.submit(2, vec![persistent_step(1)]);
     cluster.advance(3_000);
-    assert_wait(longest_wait(&cluster).standing_ms, 6_000);
-    cluster.request(Ask::Cancel(JobId(1)));
-    assert_wait(longest_wait(&cluster).standing_ms, 3_000);
-    cluster.request(Ask::Cancel(JobId(2)));
+    assert_wait(longest_wait(&cluster).persistent_ms, 6_000);
+    cluster.request(CallerRequest::Cancel(JobId(1)));
+    assert_wait(longest_wait(&cluster).persistent_ms, 3_000);
+    cluster.request(CallerRequest::Cancel(JobId(2)));
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
@@ -191,8 +191,8 @@
     cluster.carry_out_orders();
     cluster.advance(3_000);
     cluster.heartbeat("m1");
-    assert_eq!(longest_wait(&cluster).standing_ms, 0);
-    assert_wait(longest_wait(&cluster).others_ms, 3_000);
+    assert_eq!(longest_wait(&cluster).persistent_ms, 0);
+    assert_wait(longest_wait(&cluster).other_ms, 3_000);
     cluster.end_all_runs(EndKind::Done);
     cluster.carry_out_orders();
     cluster.advance(DETECTION_MS);
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use geraniumpost_batch::{
-    Answer, EndKind, JobState, Order, OrderKind, OrderOutcome, OrderVerb, TaskId, surely_lapsed_ms,
+    CallerResponse, EndKind, JobState, Order, OrderKind, OrderOutcome, OrderVerb, TaskId,
+    lease_expiry_bound_ms,
 };
 use geraniumpost_schema::Name;
 use proptest::collection::vec;
@@ -91,7 +92,7 @@
 fn refusal() -> impl Strategy<Value = OrderOutcome> {
     prop_oneof![
         Just(OrderOutcome::NotSent),
-        Just(OrderOutcome::NoRoom),
+        Just(OrderOutcome::NoCapacity),
         Just(OrderOutcome::Unhealthy),
         Just(OrderOutcome::BadTicket),
         Just(OrderOutcome::Malformed),
@@ -210,7 +211,7 @@
             }
             Event::DisconnectAgent { minion } => {
                 let now = self.cluster.now;
-                self.cluster.coordinator.agent_lost(&agent_name(MINIONS[minion]), now);
+                self.cluster.coordinator.agent_disconnected(&agent_name(MINIONS[minion]), now);
                 self.cluster.process_effects();
                 // Its orders are lost with the link, or still on their way.
                 let lost = self.take_orders_of(minion);
@@ -282,7 +283,7 @@
         self.expire_lease(minion);
         self.agents[minion].paused = false;
         let now_ms = self.cluster.now.steady_ms;
-        let lease_expired = now_ms >= agent.last_heartbeat_ms + surely_lapsed_ms(LEASE_MS);
+        let lease_expired = now_ms >= agent.last_heartbeat_ms + lease_expiry_bound_ms(LEASE_MS);
         if now_ms >= agent.last_heartbeat_ms + LEASE_MS {
             let count = if lease_expired || agent.disconnected { usize::MAX } else { refused };
             let orders = self.take_orders_of(minion);
@@ -311,7 +312,7 @@
         let name = Name::from(MINIONS[minion]);
         for (task, run) in self.cluster.running.get(&name).cloned().unwrap_or_default() {
             self.ended_runs.insert((name.clone(), task), run);
-            self.cluster.end_run(&name, task, EndKind::Lapsed);
+            self.cluster.end_run(&name, task, EndKind::LeaseExpired);
         }
         self.delayed.retain(|order| order.minion != name);
     }
@@ -388,7 +389,7 @@
     for id in 1..=scenario.jobs {
         let state = scenario.cluster.job_state(id);
         assert!(
-            matches!(state, Answer::State(JobState::Completed | JobState::Failed)),
+            matches!(state, CallerResponse::State(JobState::Completed | JobState::Failed)),
             "job {id} is {state:?}; task {:?}",
             task(id, 0, 0)
         );
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -22,10 +22,10 @@
     cluster.join("m2", |info| info);
     cluster.advance(7_000);
     assert!(cluster.orders.is_empty(), "the successor waits for the silent coordinator");
-    let predecessor_leases = cluster.coordinator.inheritance(cluster.now);
+    let predecessor_leases = cluster.coordinator.leases_for_successor(cluster.now);
     assert!(predecessor_leases.unreached.contains_key(&agent_name("m1")));
     // The silent coordinator extended the lease until now, so it has its full duration left.
-    cluster.take_over_with(&predecessor_leases.taken_over(None, SILENT_COORDINATOR, LEASE_MS));
+    cluster.take_over_with(&predecessor_leases.after_takeover(None, SILENT_COORDINATOR, LEASE_MS));
     cluster.join("m2", |info| info);
     cluster.advance(LEASE_MS);
     assert!(
@@ -55,7 +55,7 @@
     cluster.confirm_writes = false;
     cluster.end_run(&minion, task, EndKind::Stopped);
     cluster.poll("m1");
-    cluster.send("m1", FromAgent::MinionGone { minion: minion.clone() });
+    cluster.send("m1", FromAgent::MinionTerminated { minion: minion.clone() });
     assert!(cluster.settled_departures.is_empty(), "the records still name a run there");
     cluster.confirm_pending_writes();
     assert_eq!(cluster.settled_departures, [minion]);
@@ -72,7 +72,7 @@
     cluster.confirm_writes = false;
     cluster.advance(LEASE_MS + 1_000);
     cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
-    cluster.send("m1", FromAgent::MinionGone { minion: "m1".into() });
+    cluster.send("m1", FromAgent::MinionTerminated { minion: "m1".into() });
     assert!(cluster.settled_departures.is_empty(), "the records still name a run there");
     cluster.confirm_pending_writes();
     assert_eq!(cluster.settled_departures, ["m1".into()]);
@@ -88,7 +88,7 @@
     let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
     let estimate_ms = 60_000;
     let best_effort =
-        StepSpec { fills: true, image: "logs".into(), demand, estimate_ms, ..step(1) };
+        StepSpec { best_effort: true, image: "logs".into(), demand, estimate_ms, ..step(1) };
     cluster.submit(2, vec![best_effort]);
     cluster.carry_out_orders();
     cluster.set_gauge(task(1, 0, 0), 150);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -53,12 +53,12 @@
         }
         let name = agent_name(&machine.name);
         if std::mem::replace(&mut machine.coordinator_sees_link, true) {
-            self.cluster.coordinator.agent_lost(&name, self.cluster.now);
+            self.cluster.coordinator.agent_disconnected(&name, self.cluster.now);
         }
         machine.linked = true;
         self.send(at, FromAgent::Hello { agent: name });
-        for minion in self.machines[at].departures.unsettled().cloned().collect::<Vec<_>>() {
-            self.send(at, FromAgent::MinionGone { minion });
+        for minion in self.machines[at].departures.unrecorded().cloned().collect::<Vec<_>>() {
+            self.send(at, FromAgent::MinionTerminated { minion });
         }
         self.report_minion(at);
         self.heartbeat(at);
@@ -91,23 +91,23 @@
         let now = self.cluster.now;
         let Some((coordinator, _)) = &mut self.succession.isolated else { return };
         let machine = &mut self.machines[at];
-        coordinator.from_agent(&agent_name(&machine.name), heartbeat, now);
+        coordinator.handle_agent_message(&agent_name(&machine.name), heartbeat, now);
         for effect in coordinator.take_effects(now) {
-            if let Effect::Tell { message: ToAgent::Lease { hold_ms, .. }, .. } = effect
-                && hold_ms > 0
+            if let Effect::Send { message: ToAgent::Lease { lease_ms, .. }, .. } = effect
+                && lease_ms > 0
             {
-                machine.extend_lease(now.steady_ms + hold_ms);
+                machine.extend_lease(now.steady_ms + lease_ms);
             }
         }
     }
 
     /// Applies the lease extensions that the coordinator has sent to agents.
     fn apply_lease_extensions(&mut self) {
-        for (name, sent_at_ms, hold_ms) in std::mem::take(&mut self.cluster.lease_extensions) {
+        for (name, sent_at_ms, lease_ms) in std::mem::take(&mut self.cluster.lease_extensions) {
             let machine =
                 self.machines.iter_mut().find(|machine| agent_name(&machine.name) == name);
-            if let Some(machine) = machine.filter(|_| hold_ms > 0) {
-                machine.extend_lease(sent_at_ms + hold_ms);
+            if let Some(machine) = machine.filter(|_| lease_ms > 0) {
+                machine.extend_lease(sent_at_ms + lease_ms);
             }
         }
     }
@@ -117,7 +117,7 @@
     pub(super) fn finish_agent_stop(&mut self, at: usize) {
         let machine = &self.machines[at];
         let Some(deadline_ms) = machine.stop_deadline_ms else { return };
-        if self.cluster.now.steady_ms >= deadline_ms || machine.departures.is_settled() {
+        if self.cluster.now.steady_ms >= deadline_ms || machine.departures.is_empty() {
             self.terminate_agent(at);
         }
     }
@@ -133,7 +133,7 @@
         machine.coordinator_sees_link = false;
         let name = agent_name(&machine.name);
         if !self.succession.is_vacant() {
-            self.cluster.coordinator.agent_lost(&name, self.cluster.now);
+            self.cluster.coordinator.agent_disconnected(&name, self.cluster.now);
             self.cluster.process_effects();
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -5,7 +5,7 @@
 
 use geraniumpost_batch::Now;
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMS_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
 use geraniumpost_schema::Name;
 
 /// Number of entries.
@@ -58,17 +58,17 @@
         for (number, entry) in self.all.iter_mut().enumerate() {
             let up = number != self.coordinator && entry.unavailable_until_ms <= now_ms;
             if up && entry.promises.promise(term, now_ms) {
-                self.support.promised(&entry.name, entry.incarnation, now_ms);
+                self.support.record_promise(&entry.name, entry.incarnation, now_ms);
             }
         }
-        self.support.until_ms()
+        self.support.supported_until_ms()
     }
 
     /// Updates the voters that the coordinator's key names, if a change is due.
     pub(super) fn update_voters(&mut self, now_ms: u64) {
-        if let Some(voters) = self.support.wanted(now_ms) {
-            self.support.change(voters, now_ms);
-            self.support.changed();
+        if let Some(voters) = self.support.voters_to_write(now_ms) {
+            self.support.begin_voter_change(voters, now_ms);
+            self.support.complete_voter_change();
         }
     }
 
@@ -121,11 +121,14 @@
         for entry in up {
             let lasts_ms = entry.promises.release(term, now_ms);
             for query in self.queries.values_mut() {
-                query.releases.released(&entry.name, entry.incarnation, lasts_ms, now_ms);
+                query.releases.record(&entry.name, entry.incarnation, lasts_ms, now_ms);
             }
         }
         let end = |query: &PredecessorQuery| {
-            query.releases.until_ms().map(|ms| ms.max(query.taken_over_ms + STORE_CONFIRMS_MS))
+            query
+                .releases
+                .support_end_ms()
+                .map(|ms| ms.max(query.taken_over_ms + STORE_CONFIRMATION_MS))
         };
         self.queries.iter().filter_map(|(at, query)| Some((*at, end(query)?))).collect()
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -86,7 +86,10 @@
 
     pub(super) const fn heartbeat(&self, now_ms: u64) -> FromAgent {
         let answering = now_ms < self.last_answer_ms + ANSWER_TIMEOUT_MS;
-        FromAgent::Beat { sent_at_ms: now_ms, minion_ok: self.known_minion.is_some() && answering }
+        FromAgent::Heartbeat {
+            sent_at_ms: now_ms,
+            minion_ok: self.known_minion.is_some() && answering,
+        }
     }
 
     /// Returns whether an incarnation is running here.
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/minions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/minions.rs
@@ -45,7 +45,7 @@
         let runs = self.cluster.running.get(&id).cloned().unwrap_or_default();
         minion.ended_runs.extend(&runs);
         for task in runs.into_keys() {
-            self.cluster.end_run(&id, task, EndKind::Lapsed);
+            self.cluster.end_run(&id, task, EndKind::LeaseExpired);
             self.trace(&format!("{task} lapses at {id}"));
         }
     }
@@ -54,7 +54,7 @@
     pub(super) fn execute_order(&mut self, order: &Order) -> OrderOutcome {
         let at = self.machine_of(&order.minion);
         let Some(at) = at.filter(|at| self.machines[*at].hosts(&order.minion)) else {
-            return OrderOutcome::Gone;
+            return OrderOutcome::MinionTerminated;
         };
         match order.kind {
             OrderKind::Start { .. } => self.start_task(at, order),
@@ -66,7 +66,7 @@
     fn start_task(&mut self, at: usize, order: &Order) -> OrderOutcome {
         let (used, now_ms) = (self.used_milli_cpus(at), self.cluster.now.steady_ms);
         let machine = &mut self.machines[at];
-        let Some(minion) = &mut machine.minion else { return OrderOutcome::Gone };
+        let Some(minion) = &mut machine.minion else { return OrderOutcome::MinionTerminated };
         let runs = self.cluster.running.entry(order.minion.clone()).or_default();
         if minion.has_ended(order.task, order.run) {
             return OrderOutcome::RunIsOver;
@@ -75,7 +75,7 @@
             return OrderOutcome::Done;
         }
         if used + task_milli_cpus(order.task) > machine.milli_cpus {
-            return OrderOutcome::NoRoom;
+            return OrderOutcome::NoCapacity;
         }
         if machine.lease_until_ms <= now_ms {
             return OrderOutcome::TooLate;
@@ -86,7 +86,9 @@
     }
 
     fn stop_task(&mut self, at: usize, order: &Order) -> OrderOutcome {
-        let Some(minion) = &mut self.machines[at].minion else { return OrderOutcome::Gone };
+        let Some(minion) = &mut self.machines[at].minion else {
+            return OrderOutcome::MinionTerminated;
+        };
         let ended_runs = minion.ended_runs.entry(order.task).or_default();
         *ended_runs = order.run.max(*ended_runs);
         let runs = self.cluster.running.get(&order.minion);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -63,7 +63,7 @@
             self.report_result(&order, outcome);
         } else {
             self.detect_departure(at, &order.minion);
-            self.report_result(&order, OrderOutcome::Gone);
+            self.report_result(&order, OrderOutcome::MinionTerminated);
         }
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
@@ -75,10 +75,10 @@
     fn record_departure(&mut self, at: usize, id: &Name) {
         let machine = &mut self.machines[at];
         machine.known_minion.take_if(|known_minion| known_minion == id);
-        machine.departures.gone(id);
+        machine.departures.record_terminated(id);
         let reaches = self.can_reach_coordinator(at);
         self.trace(&format!("agent finds {id} gone, heard by the coordinator: {reaches}"));
-        self.send(at, FromAgent::MinionGone { minion: id.clone() });
+        self.send(at, FromAgent::MinionTerminated { minion: id.clone() });
     }
 
     /// Removes departures that the coordinator has recorded.
@@ -86,7 +86,7 @@
         for minion in std::mem::take(&mut self.cluster.settled_departures) {
             if let Some(at) = self.machine_of(&minion).filter(|at| self.can_reach_coordinator(*at))
             {
-                self.machines[at].departures.forget(&minion);
+                self.machines[at].departures.remove(&minion);
             }
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use geraniumpost_batch::{Coordinator, Inheritance};
+use geraniumpost_batch::{Coordinator, PredecessorLeases};
 
 use super::Simulation;
 use super::action::Action;
@@ -22,7 +22,7 @@
     /// Number of coordinators lost so far.
     losses: u64,
     /// Predecessor leases that the coordinator's key leaves to the next one.
-    predecessor_leases: Inheritance,
+    predecessor_leases: PredecessorLeases,
     /// When the coordinator next queries silent predecessors.
     next_query_ms: u64,
     /// Loss numbers of earlier coordinators that answer again and know the current one.
@@ -92,7 +92,7 @@
             self.scheduled_actions.push((now.steady_ms + answers_after_ms, 0, answers));
         }
         if loss == CoordinatorLoss::Planned && !self.succession.is_vacant() {
-            self.succession.predecessor_leases = self.cluster.coordinator.inheritance(now);
+            self.succession.predecessor_leases = self.cluster.coordinator.leases_for_successor(now);
         }
         self.succession.open_vacancy(loss, now.steady_ms);
         for machine in &mut self.machines {
@@ -140,7 +140,7 @@
         }
         let now_ms = self.cluster.now.steady_ms;
         let until_ms = self.entries.support(self.cluster.coordinator.fence(), now_ms);
-        self.cluster.coordinator.supported_until(until_ms, 0);
+        self.cluster.coordinator.set_supported_until(until_ms, 0);
         if self.cluster.store_confirms {
             self.entries.update_voters(now_ms);
         }
@@ -151,7 +151,7 @@
             .then(|| (coordinator_address(vacancy.number), vacancy.number));
         let own_address = coordinator_address(self.succession.losses + 1);
         let predecessor_leases = std::mem::take(&mut self.succession.predecessor_leases);
-        let inheritance = predecessor_leases.taken_over(silent, own_address, LEASE_MS);
+        let inheritance = predecessor_leases.after_takeover(silent, own_address, LEASE_MS);
         self.cluster.take_over_with(&inheritance);
         self.entries.take_over(silent.map(|(address, _)| address), self.cluster.now.steady_ms);
         self.succession.predecessor_leases = inheritance.while_coordinating();
@@ -173,7 +173,7 @@
         }
         let fence = self.cluster.coordinator.fence();
         for (address, until_ms) in self.entries.query_voters(fence, now.steady_ms) {
-            if self.cluster.coordinator.inheritance(now).silent.contains_key(&address) {
+            if self.cluster.coordinator.leases_for_successor(now).silent.contains_key(&address) {
                 self.cluster.coordinator.predecessor_extends_until(address, until_ms);
             }
         }
@@ -183,7 +183,7 @@
         self.succession.next_query_ms = now.steady_ms + PREDECESSOR_QUERY_INTERVAL_MS;
         for number in self.succession.answering.iter().copied() {
             let address = coordinator_address(number);
-            if self.cluster.coordinator.inheritance(now).silent.contains_key(&address) {
+            if self.cluster.coordinator.leases_for_successor(now).silent.contains_key(&address) {
                 self.cluster.coordinator.predecessor_ended(address, now);
             }
         }
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -1,7 +1,8 @@
 //! Steps: order, gangs, spread, labels, repetitions and approvals.
 
 use geraniumpost_batch::{
-    Answer, Ask, EndKind, JobId, JobSpec, OrderKind, OrderOutcome, OrderVerb, StepSpec,
+    CallerRequest, CallerResponse, EndKind, JobId, JobSpec, OrderKind, OrderOutcome, OrderVerb,
+    StepSpec,
 };
 
 use crate::cluster::{COMPLETED, Cluster, step, task, terms};
@@ -46,7 +47,11 @@
     cluster.carry_out_orders();
     let places = cluster.running_tasks();
     for (at, (task, minion, _)) in places.iter().enumerate() {
-        cluster.end_run(minion, *task, if at == 0 { EndKind::Failed } else { EndKind::Broken });
+        cluster.end_run(
+            minion,
+            *task,
+            if at == 0 { EndKind::Failed } else { EndKind::GangMemberEnded },
+        );
     }
     cluster.poll("m1");
     cluster.poll("m2");
@@ -59,7 +64,7 @@
 #[test]
 fn spread_bound_holds_per_minion() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
-    cluster.submit(1, vec![StepSpec { most_per_minion: 2, ..step(6) }]);
+    cluster.submit(1, vec![StepSpec { max_per_minion: 2, ..step(6) }]);
     cluster.carry_out_orders();
     assert_eq!(cluster.running["m1"].len(), 2);
     assert_eq!(cluster.running["m2"].len(), 2);
@@ -105,7 +110,7 @@
         first_due_ms: cluster.now.wall_ms + 1_000,
         interval_ms: 2_000,
     };
-    cluster.request(Ask::Submit { job: JobId(1), spec, terms: terms() });
+    cluster.request(CallerRequest::Submit { job: JobId(1), spec, terms: terms() });
     cluster.advance(900);
     assert!(cluster.orders.is_empty());
     cluster.advance(200);
@@ -126,8 +131,8 @@
 fn impossible_order_of_steps_is_refused() {
     let mut cluster = Cluster::new();
     let ticket = cluster.submit(1, vec![StepSpec { after: vec![0], ..step(1) }]);
-    assert_eq!(cluster.response(ticket), Some(Answer::Invalid));
-    assert_eq!(cluster.job_state(1), Answer::Unknown);
+    assert_eq!(cluster.response(ticket), Some(CallerResponse::Invalid));
+    assert_eq!(cluster.job_state(1), CallerResponse::Unknown);
 }
 
 #[test]
@@ -137,12 +142,12 @@
     cluster.submit(2, vec![step(40)]);
     cluster.submit(3, vec![step(1)]);
     let pending = |cluster: &mut Cluster| {
-        let ticket = cluster.request(Ask::Pending("studies".into()));
+        let ticket = cluster.request(CallerRequest::Pending("studies".into()));
         cluster.response(ticket)
     };
-    assert_eq!(pending(&mut cluster), Some(Answer::Pending(3)));
+    assert_eq!(pending(&mut cluster), Some(CallerResponse::Pending(3)));
     cluster.carry_out_orders();
-    assert_eq!(pending(&mut cluster), Some(Answer::Pending(1)));
+    assert_eq!(pending(&mut cluster), Some(CallerResponse::Pending(1)));
 }
 
 /// Steps of this queue need approval. Tasks start only on approved minions, with the ticket of the
@@ -229,17 +234,21 @@
     cluster.submit(1, vec![StepSpec { gang: true, ..step(3) }]);
     cluster.carry_out_orders();
     for (at, (task, minion, _)) in cluster.running_tasks().iter().enumerate() {
-        cluster.end_run(minion, *task, if at < 2 { EndKind::Failed } else { EndKind::Broken });
+        cluster.end_run(
+            minion,
+            *task,
+            if at < 2 { EndKind::Failed } else { EndKind::GangMemberEnded },
+        );
     }
     cluster.poll("m1");
     cluster.poll("m2");
     cluster.advance(300);
-    assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Running));
+    assert_eq!(cluster.job_state(1), CallerResponse::State(geraniumpost_batch::JobState::Running));
     cluster.carry_out_orders();
     let running = cluster.running_tasks();
     assert_eq!(running.iter().map(|(.., run)| *run).collect::<Vec<_>>(), [2, 2, 2]);
     let (task, minion, _) = running[0].clone();
     cluster.end_run(&minion, task, EndKind::Failed);
     cluster.poll(&minion);
-    assert_eq!(cluster.job_state(1), Answer::State(geraniumpost_batch::JobState::Failed));
+    assert_eq!(cluster.job_state(1), CallerResponse::State(geraniumpost_batch::JobState::Failed));
 }
--- a/crates/geraniumpost/src/batch/agent/looking.rs
+++ b/crates/geraniumpost/src/batch/agent/looking.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use geraniumpost_batch::{FromAgent, Look};
-use geraniumpost_platform::{MinionReply, MinionView};
+use geraniumpost_batch::{FromAgent, PollResult};
+use geraniumpost_platform::{MinionReply, TaskLists};
 use geraniumpost_schema::Name;
 
 use super::super::BootClock;
@@ -39,7 +39,7 @@
             let before = state.results();
             let (forget, _) = if unproved { (0, 0) } else { state.ends() };
             let hold_until = if unproved { None } else { state.hold_until() };
-            let reply = state.minion.look(&id, fence, forget, hold_until, wait, TIMEOUT).await;
+            let reply = state.minion.poll(&id, fence, forget, hold_until, wait, TIMEOUT).await;
             match reply {
                 MinionReply::Ok(view) => {
                     state.answered(&id, view.clock_ms, BootClock.now_ms());
@@ -64,14 +64,16 @@
 fn pass_on(
     state: &State,
     id: &Name,
-    view: MinionView,
+    view: TaskLists,
     before: Option<u64>,
     passed_ms: &mut u64,
 ) -> bool {
     let (_, passed_on) = state.ends();
     let waiting = !view.ended.is_empty();
     let last = view.ended.last().map(|end| end.sequence);
-    let Some(orders_before) = before.filter(|_| state.results().is_some()) else { return waiting };
+    let Some(orders_reported_before) = before.filter(|_| state.results().is_some()) else {
+        return waiting;
+    };
     let ended: Vec<_> = view.ended.into_iter().filter(|end| end.sequence > passed_on).collect();
     let now_ms = BootClock.now_ms();
     let whole = state.pass_on(last, now_ms >= *passed_ms + WHOLE_EVERY_MS);
@@ -83,13 +85,19 @@
     let running = whole.then_some(view.running);
     let minion = id.clone();
     let more_ends = view.more_ends;
-    state.send(FromAgent::Look(Look { minion, running, ended, more_ends, orders_before }));
+    state.send(FromAgent::PollResult(PollResult {
+        minion,
+        running,
+        ended,
+        more_ends,
+        orders_reported_before,
+    }));
     waiting
 }
 
-fn failed(state: &State, id: &Name, reply: &MinionReply<MinionView>) {
+fn failed(state: &State, id: &Name, reply: &MinionReply<TaskLists>) {
     match reply {
-        MinionReply::Gone => state.gone(id),
+        MinionReply::IncarnationMismatch => state.gone(id),
         MinionReply::Superseded => {
             // The coordinator that this agent obeys has a successor; the link to it is of no use.
             spdlog::warn!("event=coordinator_superseded minion={id}");
--- a/crates/geraniumpost/src/batch/coordination/key.rs
+++ b/crates/geraniumpost/src/batch/coordination/key.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use geraniumpost_batch::Silent;
-use geraniumpost_batch::tuning::{ENTRY_GONE_MS, STORE_SILENCE_MS};
-use geraniumpost_platform::{CommitError, Item, Put};
+use geraniumpost_batch::SilentCoordinator;
+use geraniumpost_batch::tuning::{ENTRY_EXPIRY_MS, STORE_UNREACHABLE_MS};
+use geraniumpost_platform::{CommitError, KeyValue, Transaction};
 
 use super::super::BootClock;
 use super::COORDINATOR_KEY;
@@ -22,13 +22,14 @@
     /// Returns whether the key gives silent coordinators much more time than they have left. Whoever reads
     /// it counts with all of that time from then on, whenever that may be, so it is rewritten.
     pub(super) fn overstates_waits(&self) -> bool {
-        let named = &self.record.inheritance.silent;
+        let named = &self.record.predecessor_leases.silent;
         if named.is_empty() {
             return false;
         }
         let left = self.left.at(BootClock.now_ms()).silent;
-        let overstated = |(address, named): (&SocketAddr, &Silent)| {
-            left.get(address).is_none_or(|left| left.lasts_ms + OVERSTATED_MS <= named.lasts_ms)
+        let overstated = |(address, named): (&SocketAddr, &SilentCoordinator)| {
+            left.get(address)
+                .is_none_or(|left| left.remaining_ms + OVERSTATED_MS <= named.remaining_ms)
         };
         named.iter().any(overstated)
     }
@@ -37,7 +38,7 @@
     /// ask for again and again while it does not.
     pub(super) fn voters_are_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
-        let answers = BootClock.now_ms() < confirmed_ms + STORE_SILENCE_MS;
+        let answers = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
         answers && self.support.wanted().is_some()
     }
 
@@ -62,9 +63,9 @@
     async fn rewrite_key(&mut self) -> Result<(), TermLost> {
         loop {
             self.record.barrier += 1;
-            self.record.inheritance = self.left.at(BootClock.now_ms()).while_coordinating();
-            self.record.forget_voters();
-            let put = Put {
+            self.record.predecessor_leases = self.left.at(BootClock.now_ms()).while_coordinating();
+            self.record.prune_voters();
+            let put = Transaction {
                 expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
                 write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
                 remove: Vec::new(),
@@ -84,8 +85,8 @@
                         return Ok(());
                     }
                 }
-                Err(CommitError::NotDone(_)) => tokio::time::sleep(PAUSE).await,
-                Err(CommitError::Unknown(_)) => {
+                Err(CommitError::NotApplied(_)) => tokio::time::sleep(PAUSE).await,
+                Err(CommitError::Indeterminate(_)) => {
                     self.timeout.unanswered();
                     if self.read_revision().await? {
                         return Ok(());
@@ -136,12 +137,12 @@
     pub(super) async fn unlist_lost_entry(&self) {
         let term_ms = BootClock.now_ms().saturating_sub(self.taken_ms);
         let lost = |listed: &&Listed| {
-            self.support.silent_ms(&listed.node).unwrap_or(term_ms) >= ENTRY_GONE_MS
+            self.support.silent_ms(&listed.node).unwrap_or(term_ms) >= ENTRY_EXPIRY_MS
         };
         let listed = self.peers.listed();
         let Some(lost) = listed.iter().find(lost) else { return };
         let own = (COORDINATOR_KEY.to_owned(), self.revision);
-        let put = Put {
+        let put = Transaction {
             expect: vec![own, (lost.key(), lost.revision)],
             write: Vec::new(),
             remove: vec![lost.key()],
@@ -154,7 +155,7 @@
     }
 
     /// Returns the key's revision if the term is still ours.
-    fn own(&self, item: Option<Item>) -> Result<u64, TermLost> {
+    fn own(&self, item: Option<KeyValue>) -> Result<u64, TermLost> {
         let item = item.ok_or(TermLost)?;
         let record = CoordinatorRecord::decode(&item.value).map_err(|_| TermLost)?;
         let ours = record.incarnation == self.record.incarnation && record.term == self.record.term;
@@ -171,9 +172,9 @@
 
     /// Gives the term up, so that the next coordinator need not wait for anything.
     pub async fn step_down(&mut self) {
-        self.record.vacant = true;
-        self.record.inheritance = self.left.at(BootClock.now_ms());
-        let put = Put {
+        self.record.stepped_down = true;
+        self.record.predecessor_leases = self.left.at(BootClock.now_ms());
+        let put = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
             remove: Vec::new(),
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -5,9 +5,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_SILENCE_MS;
-use geraniumpost_batch::{Coordinator, Inheritance, JobId, JobRecord, Knowledge, Now};
-use geraniumpost_platform::{Admission, Found, Page, Store, StoreError};
+use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
+use geraniumpost_batch::{
+    Coordinator, InterferenceSnapshot, JobId, JobRecord, Now, PredecessorLeases,
+};
+use geraniumpost_platform::{Admission, GetResponse, Page, Store, StoreError};
 use tokio::sync::{mpsc, watch};
 
 use super::super::{BootClock, first_answer};
@@ -47,13 +49,13 @@
     /// Revision of the coordinator's key.
     pub revision: u64,
     /// How long minions hold their tasks, in milliseconds.
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     /// When the store was asked for the term, on the boot clock.
     pub asked_ms: u64,
     /// When the term was taken.
     pub taken: Now,
     /// What earlier coordinators left behind, as it held then.
-    pub inheritance: Inheritance,
+    pub inheritance: PredecessorLeases,
     pub confirmed_ms: Arc<AtomicU64>,
     /// The other entries, which may know of a successor.
     pub peers: Arc<Peers>,
@@ -91,10 +93,10 @@
             records.len()
         );
         let coordinator = Coordinator::new(self.record.term, now)
-            .hold_ms(self.hold_ms)
-            .term_asked_for(self.asked_ms)
-            .inheriting(&self.inheritance, self.taken)
-            .with_knowledge(&knowledge)
+            .lease_ms(self.lease_ms)
+            .term_requested_at(self.asked_ms)
+            .with_predecessor_leases(&self.inheritance, self.taken)
+            .with_interference(&knowledge)
             .with_records(records, now);
         let (writes_tx, mut writes) = mpsc::channel(BATCHES);
         let (questions_tx, questions) = mpsc::channel(QUEUE);
@@ -160,21 +162,21 @@
     }
 
     /// Reads what a predecessor had learnt. Without it the coordinator learns anew.
-    async fn read_knowledge(&self) -> Knowledge {
+    async fn read_knowledge(&self) -> InterferenceSnapshot {
         let reading = async {
-            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.finish(SILENCE).await
+            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.receive(SILENCE).await
         };
         let item = match reading.await {
-            Ok(Found { item: Some(item), .. }) => item,
-            Ok(Found { item: None, .. }) => return Knowledge::default(),
+            Ok(GetResponse { item: Some(item), .. }) => item,
+            Ok(GetResponse { item: None, .. }) => return InterferenceSnapshot::default(),
             Err(error) => {
                 spdlog::warn!("event=read_failed what=knowledge why=\"{error}\"");
-                return Knowledge::default();
+                return InterferenceSnapshot::default();
             }
         };
-        Knowledge::decode(&item.value).unwrap_or_else(|error| {
+        InterferenceSnapshot::decode(&item.value).unwrap_or_else(|error| {
             spdlog::warn!("event=record_unreadable key={KNOWLEDGE_KEY} why=\"{error}\"");
-            Knowledge::default()
+            InterferenceSnapshot::default()
         })
     }
 
@@ -212,7 +214,7 @@
         let attempt = |timeout| self.store.begin_page(JOB_PREFIX, after, timeout);
         loop {
             let read = match first_answer(&self.store, READ_SPACING, attempt, failed).await {
-                Ok(reading) => reading.finish(SILENCE).await,
+                Ok(reading) => reading.receive(SILENCE).await,
                 Err(error) => Err(error),
             };
             match read {
@@ -231,7 +233,7 @@
     inputs: mpsc::Sender<Input>,
 ) {
     while let Some((step, minions)) = questions.recv().await {
-        let answer = admission.ask(step, &minions, ADMISSION_TIMEOUT).await;
+        let answer = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
         if let Err(why) = &answer {
             spdlog::warn!("event=approval_unanswered step={step} why=\"{why}\"");
         }
@@ -246,7 +248,7 @@
     loop {
         tokio::time::sleep(DOUBT_PAUSE).await;
         let silent_ms = BootClock.now_ms().saturating_sub(confirmed_ms.load(Ordering::Relaxed));
-        if silent_ms >= STORE_SILENCE_MS && peers.successor(fence).await.is_some() {
+        if silent_ms >= STORE_UNREACHABLE_MS && peers.successor(fence).await.is_some() {
             return;
         }
     }
@@ -268,7 +270,7 @@
     }
 }
 
-fn read_record(item: &geraniumpost_platform::Item) -> Option<(JobId, JobRecord)> {
+fn read_record(item: &geraniumpost_platform::KeyValue) -> Option<(JobId, JobRecord)> {
     let id = item.key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok());
     match (id, JobRecord::decode(&item.value)) {
         (Some(id), Ok(record)) => Some((id, record)),
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::{Answer, Ask, FromEntry, TermTime, ToEntry};
+use geraniumpost_batch::{CallerRequest, CallerResponse, FromEntry, TermTime, ToEntry};
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
@@ -30,20 +30,20 @@
     /// The coordinator that the rest is about.
     pub address: Option<SocketAddr>,
     /// When it answered last, or when the first link to it was tried, on the boot clock.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     /// Links in a row that could not be opened.
-    pub refused: u32,
+    pub failed_connects: u32,
     /// Whether it has answered that it does not coordinate.
-    pub denied: bool,
+    pub not_coordinating: bool,
     /// Since when the coordinator has not reached the store, on the boot clock.
-    pub store_lost_ms: Option<u64>,
+    pub store_unreachable_since_ms: Option<u64>,
 }
 
 /// A caller's request on its way.
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
-    answer: oneshot::Sender<Answer>,
+    ask: CallerRequest,
+    answer: oneshot::Sender<CallerResponse>,
     /// Copies of the request that left.
     sent: Arc<AtomicU64>,
     /// Copies of it that the coordinator refused.
@@ -57,8 +57,8 @@
     /// one copy: another may be read later, when there is room, and be accepted. Its caller would have
     /// been told that the job does not run, and it would run all the same. What is not settled in time is
     /// told as unknown.
-    fn is_settled_by(&mut self, answer: Answer) -> bool {
-        if !matches!(answer, Answer::Refused { .. }) {
+    fn is_settled_by(&mut self, answer: CallerResponse) -> bool {
+        if !matches!(answer, CallerResponse::Refused { .. }) {
             return true;
         }
         self.refused += 1;
@@ -128,7 +128,12 @@
     ///
     /// Tells whether the request certainly had no effect. One that could not be sent is given up
     /// after `unsent` already, one that was sent only after `all`.
-    pub async fn ask(&self, ask: Ask, unsent: Duration, all: Duration) -> Result<Answer, NoAnswer> {
+    pub async fn ask(
+        &self,
+        ask: CallerRequest,
+        unsent: Duration,
+        all: Duration,
+    ) -> Result<CallerResponse, NoAnswer> {
         let sent = Arc::new(AtomicU64::new(0));
         let (answer_tx, mut answer) = oneshot::channel();
         let waiting = Waiting { ask, answer: answer_tx, sent: Arc::clone(&sent), refused: 0 };
@@ -187,7 +192,7 @@
                 Ok((tx, rx)) => self.relay(tx, rx).await,
                 Err(error) => {
                     spdlog::debug!("event=link_failed to={} why=\"{error}\"", known.address);
-                    self.state.send_modify(|state| state.refused += 1);
+                    self.state.send_modify(|state| state.failed_connects += 1);
                 }
             }
             self.waiting.retain(|_, waiting| !waiting.answer.is_closed());
@@ -200,8 +205,9 @@
         self.state.send_if_modified(|state| {
             let other = state.address != Some(address);
             if other {
-                let heard_ms = BootClock.now_ms();
-                *state = LinkState { address: Some(address), heard_ms, ..LinkState::default() };
+                let last_heard_ms = BootClock.now_ms();
+                *state =
+                    LinkState { address: Some(address), last_heard_ms, ..LinkState::default() };
             }
             other
         });
@@ -209,7 +215,7 @@
 
     async fn relay(&mut self, tx: Tx, mut rx: Rx) {
         let (node, incarnation) = (self.promises.node().clone(), self.promises.incarnation());
-        if tx.send(FromPeer::Entry { node, incarnation }).is_err() {
+        if tx.send(FromPeer::EntryHello { node, incarnation }).is_err() {
             return;
         }
         self.send_again(&tx);
@@ -234,7 +240,7 @@
                     self.keep(waiting, trusted.then_some(&tx));
                 }
                 _ = pings.tick() => {
-                    if tx.send(FromPeer::EntrySays(self.ping())).is_err() || self.is_silent() {
+                    if tx.send(FromPeer::EntryMessage(self.ping())).is_err() || self.is_silent() {
                         return;
                     }
                 }
@@ -248,7 +254,7 @@
         FromEntry::Ping {
             configuration: self.in_force.version(),
             supports: self.heard.and_then(promise),
-            leaves: self.promises.leaves(),
+            stopping: self.promises.leaves(),
         }
     }
 
@@ -258,7 +264,7 @@
     }
 
     fn silent_ms(&self) -> u64 {
-        BootClock.now_ms().saturating_sub(self.state.borrow().heard_ms)
+        BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
     fn take(&mut self, message: ToPeer) -> bool {
@@ -269,14 +275,17 @@
                 self.in_force.heard(configuration);
                 self.heard_ms.store(now_ms, Ordering::Relaxed);
                 self.state.send_modify(|state| {
-                    state.heard_ms = now_ms;
-                    state.refused = 0;
-                    state.denied = false;
-                    state.store_lost_ms =
-                        if store_ok { None } else { state.store_lost_ms.or(Some(now_ms)) };
+                    state.last_heard_ms = now_ms;
+                    state.failed_connects = 0;
+                    state.not_coordinating = false;
+                    state.store_unreachable_since_ms = if store_ok {
+                        None
+                    } else {
+                        state.store_unreachable_since_ms.or(Some(now_ms))
+                    };
                 });
             }
-            ToPeer::Entry(ToEntry::Answer { ticket, answer }) => {
+            ToPeer::Entry(ToEntry::Response { ticket, response: answer }) => {
                 let Some(waiting) = self.waiting.get_mut(&ticket) else { return true };
                 if waiting.is_settled_by(answer)
                     && let Some(waiting) = self.waiting.remove(&ticket)
@@ -286,10 +295,10 @@
                 }
             }
             ToPeer::NotCoordinating => {
-                self.state.send_modify(|state| state.denied = true);
+                self.state.send_modify(|state| state.not_coordinating = true);
                 return false;
             }
-            ToPeer::Probed { .. } | ToPeer::Released { .. } | ToPeer::Agent(_) => {}
+            ToPeer::ProbeResponse { .. } | ToPeer::ReleaseResponse { .. } | ToPeer::Agent(_) => {}
         }
         true
     }
@@ -318,5 +327,6 @@
         return;
     }
     // A closed link is noticed by its reader, and the request is sent again on the next one.
-    let _ = tx.send(FromPeer::EntrySays(FromEntry::Ask { ticket, ask: waiting.ask.clone() }));
+    let _ = tx
+        .send(FromPeer::EntryMessage(FromEntry::Request { ticket, request: waiting.ask.clone() }));
 }
