--- a/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -17,7 +17,7 @@
 /// interference model predicts. All of them on that minion are paused within two seconds, and none
 /// is added.
 #[test]
-fn filling_stands_still_beside_a_tail_that_stays_over_its_bound() {
+fn best_effort_tasks_are_paused_while_a_serving_task_exceeds_its_bound() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
     // A low tail latency shows that the minion has capacity for both.
     cluster.set_gauge(task(1, 0, 0), 25);
@@ -44,7 +44,7 @@
 /// A best-effort task reserves no processors, so it is placed even where none are free. Its memory
 /// is reserved.
 #[test]
-fn filling_takes_memory_but_no_processors() {
+fn best_effort_tasks_reserve_memory_but_no_processors() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
     let large = StepSpec {
         demand: Demand { milli_cpus: 16_000, memory_mb: 40_000, accelerators: 0 },
@@ -60,14 +60,14 @@
 /// so it waits for a minion on which it runs at full speed while other tasks of its job are
 /// running.
 #[test]
-fn filling_waits_for_a_place_at_speed() {
+fn best_effort_task_waits_for_a_minion_at_full_speed() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let wide = StepSpec {
         demand: Demand { milli_cpus: 12_000, memory_mb: 1_000, accelerators: 0 },
         ..best_effort_step(2)
     };
     cluster.submit(1, vec![wide]);
-    assert_eq!(cluster.orders.len(), 1, "a second one would slow the first as well");
+    assert_eq!(cluster.orders.len(), 1, "a second task would slow down the first one");
     cluster.carry_out_orders();
     cluster.advance(3_000);
     assert!(cluster.orders.is_empty());
@@ -79,7 +79,7 @@
 /// Where no minion runs a job's tasks at full speed, although most processors are idle, the job
 /// would wait for ever. Its first task starts anyway within two seconds.
 #[test]
-fn idle_job_begins_at_any_speed() {
+fn idle_job_starts_at_any_speed_after_two_seconds() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
     let wide = StepSpec {
         demand: Demand { milli_cpus: 16_000, memory_mb: 1_000, accelerators: 0 },
@@ -92,13 +92,13 @@
     assert_eq!(cluster.orders.len(), 1);
     cluster.carry_out_orders();
     cluster.advance(2_000);
-    assert!(cluster.orders.is_empty(), "the second one waits for a better place");
+    assert!(cluster.orders.is_empty(), "the second task waits for a faster minion");
 }
 
 /// A best-effort task that is paused beside a busier serving task would delay its job for as long
 /// as the load lasts. It moves to a minion with capacity at once.
 #[test]
-fn task_that_stands_still_moves_at_once() {
+fn paused_task_moves_at_once() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
     cluster.submit(2, vec![best_effort_step(1)]);
     cluster.carry_out_orders();
@@ -118,7 +118,7 @@
 /// Persistent tasks never free their resources. If they could reserve a whole minion, short urgent
 /// tasks would wait behind them for ever.
 #[test]
-fn standing_tasks_leave_room_for_short_ones() {
+fn persistent_tasks_leave_capacity_for_short_ones() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(16));
     assert_eq!(cluster.running_tasks().len(), 15);
     cluster.submit(2, vec![step(1)]);
@@ -143,7 +143,7 @@
 /// each coordinator runs only for seconds, so it hands on what it has learned; otherwise serving
 /// tasks would be slow throughout the restart.
 #[test]
-fn successor_knows_what_presses() {
+fn successor_keeps_learned_interference() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![serving_step()]);
     cluster.submit(2, vec![best_effort_step(1)]);
@@ -159,11 +159,11 @@
     cluster.submit(4, vec![best_effort_step(3)]);
     let started =
         cluster.orders.iter().filter(|order| order.task.job == geraniumpost_batch::JobId(4));
-    assert_eq!(started.count(), 0, "they would take the tail over its bound");
+    assert_eq!(started.count(), 0, "they would push the tail latency above its bound");
 }
 
 /// Stored data of another version, or damaged data, is rejected as a whole.
 #[test]
-fn damaged_knowledge_is_refused() {
+fn damaged_interference_snapshot_is_rejected() {
     assert!(geraniumpost_batch::InterferenceSnapshot::decode(&[0xff; 7]).is_err());
 }
--- a/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
@@ -102,7 +102,7 @@
         let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
         let spec = StepSpec {
             best_effort: true,
-            image: format!("filling-{}", id.0 % BEST_EFFORT_IMAGES).into(),
+            image: format!("best-effort-{}", id.0 % BEST_EFFORT_IMAGES).into(),
             checkpoints: true,
             estimate_ms: TASK_MS as u32,
             demand,
@@ -131,8 +131,9 @@
             let own_load = 0.45 + 0.22 * (TAU * phase).sin();
             for task in runs.keys().filter(|task| task.job.0 < 10) {
                 let slopes = INTERFERENCE[task.job.0 as usize - 1];
-                let slope = |fill: TaskId| slopes[(fill.job.0 % BEST_EFFORT_IMAGES) as usize];
-                let added: f64 = best_effort.iter().map(|(f, pace)| slope(*f) * pace * speed).sum();
+                let slope = |task: TaskId| slopes[(task.job.0 % BEST_EFFORT_IMAGES) as usize];
+                let added: f64 =
+                    best_effort.iter().map(|(id, pace)| slope(*id) * pace * speed).sum();
                 let tail_ms = IDLE_TAIL_MS / (1.0 - (own_load + added).min(0.97));
                 self.cluster.set_gauge(*task, tail_ms as u32);
                 self.polls.0 += 1;
@@ -169,14 +170,17 @@
 /// that lets tasks wait for minions at nine tenths of their speed completes a quarter of these jobs
 /// in time, and one that starts them at any speed half.
 #[test]
-fn wide_jobs_are_done_in_time_beside_swinging_loads() {
+fn wide_jobs_complete_in_time_beside_varying_loads() {
     let mut fleet = Fleet::new();
     // During the first seconds the coordinator learns the interference between images.
     fleet.run(10_000);
     fleet.polls = (0, 0);
     let on_time = fleet.run(40_000);
     let over_bound = f64::from(fleet.polls.1) / f64::from(fleet.polls.0);
-    println!("in time {on_time:.2}, tails over their bounds {over_bound:.3}");
-    assert!(on_time >= 0.85, "only {on_time:.2} of the jobs were done in time");
-    assert!(over_bound <= 0.07, "tails were over their bounds for {over_bound:.3} of the time");
+    println!("completed in time {on_time:.2}, tail latencies above the bound {over_bound:.3}");
+    assert!(on_time >= 0.85, "only {on_time:.2} of the jobs were completed in time");
+    assert!(
+        over_bound <= 0.07,
+        "tail latencies were above the bound in {over_bound:.3} of the polls"
+    );
 }
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -23,8 +23,8 @@
         match effect {
             Effect::Write(batch) if self.confirm_writes => self.apply_write(batch),
             Effect::Write(batch) => self.pending_writes.push(batch),
-            Effect::Reply { ticket, answer } => {
-                self.responses.insert(ticket, answer);
+            Effect::Reply { ticket, answer: response } => {
+                self.responses.insert(ticket, response);
             }
             Effect::Send { message: ToAgent::Order(order), .. } => self.orders.push(order),
             Effect::Send { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
@@ -37,7 +37,9 @@
                 self.lease_extensions.push((agent, sent_at_ms, lease_ms));
             }
             Effect::Log(line) => self.log_lines.push(line),
-            Effect::RequestApproval { step, minions } => self.approval_requests.push((step, minions)),
+            Effect::RequestApproval { step, minions } => {
+                self.approval_requests.push((step, minions))
+            }
             Effect::Superseded => {}
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -151,9 +151,9 @@
         }
     }
 
-    pub fn request(&mut self, ask: CallerRequest) -> u64 {
+    pub fn request(&mut self, request: CallerRequest) -> u64 {
         self.last_ticket += 1;
-        self.coordinator.handle_request(self.last_ticket, ask, self.now);
+        self.coordinator.handle_request(self.last_ticket, request, self.now);
         self.process_effects();
         self.last_ticket
     }
@@ -180,8 +180,8 @@
     /// failed.
     pub fn answer_approval(&mut self, request: &(TaskId, Vec<Name>), good: Option<&[&str]>) {
         let ticket = |minion: &&str| (Name::from(*minion), Name::from("t-1"));
-        let answer = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
-        self.coordinator.handle_approval(request.0, &request.1, answer, self.now);
+        let response = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
+        self.coordinator.handle_approval(request.0, &request.1, response, self.now);
         self.process_effects();
     }
 
@@ -203,24 +203,24 @@
 
     /// Lets a successor take over from a coordinator that may still be running without the store.
     pub fn take_over_from_silent(&mut self) {
-        let silent = PredecessorLeases::default().after_takeover(
+        let leases = PredecessorLeases::default().after_takeover(
             Some((SILENT_COORDINATOR, self.fence)),
             SUCCESSOR,
             LEASE_MS,
         );
-        self.take_over_with(&silent);
+        self.take_over_with(&leases);
     }
 
     /// Lets a successor take over with the leases that its predecessors may have extended.
-    pub fn take_over_with(&mut self, inheritance: &PredecessorLeases) {
+    pub fn take_over_with(&mut self, leases: &PredecessorLeases) {
         self.fence += 1;
         let records = self.store.iter().map(|(id, bytes)| {
-            (*id, JobRecord::decode(bytes).expect("the record was written by this version"))
+            (*id, JobRecord::decode(bytes).expect("the stored record is valid"))
         });
         self.coordinator =
             Coordinator::new(self.fence, self.now)
                 .lease_ms(LEASE_MS)
-                .with_predecessor_leases(inheritance, self.now)
+                .with_predecessor_leases(leases, self.now)
                 .with_interference(&self.stored_interference.as_ref().map_or_else(
                     InterferenceSnapshot::default,
                     |bytes| {
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -37,7 +37,7 @@
 /// without interference. If the highest tail counted, best-effort tasks would be slowed down and
 /// moved for nothing.
 #[test]
-fn one_high_tail_of_three_slows_nobody() {
+fn single_high_tail_latency_slows_no_best_effort_task() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step("kiosk", 3));
     let report_tails = |cluster: &mut Cluster, tails: [u32; 3]| {
         for (index, tail) in tails.into_iter().enumerate() {
@@ -63,7 +63,7 @@
 /// Two best-effort images run well on one minion, but only one of them does on the other. If the
 /// first took any minion at full speed, the second would find none and its job would wait.
 #[test]
-fn images_leave_room_to_those_that_have_no_other_place() {
+fn images_leave_capacity_to_those_with_no_alternative() {
     let mut cluster = cluster_with_interference(&[
         ("kiosk", "logs", 0.0),
         ("gate", "logs", 0.7),
@@ -102,7 +102,7 @@
 /// More is submitted than fits. If jobs were ordered by deadline, all would be a little late; with
 /// the least remaining work first, most are completed in time.
 #[test]
-fn least_work_left_goes_first() {
+fn least_remaining_work_goes_first() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(16));
     cluster.submit(2, vec![step(8)]);
     cluster.submit(3, vec![step(2)]);
@@ -117,7 +117,7 @@
 /// A persistent job never frees its resources, and a short wait harms it little. It must not keep
 /// short jobs of the same priority from capacity that has just become free.
 #[test]
-fn short_jobs_go_before_those_that_last() {
+fn short_jobs_go_before_persistent_ones() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(16));
     cluster.submit(2, vec![persistent_step(1)]);
     cluster.submit(3, vec![step(2)]);
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -34,7 +34,7 @@
 
 fn number_field(line: &str, name: &str) -> u64 {
     let value = field(line, name).unwrap_or_else(|| panic!("no {name} in: {line}"));
-    value.parse().unwrap_or_else(|_| panic!("{name} is no number in: {line}"))
+    value.parse().unwrap_or_else(|_| panic!("{name} is not a number in: {line}"))
 }
 
 /// Prepares a cluster in which the persistent step of job 7 cannot be placed, and returns its log
@@ -59,19 +59,19 @@
 }
 
 rejection_is_named! {
-    no_link_is_named: "not_linked", |cluster: &mut Cluster| {
+    missing_link_is_logged: "not_linked", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.disconnect_agent("m1");
         cluster.submit(7, vec![persistent_step(1)]);
     };
-    minion_of_records_is_named: "not_linked", |cluster: &mut Cluster| {
+    minion_known_only_from_records_is_logged: "not_linked", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![step(1)]);
         cluster.carry_out_orders();
         cluster.submit(7, vec![StepSpec { required_label: "b".into(), ..persistent_step(1) }]);
         cluster.take_over();
     };
-    minion_not_heard_of_is_named: "not_reported", |cluster: &mut Cluster| {
+    unreported_minion_is_logged: "not_reported", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![step(1)]);
         cluster.carry_out_orders();
@@ -79,46 +79,46 @@
         cluster.take_over();
         cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
     };
-    missing_look_is_named: "not_polled", |cluster: &mut Cluster| {
+    missing_poll_is_logged: "not_polled", |cluster: &mut Cluster| {
         cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
         cluster.send("m1", FromAgent::Minion(minion_info("m1")));
         cluster.heartbeat("m1");
         cluster.submit(7, vec![persistent_step(1)]);
     };
-    silence_is_named: "no_answer", |cluster: &mut Cluster| {
+    unresponsive_minion_is_logged_as_reason: "no_answer", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.heartbeat_with_unresponsive_minion("m1");
         cluster.submit(7, vec![persistent_step(1)]);
     };
-    leaving_is_named: "draining", |cluster: &mut Cluster| {
+    draining_is_logged: "draining", |cluster: &mut Cluster| {
         cluster.join("m1", |info| MinionInfo { draining: true, ..info });
         cluster.submit(7, vec![persistent_step(1)]);
     };
-    service_is_named: "other_service", |cluster: &mut Cluster| {
+    other_service_is_logged: "other_service", |cluster: &mut Cluster| {
         cluster.join("m1", |info| MinionInfo { service: "filing".into(), draining: true, ..info });
         cluster.submit(7, vec![persistent_step(1)]);
     };
-    label_is_named: "label", |cluster: &mut Cluster| {
+    missing_label_is_logged: "label", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(7, vec![StepSpec { required_label: "b".into(), ..persistent_step(1) }]);
     };
-    lack_of_room_is_named: "no_capacity", |cluster: &mut Cluster| {
+    lack_of_capacity_is_logged: "no_capacity", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![step(16)]);
         cluster.submit(7, vec![persistent_step(1)]);
     };
-    spread_is_named: "spread", |cluster: &mut Cluster| {
+    spread_limit_is_logged: "spread", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(7, vec![StepSpec { max_per_minion: 1, ..persistent_step(2) }]);
         cluster.carry_out_orders();
     };
-    approval_is_named: "no_approval", |cluster: &mut Cluster| {
+    missing_approval_is_logged: "no_approval", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         let mut terms = terms();
         terms.needs_approval = true;
         cluster.submit_with_terms(7, vec![persistent_step(1)], terms);
     };
-    room_for_short_tasks_is_named: "reserved_for_short", |cluster: &mut Cluster| {
+    capacity_reserved_for_short_tasks_is_logged: "reserved_for_short", |cluster: &mut Cluster| {
         cluster.join("m1", |info| info);
         cluster.submit(1, vec![small_step(15_000)]);
         cluster.carry_out_orders();
@@ -129,7 +129,7 @@
 /// A minion on which two jobs in a row failed is quarantined. The quarantine ends before a line on
 /// a waiting task is due, so only a minion that fails again is named in the line.
 #[test]
-fn shunned_minion_is_named() {
+fn quarantined_minion_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     for round in 0..3 {
         cluster.submit(10 + round, vec![step(1)]);
@@ -155,7 +155,7 @@
 
 /// A best-effort task finds only a minion that would run it too slowly.
 #[test]
-fn slow_place_is_named() {
+fn minion_that_is_too_slow_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let best_effort = |count| StepSpec { best_effort: true, image: "sift".into(), ..step(count) };
     // Other tasks of the job are running, so the next one waits for a minion at full speed.
@@ -168,7 +168,7 @@
 
 /// Minions are counted by the reason that rejects them.
 #[test]
-fn minions_are_counted_by_bound() {
+fn minions_are_counted_by_rejection() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2", "m3"]);
     cluster.join("m4", |info| MinionInfo { draining: true, ..info });
     cluster.join("m5", |info| MinionInfo { labels: vec![], ..info });
@@ -191,7 +191,7 @@
 /// The line of a persistent task says how long it has been down, counted from the end of its run,
 /// and that it ran before.
 #[test]
-fn wait_counts_from_the_end_of_the_run() {
+fn logged_wait_counts_from_the_end_of_the_run() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![persistent_step(2)]);
     cluster.carry_out_orders();
@@ -214,7 +214,7 @@
 /// The line of a task that waits only for the pause after a refusal says so, with the number of
 /// minions that fit.
 #[test]
-fn pause_is_named() {
+fn backoff_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![persistent_step(1)]);
     // The minion refuses each start for lack of capacity, and the task pauses each time.
@@ -232,7 +232,7 @@
 /// The line of a gang of which only some members fit says its size, and counts the minions that
 /// have capacity for one member.
 #[test]
-fn gang_is_told_with_its_size() {
+fn gang_is_logged_with_its_size() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![StepSpec { gang: true, ..step(20) }]);
     cluster.advance(OTHERS_LOGGED_MS);
@@ -248,7 +248,7 @@
 /// Waiting is normal for tasks that end, so their lines come later than those of persistent tasks.
 /// Each step has at most one line in five seconds.
 #[test]
-fn lines_come_late_and_seldom() {
+fn lines_on_a_step_are_delayed_and_rate_limited() {
     let mut cluster = Cluster::new();
     cluster.submit(1, vec![step(1)]);
     cluster.submit(2, vec![persistent_step(1)]);
@@ -268,7 +268,7 @@
 /// Under overload hundreds of steps wait. The rate stays at four lines a second, persistent steps
 /// come first, every step has its turn, and the lines say how many more were due.
 #[test]
-fn lines_stay_bounded() {
+fn lines_on_waiting_tasks_are_rate_limited() {
     let mut cluster = Cluster::new();
     for id in 1..=300 {
         cluster.submit(id, vec![step(1)]);
@@ -281,15 +281,15 @@
     let first: Vec<u64> = logged[..3].iter().map(|line| job_field(line)).collect();
     assert_eq!(first, [301, 302, 303]);
     assert!((20..=40).contains(&logged.len()), "{}", logged.len());
-    let left_out =
+    let omitted =
         logged.iter().filter_map(|line| field(line, "omitted")).map(|n| n.parse().unwrap());
-    assert!((295..=300).contains(&left_out.max().unwrap_or(0)));
+    assert!((295..=300).contains(&omitted.max().unwrap_or(0)));
     cluster.log_lines.clear();
     cluster.advance(100_000);
     let logged = lines_with(&cluster, "event=not_placed");
     assert!((350..=400).contains(&logged.len()), "{}", logged.len());
     let seen: std::collections::BTreeSet<u64> = logged.iter().map(|line| job_field(line)).collect();
-    assert!(seen.len() >= 303, "only {} steps had a line", seen.len());
+    assert!(seen.len() >= 303, "only {} steps were logged", seen.len());
 }
 
 fn job_field(line: &str) -> u64 {
@@ -298,7 +298,7 @@
 
 /// A step whose tasks are placed one after another makes progress, and is not logged as waiting.
 #[test]
-fn progress_is_no_wait() {
+fn step_that_makes_progress_is_not_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(64)]);
     for _ in 0..3 {
@@ -313,7 +313,7 @@
 /// Tasks beside a disconnected agent are kept until its lease has expired. One line says so, and
 /// the expiry is logged as well.
 #[test]
-fn lease_of_a_lost_agent_is_told() {
+fn lease_of_a_disconnected_agent_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![persistent_step(2), step(1)]);
     cluster.carry_out_orders();
@@ -341,21 +341,25 @@
 }
 
 /// The lease of a minion that does not answer its agent is not extended, although the agent's link
-/// is open. Its line names the lease as the reason of the wait.
+/// is open. Its line says that a lease of the present
+/// coordinator has to expire first.
 #[test]
-fn silent_minion_is_told() {
+fn lease_of_an_unresponsive_minion_is_logged() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.poll("m1");
     cluster.advance(1_500);
     cluster.heartbeat_with_unresponsive_minion("m1");
     cluster.advance(600);
     let line = last_line_with(&cluster, "event=unreachable");
-    assert_eq!((field(&line, "linked"), field(&line, "lease_of")), (Some("true"), Some("coordinator")));
+    assert_eq!(
+        (field(&line, "linked"), field(&line, "lease_of")),
+        (Some("true"), Some("coordinator"))
+    );
 }
 
 /// An agent that returns and is lost again is logged again.
 #[test]
-fn each_loss_is_told() {
+fn each_disconnection_is_logged() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.advance(1_000);
     for _ in 0..2 {
@@ -368,9 +372,9 @@
 }
 
 /// After a takeover from a silent predecessor, one agent does not link. The lines say how long the
-/// wait for predecessor leases is, that it decides, and which minion is missing.
+/// wait for predecessor leases is, that their expiry decides, and which minion is missing.
 #[test]
-fn inherited_wait_is_told() {
+fn wait_for_predecessor_leases_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![StepSpec { max_per_minion: 1, ..persistent_step(2) }]);
     cluster.carry_out_orders();
@@ -399,7 +403,7 @@
 /// After a takeover no agent links. The number of lines is bounded, minions with persistent tasks
 /// come first, and the lines say how many were left out.
 #[test]
-fn lines_on_lost_minions_stay_bounded() {
+fn lines_on_unreachable_minions_are_rate_limited() {
     let names: Vec<String> = (10..60).map(|n| format!("m{n}")).collect();
     let mut cluster = Cluster::new();
     for name in &names {
--- a/crates/geraniumpost-batch/tests/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/draining.rs
@@ -22,7 +22,7 @@
 /// any other minion has been polled. If the successor did not retry, a persistent task would stay
 /// until the minion has left, and be down until that is detected.
 #[test]
-fn tasks_of_a_leaving_minion_are_moved_once_a_successor_knows_other_places() {
+fn tasks_of_a_draining_minion_move_once_a_successor_knows_other_minions() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.send("m1", FromAgent::Minion(draining_info("m1", 10_000)));
     cluster.take_over();
@@ -36,7 +36,7 @@
 /// A minion drains while all others are full. When capacity appears, its tasks move before it
 /// leaves.
 #[test]
-fn tasks_of_a_leaving_minion_are_moved_when_room_comes() {
+fn tasks_of_a_draining_minion_move_when_capacity_appears() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.send("m1", FromAgent::Minion(draining_info("m1", 10_000)));
     cluster.advance(1_000);
@@ -49,7 +49,7 @@
 /// A task could have ended before its minion leaves, but runs at a third of the expected speed. It
 /// moves with its checkpoint once it can no longer be done in time.
 #[test]
-fn task_that_will_not_be_done_in_time_is_moved_later() {
+fn task_that_falls_behind_on_a_draining_minion_is_moved() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let long = StepSpec { estimate_ms: 3_000, checkpoints: true, ..step(1) };
     cluster.submit(1, vec![long]);
@@ -72,7 +72,7 @@
 /// Draining minions are reconsidered repeatedly. Tasks with a pending stop order are not stopped
 /// again.
 #[test]
-fn tasks_of_a_leaving_minion_are_stopped_once() {
+fn tasks_of_a_draining_minion_are_stopped_once() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(2));
     let leaving = cluster.running_tasks()[0].1.clone();
     cluster.send(&leaving, FromAgent::Minion(draining_info(&leaving, 10_000)));
@@ -86,7 +86,7 @@
 /// departure and repeats it to the successor, so that the task restarts at once instead of after a
 /// lease that nobody holds.
 #[test]
-fn farewell_is_settled_only_once_it_is_written() {
+fn departure_is_settled_only_after_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.confirm_writes = false;
     let departure = || FromAgent::MinionTerminated { minion: "m1".into() };
@@ -105,7 +105,7 @@
 /// An agent repeats a departure if the reply was lost with a link. No run is ended twice, and the
 /// agent is answered again.
 #[test]
-fn farewell_that_is_repeated_changes_nothing() {
+fn repeated_departure_changes_nothing() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(1));
     let (_, departed, _) = cluster.running_tasks()[0].clone();
     for _ in 0..3 {
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -61,7 +61,7 @@
         }
         cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
     }
-    assert_matches!(cluster.running_tasks()[..], [(of, ..)] if of == task(1, 0, 0));
+    assert_matches!(cluster.running_tasks()[..], [(id, ..)] if id == task(1, 0, 0));
     cluster.end_all_runs(EndKind::Done);
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
@@ -77,23 +77,23 @@
 }
 
 /// The second copy is carried out before the refusal of the first one is reported.
-fn refusal_comes_after_the_run_began(outcome: OrderOutcome) {
+fn refusal_arrives_after_the_run_started(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.carry_out(second);
     let before = cluster.running_tasks();
     refuse(&mut cluster, &first, outcome);
-    assert!(cluster.orders.is_empty(), "the run goes on: {:?}", cluster.orders);
+    assert!(cluster.orders.is_empty(), "the run must continue: {:?}", cluster.orders);
     assert_eq!(cluster.running_tasks(), before);
     assert_runs_once_to_completion(cluster);
 }
 
 /// A poll shows the run of one copy before either result is reported.
-fn refusal_comes_after_the_run_was_seen(outcome: OrderOutcome) {
+fn refusal_arrives_after_a_poll_showed_the_run(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.running.entry(second.minion.clone()).or_default().insert(second.task, second.run);
     cluster.poll(&second.minion);
     refuse(&mut cluster, &first, outcome);
-    assert!(cluster.orders.is_empty(), "the run goes on: {:?}", cluster.orders);
+    assert!(cluster.orders.is_empty(), "the run must continue: {:?}", cluster.orders);
     cluster.report_result(&second, OrderVerb::Start, OrderOutcome::Done);
     assert_runs_once_to_completion(cluster);
 }
@@ -155,7 +155,7 @@
 }
 
 /// A copy without an answer may be carried out at any time, whatever the result of the other copy.
-fn one_copy_is_refused_and_one_unanswered(outcome: OrderOutcome) {
+fn one_copy_is_refused_and_one_is_unanswered(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&second, OrderVerb::Start, OrderOutcome::Unanswered);
     refuse(&mut cluster, &first, outcome);
@@ -179,7 +179,7 @@
             }
 
             #[test]
-            fn no_room() {
+            fn no_capacity() {
                 super::$case(OrderOutcome::NoCapacity);
             }
 
@@ -203,13 +203,13 @@
 
 for_each_refusal!(
     second_copy_is_carried_out,
-    refusal_comes_after_the_run_began,
-    refusal_comes_after_the_run_was_seen,
+    refusal_arrives_after_the_run_started,
+    refusal_arrives_after_a_poll_showed_the_run,
     copy_is_lost_with_its_link,
     link_is_replaced_between_copies,
     coordinator_changes_between_copies,
     both_copies_are_refused,
-    one_copy_is_refused_and_one_unanswered,
+    one_copy_is_refused_and_one_is_unanswered,
 );
 
 /// A minion reports that a run is over, and its agent is killed before it has polled the minion.
@@ -217,7 +217,7 @@
 /// number of the earlier result, none would ever seem recent enough, and the task would wait for
 /// ever.
 #[test]
-fn run_that_is_over_begins_anew_although_its_agent_was_killed() {
+fn task_of_an_ended_run_restarts_although_its_agent_was_killed() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
@@ -249,31 +249,34 @@
         cluster.report_result(copy, OrderVerb::Start, OrderOutcome::NoCapacity);
     }
     let refused_ms = cluster.now.steady_ms;
-    let mut extra = 0;
+    let mut extra_orders = 0;
     while start_orders(&cluster) == 0 {
-        extra += cluster.orders.len();
+        extra_orders += cluster.orders.len();
         cluster.carry_out_orders();
         for minion in MINIONS {
             cluster.heartbeat(minion);
             cluster.poll(minion);
         }
         cluster.advance(TICK_MS);
-        assert!(cluster.now.steady_ms < refused_ms + 5_000, "never placed elsewhere");
+        assert!(
+            cluster.now.steady_ms < refused_ms + 5_000,
+            "the task was not placed elsewhere within 5 s"
+        );
     }
-    (extra, cluster.now.steady_ms - refused_ms)
+    (extra_orders, cluster.now.steady_ms - refused_ms)
 }
 
 /// Minions often refuse starts for lack of capacity. After a single copy no other one can still be
 /// carried out, so the task waits for the usual pause only, without a stop and a poll.
 #[test]
-fn refusal_of_a_single_copy_costs_nothing_more() {
+fn refusal_of_a_single_copy_needs_no_extra_order() {
     let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     assert_eq!(cost_of_refusals(1), (0, pause_ms));
 }
 
 /// A repeated start is rare; after its refusal the task waits for one additional stop and poll.
 #[test]
-fn refusal_of_a_repeated_start_costs_one_stop() {
+fn refusal_of_a_repeated_start_needs_one_stop() {
     let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     let (stops, waited_ms) = cost_of_refusals(2);
     assert_eq!(stops, 1);
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -10,7 +10,7 @@
 /// If the coordinator failed after accepting a job that is not in the store, the job would be lost.
 /// The record is written before the response.
 #[test]
-fn acceptance_waits_for_the_store() {
+fn job_is_accepted_only_after_its_record_is_written() {
     let mut cluster = Cluster::new();
     cluster.confirm_writes = false;
     let ticket = cluster.submit(1, vec![step(1)]);
@@ -22,7 +22,7 @@
 /// A caller that lost the response submits the job again, through any entry, perhaps seconds after
 /// its completion. The job is accepted again and runs once.
 #[test]
-fn repeated_submission_is_one_job() {
+fn repeated_submission_runs_once() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(2)]);
     let repeat = cluster.submit(1, vec![step(2)]);
@@ -40,19 +40,22 @@
 /// If a start were sent before its placement is written, a successor would not know the run and
 /// would start the task a second time.
 #[test]
-fn start_leaves_after_its_placement_is_written() {
+fn start_is_sent_only_after_its_placement_is_written() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.confirm_writes = false;
     cluster.submit(1, vec![step(1)]);
     assert!(cluster.orders.is_empty());
     cluster.confirm_pending_writes();
-    assert_matches!(cluster.orders[..], [ref order] if matches!(order.kind, OrderKind::Start { .. }));
+    assert_matches!(
+        cluster.orders[..],
+        [ref order] if matches!(order.kind, OrderKind::Start { .. })
+    );
 }
 
 /// A minion forgets an acknowledged end. If the store did not hold that end, a successor would run
 /// the completed task again.
 #[test]
-fn end_is_written_before_the_minion_may_forget_it() {
+fn end_is_acknowledged_only_after_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.confirm_writes = false;
     cluster.end_all_runs(EndKind::Done);
@@ -66,7 +69,7 @@
 /// The coordinator fails between the write of a placement and its start order. The successor
 /// repeats the same run; with a new run number, a late copy of the first order could run beside it.
 #[test]
-fn successor_gives_lost_starts_again() {
+fn successor_repeats_lost_starts() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     cluster.take_over();
@@ -81,7 +84,7 @@
 
 /// Running tasks continue across a takeover.
 #[test]
-fn successor_leaves_running_work_alone() {
+fn successor_keeps_running_tasks() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], step(6));
     let before = cluster.running_tasks();
     cluster.take_over();
@@ -95,7 +98,7 @@
 /// A task fails twice in a queue that allows two attempts. The job fails, and there is no third
 /// attempt.
 #[test]
-fn job_fails_after_its_attempts() {
+fn job_fails_after_its_last_attempt() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     for _ in 0..2 {
@@ -109,7 +112,7 @@
 
 /// Tasks of a cancelled job are stopped, and its state stays cancelled.
 #[test]
-fn cancelled_job_is_stopped() {
+fn tasks_of_a_cancelled_job_are_stopped() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(2));
     let ticket = cluster.request(CallerRequest::Cancel(JobId(1)));
     assert_eq!(cluster.response(ticket), Some(CallerResponse::Cancelled));
@@ -128,7 +131,7 @@
 /// may still be carried out later, so a stop order invalidates the run before the task is placed
 /// elsewhere.
 #[test]
-fn unanswered_start_is_barred_before_it_is_replaced() {
+fn unanswered_start_is_stopped_before_it_is_replaced() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
@@ -143,12 +146,15 @@
     let minion = order.minion.clone();
     cluster.poll(&minion);
     cluster.advance(300);
-    assert_matches!(cluster.orders[..], [ref start] if start.run == 2 && start.task == task(1, 0, 0));
+    assert_matches!(
+        cluster.orders[..],
+        [ref start] if start.run == 2 && start.task == task(1, 0, 0)
+    );
 }
 
 /// If no answer was lost, a refused start is placed elsewhere without a stop.
 #[test]
-fn refused_start_goes_elsewhere() {
+fn refused_start_is_placed_elsewhere() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
@@ -170,7 +176,7 @@
 /// A minion that fails every task ends tasks faster than the others, and would attract ever more of
 /// them. After failures of two jobs in a row it is quarantined.
 #[test]
-fn sick_minion_gets_no_work() {
+fn failing_minion_is_quarantined() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     cluster.submit(2, vec![step(1)]);
@@ -185,7 +191,7 @@
 /// A minion crashes and restarts at its address. Nothing of the old incarnation runs, so its tasks
 /// restart at once, without waiting for the lease.
 #[test]
-fn new_incarnation_frees_the_work_of_the_old_one() {
+fn new_incarnation_releases_tasks_of_the_old_one() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.running.clear();
     cluster.join("m1-b", |info| info);
@@ -198,7 +204,7 @@
 /// A predecessor's start may still be on its way when the successor's copy is not sent. The run is
 /// stopped before the task starts elsewhere, as it could otherwise run twice.
 #[test]
-fn successor_bars_what_its_predecessor_may_have_started() {
+fn successor_stops_runs_that_its_predecessor_may_have_started() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     cluster.take_over();
@@ -213,7 +219,7 @@
 /// A minion is not polled for two seconds because its agent was busy. Its tasks show no progress
 /// only because there was no poll; stopping them would discard their work.
 #[test]
-fn tasks_that_nobody_looked_at_are_not_stuck() {
+fn tasks_that_were_not_polled_do_not_count_as_stalled() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.default_percent = 40;
     cluster.submit(1, vec![step(2)]);
@@ -233,20 +239,20 @@
 /// Jobs beyond the limit of open jobs are refused at once with a retry delay, and never run. A
 /// repeated submission of an open job is still accepted.
 #[test]
-fn jobs_beyond_the_bound_are_refused() {
+fn jobs_beyond_the_limit_are_refused() {
     let mut cluster = Cluster::new();
-    let most = 5;
+    let limit = 5;
     cluster.coordinator =
-        geraniumpost_batch::Coordinator::new(1, cluster.now).max_open_jobs(most as usize);
-    for id in 1..=most {
+        geraniumpost_batch::Coordinator::new(1, cluster.now).max_open_jobs(limit as usize);
+    for id in 1..=limit {
         cluster.submit(id, vec![step(1)]);
     }
-    let refused = cluster.submit(most + 1, vec![step(1)]);
+    let refused = cluster.submit(limit + 1, vec![step(1)]);
     assert_matches!(
         cluster.response(refused),
         Some(CallerResponse::Refused { retry_after_ms: 1..=5_000 })
     );
     let repeat = cluster.submit(1, vec![step(1)]);
     assert_eq!(cluster.response(repeat), Some(CallerResponse::Accepted));
-    assert_eq!(cluster.job_state(most + 1), CallerResponse::Unknown);
+    assert_eq!(cluster.job_state(limit + 1), CallerResponse::Unknown);
 }
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -12,7 +12,7 @@
 /// An agent is disconnected while its minion still runs a task. The task must not restart elsewhere
 /// before the lease has expired, or it would run twice.
 #[test]
-fn work_of_a_lost_agent_waits_for_its_lease() {
+fn task_of_a_disconnected_agent_waits_for_its_lease() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.join("m2", |info| info);
@@ -24,7 +24,7 @@
 
 /// The agent returns before its lease expires, and the task has run all the time.
 #[test]
-fn work_of_a_returning_agent_goes_on() {
+fn task_of_a_returning_agent_keeps_running() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], step(1));
     let before = cluster.running_tasks();
     let minion = before[0].1.clone();
@@ -40,7 +40,7 @@
 /// The successor cannot reach an agent whose lease its predecessor may still be extending. It waits
 /// until that lease has expired.
 #[test]
-fn successor_waits_for_inherited_leases() {
+fn successor_waits_for_predecessor_leases() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.take_over();
     cluster.join("m2", |info| info);
@@ -54,7 +54,7 @@
 /// lost at the same time. Once the predecessor reports that its term has ended, only leases that it
 /// had extended before count; otherwise a persistent task would be down for eight more seconds.
 #[test]
-fn word_of_the_predecessor_shortens_the_wait() {
+fn report_of_an_ended_term_shortens_the_wait() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
@@ -68,7 +68,7 @@
 
 /// The report comes when the remaining wait is shorter than a lease; it must not prolong the wait.
 #[test]
-fn late_word_of_the_predecessor_changes_nothing() {
+fn late_report_of_an_ended_term_does_not_prolong_the_wait() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
@@ -85,8 +85,8 @@
 fn unconfirmed_coordinator_extends_no_lease() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.now.steady_ms += STORE_OUTAGE_TOLERANCE_MS + 1;
-    let beat = FromAgent::Heartbeat { sent_at_ms: 5, minion_ok: true };
-    cluster.coordinator.handle_agent_message(&agent_name("m1"), beat, cluster.now);
+    let heartbeat = FromAgent::Heartbeat { sent_at_ms: 5, minion_ok: true };
+    cluster.coordinator.handle_agent_message(&agent_name("m1"), heartbeat, cluster.now);
     let effects = cluster.coordinator.take_effects(cluster.now);
     let lease = effects.iter().find_map(|effect| match effect {
         geraniumpost_batch::Effect::Send {
@@ -102,7 +102,7 @@
 /// meanwhile. If the eight seconds were counted from its arrival, leases would be extended beyond
 /// what the successor waits for, and a task would run twice.
 #[test]
-fn confirmation_holds_for_the_time_of_asking() {
+fn confirmation_counts_from_the_time_of_the_request() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let asked_ms = cluster.now.steady_ms;
     cluster.now.steady_ms += 3_000;
@@ -115,7 +115,7 @@
 
 /// A draining minion gets no new task, and tasks that it cannot finish in time move.
 #[test]
-fn leaving_minion_is_emptied() {
+fn draining_minion_is_emptied() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let mut long = step(1);
     long.estimate_ms = 60_000;
@@ -142,7 +142,7 @@
 /// A delayed message about a minion arrives after a newer one, and says that the draining minion is
 /// ready. It has an older sequence number and is ignored.
 #[test]
-fn delayed_heartbeat_changes_nothing() {
+fn outdated_minion_info_is_ignored() {
     let mut cluster = Cluster::new();
     cluster.join("m1", |mut info| {
         info.draining = true;
@@ -159,7 +159,7 @@
 
 /// A persistent task is restarted however often and for whatever reason it ends.
 #[test]
-fn standing_task_is_started_again() {
+fn persistent_task_is_always_restarted() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![persistent_step(1)]);
     for kind in
@@ -177,7 +177,7 @@
 /// starts there before the agent's next heartbeat is covered by that lease; treated as ended, it
 /// would run twice.
 #[test]
-fn new_incarnation_shares_its_agents_lease() {
+fn new_incarnation_is_covered_by_its_agents_lease() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.advance(2 * LEASE_MS);
     cluster.heartbeat("m1");
@@ -193,7 +193,7 @@
 /// An agent sends no start to a minion that does not answer it. The tasks are placed elsewhere at
 /// once, and none is placed there until the minion answers.
 #[test]
-fn silent_minion_gets_no_work() {
+fn unresponsive_minion_gets_no_task() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
@@ -209,7 +209,7 @@
 /// A persistent task fails while its minion is nearly full. Its capacity stays reserved for it:
 /// short tasks have reserved capacity of their own, and must not take that of a task that ran.
 #[test]
-fn failed_standing_task_gets_its_room_back() {
+fn failed_persistent_task_gets_its_capacity_back() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![persistent_step(15)]);
     let mut large = step(1);
@@ -251,7 +251,7 @@
 /// the rest of the agent's lease; otherwise each planned restart would keep persistent tasks down
 /// for a whole lease.
 #[test]
-fn successor_is_told_of_agents_that_are_not_reached() {
+fn successor_learns_the_remaining_lease_of_unreached_agents() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
@@ -270,13 +270,13 @@
 /// successor that expects the lease to expire soon would restart tasks elsewhere while they run, so
 /// the agent is removed from the unreached ones before the extension is sent.
 #[test]
-fn agent_that_is_reached_again_is_not_left_as_unreached() {
+fn agent_that_is_reached_again_is_no_longer_unreached() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
     assert!(cluster.coordinator.take_leases_for_successor_changed());
-    let beat = FromAgent::Heartbeat { sent_at_ms: cluster.now.steady_ms, minion_ok: true };
-    cluster.coordinator.handle_agent_message(&agent_name("m1"), beat, cluster.now);
+    let heartbeat = FromAgent::Heartbeat { sent_at_ms: cluster.now.steady_ms, minion_ok: true };
+    cluster.coordinator.handle_agent_message(&agent_name("m1"), heartbeat, cluster.now);
     assert!(cluster.coordinator.take_leases_for_successor_changed());
     assert!(cluster.coordinator.leases_for_successor(cluster.now).unreached.is_empty());
 }
@@ -285,7 +285,7 @@
 /// end with the leases of that moment, long before the silent coordinator would notice that it lost
 /// the store.
 #[test]
-fn linked_agent_obeys_no_silent_coordinator() {
+fn lease_of_a_linked_agent_is_not_extended_by_a_silent_coordinator() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
@@ -299,7 +299,7 @@
 /// A machine is lost and its link stays open. After a few missing heartbeats of its agent no task
 /// is placed there, as nobody would carry the order out.
 #[test]
-fn silent_agent_gets_no_work() {
+fn agent_without_heartbeats_gets_no_task() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.stop_heartbeats("m1");
     cluster.advance(2_000);
@@ -315,7 +315,7 @@
 /// just as the lease expires. If the task were treated as ended before the minion's lists are read,
 /// it would run a second time.
 #[test]
-fn lists_of_an_agent_that_just_linked_are_read_before_its_lease_counts() {
+fn lists_of_a_relinked_agent_are_read_before_its_lease_expires() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     cluster.carry_out_orders();
@@ -332,7 +332,7 @@
 
 /// The agent links again but sends no lists. The wait for them is bounded.
 #[test]
-fn lists_of_an_agent_that_just_linked_are_waited_for_a_second() {
+fn wait_for_lists_of_a_relinked_agent_is_bounded() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     cluster.carry_out_orders();
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn nothing_waits_at_first() {
+fn empty_cluster_has_no_wait() {
     assert_eq!(longest_wait(&Cluster::new()), LongestWait::default());
 }
 
 /// A persistent task ends and cannot be placed. Its wait counts from its end, to the millisecond,
 /// until it runs again.
 #[test]
-fn wait_of_an_ended_task_grows_and_ends() {
+fn wait_counts_from_the_end_of_a_run() {
     let mut cluster = with_running_task();
     cluster.join("m1", |info| MinionInfo { draining: true, sequence: 2, ..info });
     cluster.end_run(&"m1".into(), task(1, 0, 0), EndKind::Failed);
@@ -73,7 +73,7 @@
 /// An agent is disconnected, so its persistent task may be down. The wait counts from then on, and
 /// continues after the lease has expired until the task runs elsewhere.
 #[test]
-fn wait_goes_on_from_a_lost_agent_to_a_new_run() {
+fn wait_lasts_from_a_disconnection_until_a_new_run() {
     let mut cluster = with_running_task();
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
@@ -86,7 +86,7 @@
 
 /// The agent returns, and its task has been running.
 #[test]
-fn wait_ends_with_the_agents_return() {
+fn wait_ends_when_the_agent_returns() {
     let mut cluster = with_running_task();
     cluster.disconnect_agent("m1");
     cluster.advance(2_000);
@@ -96,7 +96,7 @@
 
 /// A minion does not answer its agent, so its persistent task may be down.
 #[test]
-fn wait_counts_on_a_silent_minion() {
+fn tasks_of_an_unresponsive_minion_wait() {
     let mut cluster = with_running_task();
     cluster.heartbeat_with_unresponsive_minion("m1");
     cluster.advance(1_500);
@@ -130,7 +130,7 @@
 
 /// The store does not confirm the placement, so the start order is not sent.
 #[test]
-fn wait_goes_on_while_a_placement_is_written() {
+fn wait_lasts_while_a_placement_is_written() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.confirm_writes = false;
     cluster.submit(1, vec![persistent_step(1)]);
@@ -145,7 +145,7 @@
 
 /// A run that starts and fails between two polls ends the wait before it.
 #[test]
-fn short_run_begins_a_new_wait() {
+fn short_run_ends_the_wait() {
     let mut cluster = Cluster::new();
     cluster.submit(1, vec![persistent_step(1)]);
     cluster.advance(5_200);
@@ -160,7 +160,7 @@
 
 /// A new incarnation answers the agent. Tasks of the old incarnation are down from then on.
 #[test]
-fn wait_counts_from_a_crash() {
+fn wait_counts_from_the_report_of_a_new_incarnation() {
     let mut cluster = with_running_task();
     cluster.send("m1", FromAgent::Minion(MinionInfo { draining: true, ..minion_info("m1-b") }));
     cluster.advance(700);
@@ -185,7 +185,7 @@
 /// Tasks that end are counted separately. Their wait counts from the last placement of their step,
 /// and a step that waits for another step does not wait for a minion.
 #[test]
-fn other_tasks_are_counted_apart() {
+fn other_tasks_are_counted_separately() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(20), StepSpec { after: vec![0], ..step(1) }]);
     cluster.carry_out_orders();
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -403,7 +403,7 @@
     /// writes are delayed, links break, and coordinators take over. No task ever runs on two
     /// minions at once, and all jobs end.
     #[test]
-    fn tasks_run_once_at_a_time_and_jobs_end(events in vec(event(), 1..120)) {
+    fn no_task_runs_twice_at_once_and_all_jobs_end(events in vec(event(), 1..120)) {
         run_to_completion(events);
     }
 }
@@ -422,7 +422,7 @@
 scenarios! {
     /// A start without a result is repeated. The first copy is refused and the task placed
     /// elsewhere, and then the second copy is carried out: the task runs twice at once.
-    one_copy_is_refused_and_the_other_carried_out: [
+    one_copy_is_refused_and_the_other_is_carried_out: [
         Event::Submit { count: 1 },
         Event::Advance { ms: 2_500 },
         Event::Refuse { at: 0, outcome: OrderOutcome::NotSent },
@@ -430,7 +430,7 @@
     ]
     /// The same with agents that pause until their leases have expired. Each refuses the first copy
     /// that it reads, and carries out the others once its next heartbeat is answered.
-    frozen_agent_refuses_one_copy: [
+    paused_agent_refuses_one_copy: [
         Event::Submit { count: 1 },
         Event::PauseAgent { minion: 0 },
         Event::PauseAgent { minion: 1 },
--- a/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
@@ -9,8 +9,8 @@
 /// Pauses between two events, in milliseconds.
 const GAPS_MS: [u64; 5] = [0, 300, 1_000, 3_000, 5_000];
 /// Indexes of tasks that run on different machines.
-const SAME_MACHINE: u32 = 0;
-const OTHER_MACHINE: u32 = 1;
+const FIRST_TASK: u32 = 0;
+const SECOND_TASK: u32 = 1;
 /// Number of trace lines that a failure shows.
 const TRACE_LINES: usize = 45;
 
@@ -18,7 +18,7 @@
     let events: Vec<_> =
         events.iter().map(|(gap, e, task)| format!("+{gap} {e:?}@{task}")).collect();
     let overdue = report.overdue.map(|(overdue_ms, task, down_ms)| {
-        format!("{task} is down for {down_ms} ms, {overdue_ms} ms longer than promised")
+        format!("{task} is down for {down_ms} ms, {overdue_ms} ms longer than guaranteed")
     });
     let findings: Vec<_> = overdue.into_iter().chain(report.duplicate_run.clone()).collect();
     format!("{}: {}", events.join(" "), findings.join("; "))
@@ -35,9 +35,9 @@
 fn run_pairs_starting_with(first: Event) {
     let mut violations = Vec::new();
     for second in Event::ALL {
-        let pairs = GAPS_MS.into_iter().flat_map(|gap| [(gap, SAME_MACHINE), (gap, OTHER_MACHINE)]);
+        let pairs = GAPS_MS.into_iter().flat_map(|gap| [(gap, FIRST_TASK), (gap, SECOND_TASK)]);
         for (gap_ms, index) in pairs {
-            let events = [(0, first, SAME_MACHINE), (gap_ms, second, index)];
+            let events = [(0, first, FIRST_TASK), (gap_ms, second, index)];
             let report = Simulation::new(false).run(&events);
             if !report.meets_guarantee() {
                 violations.push(describe(&events, &report));
@@ -46,7 +46,7 @@
     }
     assert!(
         violations.is_empty(),
-        "{} days break the promise:\n{}",
+        "{} sequences violate the guarantee:\n{}",
         violations.len(),
         violations.join("\n")
     );
@@ -67,59 +67,59 @@
 }
 
 pairs_starting_with! {
-    nothing: NoEvent,
-    notice: DrainAndDeregister,
-    vm_leaves: VmRemoved,
-    farewell: Deregister,
-    crash_and_back: CrashAndRestart,
+    no_event: NoEvent,
+    drain_and_deregister: DrainAndDeregister,
+    vm_removed: VmRemoved,
+    deregister: Deregister,
+    crash_and_restart: CrashAndRestart,
     crash: Crash,
     machine_lost: MachineLost,
-    agent_cut: AgentPartitioned,
-    agent_cut_long: AgentPartitionedLong,
-    agent_stops: AgentStopped,
+    agent_partitioned: AgentPartitioned,
+    agent_partitioned_long: AgentPartitionedLong,
+    agent_stopped: AgentStopped,
     agent_killed: AgentKilled,
-    agent_restarts: AgentRestarted,
-    take_over: CoordinatorRestarted,
-    take_over_killed: CoordinatorKilled,
-    take_over_frozen: CoordinatorPaused,
-    take_over_silent: CoordinatorMachineLost,
-    take_over_cut_off: CoordinatorIsolated,
-    take_overs_in_a_row: RollingRestart,
-    take_overs_killed: EntriesKilledInTurn,
-    agents_link_late: AgentsRelinkSlowly,
-    writes_held: WritesDelayed,
+    agent_restarted: AgentRestarted,
+    coordinator_restarted: CoordinatorRestarted,
+    coordinator_killed: CoordinatorKilled,
+    coordinator_paused: CoordinatorPaused,
+    coordinator_machine_lost: CoordinatorMachineLost,
+    coordinator_isolated: CoordinatorIsolated,
+    rolling_restart: RollingRestart,
+    entries_killed_in_turn: EntriesKilledInTurn,
+    agents_relink_slowly: AgentsRelinkSlowly,
+    writes_delayed: WritesDelayed,
     writes_lost: WritesLost,
-    store_away: StoreUnavailable,
-    orders_late: OrdersDelayed,
-    full: OtherMachinesFull,
+    store_unavailable: StoreUnavailable,
+    orders_delayed: OrdersDelayed,
+    other_machines_full: OtherMachinesFull,
 }
 
 /// Two machines are lost while their links stay open. If they counted as reachable after their
 /// leases expired, they would look emptiest, and tasks would be placed on one and the other in turn
 /// until the links close, although other machines have capacity.
 #[test]
-fn lost_machines_are_given_no_work() {
-    check(&[(0, Event::MachineLost, SAME_MACHINE), (0, Event::MachineLost, OTHER_MACHINE)]);
+fn lost_machines_get_no_tasks() {
+    check(&[(0, Event::MachineLost, FIRST_TASK), (0, Event::MachineLost, SECOND_TASK)]);
 }
 
 /// An isolated coordinator extends the lease of one agent for eight seconds. Its successor waits
 /// for that, but is restarted. If the next coordinator waited only for the leases of the successor,
 /// a task would restart elsewhere while it still runs.
 #[test]
-fn restarted_successor_hands_on_whom_it_waits_for() {
+fn restarted_successor_hands_on_the_leases_it_waits_for() {
     check(&[
-        (0, Event::CoordinatorIsolated, SAME_MACHINE),
-        (3_000, Event::CoordinatorRestarted, SAME_MACHINE),
+        (0, Event::CoordinatorIsolated, FIRST_TASK),
+        (3_000, Event::CoordinatorRestarted, FIRST_TASK),
     ]);
 }
 
 /// As above, but the successor is killed. It returns and reports that its term has ended, which
 /// says nothing about the isolated coordinator before it that still extends the lease.
 #[test]
-fn word_of_a_killed_successor_says_nothing_of_who_was_before_it() {
+fn ended_term_of_a_killed_successor_does_not_end_earlier_terms() {
     check(&[
-        (0, Event::CoordinatorIsolated, SAME_MACHINE),
-        (1_500, Event::CoordinatorKilled, SAME_MACHINE),
+        (0, Event::CoordinatorIsolated, FIRST_TASK),
+        (1_500, Event::CoordinatorKilled, FIRST_TASK),
     ]);
 }
 
@@ -127,22 +127,22 @@
 /// know when the lease expires, it would wait for a whole lease, and each planned restart would add
 /// as much downtime.
 #[test]
-fn planned_restart_adds_no_wait_for_a_crashed_minion() {
-    check(&[(0, Event::Crash, SAME_MACHINE), (5_000, Event::CoordinatorRestarted, SAME_MACHINE)]);
+fn planned_restart_does_not_prolong_the_wait_for_a_crashed_minion() {
+    check(&[(0, Event::Crash, FIRST_TASK), (5_000, Event::CoordinatorRestarted, FIRST_TASK)]);
 }
 
 /// The coordinator's machine and a minion are lost together. The successor waits until the
 /// coordinator would have noticed the loss of the store, had it been alive, and then for a lease.
 #[test]
-fn lost_coordinator_and_minion_are_made_up_for_in_time() {
-    check(&[(0, Event::CoordinatorMachineLost, SAME_MACHINE), (0, Event::Crash, SAME_MACHINE)]);
+fn loss_of_coordinator_and_minion_is_recovered_in_time() {
+    check(&[(0, Event::CoordinatorMachineLost, FIRST_TASK), (0, Event::Crash, FIRST_TASK)]);
 }
 
 /// A minion crashes just before tasks of another crashed minion are placed again. It counts as
 /// answering for 2.5 s more; a task placed on it would stay there until its own lease has expired.
 #[test]
-fn crashed_minion_is_given_no_work() {
-    check(&[(0, Event::Crash, SAME_MACHINE), (7_000, Event::Crash, 2)]);
+fn crashed_minion_gets_no_tasks() {
+    check(&[(0, Event::Crash, FIRST_TASK), (7_000, Event::Crash, 2)]);
 }
 
 /// Events of which no combination is known to violate the guarantee.
@@ -189,7 +189,10 @@
     /// No task is down for longer than guaranteed, or runs twice at once, under up to five
     /// tolerated events.
     #[test]
-    fn borne_events_keep_the_promise(events in event_sequences(&TOLERATED_EVENTS), crowded in any::<bool>()) {
+    fn tolerated_events_keep_the_guarantee(
+        events in event_sequences(&TOLERATED_EVENTS),
+        crowded in any::<bool>(),
+    ) {
         let report = Simulation::new(crowded).run(&events);
         prop_assert!(report.meets_guarantee(), "{}", describe(&events, &report));
         prop_assert!(!report.has_placement_gap);
@@ -197,7 +200,10 @@
 
     /// The same for all events.
     #[test]
-    fn all_events_keep_the_promise(events in event_sequences(&Event::ALL), crowded in any::<bool>()) {
+    fn all_events_keep_the_guarantee(
+        events in event_sequences(&Event::ALL),
+        crowded in any::<bool>(),
+    ) {
         let report = Simulation::new(crowded).run(&events);
         prop_assert!(report.meets_guarantee(), "{}", describe(&events, &report));
         prop_assert!(!report.has_placement_gap);
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -7,11 +7,11 @@
 use crate::cluster::{Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, step, task};
 
 /// A coordinator that only one agent can reach extends that agent's lease for seven seconds, and
-/// then takes over from its successor, which is restarted. Its earlier term has ended, but not the
-/// lease that it extended in it: if the lease were ignored, the agent's task would restart
-/// elsewhere while it runs.
+/// then takes over from its successor, which is restarted. Its earlier term has ended, but the
+/// lease that it extended during that term has not: if that lease were ignored, the agent's task
+/// would restart elsewhere while it runs.
 #[test]
-fn coordinator_that_returns_waits_for_leases_of_its_earlier_term() {
+fn returning_coordinator_waits_for_leases_of_its_earlier_term() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let mut persistent = step(1);
     persistent.persistent = true;
@@ -21,7 +21,7 @@
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
     cluster.advance(7_000);
-    assert!(cluster.orders.is_empty(), "the successor waits for the silent coordinator");
+    assert!(cluster.orders.is_empty(), "the successor must wait for the silent coordinator");
     let predecessor_leases = cluster.coordinator.leases_for_successor(cluster.now);
     assert!(predecessor_leases.unreached.contains_key(&agent_name("m1")));
     // The silent coordinator extended the lease until now, so it has its full duration left.
@@ -30,7 +30,7 @@
     cluster.advance(LEASE_MS);
     assert!(
         cluster.orders.is_empty(),
-        "begun elsewhere under a lease that holds: {:?}",
+        "restarted elsewhere under a valid lease: {:?}",
         cluster.orders
     );
 }
@@ -56,7 +56,10 @@
     cluster.end_run(&minion, task, EndKind::Stopped);
     cluster.poll("m1");
     cluster.send("m1", FromAgent::MinionTerminated { minion: minion.clone() });
-    assert!(cluster.settled_departures.is_empty(), "the records still name a run there");
+    assert!(
+        cluster.settled_departures.is_empty(),
+        "the stored record still has a run on this minion"
+    );
     cluster.confirm_pending_writes();
     assert_eq!(cluster.settled_departures, [minion]);
 }
@@ -64,7 +67,7 @@
 /// The same for a disconnected agent whose tasks count as ended once its lease has expired, while
 /// the store is unavailable. The agent then returns and reports that its minion has departed.
 #[test]
-fn departure_is_not_settled_before_a_lapse_is_recorded() {
+fn departure_is_not_settled_before_a_lease_expiry_is_recorded() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     cluster.carry_out_orders();
@@ -73,7 +76,10 @@
     cluster.advance(LEASE_MS + 1_000);
     cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
     cluster.send("m1", FromAgent::MinionTerminated { minion: "m1".into() });
-    assert!(cluster.settled_departures.is_empty(), "the records still name a run there");
+    assert!(
+        cluster.settled_departures.is_empty(),
+        "the stored record still has a run on this minion"
+    );
     cluster.confirm_pending_writes();
     assert_eq!(cluster.settled_departures, ["m1".into()]);
 }
@@ -108,12 +114,12 @@
 /// carried out, it would never be repeated, and the serving task would stay above its bound beside
 /// a task at full speed.
 #[test]
-fn pace_without_an_answer_is_given_again() {
+fn unanswered_pace_is_repeated() {
     let mut cluster = cluster_with_overloaded_serving_task();
     poll_with_progress(&mut cluster, 1, 10);
-    let lost: Vec<_> = std::mem::take(&mut cluster.orders);
-    assert_eq!(lost.last().map(|o| o.kind.clone()), Some(OrderKind::Pace { percent: 0 }));
-    for order in lost {
+    let unanswered: Vec<_> = std::mem::take(&mut cluster.orders);
+    assert_eq!(unanswered.last().map(|o| o.kind.clone()), Some(OrderKind::Pace { percent: 0 }));
+    for order in unanswered {
         cluster.report_result(&order, OrderVerb::Pace, OrderOutcome::Unanswered);
     }
     poll_with_progress(&mut cluster, 10, 20);
@@ -124,7 +130,7 @@
 /// beside it is below its bound soon after. A successor that assumes full speed would send no
 /// order, and the task would run slowly to its end beside idle processors.
 #[test]
-fn successor_takes_back_a_pace_that_is_no_longer_needed() {
+fn successor_restores_full_pace_when_possible() {
     let mut cluster = cluster_with_overloaded_serving_task();
     for percent in 1..10 {
         poll_with_progress(&mut cluster, percent, percent + 1);
@@ -146,7 +152,7 @@
 /// not repeated when the agent reports the end over its next link, the minion would keep listing
 /// the end, and the agent would request it seven times a second until another task ends there.
 #[test]
-fn acknowledgement_that_reached_nobody_is_given_again() {
+fn lost_acknowledgement_is_repeated() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     cluster.carry_out_orders();
@@ -167,10 +173,10 @@
 /// refusal would not place the task until as many orders were given there, and on an idle minion
 /// never.
 #[test]
-fn refused_run_goes_elsewhere_though_its_agent_counts_anew() {
+fn refused_task_restarts_although_its_agent_was_replaced() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(3)]);
-    let refused = cluster.orders.pop().expect("three starts");
+    let refused = cluster.orders.pop().expect("three start orders");
     cluster.carry_out_orders();
     cluster.report_result(&refused, OrderVerb::Start, OrderOutcome::RunIsOver);
     cluster.restart_agent("m1");
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/minions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/minions.rs
@@ -19,7 +19,7 @@
     pub(super) fn terminate_minion(&mut self, at: usize) -> Option<Name> {
         let minion = self.machines[at].minion.take()?;
         self.cluster.running.remove(&minion.id);
-        self.trace(&format!("minion {} is gone", minion.id));
+        self.trace(&format!("minion {} has terminated", minion.id));
         Some(minion.id)
     }
 
@@ -46,7 +46,7 @@
         minion.ended_runs.extend(&runs);
         for task in runs.into_keys() {
             self.cluster.end_run(&id, task, EndKind::LeaseExpired);
-            self.trace(&format!("{task} lapses at {id}"));
+            self.trace(&format!("lease of {task} on {id} has expired"));
         }
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
@@ -11,8 +11,8 @@
 //! unsettled departures over a new link.
 //!
 //! The coordinator is the real one, and so are the predecessor leases that it leaves to its
-//! successor ([`PredecessorLeases`](geraniumpost_batch::PredecessorLeases)), the departures that agents keep
-//! ([`Departures`](geraniumpost_batch::Departures)), and the support of entries
+//! successor ([`PredecessorLeases`](geraniumpost_batch::PredecessorLeases)), the departures that
+//! agents keep ([`Departures`](geraniumpost_batch::Departures)), and the support of entries
 //! ([`quorum`](geraniumpost_batch::quorum)). The behaviour of the processes around them is modelled
 //! here and must be kept in line with them: when an entry takes over and which predecessors it
 //! queries (`Candidate`, `await_predecessor`), when the key names the voters and how they are
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
@@ -76,8 +76,10 @@
         let machine = &mut self.machines[at];
         machine.known_minion.take_if(|known_minion| known_minion == id);
         machine.departures.record_terminated(id);
-        let reaches = self.can_reach_coordinator(at);
-        self.trace(&format!("agent finds {id} gone, heard by the coordinator: {reaches}"));
+        let reported = self.can_reach_coordinator(at);
+        self.trace(&format!(
+            "agent records the departure of {id}, reported to the coordinator: {reported}"
+        ));
         self.send(at, FromAgent::MinionTerminated { minion: id.clone() });
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
@@ -78,7 +78,10 @@
             if !running.contains_key(&task) {
                 self.checker.record_downtime(task, now_ms);
             } else if let Some(since_ms) = self.checker.down_since.remove(&task) {
-                self.trace(&format!("{task} at work, down for {} ms", now_ms - since_ms));
+                self.trace(&format!(
+                    "{task} is running again after being down for {} ms",
+                    now_ms - since_ms
+                ));
             }
         }
     }
@@ -135,7 +138,7 @@
     /// that was.
     fn has_placement_gap(&self) -> bool {
         self.cluster.store.values().any(|record| {
-            let record = JobRecord::decode(record).expect("this version wrote it");
+            let record = JobRecord::decode(record).expect("the stored record is valid");
             let steps = record.occurrences.iter().flat_map(|occurrence| &occurrence.steps);
             steps.into_iter().any(|tasks| {
                 let placed = |task: &TaskRecord| task.run > 0;
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -151,12 +151,12 @@
             .then(|| (coordinator_address(vacancy.number), vacancy.number));
         let own_address = coordinator_address(self.succession.losses + 1);
         let predecessor_leases = std::mem::take(&mut self.succession.predecessor_leases);
-        let inheritance = predecessor_leases.after_takeover(silent, own_address, LEASE_MS);
-        self.cluster.take_over_with(&inheritance);
+        let leases = predecessor_leases.after_takeover(silent, own_address, LEASE_MS);
+        self.cluster.take_over_with(&leases);
         self.entries.take_over(silent.map(|(address, _)| address), self.cluster.now.steady_ms);
-        self.succession.predecessor_leases = inheritance.while_coordinating();
+        self.succession.predecessor_leases = leases.while_coordinating();
         self.succession.next_query_ms = self.cluster.now.steady_ms + PREDECESSOR_QUERY_INTERVAL_MS;
-        self.trace(&format!("taken over, after {:?}", vacancy.loss));
+        self.trace(&format!("coordinator has taken over after {:?}", vacancy.loss));
         let mut next_link_ms = vacancy.relink_ms.max(self.cluster.now.steady_ms) + 200;
         for machine in &mut self.machines {
             machine.next_link_ms = next_link_ms;
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/workload.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/workload.rs
@@ -35,7 +35,7 @@
         assert_eq!(
             self.cluster.running_tasks().len(),
             CHECKED_TASKS as usize + large,
-            "at work at first"
+            "all tasks run at first"
         );
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -8,7 +8,7 @@
 use crate::cluster::{COMPLETED, Cluster, step, task, terms};
 
 #[test]
-fn steps_follow_their_predecessors() {
+fn step_starts_after_the_steps_it_depends_on() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let second = StepSpec { after: vec![0], ..step(1) };
     cluster.submit(1, vec![step(2), second]);
@@ -41,7 +41,7 @@
 
 /// One member of a gang fails, which ends the others. All restart under the same run number.
 #[test]
-fn broken_gang_starts_again_together() {
+fn gang_restarts_together_after_a_failure() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![StepSpec { gang: true, ..step(3) }]);
     cluster.carry_out_orders();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn spread_bound_holds_per_minion() {
+fn spread_limit_applies_per_minion() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![StepSpec { max_per_minion: 2, ..step(6) }]);
     cluster.carry_out_orders();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn label_is_required() {
+fn tasks_run_only_on_minions_with_the_required_label() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.join("m2", |mut info| {
         info.labels = vec!["b".into(), "r2".into()];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn work_goes_to_the_rack_of_its_data() {
+fn tasks_run_in_the_rack_of_their_data() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.join("m2", |mut info| {
         info.labels = vec!["a".into(), "r2".into()];
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn no_minion_is_given_more_than_it_holds() {
+fn no_minion_is_overcommitted() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(40)]);
     assert_eq!(cluster.orders.len(), 16);
@@ -101,7 +101,7 @@
 
 /// Repetitions start when they are due, and the job completes after the last one.
 #[test]
-fn repetitions_begin_when_due() {
+fn repetitions_start_when_due() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let spec = JobSpec {
         payload: "work".into(),
@@ -128,7 +128,7 @@
 
 /// A step that depends on itself could never start, and its caller would wait for ever.
 #[test]
-fn impossible_order_of_steps_is_refused() {
+fn step_that_depends_on_itself_is_rejected() {
     let mut cluster = Cluster::new();
     let ticket = cluster.submit(1, vec![StepSpec { after: vec![0], ..step(1) }]);
     assert_eq!(cluster.response(ticket), Some(CallerResponse::Invalid));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn pending_counts_jobs_that_have_not_begun() {
+fn pending_counts_jobs_without_running_tasks() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     cluster.submit(2, vec![step(40)]);
@@ -153,7 +153,7 @@
 /// Steps of this queue need approval. Tasks start only on approved minions, with the ticket of the
 /// admission service, and one request covers all tasks of a step.
 #[test]
-fn tasks_begin_only_where_they_are_approved() {
+fn tasks_start_only_on_approved_minions() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     let terms = geraniumpost_batch::QueueTerms { needs_approval: true, ..terms() };
     cluster.submit_with_terms(1, vec![step(3)], terms);
@@ -173,7 +173,7 @@
 /// A ticket expires before the minion receives the start. Nothing was started, and approval is
 /// requested again.
 #[test]
-fn expired_ticket_is_asked_for_again() {
+fn approval_is_requested_again_after_a_ticket_expires() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let terms = geraniumpost_batch::QueueTerms { needs_approval: true, ..terms() };
     cluster.submit_with_terms(1, vec![step(1)], terms);
@@ -191,7 +191,7 @@
 /// new minion. If that one counted as refused, it would never be requested again, and the job would
 /// wait for ever beside a free minion.
 #[test]
-fn late_answer_speaks_only_for_the_minions_that_it_was_asked_about() {
+fn late_approval_response_covers_only_the_requested_minions() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let terms = geraniumpost_batch::QueueTerms { needs_approval: true, ..terms() };
     cluster.submit_with_terms(1, vec![step(1)], terms);
@@ -212,7 +212,7 @@
 /// The second request is answered first and approves both minions. The late response to the first
 /// one must not withdraw an approval.
 #[test]
-fn late_answer_takes_no_approval_back() {
+fn late_approval_response_withdraws_no_approval() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let terms = geraniumpost_batch::QueueTerms { needs_approval: true, ..terms() };
     cluster.submit_with_terms(1, vec![step(18)], terms);
@@ -229,7 +229,7 @@
 /// Two members of a gang fail in the same run. This counts as one failed attempt of the two that
 /// the queue allows.
 #[test]
-fn gang_fails_once_a_run() {
+fn gang_failure_counts_one_attempt_per_run() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![StepSpec { gang: true, ..step(3) }]);
     cluster.carry_out_orders();
