--- a/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
@@ -20,7 +20,7 @@
                 self.heartbeating_minions.insert(minion.to_owned());
             }
             FromAgent::Heartbeat { .. } | FromAgent::MinionTerminated { .. } => {
-                self.stop_heartbeats(minion)
+                self.stop_heartbeats(minion);
             }
             _ => {}
         }
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -341,8 +341,7 @@
 }
 
 /// The lease of a minion that does not answer its agent is not extended, although the agent's link
-/// is open. Its line says that a lease of the present
-/// coordinator has to expire first.
+/// is open. Its line says that a lease of the present coordinator has to expire first.
 #[test]
 fn lease_of_an_unresponsive_minion_is_logged() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
