--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -38,7 +38,7 @@
             }
             Effect::Log(line) => self.log_lines.push(line),
             Effect::RequestApproval { step, minions } => {
-                self.approval_requests.push((step, minions))
+                self.approval_requests.push((step, minions));
             }
             Effect::Superseded => {}
         }
--- a/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
@@ -67,7 +67,7 @@
 }
 
 pairs_starting_with! {
-    no_event: NoEvent,
+    idle: Idle,
     drain_and_deregister: DrainAndDeregister,
     vm_removed: VmRemoved,
     deregister: Deregister,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
@@ -5,7 +5,7 @@
 /// An event of a simulation, in most cases at one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    NoEvent,
+    Idle,
     /// The minion drains, and deregisters three seconds later.
     DrainAndDeregister,
     /// The same, and the agent is asked to stop 0.7 s after that because the VM is removed.
@@ -59,7 +59,7 @@
 impl Event {
     /// All events, for tests that run each with each.
     pub const ALL: [Self; 25] = [
-        Self::NoEvent,
+        Self::Idle,
         Self::DrainAndDeregister,
         Self::VmRemoved,
         Self::Deregister,
@@ -89,7 +89,7 @@
     /// Returns the duration of the disturbance in milliseconds, or `None` for planned work.
     pub(super) const fn disturbance_ms(self) -> Option<u64> {
         match self {
-            Self::NoEvent
+            Self::Idle
             | Self::DrainAndDeregister
             | Self::VmRemoved
             | Self::Deregister
@@ -124,7 +124,7 @@
             RestartMinion, ResumeWrites, StartAgent, StopAgent, StoreDown, StoreUp,
         };
         match self {
-            Self::NoEvent => &[],
+            Self::Idle => &[],
             Self::DrainAndDeregister => &[(0, Drain), (3_000, Deregister)],
             Self::VmRemoved => &[(0, Drain), (3_000, Deregister), (3_700, StopAgent)],
             Self::Deregister => &[(0, Deregister)],
