--- /dev/null
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -0,0 +1,169 @@
+//! Best-effort tasks, which use processor time that serving tasks leave idle.
+
+use geraniumpost_batch::{Demand, OrderKind, StepSpec};
+
+use crate::cluster::{Cluster, persistent_step, step, task};
+
+fn serving_step() -> StepSpec {
+    StepSpec { persistent: true, image: "kiosk".into(), latency_bound_ms: 100, ..step(1) }
+}
+
+fn best_effort_step(count: u32) -> StepSpec {
+    let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
+    StepSpec { best_effort: true, image: "logs".into(), demand, checkpoints: true, ..step(count) }
+}
+
+/// Best-effort tasks must not keep a serving task above its latency bound, whatever the
+/// interference model predicts. All of them on that minion are paused within two seconds, and none
+/// is added.
+#[test]
+fn best_effort_tasks_are_paused_while_a_serving_task_exceeds_its_bound() {
+    let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
+    // A low tail latency shows that the minion has capacity for both.
+    cluster.set_gauge(task(1, 0, 0), 25);
+    cluster.poll("m1");
+    cluster.submit(2, vec![best_effort_step(2)]);
+    cluster.carry_out_orders();
+    cluster.set_gauge(task(1, 0, 0), 150);
+    for _ in 0..5 {
+        cluster.advance(400);
+        cluster.heartbeat("m1");
+        cluster.poll("m1");
+    }
+    let last_paces = |index| {
+        let paced = cluster.orders.iter().rev().find(|o| o.task == task(2, 0, index));
+        paced.map(|order| order.kind.clone())
+    };
+    assert_eq!(last_paces(0), Some(OrderKind::Pace { percent: 0 }));
+    assert_eq!(last_paces(1), Some(OrderKind::Pace { percent: 0 }));
+    cluster.orders.clear();
+    cluster.submit(3, vec![best_effort_step(1)]);
+    assert!(cluster.orders.is_empty());
+}
+
+/// A best-effort task reserves no processors, so it is placed even where none are free. Its memory
+/// is reserved.
+#[test]
+fn best_effort_tasks_reserve_memory_but_no_processors() {
+    let mut cluster = Cluster::with_running_job(&["m1"], step(8));
+    let large = StepSpec {
+        demand: Demand { milli_cpus: 16_000, memory_mb: 40_000, accelerators: 0 },
+        ..best_effort_step(3)
+    };
+    cluster.submit(2, vec![large]);
+    // Half of the processors are in use, so the task starts here only because no minion is better.
+    cluster.advance(2_000);
+    assert_eq!(cluster.orders.len(), 1);
+}
+
+/// A job completes with its slowest task. A task placed on a busy minion would delay the whole job,
+/// so it waits for a minion on which it runs at full speed while other tasks of its job are
+/// running.
+#[test]
+fn best_effort_task_waits_for_a_minion_at_full_speed() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    let wide = StepSpec {
+        demand: Demand { milli_cpus: 12_000, memory_mb: 1_000, accelerators: 0 },
+        ..best_effort_step(2)
+    };
+    cluster.submit(1, vec![wide]);
+    assert_eq!(cluster.orders.len(), 1, "a second task would slow down the first one");
+    cluster.carry_out_orders();
+    cluster.advance(3_000);
+    assert!(cluster.orders.is_empty());
+    cluster.join("m2", |info| info);
+    assert_eq!(cluster.orders.len(), 1);
+    assert_eq!(&*cluster.orders[0].minion, "m2");
+}
+
+/// Where no minion runs a job's tasks at full speed, although most processors are idle, the job
+/// would wait for ever. Its first task starts anyway within two seconds.
+#[test]
+fn idle_job_starts_at_any_speed_after_two_seconds() {
+    let mut cluster = Cluster::with_running_job(&["m1"], step(8));
+    let wide = StepSpec {
+        demand: Demand { milli_cpus: 16_000, memory_mb: 1_000, accelerators: 0 },
+        ..best_effort_step(2)
+    };
+    cluster.submit(2, vec![wide]);
+    cluster.advance(1_500);
+    assert!(cluster.orders.is_empty());
+    cluster.advance(500);
+    assert_eq!(cluster.orders.len(), 1);
+    cluster.carry_out_orders();
+    cluster.advance(2_000);
+    assert!(cluster.orders.is_empty(), "the second task waits for a faster minion");
+}
+
+/// A best-effort task that is paused beside a busier serving task would delay its job for as long
+/// as the load lasts. It moves to a minion with capacity at once.
+#[test]
+fn paused_task_moves_at_once() {
+    let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
+    cluster.submit(2, vec![best_effort_step(1)]);
+    cluster.carry_out_orders();
+    cluster.join("m2", |info| info);
+    cluster.set_gauge(task(1, 0, 0), 150);
+    for _ in 0..3 {
+        cluster.advance(400);
+        cluster.heartbeat("m1");
+        cluster.carry_out_orders();
+        cluster.poll("m1");
+        cluster.carry_out_orders();
+    }
+    let running = cluster.running_tasks();
+    assert!(running.iter().any(|(id, minion, _)| *id == task(2, 0, 0) && &**minion == "m2"));
+}
+
+/// Persistent tasks never free their resources. If they could reserve a whole minion, short urgent
+/// tasks would wait behind them for ever.
+#[test]
+fn persistent_tasks_leave_capacity_for_short_ones() {
+    let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(16));
+    assert_eq!(cluster.running_tasks().len(), 15);
+    cluster.submit(2, vec![step(1)]);
+    assert_eq!(cluster.orders.len(), 1);
+}
+
+/// Alternates between a running and an idle best-effort task beside a serving task whose tail
+/// latency follows it.
+fn learn_that_logs_interfere(cluster: &mut Cluster) {
+    for round in 0..40 {
+        let running = round % 2 == 0;
+        cluster.set_gauge(task(2, 0, 0), if running { 4_000 } else { 0 });
+        cluster.set_gauge(task(1, 0, 0), if running { 80 } else { 20 });
+        cluster.advance(800);
+        cluster.heartbeat("m1");
+        cluster.poll("m1");
+        cluster.orders.clear();
+    }
+}
+
+/// A coordinator learns within seconds which images interfere with each other. In a rolling restart
+/// each coordinator runs only for seconds, so it hands on what it has learned; otherwise serving
+/// tasks would be slow throughout the restart.
+#[test]
+fn successor_keeps_learned_interference() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    cluster.submit(1, vec![serving_step()]);
+    cluster.submit(2, vec![best_effort_step(1)]);
+    cluster.carry_out_orders();
+    learn_that_logs_interfere(&mut cluster);
+    // Learned interference is stored with the next write.
+    cluster.submit(3, vec![step(1)]);
+    assert!(cluster.stored_interference.is_some());
+    cluster.take_over();
+    cluster.join("m1", |info| info);
+    cluster.set_gauge(task(1, 0, 0), 30);
+    cluster.poll("m1");
+    cluster.submit(4, vec![best_effort_step(3)]);
+    let started =
+        cluster.orders.iter().filter(|order| order.task.job == geraniumpost_batch::JobId(4));
+    assert_eq!(started.count(), 0, "they would push the tail latency above its bound");
+}
+
+/// Stored data of another version, or damaged data, is rejected as a whole.
+#[test]
+fn damaged_interference_snapshot_is_rejected() {
+    assert!(geraniumpost_batch::InterferenceSnapshot::decode(&[0xff; 7]).is_err());
+}
--- /dev/null
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -0,0 +1,193 @@
+//! Regression tests of takeovers, departures, paces and lost results.
+
+use geraniumpost_batch::{
+    Demand, EndKind, FromAgent, OrderKind, OrderOutcome, OrderVerb, StepSpec,
+};
+
+use crate::cluster::{Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, step, task};
+
+/// A coordinator that only one agent can reach extends that agent's lease for seven seconds, and
+/// then takes over from its successor, which is restarted. Its earlier term has ended, but the
+/// lease that it extended during that term has not: if that lease were ignored, the agent's task
+/// would restart elsewhere while it runs.
+#[test]
+fn returning_coordinator_waits_for_leases_of_its_earlier_term() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    let mut persistent = step(1);
+    persistent.persistent = true;
+    cluster.submit(1, vec![persistent]);
+    cluster.carry_out_orders();
+    assert_eq!(cluster.running_tasks().len(), 1);
+    cluster.take_over_from_silent();
+    cluster.join("m2", |info| info);
+    cluster.advance(7_000);
+    assert!(cluster.orders.is_empty(), "the successor must wait for the silent coordinator");
+    let predecessor_leases = cluster.coordinator.leases_for_successor(cluster.now);
+    assert!(predecessor_leases.unreached.contains_key(&agent_name("m1")));
+    // The silent coordinator extended the lease until now, so it has its full duration left.
+    cluster.take_over_with(&predecessor_leases.after_takeover(None, SILENT_COORDINATOR, LEASE_MS));
+    cluster.join("m2", |info| info);
+    cluster.advance(LEASE_MS);
+    assert!(
+        cluster.orders.is_empty(),
+        "restarted elsewhere under a valid lease: {:?}",
+        cluster.orders
+    );
+}
+
+/// A task of a draining minion is stopped, and the write of that end is not confirmed. If the
+/// minion's departure were settled at once, its VM would be removed; and if the coordinator is then
+/// lost with the write, its successor finds the task on the departed minion, nobody can correct it,
+/// and the task is down for a whole lease.
+#[test]
+fn departure_is_not_settled_before_earlier_ends_are_recorded() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    let mut persistent = step(1);
+    persistent.persistent = true;
+    cluster.submit(1, vec![persistent]);
+    cluster.carry_out_orders();
+    let (task, minion, _) = cluster.running_tasks()[0].clone();
+    cluster.join("m1", |mut info| {
+        info.draining = true;
+        info.sequence = 2;
+        info
+    });
+    cluster.confirm_writes = false;
+    cluster.end_run(&minion, task, EndKind::Stopped);
+    cluster.poll("m1");
+    cluster.send("m1", FromAgent::MinionTerminated { minion: minion.clone() });
+    assert!(
+        cluster.settled_departures.is_empty(),
+        "the stored record still has a run on this minion"
+    );
+    cluster.confirm_pending_writes();
+    assert_eq!(cluster.settled_departures, [minion]);
+}
+
+/// The same for a disconnected agent whose tasks count as ended once its lease has expired, while
+/// the store is unavailable. The agent then returns and reports that its minion has departed.
+#[test]
+fn departure_is_not_settled_before_a_lease_expiry_is_recorded() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    cluster.submit(1, vec![step(1)]);
+    cluster.carry_out_orders();
+    cluster.disconnect_agent("m1");
+    cluster.confirm_writes = false;
+    cluster.advance(LEASE_MS + 1_000);
+    cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
+    cluster.send("m1", FromAgent::MinionTerminated { minion: "m1".into() });
+    assert!(
+        cluster.settled_departures.is_empty(),
+        "the stored record still has a run on this minion"
+    );
+    cluster.confirm_pending_writes();
+    assert_eq!(cluster.settled_departures, ["m1".into()]);
+}
+
+/// Returns a cluster with a serving task above its bound and a best-effort task beside it.
+fn cluster_with_overloaded_serving_task() -> Cluster {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    let serving =
+        StepSpec { persistent: true, image: "kiosk".into(), latency_bound_ms: 100, ..step(1) };
+    cluster.submit(1, vec![serving]);
+    cluster.carry_out_orders();
+    let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
+    let estimate_ms = 60_000;
+    let best_effort =
+        StepSpec { best_effort: true, image: "logs".into(), demand, estimate_ms, ..step(1) };
+    cluster.submit(2, vec![best_effort]);
+    cluster.carry_out_orders();
+    cluster.set_gauge(task(1, 0, 0), 150);
+    cluster
+}
+
+/// Polls the minion every 0.4 s, while the best-effort task makes progress.
+fn poll_with_progress(cluster: &mut Cluster, from: u8, to: u8) {
+    for percent in from..to {
+        cluster.advance(400);
+        cluster.task_percent.insert(task(2, 0, 0), percent);
+        cluster.poll("m1");
+    }
+}
+
+/// The order to pause a task is lost, and its agent reports it as unanswered. If it counted as
+/// carried out, it would never be repeated, and the serving task would stay above its bound beside
+/// a task at full speed.
+#[test]
+fn unanswered_pace_is_repeated() {
+    let mut cluster = cluster_with_overloaded_serving_task();
+    poll_with_progress(&mut cluster, 1, 10);
+    let unanswered: Vec<_> = std::mem::take(&mut cluster.orders);
+    assert_eq!(unanswered.last().map(|o| o.kind.clone()), Some(OrderKind::Pace { percent: 0 }));
+    for order in unanswered {
+        cluster.report_result(&order, OrderVerb::Pace, OrderOutcome::Unanswered);
+    }
+    poll_with_progress(&mut cluster, 10, 20);
+    assert!(cluster.orders.iter().any(|o| o.kind == OrderKind::Pace { percent: 0 }));
+}
+
+/// A best-effort task runs at a reduced pace when its coordinator is lost, and the serving task
+/// beside it is below its bound soon after. A successor that assumes full speed would send no
+/// order, and the task would run slowly to its end beside idle processors.
+#[test]
+fn successor_restores_full_pace_when_possible() {
+    let mut cluster = cluster_with_overloaded_serving_task();
+    for percent in 1..10 {
+        poll_with_progress(&mut cluster, percent, percent + 1);
+        cluster.carry_out_orders();
+    }
+    assert_eq!(cluster.paces.get(&task(2, 0, 0)), Some(&0));
+    cluster.paces.insert(task(2, 0, 0), 40);
+    cluster.set_gauge(task(1, 0, 0), 20);
+    cluster.take_over();
+    cluster.join("m1", |info| info);
+    for percent in 10..40 {
+        poll_with_progress(&mut cluster, percent, percent + 1);
+        cluster.carry_out_orders();
+    }
+    assert_eq!(cluster.paces.get(&task(2, 0, 0)), Some(&100), "{:?}", cluster.running_tasks());
+}
+
+/// An end is written while its agent has no link, so the acknowledgement is not sent. If it were
+/// not repeated when the agent reports the end over its next link, the minion would keep listing
+/// the end, and the agent would request it seven times a second until another task ends there.
+#[test]
+fn lost_acknowledgement_is_repeated() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    cluster.submit(1, vec![step(1)]);
+    cluster.carry_out_orders();
+    cluster.confirm_writes = false;
+    cluster.end_all_runs(EndKind::Done);
+    cluster.disconnect_agent("m1");
+    cluster.confirm_pending_writes();
+    // There was no link to send it on.
+    cluster.acknowledged.clear();
+    cluster.join("m1", |info| info);
+    cluster.advance(1_000);
+    cluster.poll("m1");
+    assert_eq!(cluster.acknowledged.get("m1"), Some(&1));
+}
+
+/// A minion refuses a start because its run is over, and its agent is replaced before the next
+/// poll. The new process numbers its results from 0. A coordinator that waits for a poll after the
+/// refusal would not place the task until as many orders were given there, and on an idle minion
+/// never.
+#[test]
+fn refused_task_restarts_although_its_agent_was_replaced() {
+    let mut cluster = Cluster::new().with_minions(&["m1"]);
+    cluster.submit(1, vec![step(3)]);
+    let refused = cluster.orders.pop().expect("three start orders");
+    cluster.carry_out_orders();
+    cluster.report_result(&refused, OrderVerb::Start, OrderOutcome::RunIsOver);
+    cluster.restart_agent("m1");
+    for _ in 0..25 {
+        if let Some(copy) = cluster.orders.iter().position(|o| o.task == refused.task && o.run == 1)
+        {
+            let copy = cluster.orders.remove(copy);
+            cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::RunIsOver);
+        }
+        cluster.advance(400);
+        cluster.poll("m1");
+    }
+    assert!(cluster.orders.iter().any(|order| order.task == refused.task && order.run == 2));
+}
--- /dev/null
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -0,0 +1,135 @@
+//! The entries: which one coordinates, which ones support it, and which ones its successor queries.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use geraniumpost_batch::Now;
+use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
+use geraniumpost_schema::Name;
+
+/// Number of entries.
+const ENTRIES: usize = 5;
+/// Interval between queries to an entry that has not answered, in milliseconds.
+const QUERY_INTERVAL_MS: u64 = 300;
+
+#[derive(Debug, Default)]
+struct Entry {
+    name: Name,
+    incarnation: u64,
+    promises: Promises,
+    /// Time until which the entry cannot be reached.
+    unavailable_until_ms: u64,
+}
+
+/// Query for the end of a silent coordinator's support.
+#[derive(Debug)]
+struct PredecessorQuery {
+    releases: Releases,
+    /// When the successor took over.
+    taken_over_ms: u64,
+}
+
+#[derive(Debug)]
+pub(super) struct Entries {
+    all: Vec<Entry>,
+    coordinator: usize,
+    support: Support,
+    next_query_ms: u64,
+    /// The voters of silent coordinators, by the coordinators' addresses.
+    voters: BTreeMap<SocketAddr, Voters>,
+    queries: BTreeMap<SocketAddr, PredecessorQuery>,
+}
+
+impl Entries {
+    pub(super) fn new(now: Now) -> Self {
+        let entry = |number| Entry { name: format!("e{number}").into(), ..Entry::default() };
+        let all: Vec<Entry> = (1..=ENTRIES).map(entry).collect();
+        let others = all.iter().skip(1).map(|entry| (entry.name.clone(), entry.incarnation));
+        let support = Support::new(others.collect(), now.steady_ms);
+        let (voters, queries) = (BTreeMap::new(), BTreeMap::new());
+        let now_ms = now.steady_ms;
+        Self { all, coordinator: 0, support, next_query_ms: now_ms, voters, queries }
+    }
+
+    /// Lets available entries promise support to the coordinator of a term. Returns the time until
+    /// which a majority supports it.
+    pub(super) fn support(&mut self, term: u64, now_ms: u64) -> u64 {
+        for (number, entry) in self.all.iter_mut().enumerate() {
+            let up = number != self.coordinator && entry.unavailable_until_ms <= now_ms;
+            if up && entry.promises.promise(term, now_ms) {
+                self.support.record_promise(&entry.name, entry.incarnation, now_ms);
+            }
+        }
+        self.support.supported_until_ms()
+    }
+
+    /// Updates the voters that the coordinator's key names, if a change is due.
+    pub(super) fn update_voters(&mut self, now_ms: u64) {
+        if let Some(voters) = self.support.voters_to_write(now_ms) {
+            self.support.begin_voter_change(voters, now_ms);
+            self.support.complete_voter_change();
+        }
+    }
+
+    /// Makes the coordinator, or the entry about to take over, unavailable until a time. Unless it
+    /// is only paused, a new process runs there afterwards.
+    pub(super) fn mark_lost(&mut self, unavailable_until_ms: u64, paused: bool) {
+        let lost = &mut self.all[self.coordinator];
+        lost.unavailable_until_ms = unavailable_until_ms;
+        if !paused {
+            lost.incarnation += 1;
+            lost.promises = Promises::default();
+        }
+    }
+
+    /// Elects the next available entry. Returns whether there is one.
+    pub(super) fn elect(&mut self, now_ms: u64) -> bool {
+        let from = self.coordinator;
+        let mut next = (1..=ENTRIES).map(|step| (from + step) % ENTRIES);
+        let up = next.find(|number| self.all[*number].unavailable_until_ms <= now_ms);
+        up.inspect(|number| self.coordinator = *number).is_some()
+    }
+
+    /// Lets the elected entry take over, and starts queries for the supporters of the silent
+    /// coordinator at an address and of earlier ones.
+    pub(super) fn take_over(&mut self, silent: Option<SocketAddr>, now_ms: u64) {
+        let before = self.support.voters().clone();
+        if let Some(address) = silent {
+            self.voters.insert(address, before.clone());
+        }
+        let own = &self.all[self.coordinator].name;
+        self.support = Support::new(before.without(own), now_ms);
+        self.next_query_ms = now_ms;
+        let new_query = |(address, voters): (&SocketAddr, &Voters)| {
+            (
+                *address,
+                PredecessorQuery { releases: Releases::new(voters.clone()), taken_over_ms: now_ms },
+            )
+        };
+        self.queries = self.voters.iter().map(new_query).collect();
+    }
+
+    /// Queries all available entries on behalf of the coordinator of a term. Returns the silent
+    /// coordinators for which the end of their support is known, and that time.
+    pub(super) fn query_voters(&mut self, term: u64, now_ms: u64) -> Vec<(SocketAddr, u64)> {
+        if now_ms < self.next_query_ms {
+            return Vec::new();
+        }
+        self.next_query_ms = now_ms + QUERY_INTERVAL_MS;
+        let up = self.all.iter_mut().filter(|entry| entry.unavailable_until_ms <= now_ms);
+        for entry in up {
+            let lasts_ms = entry.promises.release(term, now_ms);
+            for query in self.queries.values_mut() {
+                query.releases.record(&entry.name, entry.incarnation, lasts_ms, now_ms);
+            }
+        }
+        let end = |query: &PredecessorQuery| {
+            query
+                .releases
+                .support_end_ms()
+                .map(|ms| ms.max(query.taken_over_ms + STORE_CONFIRMATION_MS))
+        };
+        self.queries.iter().filter_map(|(at, query)| Some((*at, end(query)?))).collect()
+    }
+}
--- /dev/null
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -0,0 +1,86 @@
+//! Orders on their way from the coordinator through agents to minions, and their results.
+
+use geraniumpost_batch::{Order, OrderOutcome, OrderVerb};
+
+use super::Simulation;
+
+/// Delay of delayed orders, in milliseconds.
+pub(super) const ORDER_DELAY_MS: u64 = 2_500;
+/// Time after which an agent reports an order as unanswered, in milliseconds.
+const ORDER_TIMEOUT_MS: u64 = 700;
+
+/// Orders that have no result yet.
+#[derive(Debug, Default)]
+pub(super) struct OrdersInFlight {
+    /// Whether new orders are delayed.
+    pub(super) delay_orders: bool,
+    /// Orders that are carried out later, and when.
+    delayed: Vec<(u64, Order)>,
+    /// Orders that agents will report as unanswered, and when.
+    unanswered: Vec<(u64, Order)>,
+}
+
+/// Removes the first order that is due.
+fn take_due(orders: &mut Vec<(u64, Order)>, now_ms: u64) -> Option<Order> {
+    let next = orders.iter().position(|(at_ms, _)| *at_ms <= now_ms)?;
+    Some(orders.remove(next).1)
+}
+
+impl Simulation {
+    /// Lets agents forward orders, and minions carry them out.
+    pub(super) fn deliver_orders(&mut self) {
+        let now_ms = self.cluster.now.steady_ms;
+        while let Some(order) = take_due(&mut self.orders.delayed, now_ms) {
+            self.execute_order(&order);
+        }
+        while let Some(order) = take_due(&mut self.orders.unanswered, now_ms) {
+            self.report_result(&order, OrderOutcome::Unanswered);
+        }
+        // Orders that follow from these results are delivered one step later, as after a round
+        // trip.
+        for order in std::mem::take(&mut self.cluster.orders) {
+            self.forward_order(order);
+        }
+    }
+
+    /// Forwards an order through its agent; without a link the order is lost.
+    fn forward_order(&mut self, order: Order) {
+        let now_ms = self.cluster.now.steady_ms;
+        let Some(at) = self.machine_of(&order.minion).filter(|at| self.can_reach_coordinator(*at))
+        else {
+            return;
+        };
+        let machine = &self.machines[at];
+        if self.withholds(at, &order) {
+            self.report_result(&order, OrderOutcome::NotSent);
+        } else if self.orders.delay_orders {
+            self.orders.delayed.push((now_ms + ORDER_DELAY_MS, order.clone()));
+            self.orders.unanswered.push((now_ms + ORDER_TIMEOUT_MS, order));
+        } else if machine.minion.is_none() {
+            self.orders.unanswered.push((now_ms + ORDER_TIMEOUT_MS, order));
+        } else if machine.hosts(&order.minion) {
+            let outcome = self.execute_order(&order);
+            self.report_result(&order, outcome);
+        } else {
+            self.detect_departure(at, &order.minion);
+            self.report_result(&order, OrderOutcome::MinionTerminated);
+        }
+    }
+
+    /// Returns whether an agent refuses an order without sending it: it starts nothing on a
+    /// draining minion or without a lease.
+    fn withholds(&self, at: usize, order: &Order) -> bool {
+        let machine = &self.machines[at];
+        let starts = OrderVerb::from(&order.kind) == OrderVerb::Start;
+        let draining =
+            machine.known_minion.as_ref() == Some(&order.minion) && machine.reported_draining;
+        starts && (draining || machine.lease_until_ms <= self.cluster.now.steady_ms)
+    }
+
+    /// Reports an order's result, if its agent has a link.
+    fn report_result(&mut self, order: &Order, outcome: OrderOutcome) {
+        if self.machine_of(&order.minion).is_some_and(|at| self.can_reach_coordinator(at)) {
+            self.cluster.report_result(order, OrderVerb::from(&order.kind), outcome);
+        }
+    }
+}
--- /dev/null
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
@@ -0,0 +1,104 @@
+//! Agents that poll their minions and report changes to the coordinator.
+
+use geraniumpost_batch::FromAgent;
+use geraniumpost_schema::Name;
+
+use super::Simulation;
+
+/// Interval between polls of a minion, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 400;
+
+impl Simulation {
+    /// Updates the agent's view of its minion: deregistrations, polls and messages about its state.
+    pub(super) fn observe_minion(&mut self, at: usize) {
+        if !self.machines[at].agent_up {
+            return;
+        }
+        self.complete_deregistration(at);
+        if self.is_due(at, POLL_INTERVAL_MS) {
+            self.discover_minion(at);
+            self.poll_minion(at);
+        }
+        let machine = &mut self.machines[at];
+        if machine.knows_minion() && machine.refresh_reported() {
+            self.report_minion(at);
+        }
+    }
+
+    /// Records the departure of a minion that deregistered some time ago.
+    fn complete_deregistration(&mut self, at: usize) {
+        let now_ms = self.cluster.now.steady_ms;
+        let deregistered = &mut self.machines[at].deregistered;
+        if let Some((_, id)) = deregistered.take_if(|(at_ms, _)| *at_ms <= now_ms) {
+            self.record_departure(at, &id);
+        }
+    }
+
+    /// Detects an incarnation that the agent does not know, and reports it at once.
+    fn discover_minion(&mut self, at: usize) {
+        let now_ms = self.cluster.now.steady_ms;
+        let machine = &mut self.machines[at];
+        if machine.knows_minion() {
+            return;
+        }
+        let Some(minion) = &machine.minion else { return };
+        machine.known_minion = Some(minion.id.clone());
+        machine.refresh_reported();
+        machine.last_answer_ms = now_ms;
+        self.report_minion(at);
+        self.heartbeat(at);
+    }
+
+    /// Polls the minion's lists, extends its lease, and reports the lists.
+    pub(super) fn poll_minion(&mut self, at: usize) {
+        let now_ms = self.cluster.now.steady_ms;
+        let machine = &mut self.machines[at];
+        let Some(minion) = &mut machine.minion else { return };
+        machine.last_answer_ms = now_ms;
+        if machine.lease_until_ms > now_ms {
+            minion.lease_until_ms = minion.lease_until_ms.max(machine.lease_until_ms);
+        }
+        let id = minion.id.clone();
+        if self.can_reach_coordinator(at) {
+            self.cluster.poll(&id);
+        }
+    }
+
+    /// Records the departure of an incarnation, if the agent knew it.
+    pub(super) fn detect_departure(&mut self, at: usize, id: &Name) {
+        if self.machines[at].known_minion.as_ref() == Some(id) {
+            self.record_departure(at, id);
+        }
+    }
+
+    /// Records a departure until it is settled, and reports it.
+    fn record_departure(&mut self, at: usize, id: &Name) {
+        let machine = &mut self.machines[at];
+        machine.known_minion.take_if(|known_minion| known_minion == id);
+        machine.departures.record_terminated(id);
+        let reported = self.can_reach_coordinator(at);
+        self.trace(&format!(
+            "agent records the departure of {id}, reported to the coordinator: {reported}"
+        ));
+        self.send(at, FromAgent::MinionTerminated { minion: id.clone() });
+    }
+
+    /// Removes departures that the coordinator has recorded.
+    pub(super) fn settle_departures(&mut self) {
+        for minion in std::mem::take(&mut self.cluster.settled_departures) {
+            if let Some(at) = self.machine_of(&minion).filter(|at| self.can_reach_coordinator(*at))
+            {
+                self.machines[at].departures.remove(&minion);
+            }
+        }
+    }
+
+    /// Reports the state of the minion, if the agent knows one.
+    pub(super) fn report_minion(&mut self, at: usize) {
+        if self.can_reach_coordinator(at)
+            && let Some(info) = self.machines[at].reported_info()
+        {
+            self.send(at, FromAgent::Minion(info));
+        }
+    }
+}
