--- a/crates/geraniumpost/src/batch/coordination/doorway.rs
+++ b/crates/geraniumpost/src/batch/coordination/doorway.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_SILENCE_MS;
+use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
 use geraniumpost_batch::{FromAgent, FromEntry, ToEntry};
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use geraniumpost_schema::Name;
@@ -143,17 +143,17 @@
             let Some(message) = message else { return };
             let input = match (message.head, peer) {
                 (
-                    FromPeer::EntryMessage(FromEntry::Ping { configuration, supports, leaves }),
+                    FromPeer::EntryMessage(FromEntry::Ping { configuration, supports, stopping }),
                     _,
                 ) => {
                     self.in_force.heard(configuration);
                     if let (Some(sent), Peer::Entry { node, .. }) = (supports, peer) {
                         support.promised(node, *incarnation, sent);
-                        if leaves {
+                        if stopping {
                             support.leaves(node);
                         }
                     }
-                    let store_ok = self.store_silent_ms() < STORE_SILENCE_MS;
+                    let store_ok = self.store_silent_ms() < STORE_UNREACHABLE_MS;
                     let configuration = self.in_force.newest();
                     let pong = ToEntry::Pong { store_ok, configuration, sent: support.now() };
                     if tx.send(ToPeer::Entry(pong)).is_err() {
@@ -162,7 +162,7 @@
                     continue;
                 }
                 (
-                    FromPeer::EntryMessage(FromEntry::Ask { ticket, ask }),
+                    FromPeer::EntryMessage(FromEntry::Request { ticket, request: ask }),
                     Peer::Entry { link, .. },
                 ) => Input::Ask { link: *link, ticket, ask },
                 (FromPeer::AgentMessage(said), Peer::Agent { node, .. }) => agent_said(node, said),
@@ -181,7 +181,7 @@
     /// Returns whether the coordinator answers this entry, or is this entry.
     fn coordinator_answers(&self) -> bool {
         if self.inputs.borrow().is_some() {
-            return self.store_silent_ms() < STORE_SILENCE_MS;
+            return self.store_silent_ms() < STORE_UNREACHABLE_MS;
         }
         let link = *self.link.borrow();
         let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
