--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -249,11 +249,11 @@
                     spdlog::debug!("event=writer_ended");
                 }
             }
-            Effect::Reply { ticket, answer } => {
+            Effect::Reply { ticket, response } => {
                 let Some((link, ticket)) = self.owed.remove(&ticket) else { return };
                 if let Some(tx) = self.entries.get(&link) {
                     // An entry whose link is gone asks again on the next one.
-                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response: answer }));
+                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response }));
                 }
             }
             Effect::Send { agent, message } => {
