--- a/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
@@ -29,11 +29,11 @@
             Effect::Tell { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
                 self.acknowledged.insert(minion, up_to);
             }
-            Effect::Tell { message: ToAgent::DepartureSettled { minion }, .. } => {
+            Effect::Tell { message: ToAgent::DepartureRecorded { minion }, .. } => {
                 self.settled.push(minion);
             }
-            Effect::Tell { agent, message: ToAgent::Lease { sent_at_ms, hold_ms, .. } } => {
-                self.leases.push((agent, sent_at_ms, hold_ms));
+            Effect::Tell { agent, message: ToAgent::Lease { sent_at_ms, lease_ms, .. } } => {
+                self.leases.push((agent, sent_at_ms, lease_ms));
             }
             Effect::Note(line) => self.notes.push(line),
             Effect::AskApproval { step, minions } => self.questions.push((step, minions)),
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -93,20 +93,20 @@
 /// Asks for the lease to be extended; false if the link is gone.
 fn beat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
     let minion_ok = state.answers_within(ANSWERED_MS);
-    let beat = FromAgent::Beat { sent_at_ms: BootClock.now_ms(), minion_ok };
+    let beat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
     tx.send(FromPeer::AgentSays(beat)).is_ok()
 }
 
 fn take(state: &Arc<State>, message: ToAgent) {
     match message {
-        ToAgent::Lease { sent_at_ms, hold_ms, fence, store_ok } => {
+        ToAgent::Lease { sent_at_ms, lease_ms, fence, store_ok } => {
             state.coordinator_misses_store.store(!store_ok, Ordering::Relaxed);
-            state.lease(sent_at_ms, hold_ms, fence);
+            state.lease(sent_at_ms, lease_ms, fence);
         }
         ToAgent::Order(order) => {
             tokio::spawn(ordering::carry_out(Arc::clone(state), order));
         }
         ToAgent::Acknowledge { minion, up_to } => state.acknowledge(&minion, up_to),
-        ToAgent::DepartureSettled { minion } => state.departure_settled(&minion),
+        ToAgent::DepartureRecorded { minion } => state.departure_settled(&minion),
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-use geraniumpost_batch::Inheritance;
+use geraniumpost_batch::PredecessorLeases;
 use geraniumpost_batch::quorum::Voters;
 use geraniumpost_platform::{CommitError, Item, NodeSettings, Put, Store};
 use geraniumpost_schema::Name;
@@ -48,7 +48,7 @@
     admission: Option<SocketAddr>,
     /// A larger share of a processor makes a better coordinator.
     handicap_ms: u64,
-    hold_ms: u64,
+    lease_ms: u64,
     known: watch::Sender<Option<Known>>,
     link: watch::Receiver<LinkState>,
     in_force: Arc<InForce>,
@@ -87,7 +87,7 @@
         promises: Arc<OwnPromises>,
         metrics: Arc<Metrics>,
     ) -> Self {
-        let hold_ms = settings.bounds.max_hold_ms.saturating_sub(HOLD_MARGIN_MS);
+        let lease_ms = settings.bounds.max_hold_ms.saturating_sub(HOLD_MARGIN_MS);
         let address = SocketAddr::new(settings.ip, settings.peer_port);
         Self {
             store,
@@ -97,7 +97,7 @@
             admission: settings.admission,
             promises,
             handicap_ms: (8.0 / settings.cpu_share.max(0.05)) as u64,
-            hold_ms: hold_ms.min(LONGEST_HOLD_MS),
+            lease_ms: lease_ms.min(LONGEST_HOLD_MS),
             known,
             link,
             in_force,
@@ -260,7 +260,7 @@
             store: Arc::clone(&self.store),
             record,
             revision: taken,
-            hold_ms: self.hold_ms,
+            lease_ms: self.lease_ms,
             asked_ms,
             taken: BootClock.now(),
             inheritance,
@@ -287,7 +287,7 @@
         before: Option<CoordinatorRecord>,
         item: Option<&Item>,
         loss: Loss,
-    ) -> (CoordinatorRecord, Inheritance) {
+    ) -> (CoordinatorRecord, PredecessorLeases) {
         // A revision of the store is higher than any before it, whatever was written or removed.
         let revision = item.map_or(0, |item| item.revision);
         let term = before.as_ref().map_or(0, |before| before.term).max(revision) + 1;
@@ -298,7 +298,8 @@
         let (mut voters, inheritance) = before.map_or_else(Default::default, |before| {
             // One that is silent may answer again, and then tells whether it still coordinates.
             let silent = (loss == Loss::Silent).then_some((before.address, before.term));
-            let inheritance = before.inheritance.taken_over(silent, self.address, self.hold_ms);
+            let inheritance =
+                before.inheritance.after_takeover(silent, self.address, self.lease_ms);
             (before.voters, inheritance)
         });
         voters.insert(term, own);
--- a/crates/geraniumpost/src/batch/coordination/doorway.rs
+++ b/crates/geraniumpost/src/batch/coordination/doorway.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_SILENCE_MS;
+use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
 use geraniumpost_batch::{FromAgent, FromEntry, ToEntry};
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use geraniumpost_schema::Name;
@@ -142,15 +142,15 @@
             };
             let Some(message) = message else { return };
             let input = match (message.head, peer) {
-                (FromPeer::EntrySays(FromEntry::Ping { configuration, supports, leaves }), _) => {
+                (FromPeer::EntrySays(FromEntry::Ping { configuration, supports, stopping }), _) => {
                     self.in_force.heard(configuration);
                     if let (Some(sent), Peer::Entry { node, .. }) = (supports, peer) {
                         support.promised(node, *incarnation, sent);
-                        if leaves {
+                        if stopping {
                             support.leaves(node);
                         }
                     }
-                    let store_ok = self.store_silent_ms() < STORE_SILENCE_MS;
+                    let store_ok = self.store_silent_ms() < STORE_UNREACHABLE_MS;
                     let configuration = self.in_force.newest();
                     let pong = ToEntry::Pong { store_ok, configuration, sent: support.now() };
                     if tx.send(ToPeer::Entry(pong)).is_err() {
@@ -158,9 +158,10 @@
                     }
                     continue;
                 }
-                (FromPeer::EntrySays(FromEntry::Ask { ticket, ask }), Peer::Entry { link, .. }) => {
-                    Input::Ask { link: *link, ticket, ask }
-                }
+                (
+                    FromPeer::EntrySays(FromEntry::Request { ticket, request: ask }),
+                    Peer::Entry { link, .. },
+                ) => Input::Ask { link: *link, ticket, ask },
                 (FromPeer::AgentSays(said), Peer::Agent { node, .. }) => agent_said(node, said),
                 _ => return,
             };
@@ -177,7 +178,7 @@
     /// Returns whether the coordinator answers this entry, or is this entry.
     fn coordinator_answers(&self) -> bool {
         if self.inputs.borrow().is_some() {
-            return self.store_silent_ms() < STORE_SILENCE_MS;
+            return self.store_silent_ms() < STORE_UNREACHABLE_MS;
         }
         let link = *self.link.borrow();
         let silent_ms = BootClock.now_ms().saturating_sub(link.heard_ms);
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use geraniumpost_batch::{
-    Ask, Coordinator, Effect, FromAgent, LongestWait, OrderKind, TaskId, ToAgent, ToEntry,
-    WriteBatch,
+    CallerRequest, Coordinator, Effect, FromAgent, LongestWait, OrderKind, TaskId, ToAgent,
+    ToEntry, WriteBatch,
 };
 use geraniumpost_net::LinkSender;
 use geraniumpost_platform::Approved;
@@ -58,7 +58,7 @@
         /// Its ticket.
         ticket: u64,
         /// What it asks.
-        ask: Ask,
+        ask: CallerRequest,
     },
     /// An agent says something.
     Agent(Name, FromAgent),
@@ -253,7 +253,7 @@
                 let Some((link, ticket)) = self.owed.remove(&ticket) else { return };
                 if let Some(tx) = self.entries.get(&link) {
                     // An entry whose link is gone asks again on the next one.
-                    let _ = tx.send(ToPeer::Entry(ToEntry::Answer { ticket, answer }));
+                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response: answer }));
                 }
             }
             Effect::Tell { agent, message } => {
--- a/crates/geraniumpost/src/batch/coordination/key.rs
+++ b/crates/geraniumpost/src/batch/coordination/key.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use geraniumpost_batch::Silent;
-use geraniumpost_batch::tuning::{ENTRY_GONE_MS, STORE_SILENCE_MS};
+use geraniumpost_batch::SilentCoordinator;
+use geraniumpost_batch::tuning::{ENTRY_EXPIRY_MS, STORE_UNREACHABLE_MS};
 use geraniumpost_platform::{CommitError, Item, Put};
 
 use super::super::BootClock;
@@ -27,8 +27,9 @@
             return false;
         }
         let left = self.left.at(BootClock.now_ms()).silent;
-        let overstated = |(address, named): (&SocketAddr, &Silent)| {
-            left.get(address).is_none_or(|left| left.lasts_ms + OVERSTATED_MS <= named.lasts_ms)
+        let overstated = |(address, named): (&SocketAddr, &SilentCoordinator)| {
+            left.get(address)
+                .is_none_or(|left| left.remaining_ms + OVERSTATED_MS <= named.remaining_ms)
         };
         named.iter().any(overstated)
     }
@@ -37,7 +38,7 @@
     /// ask for again and again while it does not.
     pub(super) fn voters_are_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
-        let answers = BootClock.now_ms() < confirmed_ms + STORE_SILENCE_MS;
+        let answers = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
         answers && self.support.wanted().is_some()
     }
 
@@ -136,7 +137,7 @@
     pub(super) async fn unlist_lost_entry(&self) {
         let term_ms = BootClock.now_ms().saturating_sub(self.taken_ms);
         let lost = |listed: &&Listed| {
-            self.support.silent_ms(&listed.node).unwrap_or(term_ms) >= ENTRY_GONE_MS
+            self.support.silent_ms(&listed.node).unwrap_or(term_ms) >= ENTRY_EXPIRY_MS
         };
         let listed = self.peers.listed();
         let Some(lost) = listed.iter().find(lost) else { return };
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use geraniumpost_batch::Inheritance;
+use geraniumpost_batch::PredecessorLeases;
 use geraniumpost_batch::quorum::Voters;
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
 /// What earlier versions leave out at the end of their records, as it is encoded empty: the voters, and an
-/// [`Inheritance`] before them.
+/// [`PredecessorLeases`] before them.
 const LEFT_OUT: [&[u8]; 3] = [&[], &[0], &[0, 0, 0]];
 
 /// What lies under the coordinator's key.
@@ -26,7 +26,7 @@
     /// Whether it has stepped down, so that the next one need not look for it first.
     pub vacant: bool,
     /// Whose leases may last for how long, counted from the writing of this record.
-    pub inheritance: Inheritance,
+    pub inheritance: PredecessorLeases,
     /// The voters of this term, and of those of the silent coordinators that the inheritance names.
     pub voters: BTreeMap<u64, Voters>,
 }
--- a/crates/geraniumpost/src/batch/coordination/releases.rs
+++ b/crates/geraniumpost/src/batch/coordination/releases.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use geraniumpost_batch::quorum::{Releases, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMS_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
 use geraniumpost_schema::Name;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -54,16 +54,16 @@
     /// of a lease can have been.
     pub async fn await_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
-        if releases.missing().next().is_none() {
+        if releases.unanswered().next().is_none() {
             return;
         }
         let lasts_ms = self.promises.release(self.term);
         let (own, incarnation) = (self.promises.node(), self.promises.incarnation());
-        releases.released(own, incarnation, lasts_ms, BootClock.now_ms());
+        releases.record(own, incarnation, lasts_ms, BootClock.now_ms());
         while !inputs.is_closed() {
-            if let Some(released_ms) = releases.until_ms() {
+            if let Some(released_ms) = releases.support_end_ms() {
                 // The store may have confirmed it until the moment of the takeover.
-                let until_ms = released_ms.max(self.taken_ms + STORE_CONFIRMS_MS);
+                let until_ms = released_ms.max(self.taken_ms + STORE_CONFIRMATION_MS);
                 spdlog::info!(
                     "event=predecessor_released term={} entries={} until_in_ms={}",
                     silent.term,
@@ -76,7 +76,7 @@
                 return;
             }
             self.ask_missing(&mut releases).await;
-            if releases.until_ms().is_none() {
+            if releases.support_end_ms().is_none() {
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -85,7 +85,7 @@
     /// Asks those that have not answered, all at once.
     async fn ask_missing(&self, releases: &mut Releases) {
         let mut asking = JoinSet::new();
-        for node in releases.missing().cloned().collect::<Vec<_>>() {
+        for node in releases.unanswered().cloned().collect::<Vec<_>>() {
             if let Some(address) = self.peers.address(&node) {
                 asking.spawn(ask_release(node, address, self.term));
             }
@@ -93,8 +93,8 @@
         while let Some(answer) = asking.join_next().await {
             let Some(answer) = answer.ok().flatten() else { continue };
             let Answer { node, incarnation, lasts_ms } = answer;
-            releases.released(&node, incarnation, lasts_ms, BootClock.now_ms());
-            if releases.until_ms().is_some() {
+            releases.record(&node, incarnation, lasts_ms, BootClock.now_ms());
+            if releases.support_end_ms().is_some() {
                 return;
             }
         }
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -5,8 +5,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_SILENCE_MS;
-use geraniumpost_batch::{Coordinator, Inheritance, JobId, JobRecord, Knowledge, Now};
+use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
+use geraniumpost_batch::{
+    Coordinator, InterferenceSnapshot, JobId, JobRecord, Now, PredecessorLeases,
+};
 use geraniumpost_platform::{Admission, Found, Page, Store, StoreError};
 use tokio::sync::{mpsc, watch};
 
@@ -47,13 +49,13 @@
     /// Revision of the coordinator's key.
     pub revision: u64,
     /// How long minions hold their tasks, in milliseconds.
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     /// When the store was asked for the term, on the boot clock.
     pub asked_ms: u64,
     /// When the term was taken.
     pub taken: Now,
     /// What earlier coordinators left behind, as it held then.
-    pub inheritance: Inheritance,
+    pub inheritance: PredecessorLeases,
     pub confirmed_ms: Arc<AtomicU64>,
     /// The other entries, which may know of a successor.
     pub peers: Arc<Peers>,
@@ -91,7 +93,7 @@
             records.len()
         );
         let coordinator = Coordinator::new(self.record.term, now)
-            .hold_ms(self.hold_ms)
+            .lease_ms(self.lease_ms)
             .term_asked_for(self.asked_ms)
             .inheriting(&self.inheritance, self.taken)
             .with_knowledge(&knowledge)
@@ -160,21 +162,21 @@
     }
 
     /// Reads what a predecessor had learnt. Without it the coordinator learns anew.
-    async fn read_knowledge(&self) -> Knowledge {
+    async fn read_knowledge(&self) -> InterferenceSnapshot {
         let reading = async {
             self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.finish(SILENCE).await
         };
         let item = match reading.await {
             Ok(Found { item: Some(item), .. }) => item,
-            Ok(Found { item: None, .. }) => return Knowledge::default(),
+            Ok(Found { item: None, .. }) => return InterferenceSnapshot::default(),
             Err(error) => {
                 spdlog::warn!("event=read_failed what=knowledge why=\"{error}\"");
-                return Knowledge::default();
+                return InterferenceSnapshot::default();
             }
         };
-        Knowledge::decode(&item.value).unwrap_or_else(|error| {
+        InterferenceSnapshot::decode(&item.value).unwrap_or_else(|error| {
             spdlog::warn!("event=record_unreadable key={KNOWLEDGE_KEY} why=\"{error}\"");
-            Knowledge::default()
+            InterferenceSnapshot::default()
         })
     }
 
@@ -246,7 +248,7 @@
     loop {
         tokio::time::sleep(DOUBT_PAUSE).await;
         let silent_ms = BootClock.now_ms().saturating_sub(confirmed_ms.load(Ordering::Relaxed));
-        if silent_ms >= STORE_SILENCE_MS && peers.successor(fence).await.is_some() {
+        if silent_ms >= STORE_UNREACHABLE_MS && peers.successor(fence).await.is_some() {
             return;
         }
     }
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -34,13 +34,13 @@
     /// Takes note that an entry sends the time of a pong back, and with it a promise.
     pub fn promised(&self, node: &Name, incarnation: u64, sent: TermTime) {
         if sent.term == self.term && *node != self.own {
-            self.lock().promised(node, incarnation, sent.steady_ms);
+            self.lock().record_promise(node, incarnation, sent.steady_ms);
         }
     }
 
     /// Takes note that an entry is about to stop.
     pub fn leaves(&self, node: &Name) {
-        self.lock().leaves(node);
+        self.lock().mark_stopping(node);
     }
 
     /// Returns for how long an entry has not answered, if it ever did in this term.
@@ -51,21 +51,21 @@
     /// Returns until when a majority supports the term, on the boot clock, and how many other entries do now.
     pub fn present(&self) -> (u64, usize) {
         let support = self.lock();
-        (support.until_ms(), support.supporters(BootClock.now_ms()))
+        (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
 
     /// Returns the voters that the key should name, if it names others.
     pub fn wanted(&self) -> Option<Voters> {
-        self.lock().wanted(BootClock.now_ms())
+        self.lock().voters_to_write(BootClock.now_ms())
     }
 
     /// Takes note that the key is about to name other voters.
     pub fn change(&self, voters: Voters) {
-        self.lock().change(voters, BootClock.now_ms());
+        self.lock().begin_voter_change(voters, BootClock.now_ms());
     }
 
     /// Takes note that the key names them.
     pub fn changed(&self) {
-        self.lock().changed();
+        self.lock().complete_voter_change();
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -7,7 +7,7 @@
 
 use derive_more::{Display, Error};
 use geraniumpost_batch::WriteBatch;
-use geraniumpost_batch::tuning::WRITES_AT_ONCE;
+use geraniumpost_batch::tuning::MAX_CONCURRENT_WRITES;
 use geraniumpost_platform::{CommitError, Put, Store};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
@@ -89,7 +89,7 @@
             if stopping && under_way.is_empty() && !uncertain {
                 return Ok(());
             }
-            while !uncertain && !outdated && !stopping && under_way.len() < WRITES_AT_ONCE {
+            while !uncertain && !outdated && !stopping && under_way.len() < MAX_CONCURRENT_WRITES {
                 let Some(batch) = queue.pop_front() else { break };
                 under_way.spawn(self.write(batch));
             }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::{Answer, Ask, FromEntry, TermTime, ToEntry};
+use geraniumpost_batch::{CallerRequest, CallerResponse, FromEntry, TermTime, ToEntry};
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
@@ -42,8 +42,8 @@
 /// A caller's request on its way.
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
-    answer: oneshot::Sender<Answer>,
+    ask: CallerRequest,
+    answer: oneshot::Sender<CallerResponse>,
     /// Copies of the request that left.
     sent: Arc<AtomicU64>,
     /// Copies of it that the coordinator refused.
@@ -57,8 +57,8 @@
     /// one copy: another may be read later, when there is room, and be accepted. Its caller would have
     /// been told that the job does not run, and it would run all the same. What is not settled in time is
     /// told as unknown.
-    fn is_settled_by(&mut self, answer: Answer) -> bool {
-        if !matches!(answer, Answer::Refused { .. }) {
+    fn is_settled_by(&mut self, answer: CallerResponse) -> bool {
+        if !matches!(answer, CallerResponse::Refused { .. }) {
             return true;
         }
         self.refused += 1;
@@ -128,7 +128,12 @@
     ///
     /// Tells whether the request certainly had no effect. One that could not be sent is given up
     /// after `unsent` already, one that was sent only after `all`.
-    pub async fn ask(&self, ask: Ask, unsent: Duration, all: Duration) -> Result<Answer, NoAnswer> {
+    pub async fn ask(
+        &self,
+        ask: CallerRequest,
+        unsent: Duration,
+        all: Duration,
+    ) -> Result<CallerResponse, NoAnswer> {
         let sent = Arc::new(AtomicU64::new(0));
         let (answer_tx, mut answer) = oneshot::channel();
         let waiting = Waiting { ask, answer: answer_tx, sent: Arc::clone(&sent), refused: 0 };
@@ -248,7 +253,7 @@
         FromEntry::Ping {
             configuration: self.in_force.version(),
             supports: self.heard.and_then(promise),
-            leaves: self.promises.leaves(),
+            stopping: self.promises.leaves(),
         }
     }
 
@@ -276,7 +281,7 @@
                         if store_ok { None } else { state.store_lost_ms.or(Some(now_ms)) };
                 });
             }
-            ToPeer::Entry(ToEntry::Answer { ticket, answer }) => {
+            ToPeer::Entry(ToEntry::Response { ticket, response: answer }) => {
                 let Some(waiting) = self.waiting.get_mut(&ticket) else { return true };
                 if waiting.is_settled_by(answer)
                     && let Some(waiting) = self.waiting.remove(&ticket)
@@ -318,5 +323,6 @@
         return;
     }
     // A closed link is noticed by its reader, and the request is sent again on the next one.
-    let _ = tx.send(FromPeer::EntrySays(FromEntry::Ask { ticket, ask: waiting.ask.clone() }));
+    let _ =
+        tx.send(FromPeer::EntrySays(FromEntry::Request { ticket, request: waiting.ask.clone() }));
 }
--- a/crates/geraniumpost/tests/standstill.rs
+++ b/crates/geraniumpost/tests/standstill.rs
@@ -4,7 +4,7 @@
 use geraniumpost_batch::{Order, OrderKind, ToAgent};
 use geraniumpost_schema::Name;
 
-const LEASE: ToAgent = ToAgent::Lease { sent_at_ms: 1, hold_ms: 5_000, fence: 1, store_ok: true };
+const LEASE: ToAgent = ToAgent::Lease { sent_at_ms: 1, lease_ms: 5_000, fence: 1, store_ok: true };
 
 fn order(run: u32) -> (Name, ToAgent) {
     let task = "0000000000000001.0.0.0".parse().expect("a task's name");
