--- a/crates/geraniumpost-batch/src/agent_message.rs
+++ b/crates/geraniumpost-batch/src/agent_message.rs
@@ -3,58 +3,61 @@
 
 use crate::{MinionInfo, Order, OrderResult, PollResult};
 
-/// What an agent tells the coordinator.
+/// A message from an agent to the coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromAgent {
-    /// The first message of a link.
+    /// The first message on a connection.
     Hello {
         /// The agent's name.
         agent: Name,
     },
-    /// The agent is there, and asks for its lease to be extended.
+    /// Periodic sign of life, which asks for an extension of the agent's lease.
     Heartbeat {
-        /// The agent's own clock when it sent this, echoed in the answer.
+        /// The agent's clock when it sent the heartbeat; the response repeats it.
         sent_at_ms: u64,
-        /// Whether the minion answers the agent; a lease for one that does not is not extended.
+        /// Whether the minion answers the agent. If not, the lease is not extended.
         minion_ok: bool,
     },
-    /// The incarnation beside the agent, or news of it.
+    /// The incarnation beside the agent; sent again when its properties change.
     Minion(MinionInfo),
-    /// An incarnation is certainly gone, with all that it ran. Repeated on every link until it is settled.
+    /// An incarnation has terminated, and all its tasks with it. Repeated on every connection until
+    /// the coordinator answers [`ToAgent::DepartureRecorded`].
     MinionTerminated {
         /// The incarnation.
         minion: Name,
     },
-    /// The minion's lists.
+    /// The minion's lists of running and ended tasks.
     PollResult(PollResult),
-    /// What became of an order.
+    /// The result of an order.
     Result(OrderResult),
 }
 
-/// What the coordinator tells an agent.
+/// A message from the coordinator to an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// The agent's lease is extended.
+    /// Response to a heartbeat.
     Lease {
-        /// The agent's clock, as it said in the beat that is answered.
+        /// The agent's clock, copied from the heartbeat.
         sent_at_ms: u64,
-        /// How long tasks may be held from that instant, in milliseconds.
+        /// Duration of the lease from that time, in milliseconds; 0 if it is not extended.
         lease_ms: u64,
         /// The coordinator's fencing token.
         fence: u64,
-        /// Whether the coordinator reaches the store; if not, a successor may exist.
+        /// Whether the coordinator reaches the store. If not, a successor may exist.
         store_ok: bool,
     },
     /// An order for the minion.
     Order(Order),
-    /// All ends up to this number are committed, and the minion may forget them.
+    /// All ended tasks up to this sequence number are committed, so that the minion may discard
+    /// them.
     Acknowledge {
         /// The incarnation.
         minion: Name,
-        /// Number of the last end.
+        /// Sequence number of the last of them.
         up_to: u64,
     },
-    /// The records hold that all that ran on an incarnation has ended; its agent may forget it.
+    /// The job records hold that every run on a terminated incarnation has ended. The agent need
+    /// not report the incarnation again.
     DepartureRecorded {
         /// The incarnation.
         minion: Name,
--- a/crates/geraniumpost-batch/src/demand.rs
+++ b/crates/geraniumpost-batch/src/demand.rs
@@ -1,7 +1,7 @@
 use derive_more::{Add, AddAssign, Sub, SubAssign};
 use serde::{Deserialize, Serialize};
 
-/// Processors, memory and accelerators, as an amount asked for, in use or free.
+/// An amount of resources: requested, in use or free.
 ///
 /// # Example
 ///
@@ -26,16 +26,16 @@
     SubAssign,
 )]
 pub struct Demand {
-    /// Thousandths of a processor.
+    /// Processor time in thousandths of a processor.
     pub milli_cpus: i64,
-    /// Mebibytes.
+    /// Memory in mebibytes.
     pub memory_mb: i64,
-    /// Whole accelerators.
+    /// Number of accelerators; they are not shared between tasks.
     pub accelerators: i64,
 }
 
 impl Demand {
-    /// Returns whether this amount fits into `free`.
+    /// Returns whether `free` covers this amount in every resource.
     pub const fn fits(self, free: Self) -> bool {
         self.milli_cpus <= free.milli_cpus
             && self.memory_mb <= free.memory_mb
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -2,55 +2,57 @@
 
 use geraniumpost_schema::Name;
 
-/// Departures that are remembered at most. One minion leaves a VM in minutes; this is for a minion that
-/// starts anew all the time while nobody coordinates.
-const MOST: usize = 16;
+/// Limit on remembered terminations. A VM rarely has more than one in several minutes; the limit
+/// matters only if a minion restarts continuously while there is no coordinator.
+const MAX_TERMINATED: usize = 16;
 
-/// Minions that have left this VM, until a coordinator has recorded it.
+/// Minion incarnations that have left this VM and whose termination no coordinator has recorded
+/// yet.
 ///
-/// What ran on a minion ends with it, and its agent may be the only process that knows. A word that is
-/// said once is lost if there is no link at that moment, or if the coordinator that hears it is lost
-/// itself; the next coordinator then waits for a lease that nobody holds, and users miss standing tasks
-/// for as long. So the word is kept, and said on every link, until a coordinator says that its records
-/// hold it.
+/// The tasks of a minion end with it, and its agent may be the only process that knows. A report
+/// that is sent once is lost if the agent has no connection at that moment, or if the coordinator
+/// fails before it has written its records. The next coordinator then waits for a lease that nobody
+/// holds, and persistent tasks are down meanwhile. The agent therefore repeats the report on every
+/// connection until a coordinator confirms that its records hold it.
 #[derive(Debug, Default)]
 pub struct Departures {
-    /// Minions that have said their farewell and may still be ending.
+    /// Minions that have announced that they leave and may still be running.
     leaving: Vec<Name>,
-    /// Minions that are gone, the latest last.
-    gone: VecDeque<Name>,
+    /// Minions that have terminated, the latest last.
+    terminated: VecDeque<Name>,
 }
 
 impl Departures {
-    /// Takes note that a minion has said its farewell.
+    /// Records that a minion has announced that it leaves.
     pub fn record_leaving(&mut self, minion: &Name) {
         if !self.leaving.contains(minion) {
             self.leaving.push(minion.clone());
         }
     }
 
-    /// Takes note that a minion is gone.
+    /// Records that a minion has terminated. Drops the oldest record if there are too many.
     pub fn record_terminated(&mut self, minion: &Name) {
         self.remove(minion);
-        if self.gone.len() == MOST {
-            self.gone.pop_front();
+        if self.terminated.len() == MAX_TERMINATED {
+            self.terminated.pop_front();
         }
-        self.gone.push_back(minion.clone());
+        self.terminated.push_back(minion.clone());
     }
 
-    /// Takes note that the records hold a departure, or that the minion answers all the same.
+    /// Removes a minion, either because the job records hold its termination or because it answers
+    /// after all.
     pub fn remove(&mut self, minion: &Name) {
         self.leaving.retain(|leaving| leaving != minion);
-        self.gone.retain(|gone| gone != minion);
+        self.terminated.retain(|terminated| terminated != minion);
     }
 
-    /// Returns the minions that are gone, in the order in which they went.
+    /// Returns the terminated minions in the order of their termination.
     pub fn unrecorded(&self) -> impl Iterator<Item = &Name> {
-        self.gone.iter()
+        self.terminated.iter()
     }
 
-    /// Returns whether nothing is left to tell.
+    /// Returns whether no minion is leaving and no termination is left to report.
     pub fn is_empty(&self) -> bool {
-        self.leaving.is_empty() && self.gone.is_empty()
+        self.leaving.is_empty() && self.terminated.is_empty()
     }
 }
--- a/crates/geraniumpost-batch/src/entry_message.rs
+++ b/crates/geraniumpost-batch/src/entry_message.rs
@@ -3,96 +3,97 @@
 
 use crate::{JobId, JobSpec, JobState, QueueTerms};
 
-/// What an entry asks of the coordinator for a caller.
+/// A caller's request, which an entry passes on to the coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CallerRequest {
-    /// Accept a job; the same job again is no second one.
+    /// Submit a job. Submitting the same job id again does not create a second job.
     Submit {
         /// The job.
         job: JobId,
-        /// What to run.
+        /// Its specification.
         spec: JobSpec,
-        /// How its queue wants it treated.
+        /// The settings of its queue.
         terms: QueueTerms,
     },
     /// Cancel a job.
     Cancel(JobId),
-    /// Tell a job's state.
+    /// Read a job's state.
     State(JobId),
-    /// Count a queue's jobs that have not begun.
+    /// Count a queue's jobs that have not started.
     Pending(Name),
 }
 
-/// What the coordinator answers.
+/// The coordinator's response to a [`CallerRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerResponse {
-    /// The job is accepted and committed.
+    /// The job is accepted, and its record is committed.
     Accepted,
-    /// The job is not accepted and never will be by this request.
+    /// The job is not accepted, and this request does not cause it to be accepted later.
     Refused {
-        /// When to try again, in milliseconds.
+        /// How long the caller should wait before it retries, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The job can never run as it is.
+    /// The job's specification can never be satisfied.
     Invalid,
-    /// The job's state, as committed.
+    /// The job's committed state.
     State(JobState),
-    /// The cancellation is committed, or the job was over already.
+    /// The cancellation is committed, or the job had already finished.
     Cancelled,
-    /// There is no such job.
+    /// No such job exists.
     Unknown,
-    /// Jobs that have not begun.
+    /// Number of jobs that have not started.
     Pending(u64),
 }
 
-/// What an entry sends to the coordinator.
+/// A message from an entry to the coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromEntry {
-    /// Is the coordinator alive?
+    /// Asks whether the coordinator is alive.
     Ping {
-        /// Version of the configuration in force at the entry; 0 for none.
+        /// Version of the entry's current configuration; 0 for none.
         configuration: u64,
-        /// When the coordinator sent its last pong, if the entry supports that one: it promises to follow no
-        /// successor for a while after that pong.
+        /// When the coordinator sent the last pong that the entry received, if the entry supports
+        /// this coordinator: it promises to follow no successor for a while after that pong.
         supports: Option<TermTime>,
-        /// Whether the entry is about to stop, and should be counted no more.
+        /// Whether the entry is about to stop and should no longer be a voter.
         stopping: bool,
     },
     /// A caller's request.
     Request {
-        /// Names the answer.
+        /// Identifies the response.
         ticket: u64,
         /// The request.
         request: CallerRequest,
     },
 }
 
-/// A moment in a coordinator's term, by its own clock.
+/// A time within a coordinator's term, on the coordinator's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermTime {
     /// The term.
     pub term: u64,
-    /// Milliseconds on the coordinator's steady clock.
+    /// The coordinator's monotonic clock in milliseconds.
     pub steady_ms: u64,
 }
 
-/// What the coordinator sends to an entry.
+/// A message from the coordinator to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// The coordinator is alive.
+    /// Response to a ping.
     Pong {
-        /// Whether it reaches the store.
+        /// Whether the coordinator reaches the store.
         store_ok: bool,
-        /// The newest version of the configuration that the coordinator has or has heard of; 0 for none.
+        /// The newest configuration version that the coordinator has or has been told of; 0 for
+        /// none.
         configuration: u64,
-        /// When it is sent.
+        /// When the coordinator sends it.
         sent: TermTime,
     },
-    /// The answer to a request.
+    /// The response to a request.
     Response {
-        /// The request's ticket.
+        /// Ticket of the request.
         ticket: u64,
-        /// The answer.
+        /// The response.
         response: CallerResponse,
     },
 }
--- a/crates/geraniumpost-batch/src/interference/baseline.rs
+++ b/crates/geraniumpost-batch/src/interference/baseline.rs
@@ -1,70 +1,77 @@
-/// Variance of a gauge's utilization around the true one.
+/// Variance of a gauge's utilization around the true value.
 const GAUGE_NOISE: f64 = 0.000_9;
-/// By how much the variance of an own load grows in a second without a gauge: it swings by half within tens
-/// of seconds.
-const OWN_DRIFT: f64 = 0.003;
-/// Own load of a group that showed no gauge yet, and its variance.
-const UNSEEN: f64 = 0.5;
-const UNSEEN_VARIANCE: f64 = 0.06;
+/// Growth of the variance of the own load per second without a gauge: the load changes by half
+/// within tens of seconds.
+const OWN_LOAD_DRIFT: f64 = 0.003;
+/// Assumed own load of a group without a gauge so far, and its variance.
+const INITIAL_UTILIZATION: f64 = 0.5;
+const INITIAL_VARIANCE: f64 = 0.06;
 
-/// The own load of serving tasks that have the same users, as running means of what their gauges showed.
+/// Running means of the gauges of serving tasks that have the same users, from which their own load
+/// follows.
 ///
-/// It is a Kalman filter of one number whose gauges also hold what fills. That part is not known for
-/// sure and is learnt at the same time, so the means of what filled are kept beside the mean of the gauges:
-/// for any slopes, the one less the other is the filter's estimate.
+/// This is a one-dimensional Kalman filter for the own load. Its gauges also contain the effect of
+/// best-effort tasks, whose slopes are learned at the same time. The filter therefore keeps the
+/// mean processor shares of the best-effort images beside the mean utilization: for any slopes, the
+/// mean utilization minus the mean shares times their slopes is the filter's estimate.
 #[derive(Debug, Clone)]
 pub struct Baseline {
-    seen_ms: Option<u64>,
+    /// Time of the last gauge.
+    updated_ms: Option<u64>,
+    /// Mean utilization.
     utilization: f64,
-    /// Share of the minion's processors in use, by number of the filling image.
+    /// Mean share of the minion's processors in use, by index of the best-effort image.
     shares: Vec<f64>,
+    /// Variance of the own load.
     variance: f64,
 }
 
-/// How far a gauge, and what filled then, lie off their running means.
+/// Deviation of a gauge and of the best-effort images' processor shares from their running means.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Offset {
-    /// Of the utilization.
+pub struct Deviation {
+    /// Deviation of the utilization.
     pub utilization: f64,
-    /// Of the share of each filling image, by its number.
+    /// Deviation of the processor share, by index of the best-effort image.
     pub shares: Vec<f64>,
-    /// How far the utilization may lie off by itself, as a variance.
+    /// Variance of the utilization's deviation that is not due to best-effort tasks.
     pub variance: f64,
 }
 
 impl Default for Baseline {
     fn default() -> Self {
-        let (utilization, variance) = (UNSEEN, UNSEEN_VARIANCE);
-        Self { seen_ms: None, utilization, shares: Vec::new(), variance }
+        let (utilization, variance) = (INITIAL_UTILIZATION, INITIAL_VARIANCE);
+        Self { updated_ms: None, utilization, shares: Vec::new(), variance }
     }
 }
 
 impl Baseline {
-    /// Takes in a gauge and what filled then; returns how far they lie off the means so far.
-    pub fn update(&mut self, utilization: f64, shares: &[f64], now_ms: u64) -> Offset {
+    /// Updates the means with a gauge's utilization and the processor shares of the best-effort
+    /// images at that time. Returns the deviation from the means before the update.
+    pub fn update(&mut self, utilization: f64, shares: &[f64], now_ms: u64) -> Deviation {
         self.shares.resize(self.shares.len().max(shares.len()), 0.0);
-        let before_ms = self.seen_ms.replace(now_ms).unwrap_or(now_ms);
-        self.variance += OWN_DRIFT * now_ms.saturating_sub(before_ms) as f64 / 1_000.0;
+        let before_ms = self.updated_ms.replace(now_ms).unwrap_or(now_ms);
+        self.variance += OWN_LOAD_DRIFT * now_ms.saturating_sub(before_ms) as f64 / 1_000.0;
         let expected = self.variance + GAUGE_NOISE;
-        let fresh = self.variance / expected;
-        self.variance *= 1.0 - fresh;
-        let off = utilization - self.utilization;
-        self.utilization += fresh * off;
-        let share = |at: usize| shares.get(at).copied().unwrap_or(0.0);
+        let gain = self.variance / expected;
+        self.variance *= 1.0 - gain;
+        let deviation = utilization - self.utilization;
+        self.utilization += gain * deviation;
+        let share = |index: usize| shares.get(index).copied().unwrap_or(0.0);
         let means = self.shares.iter().enumerate();
-        let shares_off: Vec<f64> = means.map(|(at, mean)| share(at) - mean).collect();
-        for (mean, off) in self.shares.iter_mut().zip(&shares_off) {
-            *mean += fresh * off;
+        let share_deviations: Vec<f64> = means.map(|(index, mean)| share(index) - mean).collect();
+        for (mean, deviation) in self.shares.iter_mut().zip(&share_deviations) {
+            *mean += gain * deviation;
         }
-        Offset { utilization: off, shares: shares_off, variance: expected }
+        Deviation { utilization: deviation, shares: share_deviations, variance: expected }
     }
 
-    /// Returns the utilization that is left without what filled, on the high side where little is known.
-    pub fn own(&self, slope: impl Fn(usize) -> f64) -> f64 {
-        /// Deviations that are added to the estimate.
-        const CAUTION: f64 = 0.25;
+    /// Returns the utilization by the group's own users, given the slopes of the best-effort
+    /// images. The estimate is higher the larger its uncertainty is.
+    pub fn own_utilization(&self, slope: impl Fn(usize) -> f64) -> f64 {
+        /// Number of standard deviations that are added to the estimate.
+        const MARGIN_DEVIATIONS: f64 = 0.25;
         let shares = self.shares.iter().enumerate();
-        let added: f64 = shares.map(|(at, share)| slope(at) * share).sum();
-        (self.utilization - added).max(0.0) + CAUTION * self.variance.sqrt()
+        let added: f64 = shares.map(|(index, share)| slope(index) * share).sum();
+        (self.utilization - added).max(0.0) + MARGIN_DEVIATIONS * self.variance.sqrt()
     }
 }
--- a/crates/geraniumpost-batch/src/interference/estimator.rs
+++ b/crates/geraniumpost-batch/src/interference/estimator.rs
@@ -6,23 +6,27 @@
 use super::{ServingGroup, ServingImage, Slope};
 use crate::{InterferencePair, InterferenceSnapshot};
 
-/// Filling images told apart; further ones share the last number, so that matrices stay small.
-const MOST_FILLING: usize = 60;
-/// Serving images that are remembered: tens serve at once, and each takes up to 30 KB.
-const MOST_SERVING: usize = 200;
-/// Pairs that a successor is told of; each takes about 30 bytes in the store.
-const MOST_PAIRS: usize = 600;
+/// Limit on distinct best-effort images. Further ones share the last index, so that matrices stay
+/// small.
+const MAX_BEST_EFFORT_IMAGES: usize = 60;
+/// Limit on serving images, above which those without tasks are removed. Tens have tasks at the
+/// same time, and each takes up to 30 KB.
+const MAX_SERVING_IMAGES: usize = 200;
+/// Limit on pairs in a snapshot; each takes about 30 bytes in the store.
+const MAX_SNAPSHOT_PAIRS: usize = 600;
 
-/// What is known of images over all minions.
+/// The learned interference between images, over all minions.
 #[derive(Debug, Default)]
 pub struct InterferenceModel {
-    filling: Interner,
+    /// Indices of the best-effort images.
+    best_effort: Interner,
     serving: BTreeMap<Name, ServingImage>,
 }
 
 impl InterferenceModel {
-    /// Learns from the tail of a serving group (in bounds) beside filling images that used these shares of
-    /// its minion's processors, from 0 to 1.
+    /// Learns from the tail latency of a serving group, as a multiple of its bound. `used` holds
+    /// the share of the minion's processors, from 0 to 1, that each best-effort image used
+    /// meanwhile.
     pub fn observe(
         &mut self,
         image: &Name,
@@ -32,85 +36,88 @@
         now_ms: u64,
     ) {
         let mut shares = Vec::new();
-        for (filling, share) in used {
-            let at = self.number(filling);
-            shares.resize(shares.len().max(at + 1), 0.0);
-            shares[at] += share;
+        for (best_effort, share) in used {
+            let index = self.index(best_effort);
+            shares.resize(shares.len().max(index + 1), 0.0);
+            shares[index] += share;
         }
         self.serving.entry(image.clone()).or_default().observe(group, tail, &shares, now_ms);
     }
 
-    fn number(&mut self, filling: &Name) -> usize {
-        (self.filling.intern(filling) as usize).min(MOST_FILLING - 1)
+    fn index(&mut self, best_effort: &Name) -> usize {
+        (self.best_effort.intern(best_effort) as usize).min(MAX_BEST_EFFORT_IMAGES - 1)
     }
 
-    /// Returns the utilization at which a serving image's tail reaches so many bounds.
+    /// Returns the utilization at which a serving image reaches a tail latency, given as a multiple
+    /// of its bound.
     pub fn utilization_at(&self, image: &Name, tail: f64) -> f64 {
         let unseen = ServingImage::default();
         self.serving.get(image).unwrap_or(&unseen).utilization(tail)
     }
 
-    /// Returns the utilization that a group's own users cause.
+    /// Returns the estimated utilization of a group by its own users.
     pub fn own_utilization(&self, image: &Name, group: &ServingGroup) -> f64 {
         let unseen = ServingImage::default();
-        self.serving.get(image).unwrap_or(&unseen).own(group)
+        self.serving.get(image).unwrap_or(&unseen).own_utilization(group)
     }
 
-    /// Returns what a filling image adds to the utilization of a serving one with a share of the minion's
-    /// processors.
-    pub fn added_utilization(&self, serving: &Name, filling: &Name, share: f64) -> f64 {
-        let at = self.filling.get(filling).map(|at| (at as usize).min(MOST_FILLING - 1));
-        let slope = self.serving.get(serving).map_or(Slope::UNKNOWN, |known| known.slope(at));
+    /// Returns the utilization that a best-effort image adds to a serving image if it uses a share,
+    /// from 0 to 1, of the minion's processors.
+    pub fn added_utilization(&self, serving: &Name, best_effort: &Name, share: f64) -> f64 {
+        let index = self
+            .best_effort
+            .get(best_effort)
+            .map(|index| (index as usize).min(MAX_BEST_EFFORT_IMAGES - 1));
+        let slope = self.serving.get(serving).map_or(Slope::UNKNOWN, |known| known.slope(index));
         slope.mean * share
     }
 
-    /// Returns what a successor should know: the pairs that are known best.
+    /// Returns a snapshot for a successor. If there are too many pairs, it holds those with the
+    /// least deviation.
     pub fn snapshot(&self) -> InterferenceSnapshot {
         let mut pairs = Vec::new();
         for (serving, known) in &self.serving {
-            for (filling, at) in self.filling.names().iter().zip(0..MOST_FILLING) {
-                let Slope { mean: slope, deviation } = known.slopes.get(at);
+            for (best_effort, index) in
+                self.best_effort.names().iter().zip(0..MAX_BEST_EFFORT_IMAGES)
+            {
+                let Slope { mean: slope, deviation } = known.slopes.get(index);
                 if deviation < Slope::UNKNOWN.deviation {
-                    let (serving, filling) = (serving.clone(), filling.clone());
-                    pairs.push(InterferencePair {
-                        serving,
-                        best_effort: filling,
-                        slope,
-                        deviation,
-                    });
+                    let (serving, best_effort) = (serving.clone(), best_effort.clone());
+                    pairs.push(InterferencePair { serving, best_effort, slope, deviation });
                 }
             }
         }
         pairs.sort_by(|a, b| a.deviation.total_cmp(&b.deviation));
-        pairs.truncate(MOST_PAIRS);
-        let quiet = self.serving.iter().map(|(image, known)| (image.clone(), known.idle_tail));
-        InterferenceSnapshot { pairs, idle_tails: quiet.take(MOST_SERVING).collect() }
+        pairs.truncate(MAX_SNAPSHOT_PAIRS);
+        let idle_tails = self.serving.iter().map(|(image, known)| (image.clone(), known.idle_tail));
+        InterferenceSnapshot { pairs, idle_tails: idle_tails.take(MAX_SERVING_IMAGES).collect() }
     }
 
-    /// Takes over what a predecessor knew. Pairs that make no sense are passed over.
-    pub fn restore(&mut self, knowledge: &InterferenceSnapshot) {
-        for pair in &knowledge.pairs {
-            let sensible = |value: f64| value.is_finite() && value >= 0.0;
-            if !sensible(pair.slope) || !sensible(pair.deviation) {
+    /// Restores the snapshot of a predecessor. Pairs with values that are negative or not finite
+    /// are ignored.
+    pub fn restore(&mut self, snapshot: &InterferenceSnapshot) {
+        for pair in &snapshot.pairs {
+            let valid = |value: f64| value.is_finite() && value >= 0.0;
+            if !valid(pair.slope) || !valid(pair.deviation) {
                 continue;
             }
-            let at = self.number(&pair.best_effort);
+            let index = self.index(&pair.best_effort);
             let slope = Slope { mean: pair.slope, deviation: pair.deviation };
-            self.serving.entry(pair.serving.clone()).or_default().slopes.recall(at, slope);
+            self.serving.entry(pair.serving.clone()).or_default().slopes.restore(index, slope);
         }
-        for (image, tail) in knowledge.idle_tails.iter().filter(|(_, tail)| *tail > 0.0) {
+        for (image, tail) in snapshot.idle_tails.iter().filter(|(_, tail)| *tail > 0.0) {
             self.serving.entry(image.clone()).or_default().idle_tail = *tail;
         }
     }
 
-    /// Forgets groups that are gone, and images that serve nowhere once there are too many. Images come and
-    /// go for as long as the process runs, and each costs memory.
+    /// Removes groups that no longer exist, and serving images without groups if there are too
+    /// many. Images come and go for as long as the process runs, and each takes memory.
     pub fn retain_groups(&mut self, exists: impl Fn(&ServingGroup) -> bool) {
         for known in self.serving.values_mut() {
             known.retain(&exists);
         }
-        if self.serving.len() > MOST_SERVING {
-            self.serving.retain(|_, known| !known.is_idle());
+        if self.serving.len() > MAX_SERVING_IMAGES {
+            self.serving.retain(|_, known| !known.has_no_groups());
         }
     }
 }
--- a/crates/geraniumpost-batch/src/interference/mod.rs
+++ b/crates/geraniumpost-batch/src/interference/mod.rs
@@ -1,28 +1,32 @@
-//! How much tasks that fill a minion slow those that serve there, learnt from late gauges.
+//! Model of how much best-effort tasks slow down serving tasks on the same minion, learned from
+//! gauges of tail latency and processor use.
 //!
-//! Tasks that share a minion disturb each other by amounts that no declaration tells; only the tail
-//! latencies of serving tasks show them. Tails grow like those of a queue: a task that is busy for a share
-//! `u` of the time has a tail of `idle / (1 - u)`. In this [utilization](ServingImage::utilization) what
-//! causes it adds up: the load of the task's own users, and for each filling image a
-//! [slope](Slope) times the share of the minion's processors that it uses. A tail itself grows so fast
-//! near its bound that it hides who caused it.
+//! Submitters cannot declare how much tasks on a shared minion interfere; only the tail latencies
+//! of serving tasks show it. A tail latency grows like that of a queue: a task that is busy for a
+//! share `u` of the time has a tail latency of `idle / (1 - u)`. In terms of this
+//! [utilization](ServingImage::utilization) `u` the causes are additive: the load of the task's own
+//! users, and for each best-effort image a [slope](Slope) times the share of the minion's
+//! processors that the image uses. The tail latency itself is not additive; close to its bound it
+//! grows so fast that it does not show which image caused it.
 //!
-//! The own load swings within tens of seconds and nobody reports it. It belongs to a [`ServingGroup`]: the
-//! tasks of one step on one minion. [`Baseline`] keeps running means of a group; how far a gauge lies from
-//! them tells of the filling tasks, as the own load cancels. [`Slopes`] holds what all groups of an image
-//! have told, with its uncertainty. docs/design/0602-colocation.md has the derivation.
+//! The load of a task's own users changes within tens of seconds and is not reported. The model
+//! estimates it for each [`ServingGroup`], the tasks of one step on one minion. [`Baseline`] keeps
+//! running means of a group's gauges; in the deviation of a gauge from them the own load cancels,
+//! so that the deviation is due to the best-effort tasks. [`Slopes`] combines the deviations of all
+//! groups of an image and keeps the uncertainty of the result. docs/design/0602-colocation.md has
+//! the derivation.
 
 mod baseline;
 mod estimator;
-mod paces;
 mod serving_group;
 mod serving_image;
 mod slope;
 mod slopes;
+mod speed_limits;
 
 pub use estimator::InterferenceModel;
-pub use paces::{Pressure, speed_limits};
 pub use serving_group::ServingGroup;
+pub use speed_limits::{Pressure, speed_limits};
 
 use baseline::Baseline;
 use serving_image::ServingImage;
--- a/crates/geraniumpost-batch/src/interference/serving_group.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_group.rs
@@ -2,12 +2,13 @@
 
 use crate::TaskId;
 
-/// The tasks of one serving step on one minion: they have the same users and the same neighbours.
+/// The tasks of one serving step on one minion. They have the same users and share the minion with
+/// the same tasks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServingGroup {
     /// The minion.
     pub minion: Name,
-    /// The step, as its first task.
+    /// The step, identified by its first task.
     pub step: TaskId,
 }
 
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -1,45 +1,49 @@
 use std::collections::BTreeMap;
 
-use super::baseline::Offset;
+use super::baseline::Deviation;
 use super::{Baseline, ServingGroup, Slope, Slopes};
 use crate::TaskId;
 
-/// Tail of an idle serving task in bounds, before any was lower.
+/// Assumed tail latency of an idle serving task, as a multiple of its bound, until a lower one is
+/// seen.
 const IDLE_TAIL: f64 = 0.2;
-/// Highest utilization taken in. Beyond it a queue has built up, and the tail says more about how long
-/// than about who.
-const MOST: f64 = 0.95;
-/// Part of the newest surprise in the mean of their squares.
-const FRESH_SURPRISE: f64 = 0.05;
+/// Highest utilization that a gauge can show. Above it a queue has built up, and the tail latency
+/// depends on the duration of the overload more than on its cause.
+const MAX_UTILIZATION: f64 = 0.95;
+/// Weight of the newest residual in the running mean of squared residuals.
+const RESIDUAL_WEIGHT: f64 = 0.05;
 
-/// What is known of one serving image.
+/// The learned model of one serving image.
 #[derive(Debug)]
 pub struct ServingImage {
-    /// Its lowest tail, in bounds.
+    /// Lowest tail latency, as a multiple of its bound.
     pub idle_tail: f64,
     pub slopes: Slopes,
     groups: BTreeMap<ServingGroup, Baseline>,
     steps: BTreeMap<TaskId, ServingStep>,
 }
 
-/// A serving step over all its minions.
+/// The model of a serving step over all its minions.
 ///
-/// Whether its tasks share the load of their users evenly, so that all groups have the same own load at any
-/// time, depends on how the users reach them. Where they do, the groups together show it sooner and more
-/// surely than each alone, and a difference between two minions tells at once who disturbs. Where they do not,
-/// it would blame what fills for loads that differ. Both views predict each gauge, and the better one counts.
+/// Depending on how users reach the tasks, the load may be even: all groups have the same own load
+/// at any time. If so, the groups together show that load sooner and more reliably than each alone,
+/// and a difference between two minions immediately shows which image interferes. If not, a common
+/// baseline would attribute differences in own load to best-effort tasks. Therefore both the step's
+/// and the group's baseline predict each gauge, and the one with the smaller mean squared residual
+/// is used.
 #[derive(Debug, Default)]
 struct ServingStep {
     baseline: Baseline,
-    /// Mean square of how far gauges lay off what the step as a whole let expect.
-    surprise: f64,
-    /// The same for what each group's own past let expect.
-    group_surprise: f64,
+    /// Mean squared residual of the step's baseline.
+    step_residual: f64,
+    /// Mean squared residual of the groups' own baselines.
+    group_residual: f64,
 }
 
 impl ServingStep {
+    /// Returns whether the load appears to be even over the step's groups.
     fn is_even(&self) -> bool {
-        self.surprise <= self.group_surprise
+        self.step_residual <= self.group_residual
     }
 }
 
@@ -55,13 +59,14 @@
 }
 
 impl ServingImage {
-    /// Returns the utilization that a tail (in bounds) shows.
+    /// Returns the utilization that corresponds to a tail latency, given as a multiple of its
+    /// bound.
     pub fn utilization(&self, tail: f64) -> f64 {
-        (1.0 - self.idle_tail / tail.max(f64::EPSILON)).clamp(0.0, MOST)
+        (1.0 - self.idle_tail / tail.max(f64::EPSILON)).clamp(0.0, MAX_UTILIZATION)
     }
 
-    /// Learns from a group's tail (in bounds) beside filling images that used these shares of the minion's
-    /// processors.
+    /// Learns from a group's tail latency, as a multiple of its bound, while the best-effort images
+    /// used these shares of the minion's processors, by index.
     pub fn observe(&mut self, group: &ServingGroup, tail: f64, shares: &[f64], now_ms: u64) {
         self.idle_tail = self.idle_tail.min(tail);
         let utilization = self.utilization(tail);
@@ -69,34 +74,35 @@
         let of_step = step.baseline.update(utilization, shares, now_ms);
         let baseline = self.groups.entry(group.clone()).or_default();
         let of_group = baseline.update(utilization, shares, now_ms);
-        let square = |off: &Offset| self.slopes.surprise(off).powi(2);
-        step.surprise += FRESH_SURPRISE * (square(&of_step) - step.surprise);
-        step.group_surprise += FRESH_SURPRISE * (square(&of_group) - step.group_surprise);
+        let square = |deviation: &Deviation| self.slopes.residual(deviation).powi(2);
+        step.step_residual += RESIDUAL_WEIGHT * (square(&of_step) - step.step_residual);
+        step.group_residual += RESIDUAL_WEIGHT * (square(&of_group) - step.group_residual);
         self.slopes.observe(if step.is_even() { &of_step } else { &of_group });
     }
 
-    /// Returns the utilization that a group's own users cause.
-    pub fn own(&self, group: &ServingGroup) -> f64 {
+    /// Returns the estimated utilization of a group by its own users.
+    pub fn own_utilization(&self, group: &ServingGroup) -> f64 {
         let step = self.steps.get(&group.step).filter(|step| step.is_even());
         let baseline = step.map(|step| &step.baseline).or_else(|| self.groups.get(group));
         let unseen = Baseline::default();
-        baseline.unwrap_or(&unseen).own(|at| self.slopes.get(at).mean)
+        baseline.unwrap_or(&unseen).own_utilization(|index| self.slopes.get(index).mean)
     }
 
-    /// Returns the slope of a filling image by its number, if it ever had one.
-    pub fn slope(&self, at: Option<usize>) -> Slope {
-        at.map_or(Slope::UNKNOWN, |at| self.slopes.get(at))
+    /// Returns the slope of the best-effort image with this index, or the default for an image that
+    /// was never seen.
+    pub fn slope(&self, index: Option<usize>) -> Slope {
+        index.map_or(Slope::UNKNOWN, |index| self.slopes.get(index))
     }
 
-    /// Forgets groups that are gone, and steps without any.
+    /// Removes groups that no longer exist, and steps without groups.
     pub fn retain(&mut self, exists: impl Fn(&ServingGroup) -> bool) {
         self.groups.retain(|group, _| exists(group));
         let groups = &self.groups;
         self.steps.retain(|step, _| groups.keys().any(|group| group.step == *step));
     }
 
-    /// Returns whether it serves nowhere.
-    pub fn is_idle(&self) -> bool {
+    /// Returns whether no minion runs tasks of the image.
+    pub fn has_no_groups(&self) -> bool {
         self.groups.is_empty()
     }
 }
--- a/crates/geraniumpost-batch/src/interference/slope.rs
+++ b/crates/geraniumpost-batch/src/interference/slope.rs
@@ -1,15 +1,15 @@
-/// How much one filling image adds to the utilization of a serving one if it used all of a minion's
-/// processors.
+/// The utilization that a best-effort image adds to a serving image if it uses all processors of a
+/// minion.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Slope {
     /// The best estimate.
     pub mean: f64,
-    /// How far it may be off, as one standard deviation.
+    /// Standard deviation of the estimate.
     pub deviation: f64,
 }
 
 impl Slope {
-    /// A pair that nothing is known of: some hardly disturb, some disturb hard, and nothing tells
-    /// which.
+    /// Estimate for a pair without observations. Some pairs hardly interfere and others strongly,
+    /// and nothing tells them apart beforehand.
     pub const UNKNOWN: Self = Self { mean: 0.8, deviation: 0.6 };
 }
--- a/crates/geraniumpost-batch/src/interference/slopes.rs
+++ b/crates/geraniumpost-batch/src/interference/slopes.rs
@@ -1,65 +1,68 @@
 use super::Slope;
-use super::baseline::Offset;
+use super::baseline::Deviation;
 
-/// By how much the variance of a slope grows with each gauge beside which its image worked, as what tasks of
-/// an image do changes.
+/// Growth of the variance of a slope with each gauge during which its image ran, because the
+/// behaviour of an image's tasks changes over time.
 const DRIFT: f64 = 0.000_07;
-/// Distance from what was expected, in standard deviations, from which on a gauge counts less.
-const OUTLIER: f64 = 3.0;
-/// Least variance that is taken over from another process: what is measured here soon outweighs it.
-const LEAST_RECALLED: f64 = 0.002_5;
+/// Residual, in standard deviations, above which a gauge gets less weight.
+const OUTLIER_DEVIATIONS: f64 = 3.0;
+/// Least variance of a restored slope, so that this process's own observations soon outweigh it.
+const MIN_RESTORED_VARIANCE: f64 = 0.002_5;
 
-/// The slopes of all filling images for one serving image: a linear regression that is updated gauge by
-/// gauge (a Kalman filter whose state hardly moves).
+/// The slopes of all best-effort images for one serving image: a linear regression that is updated
+/// with each gauge (a Kalman filter whose state hardly changes).
 #[derive(Debug, Clone, Default)]
 pub struct Slopes {
+    /// Estimated slopes, by index of the best-effort image.
     means: Vec<f64>,
-    /// Covariances, a row for each filling image.
+    /// Covariance matrix of the slopes, by index of the best-effort image.
     covariances: Vec<Vec<f64>>,
 }
 
 impl Slopes {
-    /// Returns the slope of a filling image by its number.
-    pub fn get(&self, at: usize) -> Slope {
-        match self.means.get(at) {
+    /// Returns the slope of the best-effort image with this index.
+    pub fn get(&self, index: usize) -> Slope {
+        match self.means.get(index) {
             Some(mean) => {
-                Slope { mean: *mean, deviation: self.covariances[at][at].max(0.0).sqrt() }
+                Slope { mean: *mean, deviation: self.covariances[index][index].max(0.0).sqrt() }
             }
             None => Slope::UNKNOWN,
         }
     }
 
-    /// Takes over a slope from another process.
-    pub fn recall(&mut self, at: usize, slope: Slope) {
-        self.grow(at + 1);
-        self.means[at] = slope.mean;
-        self.covariances[at][at] = slope.deviation.powi(2).max(LEAST_RECALLED);
+    /// Sets a slope that another process has learned.
+    pub fn restore(&mut self, index: usize, slope: Slope) {
+        self.grow(index + 1);
+        self.means[index] = slope.mean;
+        self.covariances[index][index] = slope.deviation.powi(2).max(MIN_RESTORED_VARIANCE);
     }
 
-    /// Returns how far a gauge lay off what the slopes let expect.
-    pub fn surprise(&self, off: &Offset) -> f64 {
-        let expected = off.shares.iter().enumerate().map(|(at, share)| self.get(at).mean * share);
-        off.utilization - expected.sum::<f64>()
+    /// Returns the difference between a gauge's deviation and the one that the slopes predict.
+    pub fn residual(&self, deviation: &Deviation) -> f64 {
+        let expected =
+            deviation.shares.iter().enumerate().map(|(index, share)| self.get(index).mean * share);
+        deviation.utilization - expected.sum::<f64>()
     }
 
-    /// Learns from how far a gauge, and what filled then, lay off their running means.
-    pub fn observe(&mut self, off: &Offset) {
-        let shares_off = &off.shares;
-        if shares_off.iter().all(|share| *share == 0.0) {
+    /// Learns from the deviation of a gauge and of the processor shares from their running means.
+    pub fn observe(&mut self, deviation: &Deviation) {
+        let share_deviations = &deviation.shares;
+        if share_deviations.iter().all(|share| *share == 0.0) {
             return;
         }
-        self.grow(shares_off.len());
-        for (at, share) in shares_off.iter().enumerate() {
+        self.grow(share_deviations.len());
+        for (index, share) in share_deviations.iter().enumerate() {
             if *share != 0.0 {
-                self.covariances[at][at] += DRIFT;
+                self.covariances[index][index] += DRIFT;
             }
         }
-        let gains: Vec<f64> = self.covariances.iter().map(|row| dot(row, shares_off)).collect();
-        let surprise = self.surprise(off);
-        let expected = dot(&gains, shares_off) + off.variance;
-        let variance = expected.max((surprise / OUTLIER).powi(2));
+        let gains: Vec<f64> =
+            self.covariances.iter().map(|row| dot(row, share_deviations)).collect();
+        let residual = self.residual(deviation);
+        let expected = dot(&gains, share_deviations) + deviation.variance;
+        let variance = expected.max((residual / OUTLIER_DEVIATIONS).powi(2));
         for (mean, gain) in self.means.iter_mut().zip(&gains) {
-            *mean = (*mean + gain * surprise / variance).max(0.0);
+            *mean = (*mean + gain * residual / variance).max(0.0);
         }
         for (row, gain) in self.covariances.iter_mut().zip(&gains) {
             for (covariance, other) in row.iter_mut().zip(&gains) {
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Extends the matrices to `len` images.
     fn grow(&mut self, len: usize) {
         let before = self.means.len();
         if len <= before {
@@ -75,16 +79,16 @@
         }
         self.means.resize(len, Slope::UNKNOWN.mean);
         self.covariances.resize(len, Vec::new());
-        for (at, row) in self.covariances.iter_mut().enumerate() {
+        for (index, row) in self.covariances.iter_mut().enumerate() {
             row.resize(len, 0.0);
-            if at >= before {
-                row[at] = Slope::UNKNOWN.deviation.powi(2);
+            if index >= before {
+                row[index] = Slope::UNKNOWN.deviation.powi(2);
             }
         }
     }
 }
 
-/// Returns the product of a row and inputs; inputs that are missing count as 0.
+/// Returns the dot product of a row and inputs; missing inputs count as 0.
 fn dot(row: &[f64], inputs: &[f64]) -> f64 {
     row.iter().zip(inputs).map(|(a, b)| a * b).sum()
 }
--- /dev/null
+++ b/crates/geraniumpost-batch/src/interference/speed_limits.rs
@@ -0,0 +1,39 @@
+/// The load that a best-effort image puts on its minion at full speed.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Pressure {
+    /// Processors that it uses, in thousandths of a processor.
+    pub processors: f64,
+    /// The utilization that it adds to each serving group of the minion.
+    pub added_utilization: Vec<f64>,
+}
+
+/// Returns the share of its speed, from 0 to 1, at which each best-effort image may run, so that
+/// together they add at most `headroom` to the utilization of each serving group.
+///
+/// The image that adds most per processor is slowed down first, which costs the least work. A limit
+/// that is set for one group also applies to the following ones.
+pub fn speed_limits(headroom: &[f64], pressures: &[Pressure]) -> Vec<f64> {
+    let mut shares = vec![1.0; pressures.len()];
+    for (group, headroom) in headroom.iter().enumerate() {
+        let added = |index: usize, shares: &[f64]| {
+            pressures[index].added_utilization[group] * shares[index]
+        };
+        let mut excess: f64 =
+            (0..pressures.len()).map(|index| added(index, &shares)).sum::<f64>() - headroom;
+        let by_cost = |index: usize| {
+            pressures[index].added_utilization[group] / pressures[index].processors.max(1.0)
+        };
+        let mut order: Vec<usize> = (0..pressures.len()).collect();
+        order.sort_by(|a, b| by_cost(*b).total_cmp(&by_cost(*a)));
+        for index in order {
+            let added = pressures[index].added_utilization[group];
+            if excess <= 0.0 || added <= 0.0 {
+                break;
+            }
+            let reduction = (excess / added).min(shares[index]);
+            shares[index] -= reduction;
+            excess -= reduction * added;
+        }
+    }
+    shares
+}
--- a/crates/geraniumpost-batch/src/job_id.rs
+++ b/crates/geraniumpost-batch/src/job_id.rs
@@ -3,7 +3,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Identity of a job, chosen by its submitter: 16 hexadecimal digits.
+/// Identifier of a job, chosen by its submitter and written as 16 hexadecimal digits.
 ///
 /// # Example
 ///
@@ -19,7 +19,7 @@
 #[display("{_0:016x}")]
 pub struct JobId(pub u64);
 
-/// A job id that is not 16 hexadecimal digits.
+/// The text is not a job id of 16 hexadecimal digits.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 #[display("a job id has 16 hexadecimal digits")]
 pub struct JobIdError;
--- a/crates/geraniumpost-batch/src/job_record.rs
+++ b/crates/geraniumpost-batch/src/job_record.rs
@@ -3,71 +3,72 @@
 
 use crate::{JobSpec, JobState, QueueTerms};
 
-/// Layout of a record in the store; raised with each change that older code cannot read.
+/// Version of the record's encoding, increased with each change that older code cannot read.
 const LAYOUT: u8 = 1;
 
-/// A job as it lies in the store: all that must survive the loss of every process.
+/// The stored state of a job, which must survive the loss of every process.
 ///
-/// A placement is written before its start order leaves, and the end of a run before the minion is
-/// allowed to forget it. So a successor knows of each run that may exist, whatever was lost.
+/// A placement is written before the start order is sent, and the end of a run before the minion
+/// may discard it. A successor therefore knows every run that may exist, whichever processes were
+/// lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was submitted.
+    /// The submitted specification; empty once the record is compacted.
     pub spec: JobSpec,
-    /// How its queue wants it treated.
+    /// The settings of its queue at submission.
     pub terms: QueueTerms,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
     /// When it reached a final state, in milliseconds since 1970; 0 before that.
     pub finished_ms: u64,
-    /// Its state.
+    /// State as callers see it.
     pub state: JobState,
-    /// The next repetition that has not begun.
+    /// Number of the next occurrence that has not begun.
     pub next_occurrence: u32,
-    /// Repetitions under way.
+    /// Occurrences that have begun and not ended.
     pub occurrences: Vec<Occurrence>,
 }
 
-/// One repetition of a job's steps.
+/// One execution of a job's steps; a repeated job has several.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occurrence {
     /// Its number, from 0.
     pub number: u32,
     /// When it was due, in milliseconds since 1970.
     pub due_ms: u64,
-    /// The tasks of each step.
+    /// The tasks, by step.
     pub steps: Vec<Vec<TaskRecord>>,
 }
 
-/// What must last of one task.
+/// The stored state of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskRecord {
     /// Number of its last run; 0 before the first.
     pub run: u32,
-    /// Runs that ended as failed; of a gang, runs in which any member did.
+    /// Number of failed runs; for a gang, of runs in which any member failed.
     pub failures: u32,
-    /// The last run that is counted there.
+    /// The last run counted in `failures`.
     pub failed_run: u32,
-    /// Where it stands.
+    /// Progress of the last run.
     pub phase: TaskPhase,
 }
 
-/// Where a task stands.
+/// Progress of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// No run exists.
+    /// No run exists; the task waits for a placement.
     #[default]
     Waiting,
-    /// The last run may exist at this place.
+    /// The last run may exist on this minion.
     Placed(Place),
-    /// A run has ended as done.
+    /// A run has completed.
     Done,
 }
 
-/// A minion, and the agent beside it.
+/// A minion and the agent beside it.
 ///
-/// The agent's name is kept because it outlives a minion's incarnation: once an agent has another
-/// incarnation beside it, nothing of the earlier one runs.
+/// The agent's name is stored because it outlives the incarnation: once another incarnation runs
+/// beside the agent, no run of the earlier one exists.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Place {
     /// The minion's incarnation.
@@ -77,7 +78,7 @@
 }
 
 impl JobRecord {
-    /// Returns a new record without tasks.
+    /// Returns the record of a job of which no occurrence has begun.
     pub const fn new(spec: JobSpec, terms: QueueTerms, accepted_ms: u64) -> Self {
         Self {
             spec,
@@ -90,12 +91,13 @@
         }
     }
 
-    /// Returns how often the steps run in all.
+    /// Returns the total number of occurrences.
     pub fn repetitions(&self) -> u32 {
         self.spec.repeat.max(1)
     }
 
-    /// Returns when the next repetition is due, or `None` if all have begun.
+    /// Returns when the next occurrence is due in milliseconds since 1970, or `None` if all have
+    /// begun.
     pub fn next_due_ms(&self) -> Option<u64> {
         if self.next_occurrence >= self.repetitions() {
             return None;
@@ -104,7 +106,7 @@
         Some(if self.spec.repeat == 0 { self.accepted_ms } else { self.spec.first_due_ms + later })
     }
 
-    /// Begins the next repetition.
+    /// Begins the next occurrence.
     pub fn begin_occurrence(&mut self, due_ms: u64) {
         let tasks = |step: &crate::StepSpec| vec![TaskRecord::default(); step.count as usize];
         let steps = self.spec.steps.iter().map(tasks).collect();
@@ -113,26 +115,26 @@
         self.next_occurrence += 1;
     }
 
-    /// Drops what a job in a final state does not need any more.
+    /// Drops the specification and the tasks, which a job in a final state no longer needs.
     pub fn compact(&mut self) {
         self.spec = JobSpec { payload: "".into(), ..JobSpec::default() };
         self.occurrences.clear();
         self.next_occurrence = 1;
     }
 
-    /// Returns the record's bytes for the store.
+    /// Encodes the record for the store.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![LAYOUT];
-        let body = postcard::to_stdvec(self).expect("a record has no unsized parts");
+        let body = postcard::to_stdvec(self).expect("every field of a record can be encoded");
         bytes.extend_from_slice(&body);
         bytes
     }
 
-    /// Reads a record from the store's bytes.
+    /// Decodes a record from the store.
     ///
     /// # Errors
     ///
-    /// Fails on bytes that this version did not write.
+    /// Fails if the bytes have another layout version or are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         match bytes.split_first() {
             Some((&LAYOUT, body)) => postcard::from_bytes(body),
--- a/crates/geraniumpost-batch/src/job_spec.rs
+++ b/crates/geraniumpost-batch/src/job_spec.rs
@@ -5,31 +5,31 @@
 
 use crate::{SpecError, StepSpec};
 
-/// Most tasks that one job may have over all its steps; more would make its record larger than the
-/// store's largest value.
+/// Limit on the tasks of a job over all its steps. The record of a larger job would exceed the
+/// store's limit on the size of a value.
 pub const MAX_TASKS: u64 = 20_000;
 
-/// What a submitter asks for: a payload that every task is given, and steps in a DAG.
+/// A submitted job: a payload for every task, and steps that form a DAG.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Opaque text handed to each task.
+    /// Opaque text that each task receives.
     pub payload: Arc<str>,
-    /// The steps, in an order in which each names only earlier ones as predecessors.
+    /// The steps in topological order: each names only earlier ones as predecessors.
     pub steps: Vec<StepSpec>,
-    /// How often the steps run; 0 for a job that runs once, at once.
+    /// Number of occurrences; 0 for a job that runs once and immediately.
     pub repeat: u32,
-    /// When the first repetition is due, in milliseconds since 1970.
+    /// When the first occurrence is due, in milliseconds since 1970.
     pub first_due_ms: u64,
-    /// Milliseconds from one repetition's due time to the next.
+    /// Time between the due times of successive occurrences, in milliseconds.
     pub interval_ms: u64,
 }
 
 impl JobSpec {
-    /// Checks what no schedule could satisfy.
+    /// Checks that the specification can be satisfied.
     ///
     /// # Errors
     ///
-    /// Names the first step that is wrong, and why.
+    /// Returns the first violated rule, with the number of the step if it concerns one.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Returns the estimated length of the longest chain of steps in milliseconds.
+    /// Returns the estimated duration of the longest chain of steps in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -59,33 +59,34 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Returns whether any step runs until the job is cancelled.
+    /// Returns whether any step is persistent, so that it runs until the job is cancelled.
     pub fn persistent(&self) -> bool {
         self.steps.iter().any(|step| step.persistent)
     }
 }
 
-/// How a queue wants its jobs to be treated; kept with each job, so that a job outlives its queue.
+/// Settings of a queue that apply to its jobs. Each job keeps a copy, so that it does not depend on
+/// its queue's existence.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct QueueTerms {
-    /// The queue.
+    /// Name of the queue.
     pub queue: Name,
-    /// The service whose minions run its tasks.
+    /// The service whose minions run the tasks.
     pub service: Name,
-    /// 0 is the most urgent.
+    /// Priority of the jobs; 0 is the most urgent.
     pub priority: u32,
-    /// Failed runs after which a task is given up.
+    /// Number of failed runs of a task after which the job fails.
     pub max_attempts: u32,
-    /// The latency objective in percent of the job's longest chain.
+    /// Part of the latency objective that grows with the job, in percent of its critical path.
     pub stretch_percent: u32,
-    /// What is added to the objective, in milliseconds.
+    /// Constant part of the latency objective, in milliseconds.
     pub target_ms: u32,
-    /// Whether an admission service must approve each minion for a step.
+    /// Whether an admission service must approve the minions on which a step runs.
     pub needs_approval: bool,
 }
 
 impl QueueTerms {
-    /// Returns the latency objective of a job whose longest chain is `critical_path_ms` long.
+    /// Returns the latency objective in milliseconds of a job with this critical path.
     pub const fn objective_ms(&self, critical_path_ms: u64) -> u64 {
         critical_path_ms * self.stretch_percent as u64 / 100 + self.target_ms as u64
     }
--- a/crates/geraniumpost-batch/src/job_state.rs
+++ b/crates/geraniumpost-batch/src/job_state.rs
@@ -4,7 +4,7 @@
 /// State of a job as callers see it.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted, and no task has started.
+    /// Accepted; no task has started.
     #[display("queued")]
     Queued,
     /// At least one task has started.
@@ -13,7 +13,7 @@
     /// All tasks are done.
     #[display("completed")]
     Completed,
-    /// A task or gang failed as often as its queue allows.
+    /// A task or gang failed as often as the queue allows.
     #[display("failed")]
     Failed,
     /// Cancelled by its submitter.
@@ -22,7 +22,7 @@
 }
 
 impl JobState {
-    /// Returns whether the job will never run again.
+    /// Returns whether the job has finished and never runs again.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
--- a/crates/geraniumpost-batch/src/lib.rs
+++ b/crates/geraniumpost-batch/src/lib.rs
@@ -1,20 +1,23 @@
-//! Jobs of many steps and tasks: records, placement and the coordinator's decisions, without I/O.
+//! Scheduling of jobs with many steps and tasks: job records, placement and the coordinator's
+//! decisions, without I/O.
 //!
-//! A [`Coordinator`] holds every job and every minion's view. Events go in through its methods,
-//! [`Effect`]s come out; what must last is in [`JobRecord`]s, which it asks to be written before
-//! anything depends on them (docs/design/0601-jobs-on-a-shared-store.md).
+//! A [`Coordinator`] holds the state of every job and minion. Its methods take events; it returns
+//! [`Effect`]s for its caller to carry out. Durable state is kept in [`JobRecord`]s, which are
+//! written before anything depends on them (docs/design/0601-jobs-on-a-shared-store.md).
 //!
 //! # Example
 //!
 //! ```
-//! use geraniumpost_batch::{CallerRequest, Coordinator, Demand, Effect, JobId, JobSpec, Now, QueueTerms, StepSpec};
+//! use geraniumpost_batch::{
+//!     CallerRequest, Coordinator, Demand, Effect, JobId, JobSpec, Now, QueueTerms, StepSpec,
+//! };
 //!
 //! let mut coordinator = Coordinator::new(7, Now::default());
 //! let step = StepSpec { count: 2, demand: Demand::default(), ..StepSpec::default() };
 //! let spec = JobSpec { steps: vec![step], ..JobSpec::default() };
-//! let ask = CallerRequest::Submit { job: JobId(1), spec, terms: QueueTerms::default() };
-//! coordinator.ask(1, ask, Now::default());
-//! // Nothing is answered before the record is written.
+//! let request = CallerRequest::Submit { job: JobId(1), spec, terms: QueueTerms::default() };
+//! coordinator.ask(1, request, Now::default());
+//! // The caller gets no response before the record is written.
 //! assert!(matches!(coordinator.take_effects(Now::default())[..], [.., Effect::Write(_)]));
 //! ```
 
@@ -23,18 +26,18 @@
 mod demand;
 mod departures;
 mod entry_message;
-mod inheritance;
 pub mod interference;
+mod interference_pair;
+mod interference_snapshot;
 mod job_id;
 mod job_record;
 mod job_spec;
 mod job_state;
-mod knowledge;
-mod learnt_pair;
-mod look;
 mod minion_info;
 mod now;
 mod order;
+mod poll_result;
+mod predecessor_leases;
 pub mod quorum;
 mod spec_error;
 mod step_spec;
@@ -46,17 +49,17 @@
 pub use demand::Demand;
 pub use departures::Departures;
 pub use entry_message::{CallerRequest, CallerResponse, FromEntry, TermTime, ToEntry};
-pub use inheritance::{PredecessorLeases, SilentCoordinator};
+pub use interference_pair::InterferencePair;
+pub use interference_snapshot::InterferenceSnapshot;
 pub use job_id::{JobId, JobIdError};
 pub use job_record::{JobRecord, Occurrence, Place, TaskPhase, TaskRecord};
 pub use job_spec::{JobSpec, MAX_TASKS, QueueTerms};
 pub use job_state::JobState;
-pub use knowledge::InterferenceSnapshot;
-pub use learnt_pair::InterferencePair;
-pub use look::{EndKind, EndedTask, PollResult, RunningTask};
 pub use minion_info::MinionInfo;
 pub use now::Now;
 pub use order::{Order, OrderKind, OrderOutcome, OrderResult, OrderVerb};
+pub use poll_result::{EndKind, EndedTask, PollResult, RunningTask};
+pub use predecessor_leases::{PredecessorLeases, SilentCoordinator};
 pub use spec_error::SpecError;
 pub use step_spec::StepSpec;
 pub use task_id::{TaskId, TaskIdError};
--- a/crates/geraniumpost-batch/src/minion_info.rs
+++ b/crates/geraniumpost-batch/src/minion_info.rs
@@ -3,23 +3,23 @@
 
 use crate::Demand;
 
-/// What a minion says of itself in its heartbeats.
+/// Properties that a minion reports in its heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MinionInfo {
-    /// Its incarnation; a new one after each crash.
+    /// Its incarnation; it changes with each restart.
     pub id: Name,
     /// The service whose tasks it runs.
     pub service: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// What it can hold.
+    /// Its total resources.
     pub capacity: Demand,
-    /// Its kind and its rack.
+    /// Its labels, among them its machine type and its rack.
     pub labels: Vec<Name>,
-    /// Whether it is leaving.
+    /// Whether the minion is draining and will terminate.
     pub draining: bool,
-    /// How long a leaving minion stays at least, in milliseconds.
+    /// Least time until a draining minion terminates, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// Grows with each heartbeat of one incarnation.
+    /// Increases with each heartbeat of an incarnation.
     pub sequence: u64,
 }
--- a/crates/geraniumpost-batch/src/now.rs
+++ b/crates/geraniumpost-batch/src/now.rs
@@ -1,8 +1,9 @@
-/// The present, on both clocks that decisions need.
+/// The current time on the two clocks that decisions depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Now {
-    /// The process's steady clock, which also counts suspension, in milliseconds.
+    /// Monotonic clock of the process in milliseconds; it also counts the time while the machine is
+    /// suspended.
     pub steady_ms: u64,
-    /// The time of day in milliseconds since 1970, only for times that submitters chose.
+    /// Wall clock in milliseconds since 1970, used only for times that submitters choose or see.
     pub wall_ms: u64,
 }
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -6,58 +6,58 @@
 
 use crate::TaskId;
 
-/// What a minion is told to do with one run, passed on by its agent.
+/// An instruction to a minion concerning one run. The minion's agent passes it on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The incarnation meant; any other must refuse.
+    /// The incarnation that the order is for; any other one refuses it.
     pub minion: Name,
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// What to do.
+    /// What the minion shall do.
     pub kind: OrderKind,
 }
 
-/// What to do with a run.
+/// What a minion shall do with a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Begin it.
+    /// Start the run.
     Start {
         /// The job's payload.
         payload: Arc<str>,
-        /// Checkpoint to go on from; empty for none.
+        /// Id of the checkpoint to resume from; empty for none.
         checkpoint: Name,
-        /// The admission service's ticket; empty where none is needed.
+        /// Ticket of the admission service; empty if none is required.
         ticket: Name,
     },
-    /// End it, or bar it if it is not there yet.
+    /// Stop the run, or prevent it from starting later if it does not exist yet.
     Stop,
-    /// Let it work at this share.
+    /// Limit the run to a share of its speed.
     Pace {
-        /// 0 to 100.
+        /// The share in percent, from 0 to 100.
         percent: u8,
     },
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// The incarnation the order was for.
+    /// The incarnation that the order was for.
     pub minion: Name,
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// Which kind of order it was.
+    /// The kind of the order.
     pub verb: OrderVerb,
-    /// What the minion answered.
+    /// The minion's response.
     pub outcome: OrderOutcome,
-    /// Results that this agent has passed on, this one included.
+    /// Number of results that the agent has reported, including this one.
     pub number: u64,
 }
 
-/// The kind of an order without its contents.
+/// The kind of an order, without its contents.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderVerb {
     /// [`OrderKind::Start`].
@@ -81,40 +81,40 @@
     }
 }
 
-/// A minion's answer to an order.
+/// A minion's response to an order.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// Carried out, now or by an earlier copy of the order.
+    /// The order is carried out, now or by an earlier copy of it.
     #[display("carried out")]
     Done,
-    /// A newer coordinator has given orders there.
+    /// The minion has received orders from a newer coordinator.
     #[display("refused: newer coordinator")]
     Superseded,
-    /// This run, or a later one, was stopped or ended there.
+    /// This run or a later run of the task has ended or was stopped on the minion.
     #[display("refused: run is over")]
     RunIsOver,
-    /// The order arrived after its deadline; nothing was done.
+    /// The order arrived after its deadline and was not carried out.
     #[display("refused: too late")]
     TooLate,
-    /// It does not fit; nothing was done.
+    /// The minion lacks free resources; the order was not carried out.
     #[display("refused: no capacity")]
     NoCapacity,
-    /// The admission ticket is missing or has expired; nothing was done.
+    /// The admission ticket is missing or has expired; the order was not carried out.
     #[display("refused: ticket")]
     BadTicket,
-    /// The minion is unhealthy; nothing was done.
+    /// The minion is unhealthy; the order was not carried out.
     #[display("refused: unhealthy")]
     Unhealthy,
-    /// The minion calls the order malformed; nothing was done.
+    /// The minion rejects the order as malformed; it was not carried out.
     #[display("refused: malformed")]
     Malformed,
-    /// Another incarnation answered; the one meant is gone with all that it ran.
+    /// Another incarnation answered: the addressed one has terminated with all its runs.
     #[display("minion has terminated")]
     MinionTerminated,
-    /// The agent holds no lease to give, or the minion is leaving; the order was not sent.
+    /// The agent did not send the order, because it holds no lease or the minion is leaving.
     #[display("not sent")]
     NotSent,
-    /// No answer: it may have been carried out, or may be later.
+    /// The minion did not respond. The order may have been carried out, or may still be.
     #[display("no answer")]
     Unanswered,
 }
--- a/crates/geraniumpost-batch/src/look.rs
+++ b/crates/geraniumpost-batch/src/poll_result.rs
@@ -4,40 +4,41 @@
 
 use crate::TaskId;
 
-/// What a minion's own lists say, as its agent read them.
+/// A minion's lists of running and ended tasks, as its agent read them in one poll.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PollResult {
     /// The incarnation that answered.
     pub minion: Name,
-    /// All that runs, or `None` in a look that only carries ends.
+    /// All running tasks, or `None` if the poll read only ended ones.
     pub running: Option<Vec<RunningTask>>,
-    /// Ends that were not acknowledged yet, by rising number.
+    /// Ended tasks that are not acknowledged yet, by ascending sequence number.
     pub ended: Vec<EndedTask>,
-    /// Whether the minion has more unacknowledged ends than it listed.
+    /// Whether the minion has further unacknowledged ended tasks that are not in the list.
     pub more_ends: bool,
-    /// Orders whose results the agent had passed on before it began this look.
+    /// Number of order results that the agent had reported before it began this poll.
     pub orders_reported_before: u64,
 }
 
-/// A run that is there.
+/// A run that exists on a minion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningTask {
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// Its last checkpoint; empty for none.
+    /// Id of the task's last checkpoint; empty for none.
     pub checkpoint: Name,
-    /// How far it is.
+    /// Progress of the run in percent.
     pub progress_percent: u8,
-    /// Tail latency in milliseconds of a task that serves; thousandths of a processor in use else.
+    /// For a serving task its tail latency in milliseconds, for any other task its processor use in
+    /// thousandths of a processor.
     pub gauge: u32,
 }
 
-/// A run that is over.
+/// A run that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedTask {
-    /// Number of the end at this incarnation, from 1.
+    /// Sequence number among the ended tasks of this incarnation, from 1.
     pub sequence: u64,
     /// The task.
     pub task: TaskId,
@@ -45,29 +46,29 @@
     pub run: u32,
     /// How it ended.
     pub kind: EndKind,
-    /// Its last checkpoint; empty for none.
+    /// Id of the task's last checkpoint; empty for none.
     pub checkpoint: Name,
 }
 
 /// How a run ended.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// Its work is complete.
+    /// The task's work is complete.
     #[display("done")]
     Done,
-    /// It failed, through its own fault or the minion's.
+    /// The run failed, through a fault of the task or of the minion.
     #[display("failed")]
     Failed,
-    /// It was stopped by an order.
+    /// An order stopped the run.
     #[display("stopped")]
     Stopped,
-    /// The minion's lease ran out.
+    /// The minion's lease expired.
     #[display("lease_expired")]
     LeaseExpired,
     /// Another member of its gang ended.
     #[display("gang_member_ended")]
     GangMemberEnded,
-    /// The other members of its gang did not come in time.
+    /// The other members of its gang did not start in time.
     #[display("gang_incomplete")]
     GangIncomplete,
 }
--- a/crates/geraniumpost-batch/src/quorum/mod.rs
+++ b/crates/geraniumpost-batch/src/quorum/mod.rs
@@ -1,9 +1,10 @@
-//! The entries whose support lets a coordinator extend leases while the store is silent.
+//! Quorum of entries whose support permits a coordinator to extend leases while the store does not
+//! answer.
 //!
-//! A coordinator may go on without the store only while a majority of entries, itself among them, has
-//! promised to follow no successor. Its successor asks the same entries to release those promises; as any
-//! two majorities share an entry, it then knows when the last lease was extended. See
-//! docs/design/0601-jobs-on-a-shared-store.md.
+//! Without the store, a coordinator may continue only while a majority of entries, including
+//! itself, has promised to follow no successor. Its successor asks the same entries to release
+//! these promises. Any two majorities share an entry, so that the successor then knows until when
+//! leases were extended. See docs/design/0601-jobs-on-a-shared-store.md.
 
 mod promises;
 mod releases;
--- a/crates/geraniumpost-batch/src/quorum/promises.rs
+++ b/crates/geraniumpost-batch/src/quorum/promises.rs
@@ -2,23 +2,25 @@
 
 use crate::tuning::{PROMISE_MS, PROMISE_PERCENT};
 
-/// What an entry has promised to coordinators.
+/// The promises of an entry to coordinators.
 ///
-/// A promise counts from the moment at which the entry heard of its coordinator, however late the promise
-/// is sent or read. The coordinator counts from when it sent the pong that the entry heard, which was earlier.
+/// An entry counts a promise from when it received the coordinator's pong, however late it sends
+/// the promise or the coordinator reads it. The coordinator counts from when it sent that pong,
+/// which was earlier.
 #[derive(Debug, Default)]
 pub struct Promises {
-    /// No coordinator of an earlier term than this is supported any more.
-    released_below: u64,
-    /// Until when each term was promised support, on the entry's steady clock.
+    /// Lowest term that may still get a promise; the promises to earlier terms are released.
+    lowest_term: u64,
+    /// End of the promise to each term, on the entry's monotonic clock.
     until_ms: BTreeMap<u64, u64>,
 }
 
 impl Promises {
-    /// Promises support to the coordinator of a term that was heard at a time on the steady clock. Returns
-    /// false if a later term was promised that this one gets none any more.
+    /// Promises support to the coordinator of a term whose pong was received at `heard_ms` on the
+    /// monotonic clock. Returns `false` without a promise if the support for this term was
+    /// released.
     pub fn promise(&mut self, term: u64, heard_ms: u64) -> bool {
-        if term < self.released_below {
+        if term < self.lowest_term {
             return false;
         }
         let until_ms = self.until_ms.entry(term).or_default();
@@ -26,10 +28,11 @@
         true
     }
 
-    /// Withdraws support from all coordinators before a term for good, as its coordinator asks. Returns for
-    /// how many milliseconds more they may count on what was promised.
+    /// Withdraws support permanently from the coordinators of all terms before `term`, at the
+    /// request of its coordinator. Returns for how many more milliseconds they may rely on earlier
+    /// promises.
     pub fn release(&mut self, term: u64, now_ms: u64) -> u64 {
-        self.released_below = self.released_below.max(term);
+        self.lowest_term = self.lowest_term.max(term);
         self.until_ms.retain(|_, until_ms| *until_ms > now_ms);
         let earlier = self.until_ms.range(..term).map(|(_, until_ms)| until_ms - now_ms);
         earlier.max().unwrap_or(0)
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -9,30 +9,34 @@
 #[derive(Debug, Clone, Copy)]
 struct Promise {
     incarnation: u64,
-    /// When the coordinator sent what the entry has answered, on its own steady clock.
+    /// When the coordinator sent the pong that the entry answered, on the coordinator's monotonic
+    /// clock.
     sent_at_ms: u64,
+    /// Whether the entry has announced that it stops.
     stopping: bool,
 }
 
-/// The support that a coordinator has from other entries in one term.
+/// The support of other entries for a coordinator in one term.
 #[derive(Debug)]
 pub struct Support {
     voters: Voters,
-    /// The list that is being written in place of the present one: until that has ended, the key may hold
-    /// either, and both have to support the coordinator.
+    /// The voters that are being written in place of the current ones. Until the write is complete,
+    /// the key may hold either set, and the coordinator needs a majority of both.
     next: Option<Voters>,
-    /// When voters were named last, on the coordinator's steady clock.
-    named_ms: u64,
+    /// When the last change of the voters began, on the coordinator's monotonic clock.
+    changed_ms: u64,
     promises: BTreeMap<Name, Promise>,
 }
 
 impl Support {
-    /// Returns the support of a term that begins at a time on the steady clock, whose key names these voters.
+    /// Returns the support at the begin of a term, at `now_ms` on the monotonic clock; the
+    /// coordinator's key holds these voters.
     pub const fn new(voters: Voters, now_ms: u64) -> Self {
-        Self { voters, next: None, named_ms: now_ms, promises: BTreeMap::new() }
+        Self { voters, next: None, changed_ms: now_ms, promises: BTreeMap::new() }
     }
 
-    /// Takes note that an entry promises support in answer to what was sent at a time on the steady clock.
+    /// Records an entry's promise in answer to a pong that was sent at `sent_at_ms` on the
+    /// monotonic clock. A promise that answers an earlier pong than the last one is ignored.
     pub fn record_promise(&mut self, node: &Name, incarnation: u64, sent_at_ms: u64) {
         let promise = Promise { incarnation, sent_at_ms, stopping: false };
         match self.promises.get_mut(node) {
@@ -42,26 +46,30 @@
         }
     }
 
-    /// Takes note that an entry is about to stop. What it promised holds, but it should be a voter no more.
+    /// Records that an entry is about to stop. Its promises remain valid, but it should no longer
+    /// be a voter.
     pub fn mark_stopping(&mut self, node: &Name) {
         if let Some(promise) = self.promises.get_mut(node) {
             promise.stopping = true;
         }
     }
 
-    /// Returns for how long an entry has not answered at a time on the steady clock, if it ever did.
+    /// Returns the time since the last pong that an entry answered, in milliseconds, or `None` if
+    /// it never answered.
     pub fn silent_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
         self.promises.get(node).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
     }
 
-    /// Returns until when a majority supports the coordinator, on the steady clock. A coordinator without
-    /// any voters always has one: nobody can release it, so that a successor waits for the longest time.
+    /// Returns until when a majority supports the coordinator, on the monotonic clock. A
+    /// coordinator without voters always has a majority: nobody can release a promise to it, so
+    /// that its successor waits for the longest time.
     pub fn supported_until_ms(&self) -> u64 {
-        let lists = std::iter::once(&self.voters).chain(&self.next);
-        lists.map(|voters| self.until_ms_by(voters)).min().unwrap_or(0)
+        let sets = std::iter::once(&self.voters).chain(&self.next);
+        sets.map(|voters| self.supported_by_ms(voters)).min().unwrap_or(0)
     }
 
-    fn until_ms_by(&self, voters: &Voters) -> u64 {
+    /// Returns until when a majority of these voters supports the coordinator.
+    fn supported_by_ms(&self, voters: &Voters) -> u64 {
         let mut until_ms: Vec<u64> = self.promises_of(voters).collect();
         until_ms.sort_unstable_by(|a, b| b.cmp(a));
         match voters.needed_to_support() {
@@ -70,49 +78,52 @@
         }
     }
 
+    /// Returns the end of each promise that these voters gave, on the monotonic clock.
     fn promises_of<'a>(&'a self, voters: &'a Voters) -> impl Iterator<Item = u64> + 'a {
-        let counted = self
+        let of_voters = self
             .promises
             .iter()
             .filter(|(node, promise)| voters.contains(node, promise.incarnation));
-        counted.map(|(_, promise)| promise.sent_at_ms + PROMISE_MS)
+        of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_MS)
     }
 
-    /// Returns how many voters support the coordinator at a time on the steady clock.
+    /// Returns the number of voters that support the coordinator at `now_ms`.
     pub fn supporter_count(&self, now_ms: u64) -> usize {
         self.promises_of(&self.voters).filter(|until_ms| *until_ms > now_ms).count()
     }
 
-    /// Returns the voters that the key names.
+    /// Returns the voters that the coordinator's key holds.
     pub const fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// Returns the voters that the key should name at a time on the steady clock, if it should name others:
-    /// the entries that answer, unless voters were named a moment ago. A coordinator that has just taken over
-    /// has heard of nobody yet, and would name none.
+    /// Returns the voters that should be written into the coordinator's key, or `None` if it needs
+    /// no change at `now_ms`. The voters are the entries that answer. They do not change within
+    /// [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the begin of the term: a coordinator that
+    /// has just taken over has not heard from any entry, and would write an empty set.
     pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
-        if now_ms < self.named_ms + VOTER_CHANGE_INTERVAL_MS {
+        if now_ms < self.changed_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
         }
         let answering = self.answering(now_ms);
         (answering != self.voters).then_some(answering)
     }
 
+    /// Returns the entries that have answered recently and are not about to stop.
     fn answering(&self, now_ms: u64) -> Voters {
-        let fresh =
+        let recent =
             |promise: &Promise| !promise.stopping && promise.sent_at_ms + VOTER_TIMEOUT_MS > now_ms;
-        let answering = self.promises.iter().filter(|(_, promise)| fresh(promise));
+        let answering = self.promises.iter().filter(|(_, promise)| recent(promise));
         answering.map(|(node, promise)| (node.clone(), promise.incarnation)).collect()
     }
 
-    /// Takes note that another list is about to be written, at a time on the steady clock.
+    /// Records that other voters are about to be written into the key.
     pub fn begin_voter_change(&mut self, voters: Voters, now_ms: u64) {
         self.next = Some(voters);
-        self.named_ms = now_ms;
+        self.changed_ms = now_ms;
     }
 
-    /// Takes note that the key holds the list that was about to be written.
+    /// Records that the key holds the voters of the last [`Self::begin_voter_change`].
     pub fn complete_voter_change(&mut self) {
         if let Some(voters) = self.next.take() {
             self.voters = voters;
--- a/crates/geraniumpost-batch/src/spec_error.rs
+++ b/crates/geraniumpost-batch/src/spec_error.rs
@@ -1,6 +1,6 @@
 use derive_more::{Display, Error};
 
-/// Why a job cannot be accepted as it is.
+/// Why a job specification is invalid.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 pub enum SpecError {
     /// The job has no steps.
@@ -9,10 +9,10 @@
     /// A step has no tasks.
     #[display("step {_0} has no tasks")]
     EmptyStep(#[error(not(source))] usize),
-    /// A step waits for itself or a later one, so that it could never begin.
-    #[display("step {_0} waits for itself or a later step")]
+    /// A step names itself or a later step as predecessor, so that it could never start.
+    #[display("step {_0} names itself or a later step as predecessor")]
     LaterPredecessor(#[error(not(source))] usize),
-    /// The job has more tasks than a record holds.
-    #[display("{_0} tasks are more than one job may have")]
+    /// The job has more tasks than [`MAX_TASKS`](crate::MAX_TASKS), the limit of its record's size.
+    #[display("the job has {_0} tasks, more than one job may have")]
     TooManyTasks(#[error(not(source))] u64),
 }
--- a/crates/geraniumpost-batch/src/step_spec.rs
+++ b/crates/geraniumpost-batch/src/step_spec.rs
@@ -3,46 +3,47 @@
 
 use crate::Demand;
 
-/// One step of a job: `count` tasks of the same kind.
+/// A step of a job: `count` tasks of the same kind.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-#[allow(clippy::struct_excessive_bools, reason = "each is a separate wish of the submitter")]
+#[allow(clippy::struct_excessive_bools, reason = "each is a separate option of the submitter")]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What one task occupies.
+    /// Resources that one task occupies.
     pub demand: Demand,
-    /// Rough length of one task in milliseconds; declared figures are far off at times.
+    /// Estimated duration of one task in milliseconds, as declared; it may be far off.
     pub estimate_ms: u32,
-    /// Steps whose tasks must all be done first.
+    /// Numbers of the steps whose tasks must all be done before this step starts.
     pub after: Vec<u16>,
-    /// Whether a stopped task can go on from its last checkpoint.
+    /// Whether a stopped task can resume from its last checkpoint.
     pub checkpoints: bool,
-    /// Whether the tasks only work together and end together.
+    /// Whether the tasks form a gang: they only run together, and if one ends, all end.
     pub gang: bool,
-    /// Whether the tasks are slowed down when they run on more than one rack.
+    /// Whether the tasks run more slowly if they are spread over several racks.
     pub same_rack: bool,
-    /// Label that the minion must have; empty for none.
+    /// Label that a minion must have; empty for none.
     pub required_label: Name,
-    /// Rack on which the data lies; empty for none.
+    /// Rack that stores the step's data; empty for none.
     pub data_rack: Name,
-    /// Most tasks of the step on one minion; 0 for no bound.
+    /// Limit on the tasks of the step on one minion; 0 for no limit.
     pub max_per_minion: u32,
-    /// Whether copies of a task may run at once.
+    /// Whether several runs of a task may exist at the same time.
     pub copies_allowed: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled and are restarted when they end.
     pub persistent: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The program that the tasks run. Tasks of the same image are taken to behave alike.
     pub image: Name,
-    /// Bound on the tail latency of a task that serves users, in milliseconds; 0 for none.
+    /// Bound on the tail latency of a serving task in milliseconds; 0 if the tasks serve no users.
     pub latency_bound_ms: u32,
-    /// Whether the tasks take only processor time that others leave over.
+    /// Whether the tasks use only processor time that other tasks leave idle.
     pub best_effort: bool,
-    /// How many tasks of a persistent step may be away at once through orders of ours.
+    /// Number of tasks of a persistent step that the coordinator's own orders may interrupt at the
+    /// same time.
     pub disruption_budget: u32,
 }
 
 impl StepSpec {
-    /// Returns whether the step serves users within a bound on its tail latency.
+    /// Returns whether the tasks serve users within a bound on their tail latency.
     pub const fn serves(&self) -> bool {
         self.latency_bound_ms > 0
     }
--- a/crates/geraniumpost-batch/src/task_id.rs
+++ b/crates/geraniumpost-batch/src/task_id.rs
@@ -5,7 +5,7 @@
 
 use crate::JobId;
 
-/// Identity of one task: its job, occurrence, step and index within the step.
+/// Identifier of a task: its job, occurrence, step and index within the step.
 ///
 /// # Example
 ///
@@ -22,17 +22,17 @@
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which repetition of the job, from 0.
+    /// Number of the job's occurrence, from 0.
     pub occurrence: u32,
-    /// The step, from 0.
+    /// Number of the step within the job, from 0.
     pub step: u16,
-    /// The task within the step, from 0.
+    /// Number of the task within the step, from 0.
     pub index: u32,
 }
 
-/// A text that is no task id.
+/// The text is not a task id.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
-#[display("a task id reads JOB.OCCURRENCE.STEP.INDEX")]
+#[display("a task id has the form JOB.OCCURRENCE.STEP.INDEX")]
 pub struct TaskIdError;
 
 impl FromStr for TaskId {
