--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -1,4 +1,4 @@
-//! What gauges tell of images that slow each other, and what follows for paces.
+//! Learning interference between images from gauges, and the speed limits that follow from it.
 
 use std::collections::BTreeMap;
 use std::f64::consts::TAU;
@@ -9,33 +9,34 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Tail of the idle image, in bounds.
-const IDLE: f64 = 0.2;
-/// Time between two gauges of a minion, in milliseconds.
+/// Tail latency of the idle serving image, as a multiple of its bound.
+const IDLE_TAIL: f64 = 0.2;
+/// Interval between the gauges of a minion, in milliseconds.
 const GAUGE_MS: u64 = 400;
-/// Time in which own loads rise and fall once, in milliseconds.
-const SWING_MS: f64 = 14_000.0;
-/// Share of a minion that the filling image uses while it works.
+/// Period of the own loads, in milliseconds.
+const LOAD_PERIOD_MS: f64 = 14_000.0;
+/// Share of a minion's processors that the best-effort image uses while it runs.
 const SHARE: f64 = 0.2;
 
-/// Minions that serve one step, and one filling image that comes and goes on each.
-struct Served {
+/// Simulated minions that run one serving step, with a best-effort image that starts and stops on
+/// each.
+struct Simulation {
     minions: u32,
-    /// By how much the swing of each minion's own load lags behind the one before it, in radians.
+    /// Phase lag of each minion's own load behind the previous minion's, in radians.
     lag: f64,
-    /// Utilization that the filling image would add with all of a minion.
+    /// Utilization that the best-effort image adds if it uses all processors of a minion.
     slope: f64,
-    /// How far gauges lie off by chance.
-    rough: f64,
+    /// Amplitude of the noise of the gauges.
+    noise: f64,
 }
 
-impl Served {
+impl Simulation {
     fn image() -> Name {
         Name::from("serving")
     }
 
-    fn filling() -> Name {
-        Name::from("filling")
+    fn best_effort() -> Name {
+        Name::from("best-effort")
     }
 
     fn group(minion: u32) -> ServingGroup {
@@ -44,33 +45,33 @@
     }
 
     fn own(&self, minion: u32, at_ms: u64) -> f64 {
-        let phase = TAU * at_ms as f64 / SWING_MS + self.lag * f64::from(minion);
+        let phase = TAU * at_ms as f64 / LOAD_PERIOD_MS + self.lag * f64::from(minion);
         0.45 + 0.2 * phase.sin()
     }
 
-    /// Lets all minions show gauges for so long, and returns what was learnt.
-    fn watch(&self, ms: u64) -> InterferenceModel {
-        let mut learnt = InterferenceModel::default();
-        // One gauge of an idle task, of another step, tells the tail that the image has then.
+    /// Feeds the gauges of all minions over `ms` milliseconds into a model, and returns it.
+    fn run(&self, ms: u64) -> InterferenceModel {
+        let mut model = InterferenceModel::default();
+        // A gauge of an idle task of another step shows the image's lowest tail latency.
         let step = TaskId { job: JobId(2), occurrence: 0, step: 0, index: 0 };
         let idle = ServingGroup::of(step, &Name::from("idle"));
-        learnt.observe(&Self::image(), &idle, IDLE, &BTreeMap::new(), 0);
+        model.observe(&Self::image(), &idle, IDLE_TAIL, &BTreeMap::new(), 0);
         for at_ms in (GAUGE_MS..ms).step_by(GAUGE_MS as usize) {
             for minion in 0..self.minions {
-                let works = (at_ms / 2_000 + u64::from(minion)).is_multiple_of(2);
-                let share = if works { SHARE } else { 0.0 };
-                let chance = (at_ms as f64 * 1.7 + f64::from(minion) * 2.3).sin();
-                let busy = self.own(minion, at_ms) + self.slope * share + self.rough * chance;
-                let used = BTreeMap::from([(Self::filling(), share)]);
-                let tail = IDLE / (1.0 - busy.min(0.97));
-                learnt.observe(&Self::image(), &Self::group(minion), tail, &used, at_ms);
+                let runs = (at_ms / 2_000 + u64::from(minion)).is_multiple_of(2);
+                let share = if runs { SHARE } else { 0.0 };
+                let sample = (at_ms as f64 * 1.7 + f64::from(minion) * 2.3).sin();
+                let busy = self.own(minion, at_ms) + self.slope * share + self.noise * sample;
+                let used = BTreeMap::from([(Self::best_effort(), share)]);
+                let tail = IDLE_TAIL / (1.0 - busy.min(0.97));
+                model.observe(&Self::image(), &Self::group(minion), tail, &used, at_ms);
             }
         }
-        learnt
+        model
     }
 
-    fn learnt_slope(learnt: &InterferenceModel) -> f64 {
-        learnt.added_utilization(&Self::image(), &Self::filling(), 1.0)
+    fn learned_slope(model: &InterferenceModel) -> f64 {
+        model.added_utilization(&Self::image(), &Self::best_effort(), 1.0)
     }
 }
 
@@ -85,98 +86,99 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Own loads swing, alike on all minions or each by itself, and gauges are rough. Whatever the filling
-    /// image adds, its slope is known after some seconds: a wrong one slows down who does no harm, or lets
-    /// users wait.
+    /// Own loads change, with the same or different phases on the minions, and gauges are noisy.
+    /// Whatever the best-effort image adds, its slope must be known after some seconds: with a
+    /// wrong one, harmless tasks are slowed down or users see high latency.
     #[test]
-    fn slopes_are_learnt_beside_swinging_loads(
+    fn slopes_are_learned_while_own_loads_change(
         slope in 0.0_f64..1.2,
         lag in prop_oneof![Just(0.0), 0.0_f64..1.5],
         minions in 1_u32..8,
-        rough in 0.0_f64..0.03,
+        noise in 0.0_f64..0.03,
     ) {
-        let learnt = Served { minions, lag, slope, rough }.watch(20_000);
-        let known = Served::learnt_slope(&learnt);
-        prop_assert!((known - slope).abs() < 0.25, "{known}, really {slope}");
+        let model = Simulation { minions, lag, slope, noise }.run(20_000);
+        let known = Simulation::learned_slope(&model);
+        prop_assert!((known - slope).abs() < 0.25, "estimated slope {known}, true slope {slope}");
     }
 
-    /// The load that users cause is told apart from what fills beside them, also where each minion's
-    /// users come at other times.
+    /// The load by a group's own users must be separated from that of best-effort tasks, also if
+    /// the load has a different phase on each minion.
     #[test]
-    fn own_loads_are_told_apart(
+    fn own_loads_are_separated(
         slope in 0.0_f64..1.2,
         lag in prop_oneof![Just(0.0), 0.5_f64..1.5],
         minions in 1_u32..8,
     ) {
-        let served = Served { minions, lag, slope, rough: 0.01 };
-        let learnt = served.watch(20_000);
+        let simulation = Simulation { minions, lag, slope, noise: 0.01 };
+        let model = simulation.run(20_000);
         for minion in 0..minions {
-            let own = learnt.own_utilization(&Served::image(), &Served::group(minion));
-            let really = served.own(minion, 20_000 - GAUGE_MS);
-            prop_assert!((own - really).abs() < 0.12, "{own}, really {really}");
+            let own = model.own_utilization(&Simulation::image(), &Simulation::group(minion));
+            let expected = simulation.own(minion, 20_000 - GAUGE_MS);
+            prop_assert!((own - expected).abs() < 0.12, "estimated own load {own}, true own load {expected}");
         }
     }
 
-    /// A successor expects the same harm as its predecessor.
+    /// A successor that restores a snapshot must have the same slopes as its predecessor.
     #[test]
-    fn successor_knows_the_slopes(slope in 0.0_f64..1.2) {
-        let first = Served { minions: 3, lag: 0.0, slope, rough: 0.0 }.watch(20_000);
+    fn successor_restores_the_slopes(slope in 0.0_f64..1.2) {
+        let first = Simulation { minions: 3, lag: 0.0, slope, noise: 0.0 }.run(20_000);
         let mut second = InterferenceModel::default();
         second.restore(&first.snapshot());
-        let change = Served::learnt_slope(&first) - Served::learnt_slope(&second);
+        let change = Simulation::learned_slope(&first) - Simulation::learned_slope(&second);
         prop_assert!(change.abs() < 0.02);
     }
 
-    /// Whatever stands in a damaged record, slopes stay numbers.
+    /// Slopes must stay finite whatever values a damaged snapshot holds.
     #[test]
-    fn senseless_pairs_change_nothing(slope in any::<f64>(), deviation in any::<f64>()) {
-        let (serving, filling) = (Served::image(), Served::filling());
-        let pairs = vec![InterferencePair { serving, best_effort: filling, slope, deviation }];
-        let mut learnt = InterferenceModel::default();
-        learnt.restore(&InterferenceSnapshot { pairs, idle_tails: Vec::new() });
-        prop_assert!(Served::learnt_slope(&learnt).is_finite());
+    fn invalid_pairs_are_ignored(slope in any::<f64>(), deviation in any::<f64>()) {
+        let (serving, best_effort) = (Simulation::image(), Simulation::best_effort());
+        let pairs = vec![InterferencePair { serving, best_effort, slope, deviation }];
+        let mut model = InterferenceModel::default();
+        model.restore(&InterferenceSnapshot { pairs, idle_tails: Vec::new() });
+        prop_assert!(Simulation::learned_slope(&model).is_finite());
     }
 
-    /// Whatever fills, no group is given more than it can bear as long as paces can prevent it, and nobody
-    /// is told a pace that is none.
+    /// Speed limits must be valid shares, and must keep the utilization added to each group within
+    /// its headroom as far as slowing down best-effort images can achieve it.
     #[test]
-    fn paces_keep_to_the_room(
-        room in proptest::collection::vec(-0.3_f64..0.6, 1..4),
+    fn speed_limits_keep_to_the_headroom(
+        headroom in proptest::collection::vec(-0.3_f64..0.6, 1..4),
         images in proptest::collection::vec((1.0_f64..9_000.0, proptest::collection::vec(0.0_f64..0.6, 3)), 0..5),
     ) {
         let pressures: Vec<Pressure> =
             images.into_iter().map(|(processors, adds)| Pressure { processors, added_utilization: adds }).collect();
-        let shares = speed_limits(&room, &pressures);
+        let shares = speed_limits(&headroom, &pressures);
         prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(share)));
-        for (group, room) in room.iter().enumerate() {
+        for (group, headroom) in headroom.iter().enumerate() {
             let added: f64 = pressures.iter().zip(&shares).map(|(p, s)| p.added_utilization[group] * s).sum();
-            prop_assert!(added <= room.max(0.0) + 1e-9, "{added} in {room}");
+            prop_assert!(added <= headroom.max(0.0) + 1e-9, "{added} added to headroom {headroom}");
         }
     }
 }
 
-/// A task that seldom runs is mostly seen as it ends. The tail falls with it, and that alone must tell who
-/// slowed the users, or an image that disturbs hard passes for harmless.
+/// A best-effort task that runs rarely shows its effect mainly by the fall of the tail latency when
+/// it ends. If this were not enough to learn the slope, an image that interferes strongly would
+/// count as harmless.
 #[test]
-fn ends_alone_tell_the_slope() {
-    let mut learnt = InterferenceModel::default();
-    let used = |share| BTreeMap::from([(Served::filling(), share)]);
-    let (image, group) = (Served::image(), Served::group(0));
-    learnt.observe(&image, &group, IDLE, &used(0.0), 0);
-    for round in 1..20 {
-        let at_ms = round * 60_000;
-        learnt.observe(&image, &group, IDLE / 0.4, &used(0.25), at_ms);
-        learnt.observe(&image, &group, IDLE / 0.6, &used(0.0), at_ms + GAUGE_MS);
+fn slope_is_learned_from_ends_alone() {
+    let mut model = InterferenceModel::default();
+    let used = |share| BTreeMap::from([(Simulation::best_effort(), share)]);
+    let (image, group) = (Simulation::image(), Simulation::group(0));
+    model.observe(&image, &group, IDLE_TAIL, &used(0.0), 0);
+    for run in 1..20 {
+        let at_ms = run * 60_000;
+        model.observe(&image, &group, IDLE_TAIL / 0.4, &used(0.25), at_ms);
+        model.observe(&image, &group, IDLE_TAIL / 0.6, &used(0.0), at_ms + GAUGE_MS);
     }
-    let slope = Served::learnt_slope(&learnt);
+    let slope = Simulation::learned_slope(&model);
     assert!((slope - 0.8).abs() < 0.08, "{slope}");
 }
 
-/// Of two images that fill, one disturbs the users and the other does not. Slowing both down would cost the
-/// second one's users time and bring the first ones nothing.
+/// Of two best-effort images one slows down the serving tasks and the other does not. Limiting the
+/// second one as well would delay its tasks without any benefit.
 #[test]
-fn who_does_no_harm_keeps_its_pace() {
-    let hard = Pressure { processors: 4_000.0, added_utilization: vec![0.3] };
+fn harmless_image_is_not_limited() {
+    let harmful = Pressure { processors: 4_000.0, added_utilization: vec![0.3] };
     let harmless = Pressure { processors: 4_000.0, added_utilization: vec![0.0] };
-    assert_eq!(speed_limits(&[0.15], &[hard, harmless]), [0.5, 1.0]);
+    assert_eq!(speed_limits(&[0.15], &[harmful, harmless]), [0.5, 1.0]);
 }
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -1,4 +1,5 @@
-//! Who supports a coordinator, and how its successor learns when that has ended.
+//! The support of entries for a coordinator, and how its successor finds out when that support has
+//! ended.
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
@@ -6,7 +7,7 @@
 };
 use geraniumpost_schema::Name;
 
-/// How long an entry keeps a promise.
+/// How long an entry keeps a promise, on its own clock.
 const KEPT_MS: u64 = PROMISE_MS * PROMISE_PERCENT / 100;
 const INCARNATION: u64 = 7;
 
@@ -30,17 +31,17 @@
 }
 
 majorities! {
-    lone_coordinator_asks_nobody: 0 others => 0 support, 1 release;
-    one_other_decides: 1 others => 1 support, 1 release;
-    one_of_two_others_supports: 2 others => 1 support, 2 release;
-    two_of_three_others_support: 3 others => 2 support, 2 release;
-    half_of_many_others_supports: 34 others => 17 support, 18 release;
+    lone_coordinator_needs_no_support: 0 others => 0 support, 1 release;
+    one_other_is_needed: 1 others => 1 support, 1 release;
+    one_of_two_others_is_needed: 2 others => 1 support, 2 release;
+    two_of_three_others_are_needed: 3 others => 2 support, 2 release;
+    half_of_many_others_is_needed: 34 others => 17 support, 18 release;
 }
 
-/// An entry's promise counts from the coordinator's own sending: the entry's answer may be on its way for
-/// long, and its promise may be over when it is read.
+/// The coordinator counts a promise from when it sent the pong that the entry answers: the answer
+/// may be delayed, so that the promise has expired when it arrives.
 #[test]
-fn promise_counts_from_the_word_that_it_answers() {
+fn promise_counts_from_the_sending_of_the_pong() {
     let mut support = Support::new(voters(2), 0);
     assert_eq!(support.supported_until_ms(), 0);
     support.record_promise(&entry(1), INCARNATION, 5_000);
@@ -49,9 +50,9 @@
     assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
 }
 
-/// The majority lasts for as long as its shortest promise.
+/// A majority lasts until its first promise expires.
 #[test]
-fn majority_ends_with_its_shortest_promise() {
+fn majority_ends_with_its_first_expired_promise() {
     let mut support = Support::new(voters(4), 0);
     for (number, sent_at_ms) in [(1, 900), (2, 300), (3, 600)] {
         support.record_promise(&entry(number), INCARNATION, sent_at_ms);
@@ -60,8 +61,8 @@
     assert_eq!(support.supporter_count(500 + PROMISE_MS), 2);
 }
 
-/// A process that has just started promises like any other, but the successor does not count it: the one
-/// that is counted may have released its promise.
+/// A restarted entry gives promises like any other, but the coordinator must not count them: the
+/// key names its earlier incarnation, which may have released its promise to the successor.
 #[test]
 fn promise_of_another_incarnation_does_not_count() {
     let mut support = Support::new(voters(1), 0);
@@ -70,10 +71,11 @@
     assert_eq!(support.supported_until_ms(), 0);
 }
 
-/// While another list of voters is written, the key may hold either of the two, and a successor asks
-/// accordingly. A coordinator that counted by one of them alone might go on after its end.
+/// While other voters are being written, the key may hold either set, and the successor asks the
+/// voters of the set that it finds. A coordinator that counted only one set might extend leases for
+/// too long.
 #[test]
-fn both_lists_count_while_one_is_written() {
+fn both_sets_count_while_voters_change() {
     let mut support = Support::new(voters(1), 0);
     support.record_promise(&entry(1), INCARNATION, 5_000);
     support.begin_voter_change([(entry(2), INCARNATION)].into_iter().collect(), 5_000);
@@ -84,20 +86,23 @@
     assert!(support.voters().contains(&entry(2), INCARNATION));
 }
 
-/// Entries that have not answered for a while are counted no more once the key is written anew: two lost
-/// entries of five would otherwise leave no margin for a third one, for ever.
+/// Entries that stop answering must be left out of the next set of voters. Otherwise two lost
+/// entries of five would permanently leave no margin for the loss of a third.
 #[test]
-fn silent_entries_are_to_be_voters_no_more() {
+fn silent_entries_are_removed_from_the_voters() {
     let mut support = Support::new(voters(2), 0);
     support.record_promise(&entry(1), INCARNATION, 5_000);
     support.record_promise(&entry(3), INCARNATION, 9_000);
-    let wanted = support.voters_to_write(5_000 + VOTER_TIMEOUT_MS).expect("two are silent");
-    assert_eq!(wanted.names().collect::<Vec<_>>(), [&entry(3)]);
+    let next = support
+        .voters_to_write(5_000 + VOTER_TIMEOUT_MS)
+        .expect("the voters should change, as two entries do not answer");
+    assert_eq!(next.names().collect::<Vec<_>>(), [&entry(3)]);
 }
 
-/// An entry that says that it is about to stop is no voter in the next list, but what it promised holds.
+/// An entry that announces that it stops must be left out of the next set of voters, but its
+/// promise remains valid.
 #[test]
-fn leaving_entry_is_to_be_a_voter_no_more() {
+fn stopping_entry_is_removed_from_the_voters() {
     let mut support = Support::new(voters(1), 0);
     support.record_promise(&entry(1), INCARNATION, 5_000);
     support.mark_stopping(&entry(1));
@@ -105,17 +110,17 @@
     assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
 }
 
-/// A coordinator has just taken over and rewrites its key for another reason. It has heard of nobody; were it to name
-/// no voters, its own successor could ask nobody and wait for the longest time.
+/// A new coordinator rewrites its key before it has heard from any entry. If it wrote an empty set
+/// of voters, its successor could ask no entry and would wait for the longest time.
 #[test]
-fn new_coordinator_keeps_the_voters_of_its_predecessor_at_first() {
+fn new_coordinator_keeps_the_voters_at_first() {
     let support = Support::new(voters(2), 1_000);
     assert_eq!(support.voters_to_write(1_000 + VOTER_CHANGE_INTERVAL_MS - 1), None);
     assert_eq!(support.voters_to_write(1_000 + VOTER_CHANGE_INTERVAL_MS), Some(Voters::default()));
 }
 
-/// An entry promises nothing to a coordinator that has a successor, also if it hears of that one from the
-/// successor alone.
+/// An entry must give no promise to a coordinator that has a successor, even if it knows the
+/// successor only from its request for release.
 #[test]
 fn released_promise_is_not_renewed() {
     let mut promises = Promises::default();
@@ -127,9 +132,10 @@
     assert_eq!(promises.release(9, 1_000 + KEPT_MS), 200);
 }
 
-/// The successor knows of the end once enough have answered that no majority is left.
+/// The successor knows the end of the support once so many voters have answered that no majority is
+/// left.
 #[test]
-fn end_is_known_once_no_majority_is_left() {
+fn end_of_support_is_known_once_no_majority_is_left() {
     let mut releases = Releases::new(voters(3));
     releases.record(&entry(1), INCARNATION, 400, 1_000);
     releases.record(&entry(9), INCARNATION, 0, 1_000);
@@ -139,18 +145,19 @@
     assert_eq!(releases.support_end_ms(), Some(1_400));
 }
 
-/// A voter was restarted: it knows of no promise, but the process before it may have given one just before
-/// its end.
+/// A restarted voter knows no promises, but its earlier process may have given one just before it
+/// ended.
 #[test]
-fn restarted_voter_counts_with_a_whole_promise() {
+fn restarted_voter_counts_as_a_promise_of_full_duration() {
     let mut releases = Releases::new(voters(1));
     releases.record(&entry(1), INCARNATION + 1, 0, 1_000);
     assert_eq!(releases.support_end_ms(), Some(1_000 + KEPT_MS));
 }
 
-/// A coordinator without voters may go on for long, and nobody can tell when it ends.
+/// A coordinator without voters may continue without the store, and no entry can tell when it
+/// stops.
 #[test]
-fn end_of_a_lone_coordinator_is_not_known() {
+fn end_of_support_of_a_lone_coordinator_is_unknown() {
     assert_eq!(Releases::new(Voters::default()).support_end_ms(), None);
     assert_eq!(Support::new(Voters::default(), 0).supported_until_ms(), u64::MAX);
 }
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -8,45 +8,48 @@
 
 use crate::process::{Process, Term};
 
-/// One step of the clock, in milliseconds.
+/// Resolution of the simulated time, in milliseconds.
 const STEP_MS: u64 = 10;
-/// How long a day goes on after its last trouble.
-const AFTER_MS: u64 = 4_000;
-/// Pauses between two pings, confirmations, questions for release and rewrites of the key, in milliseconds.
+/// How long a simulation continues after the last fault, in milliseconds.
+const SETTLE_MS: u64 = 4_000;
+/// Intervals of pings, confirmations by the store, release requests and writes of the voters, in
+/// milliseconds.
 const PING_MS: u64 = 250;
 const CONFIRM_MS: u64 = 600;
-const ASK_MS: u64 = 300;
-const NAME_VOTERS_MS: u64 = 500;
-/// One message in so many is lost.
-const LOST_ONE_IN: u32 = 12;
+const RELEASE_REQUEST_MS: u64 = 300;
+const WRITE_VOTERS_MS: u64 = 500;
+/// One message in this number is lost.
+const LOSS_ONE_IN: u32 = 12;
 
-/// What happens to the fleet.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy)]
-pub enum Trouble {
-    /// An entry takes the coordinator for lost, for whatever reason.
-    TakesOver(usize),
-    /// An entry stands still for a while.
-    Freezes(usize, u64),
-    /// Another process takes an entry's place.
-    Restarts(usize),
-    /// Nothing passes from one entry to another for a while.
+pub enum Fault {
+    /// An entry takes the coordinator for lost and tries to take over.
+    TakeOver(usize),
+    /// An entry is suspended, for a time in milliseconds.
+    Freeze(usize, u64),
+    /// An entry is replaced by a new process.
+    Restart(usize),
+    /// Messages from one entry to another are dropped, for a time in milliseconds.
     Cut(usize, usize, u64),
-    /// An entry does not reach the store for a while.
+    /// An entry does not reach the store, for a time in milliseconds.
     StoreCut(usize, u64),
 }
 
-/// What a day has shown.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// A coordinator that extended leases after its successor took that for over.
+    /// A coordinator that extended leases after the time until which its successor expects it to do
+    /// so.
     pub overlap: Option<String>,
-    /// Ends of silent coordinators that successors have learnt of.
+    /// Number of silent coordinators whose end was determined by a successor.
     pub ends: usize,
-    /// Steps in which a coordinator extended leases on the support of entries alone.
+    /// Number of steps in which a coordinator extended leases without the store, on the support of
+    /// entries.
     pub without_store: usize,
 }
 
-/// What is on its way: to whom, sent by which incarnation of whom.
+/// A message between entries, or between an entry and the store.
 #[derive(Debug, Clone)]
 enum Message {
     Ping {
@@ -59,14 +62,14 @@
         from: usize,
         term: u64,
     },
-    /// The answer, which names the question by its term.
+    /// Answer to `Release`; it repeats the term of the request.
     Released {
         from: usize,
         incarnation: u64,
         term: u64,
-        lasts_ms: u64,
+        remaining_ms: u64,
     },
-    /// A call as the store carries it out.
+    /// Requests to the store.
     Confirm {
         from: usize,
         asked_ms: u64,
@@ -76,47 +79,49 @@
         revision: u64,
         asked_ms: u64,
     },
-    NameVoters {
+    WriteVoters {
         from: usize,
-        list: u64,
+        write: u64,
         voters: Voters,
     },
-    /// The store's answers.
+    /// Responses of the store.
     Confirmed {
         term: u64,
         asked_ms: u64,
     },
-    Taken {
+    TookOver {
         term: u64,
         asked_ms: u64,
         voters: BTreeMap<u64, Voters>,
     },
-    Named {
+    VotersWritten {
         term: u64,
-        list: u64,
+        write: u64,
     },
-    Lost,
+    Superseded,
 }
 
-/// The store's key.
+/// The coordinator's key in the store.
 #[derive(Debug, Default)]
 struct Key {
     revision: u64,
     term: u64,
     holder: usize,
-    /// Number of the list of voters: a write of an earlier one is barred by that of a later one.
-    list: u64,
+    /// Number of the last write of voters. A later write bars earlier ones.
+    write: u64,
     voters: BTreeMap<u64, Voters>,
 }
 
-/// Entries, their store, and what is on its way between them.
+/// Simulated entries, their store and the messages in flight.
 pub struct Fleet {
     now_ms: u64,
     rng: StdRng,
-    all: Vec<Process>,
+    processes: Vec<Process>,
     key: Key,
-    /// When something arrives: at an entry, or at the store.
-    mail: Vec<(u64, Option<usize>, u64, Message)>,
+    /// Messages in flight: time of arrival, receiving entry or `None` for the store, incarnation of
+    /// the entry, and content.
+    in_flight: Vec<(u64, Option<usize>, u64, Message)>,
+    /// Interrupted links: sender, receiver and end of the interruption.
     cuts: Vec<(usize, usize, u64)>,
     outcome: Outcome,
 }
@@ -128,47 +133,47 @@
 impl Fleet {
     pub fn new(count: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let all = (0..count).map(|_| Process::new(rng.random_range(-10..=10))).collect();
+        let processes = (0..count).map(|_| Process::new(rng.random_range(-10..=10))).collect();
         let mut fleet = Self {
             now_ms: 10_000,
             rng,
-            all,
+            processes,
             key: Key::default(),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             cuts: Vec::new(),
             outcome: Outcome::default(),
         };
-        fleet.begin(Trouble::TakesOver(0));
-        fleet.pass(4_000);
+        fleet.inject(Fault::TakeOver(0));
+        fleet.advance(4_000);
         fleet
     }
 
-    /// Plays troubles, each so many milliseconds after the one before.
-    pub fn play(mut self, troubles: &[(u64, Trouble)]) -> Outcome {
-        for (gap_ms, trouble) in troubles {
-            self.pass(*gap_ms);
-            self.begin(*trouble);
+    /// Injects faults, each the given number of milliseconds after the one before.
+    pub fn run(mut self, faults: &[(u64, Fault)]) -> Outcome {
+        for (gap_ms, fault) in faults {
+            self.advance(*gap_ms);
+            self.inject(*fault);
         }
-        self.pass(AFTER_MS);
-        let terms = self.all.iter().filter_map(|process| process.term.as_ref());
+        self.advance(SETTLE_MS);
+        let terms = self.processes.iter().filter_map(|process| process.term.as_ref());
         self.outcome.ends += terms.map(|term| term.ends_ms.len()).sum::<usize>();
         self.outcome
     }
 
-    fn begin(&mut self, trouble: Trouble) {
+    fn inject(&mut self, fault: Fault) {
         let now_ms = self.now_ms;
-        match trouble {
-            Trouble::TakesOver(at) => {
-                let asked_ms = self.all[at].clock(now_ms);
-                if self.all[at].term.is_none() {
+        match fault {
+            Fault::TakeOver(at) => {
+                let asked_ms = self.processes[at].clock(now_ms);
+                if self.processes[at].term.is_none() {
                     let revision = self.key.revision;
                     self.call(at, Message::TakeOver { from: at, revision, asked_ms });
                 }
             }
-            Trouble::Freezes(at, ms) => self.all[at].frozen_ms = now_ms + ms,
-            Trouble::Restarts(at) => self.all[at].restart(),
-            Trouble::Cut(from, to, ms) => self.cuts.push((from, to, now_ms + ms)),
-            Trouble::StoreCut(at, ms) => self.all[at].store_cut_ms = now_ms + ms,
+            Fault::Freeze(at, ms) => self.processes[at].frozen_ms = now_ms + ms,
+            Fault::Restart(at) => self.processes[at].restart(),
+            Fault::Cut(from, to, ms) => self.cuts.push((from, to, now_ms + ms)),
+            Fault::StoreCut(at, ms) => self.processes[at].store_cut_ms = now_ms + ms,
         }
     }
 
@@ -180,44 +185,46 @@
     }
 
     fn is_lost(&mut self) -> bool {
-        self.rng.random_ratio(1, LOST_ONE_IN)
+        self.rng.random_ratio(1, LOSS_ONE_IN)
     }
 
-    /// Sends a message from one entry to another; an answer that comes later counts as a message too.
+    /// Sends a message from one entry to another.
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.cuts.retain(|(.., until_ms)| *until_ms > self.now_ms);
         let cut = self.cuts.iter().any(|(a, b, _)| (*a, *b) == (from, to));
         let at_ms = self.now_ms + self.delay_ms();
         if !self.is_lost() && !cut {
-            let incarnation = self.all[to].incarnation;
-            self.mail.push((at_ms, Some(to), incarnation, message));
+            let incarnation = self.processes[to].incarnation;
+            self.in_flight.push((at_ms, Some(to), incarnation, message));
         }
     }
 
-    /// An entry calls the store. The call may be carried out seconds later, whether it is answered or not.
+    /// Sends a request from an entry to the store. The store may execute it seconds later, and its
+    /// response may be lost.
     fn call(&mut self, from: usize, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
-        if self.all[from].store_cut_ms <= self.now_ms {
-            let incarnation = self.all[from].incarnation;
-            self.mail.push((at_ms, None, incarnation, message));
+        if self.processes[from].store_cut_ms <= self.now_ms {
+            let incarnation = self.processes[from].incarnation;
+            self.in_flight.push((at_ms, None, incarnation, message));
         }
     }
 
-    fn answer(&mut self, to: usize, incarnation: u64, message: Message) {
+    /// Sends a response from the store to an entry.
+    fn respond(&mut self, to: usize, incarnation: u64, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
-        if !self.is_lost() && self.all[to].store_cut_ms <= self.now_ms {
-            self.mail.push((at_ms, Some(to), incarnation, message));
+        if !self.is_lost() && self.processes[to].store_cut_ms <= self.now_ms {
+            self.in_flight.push((at_ms, Some(to), incarnation, message));
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.now_ms < until_ms {
             self.now_ms += STEP_MS;
             self.deliver();
-            for at in 0..self.all.len() {
-                if self.all[at].frozen_ms <= self.now_ms {
-                    self.work(at);
+            for at in 0..self.processes.len() {
+                if self.processes[at].frozen_ms <= self.now_ms {
+                    self.run_due(at);
                 }
             }
             self.check();
@@ -226,56 +233,64 @@
 
     fn deliver(&mut self) {
         let now_ms = self.now_ms;
-        let frozen: Vec<bool> = self.all.iter().map(|process| process.frozen_ms > now_ms).collect();
+        let frozen: Vec<bool> =
+            self.processes.iter().map(|process| process.frozen_ms > now_ms).collect();
         let due = |(at_ms, to, ..): &mut (u64, Option<usize>, u64, Message)| {
             *at_ms <= now_ms && !to.is_some_and(|to| frozen[to])
         };
-        for (_, to, incarnation, message) in self.mail.extract_if(.., due).collect::<Vec<_>>() {
+        for (_, to, incarnation, message) in self.in_flight.extract_if(.., due).collect::<Vec<_>>()
+        {
             match to {
-                None => self.carry_out(incarnation, message),
-                // What was sent to an earlier process is lost with its connections.
-                Some(to) if self.all[to].incarnation == incarnation => self.read(to, message),
+                None => self.execute(incarnation, message),
+                // Messages to an earlier process are lost with its connections.
+                Some(to) if self.processes[to].incarnation == incarnation => {
+                    self.receive(to, message)
+                }
                 Some(_) => {}
             }
         }
     }
 
-    /// The store carries a call out.
-    fn carry_out(&mut self, incarnation: u64, message: Message) {
+    /// Executes a request in the store.
+    fn execute(&mut self, incarnation: u64, message: Message) {
         match message {
             Message::TakeOver { from, revision, asked_ms } => {
                 if revision != self.key.revision {
-                    return self.answer(from, incarnation, Message::Lost);
+                    return self.respond(from, incarnation, Message::Superseded);
                 }
-                let own = self.key.voters.get(&self.key.term).cloned().unwrap_or_default();
+                let last_voters = self.key.voters.get(&self.key.term).cloned().unwrap_or_default();
                 let (revision, term) = (revision + 1, revision + 1);
                 let mut voters = std::mem::take(&mut self.key.voters);
-                voters.insert(term, own.without(&name(from)));
-                self.key = Key { revision, term, holder: from, list: 0, voters: voters.clone() };
-                self.answer(from, incarnation, Message::Taken { term, asked_ms, voters });
+                voters.insert(term, last_voters.without(&name(from)));
+                self.key = Key { revision, term, holder: from, write: 0, voters: voters.clone() };
+                self.respond(from, incarnation, Message::TookOver { term, asked_ms, voters });
             }
             Message::Confirm { from, asked_ms } if self.key.holder == from => {
                 let term = self.key.term;
-                self.answer(from, incarnation, Message::Confirmed { term, asked_ms });
+                self.respond(from, incarnation, Message::Confirmed { term, asked_ms });
             }
-            Message::NameVoters { from, list, voters } => {
-                let term = self.all[from].term.as_ref().map(|term| term.number);
+            Message::WriteVoters { from, write, voters } => {
+                let term = self.processes[from].term.as_ref().map(|term| term.number);
                 let holds = self.key.holder == from && term == Some(self.key.term);
-                if holds && list >= self.key.list {
+                if holds && write >= self.key.write {
                     self.key.revision += 1;
-                    self.key.list = list;
+                    self.key.write = write;
                     self.key.voters.insert(self.key.term, voters);
-                    self.answer(from, incarnation, Message::Named { term: self.key.term, list });
+                    self.respond(
+                        from,
+                        incarnation,
+                        Message::VotersWritten { term: self.key.term, write },
+                    );
                 }
             }
-            Message::Confirm { from, .. } => self.answer(from, incarnation, Message::Lost),
+            Message::Confirm { from, .. } => self.respond(from, incarnation, Message::Superseded),
             _ => {}
         }
     }
 
-    /// An entry reads a message.
-    fn read(&mut self, at: usize, message: Message) {
-        let process = &mut self.all[at];
+    /// Handles a message at an entry.
+    fn receive(&mut self, at: usize, message: Message) {
+        let process = &mut self.processes[at];
         let clock_ms = process.clock(self.now_ms);
         match message {
             Message::Ping { from, incarnation, supports } => {
@@ -286,17 +301,21 @@
                 let sent = TermTime { term: term.number, steady_ms: clock_ms };
                 self.send(at, from, Message::Pong(sent));
             }
-            Message::Pong(sent) => process.heard = Some((sent, clock_ms)),
+            Message::Pong(sent) => process.last_pong = Some((sent, clock_ms)),
             Message::Release { from, term } => {
-                let lasts_ms = process.promises.release(term, clock_ms);
+                let remaining_ms = process.promises.release(term, clock_ms);
                 let incarnation = process.incarnation;
-                self.send(at, from, Message::Released { from: at, incarnation, term, lasts_ms });
+                self.send(
+                    at,
+                    from,
+                    Message::Released { from: at, incarnation, term, remaining_ms },
+                );
             }
-            Message::Released { from, incarnation, term, lasts_ms } => {
+            Message::Released { from, incarnation, term, remaining_ms } => {
                 let own = process.term.as_mut().filter(|own| own.number == term);
                 let Some(term) = own else { return };
                 for releases in term.releases.values_mut() {
-                    releases.record(&name(from), incarnation, lasts_ms, clock_ms);
+                    releases.record(&name(from), incarnation, remaining_ms, clock_ms);
                 }
             }
             Message::Confirmed { term, asked_ms } => {
@@ -305,89 +324,90 @@
                     own.asked_ms = own.asked_ms.max(asked_ms);
                 }
             }
-            Message::Taken { term, asked_ms, voters } => {
+            Message::TookOver { term, asked_ms, voters } => {
                 process.term = Some(Term::new(term, asked_ms, clock_ms, &voters));
                 self.release_own(at);
             }
-            Message::Named { term, list } => {
-                let current = |own: &&mut Term| own.number == term && own.lists == list;
+            Message::VotersWritten { term, write } => {
+                let current = |own: &&mut Term| own.number == term && own.voter_writes == write;
                 let own = process.term.as_mut().filter(current);
                 if let Some(own) = own {
                     own.support.complete_voter_change();
-                    own.naming = None;
+                    own.pending_voters = None;
                 }
             }
-            Message::Lost => process.term = None,
+            Message::Superseded => process.term = None,
             _ => {}
         }
     }
 
-    /// A coordinator releases its own promises to those before it.
+    /// Releases an entry's own promises to its predecessors, when it becomes coordinator.
     fn release_own(&mut self, at: usize) {
-        let process = &mut self.all[at];
+        let process = &mut self.processes[at];
         let clock_ms = process.clock(self.now_ms);
         let Some(term) = &mut process.term else { return };
-        let lasts_ms = process.promises.release(term.number, clock_ms);
+        let remaining_ms = process.promises.release(term.number, clock_ms);
         for releases in term.releases.values_mut() {
-            releases.record(&name(at), process.incarnation, lasts_ms, clock_ms);
+            releases.record(&name(at), process.incarnation, remaining_ms, clock_ms);
         }
     }
 
-    /// An entry does what is due.
-    fn work(&mut self, at: usize) {
+    /// Runs the periodic actions of an entry that are due.
+    fn run_due(&mut self, at: usize) {
         let due = |every_ms: u64| (self.now_ms + 40 * at as u64).is_multiple_of(every_ms);
         let (pings, confirms) = (due(PING_MS), due(CONFIRM_MS));
-        let (asks, names) = (due(ASK_MS), due(NAME_VOTERS_MS));
+        let (requests, writes) = (due(RELEASE_REQUEST_MS), due(WRITE_VOTERS_MS));
         if pings {
             self.ping(at);
         }
-        let clock_ms = self.all[at].clock(self.now_ms);
-        let Some(term) = &mut self.all[at].term else { return };
-        term.note_ends();
+        let clock_ms = self.processes[at].clock(self.now_ms);
+        let Some(term) = &mut self.processes[at].term else { return };
+        term.record_ends();
         let number = term.number;
-        if names
-            && term.naming.is_none()
-            && let Some(wanted) = term.support.voters_to_write(clock_ms)
+        if writes
+            && term.pending_voters.is_none()
+            && let Some(voters) = term.support.voters_to_write(clock_ms)
         {
-            term.support.begin_voter_change(wanted.clone(), clock_ms);
-            term.naming = Some(wanted);
-            term.lists += 1;
+            term.support.begin_voter_change(voters.clone(), clock_ms);
+            term.pending_voters = Some(voters);
+            term.voter_writes += 1;
         }
-        if names && let Some(voters) = term.naming.clone() {
-            let list = term.lists;
-            self.call(at, Message::NameVoters { from: at, list, voters });
+        if writes && let Some(voters) = term.pending_voters.clone() {
+            let write = term.voter_writes;
+            self.call(at, Message::WriteVoters { from: at, write, voters });
         }
         if confirms {
             self.call(at, Message::Confirm { from: at, asked_ms: clock_ms });
         }
-        if asks {
-            for to in (0..self.all.len()).filter(|to| *to != at) {
+        if requests {
+            for to in (0..self.processes.len()).filter(|to| *to != at) {
                 self.send(at, to, Message::Release { from: at, term: number });
             }
         }
     }
 
-    /// An entry pings whoever the key names, or whom it was told of before.
+    /// Sends pings from an entry to the holder of the key and to every other coordinator.
     fn ping(&mut self, at: usize) {
         let holder = self.key.holder;
-        let process = &mut self.all[at];
+        let process = &mut self.processes[at];
         let incarnation = process.incarnation;
         let promise = |(sent, heard_ms): (TermTime, u64)| {
             process.promises.promise(sent.term, heard_ms).then_some(sent)
         };
-        let supports = process.heard.and_then(promise);
-        for to in (0..self.all.len()).filter(|to| *to != at) {
-            // A cut-off coordinator is still pinged by those that know of no other.
-            if to == holder || self.all[to].term.is_some() {
+        let supports = process.last_pong.and_then(promise);
+        for to in (0..self.processes.len()).filter(|to| *to != at) {
+            // Entries that do not know the successor still ping a disconnected coordinator.
+            if to == holder || self.processes[to].term.is_some() {
                 self.send(at, to, Message::Ping { from: at, incarnation, supports });
             }
         }
     }
 
-    /// Checks that nobody extends leases whom a successor takes for ended.
+    /// Checks that no coordinator extends leases after the end that a successor has determined for
+    /// it.
     fn check(&mut self) {
         let now_ms = self.now_ms;
-        for process in &self.all {
+        for process in &self.processes {
             let Some(term) = &process.term else { continue };
             let clock_ms = process.clock(now_ms);
             let running = process.frozen_ms <= now_ms;
@@ -397,14 +417,14 @@
             if !running || !term.extends(clock_ms) {
                 continue;
             }
-            let over = |other: &&Process| {
+            let ended = |other: &&Process| {
                 let end_ms = other.term.as_ref().and_then(|other| other.ends_ms.get(&term.number));
                 end_ms.is_some_and(|end_ms| other.clock(now_ms) > *end_ms)
             };
-            if let Some(other) = self.all.iter().find(over) {
+            if let Some(other) = self.processes.iter().find(ended) {
                 let successor = other.term.as_ref().map(|term| term.number);
                 self.outcome.overlap.get_or_insert(format!(
-                    "term {} extends leases at {now_ms} ms beside {successor:?}",
+                    "term {} extends leases at {now_ms} ms beside its successor {successor:?}",
                     term.number
                 ));
             }
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -1,8 +1,9 @@
-//! Entries that take over from each other at any moment: nobody extends leases after its successor takes
-//! them for extended no more.
+//! Simulation of entries that take over from each other at any time: no coordinator may extend
+//! leases after the time until which its successor expects it to do so.
 //!
-//! The rules are the real ones ([`quorum`](geraniumpost_batch::quorum)); around them entries freeze and restart,
-//! messages are late, overtake each other and are lost, the store answers late, and clocks run 2% apart.
+//! The rules are those of [`quorum`](geraniumpost_batch::quorum). Around them entries freeze and
+//! restart, messages are delayed, reordered and lost, the store responds late, and clocks run 2%
+//! apart.
 
 mod fleet;
 mod process;
@@ -11,28 +12,28 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use fleet::{Fleet, Trouble};
+use fleet::{Fault, Fleet};
 
-/// Days that are explored.
-const DAYS: u32 = 600;
+/// Number of random simulations.
+const CASES: u32 = 600;
 
-fn troubles() -> impl Strategy<Value = Vec<(u64, Trouble)>> {
+fn faults() -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let entry = 0..5_usize;
-    let lasts_ms = prop_oneof![50..900_u64, 900..2_500_u64, 2_500..12_000_u64];
-    let trouble = prop_oneof![
-        4 => entry.clone().prop_map(Trouble::TakesOver),
-        2 => (entry.clone(), lasts_ms.clone()).prop_map(|(at, ms)| Trouble::Freezes(at, ms)),
-        1 => entry.clone().prop_map(Trouble::Restarts),
-        2 => (entry.clone(), entry.clone(), lasts_ms.clone())
-            .prop_map(|(from, to, ms)| Trouble::Cut(from, to, ms)),
-        2 => (entry, lasts_ms).prop_map(|(at, ms)| Trouble::StoreCut(at, ms)),
+    let duration_ms = prop_oneof![50..900_u64, 900..2_500_u64, 2_500..12_000_u64];
+    let fault = prop_oneof![
+        4 => entry.clone().prop_map(Fault::TakeOver),
+        2 => (entry.clone(), duration_ms.clone()).prop_map(|(at, ms)| Fault::Freeze(at, ms)),
+        1 => entry.clone().prop_map(Fault::Restart),
+        2 => (entry.clone(), entry.clone(), duration_ms.clone())
+            .prop_map(|(from, to, ms)| Fault::Cut(from, to, ms)),
+        2 => (entry, duration_ms).prop_map(|(at, ms)| Fault::StoreCut(at, ms)),
     ];
-    vec((0..3_000_u64, trouble), 1..=12)
+    vec((0..3_000_u64, fault), 1..=12)
 }
 
 fn config() -> ProptestConfig {
     ProptestConfig {
-        cases: DAYS,
+        cases: CASES,
         rng_seed: RngSeed::Fixed(601),
         failure_persistence: None,
         ..ProptestConfig::default()
@@ -42,27 +43,29 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A coordinator that is cut off or frozen goes on beside its successor, which starts the same tasks
-    /// elsewhere: a user gets two results.
+    /// A disconnected or frozen coordinator that continues beside its successor keeps tasks running
+    /// which the successor starts elsewhere, so that a caller gets two results.
     #[test]
-    fn no_lease_is_extended_after_its_end(seed in any::<u64>(), troubles in troubles()) {
-        let outcome = Fleet::new(5, seed).play(&troubles);
+    fn no_lease_is_extended_after_its_end(seed in any::<u64>(), faults in faults()) {
+        let outcome = Fleet::new(5, seed).run(&faults);
         prop_assert_eq!(outcome.overlap, None);
     }
 }
 
-/// An explorer that never sees a successor learn of an end, or a coordinator go on without the store, would find
-/// nothing whatever the rules are.
+/// The simulation must cover the relevant cases: successors that determine the end of a
+/// predecessor, and coordinators that continue without the store. Otherwise it would pass whatever
+/// the rules are.
 #[test]
-fn ends_are_learnt_and_leases_extended() {
-    let days = (0..40).map(|seed| {
-        let troubles = [(4_000, Trouble::StoreCut(0, 6_000)), (3_000, Trouble::TakesOver(1))];
-        Fleet::new(5, seed).play(&troubles)
+fn simulation_covers_ends_and_extensions() {
+    let outcomes = (0..40).map(|seed| {
+        let faults = [(4_000, Fault::StoreCut(0, 6_000)), (3_000, Fault::TakeOver(1))];
+        Fleet::new(5, seed).run(&faults)
+    });
+    let (ends, extended) = outcomes.fold((0, 0), |(ends, extended), outcome| {
+        (ends + outcome.ends, extended + outcome.without_store)
     });
-    let (ends, extended) =
-        days.fold((0, 0), |(ends, extended), day| (ends + day.ends, extended + day.without_store));
     assert!(
         ends >= 30 && extended >= 30,
-        "{ends} ends learnt, {extended} extended without the store"
+        "{ends} ends determined, {extended} steps with leases extended without the store"
     );
 }
--- a/crates/geraniumpost-batch/tests/succession/process.rs
+++ b/crates/geraniumpost-batch/tests/succession/process.rs
@@ -4,28 +4,31 @@
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
 
-/// What a coordinator knows in one term.
+/// State of a coordinator in one term.
 #[derive(Debug)]
 pub struct Term {
     pub number: u64,
-    /// When the store was last asked by a question that it has answered, on the own clock.
+    /// When the last request that the store has confirmed was sent, on the process's clock.
     pub asked_ms: u64,
+    /// When the process took over, on its clock.
     pub taken_ms: u64,
     pub support: Support,
-    /// The list of voters that is being written, until the store has confirmed it, and the number of lists.
-    pub naming: Option<Voters>,
-    pub lists: u64,
-    /// The silent coordinators before it: by term, who has released them.
+    /// The voters that are being written, until the store has confirmed them.
+    pub pending_voters: Option<Voters>,
+    /// Number of writes of voters that have begun.
+    pub voter_writes: u64,
+    /// The releases of promises to the silent predecessors, by their terms.
     pub releases: BTreeMap<u64, Releases>,
-    /// When each of them extends no lease any more, on the own clock.
+    /// When each silent predecessor no longer extends leases, on the process's clock.
     pub ends_ms: BTreeMap<u64, u64>,
 }
 
 impl Term {
-    /// Returns what a coordinator knows that has taken over from silent ones.
-    pub fn new(number: u64, asked_ms: u64, taken_ms: u64, before: &BTreeMap<u64, Voters>) -> Self {
-        let own = before.get(&number).cloned().unwrap_or_default();
-        let silent = before.iter().filter(|(term, _)| **term != number);
+    /// Returns the state of a coordinator that has just taken over; `voters` are those of its own
+    /// term and of the terms of its silent predecessors.
+    pub fn new(number: u64, asked_ms: u64, taken_ms: u64, voters: &BTreeMap<u64, Voters>) -> Self {
+        let own = voters.get(&number).cloned().unwrap_or_default();
+        let silent = voters.iter().filter(|(term, _)| **term != number);
         let releases =
             silent.map(|(term, voters)| (*term, Releases::new(voters.clone()))).collect();
         Self {
@@ -33,14 +36,14 @@
             asked_ms,
             taken_ms,
             support: Support::new(own, taken_ms),
-            naming: None,
-            lists: 0,
+            pending_voters: None,
+            voter_writes: 0,
             releases,
             ends_ms: BTreeMap::new(),
         }
     }
 
-    /// Returns whether leases may be extended without the store's word, as a majority supports the term.
+    /// Returns whether leases may be extended without the store, on the support of a majority.
     pub fn is_supported(&self, now_ms: u64) -> bool {
         now_ms < self.asked_ms + STORE_OUTAGE_TOLERANCE_MS
             && now_ms < self.support.supported_until_ms()
@@ -51,8 +54,8 @@
         self.is_supported(now_ms) || now_ms < self.asked_ms + STORE_CONFIRMATION_MS
     }
 
-    /// Takes note of the ends that are known by now.
-    pub fn note_ends(&mut self) {
+    /// Records the ends of predecessors that are known by now.
+    pub fn record_ends(&mut self) {
         for (term, releases) in &self.releases {
             if let Some(until_ms) = releases.support_end_ms() {
                 let end_ms = until_ms.max(self.taken_ms + STORE_CONFIRMATION_MS);
@@ -62,43 +65,44 @@
     }
 }
 
-/// One entry.
+/// The process of an entry.
 #[derive(Debug)]
 pub struct Process {
     pub incarnation: u64,
-    /// Thousandths by which its clock is fast.
-    pub fast: i64,
-    /// Until when it stands still, in real time.
+    /// How far its clock is fast, in thousandths; negative if it is slow.
+    pub clock_drift: i64,
+    /// Until when it is suspended, in real time.
     pub frozen_ms: u64,
     /// Until when it does not reach the store, in real time.
     pub store_cut_ms: u64,
     pub promises: Promises,
-    /// When the coordinator sent its last pong, and when that was heard on the own clock.
-    pub heard: Option<(TermTime, u64)>,
+    /// The last pong that it received: when the coordinator sent it, and when it arrived on the
+    /// process's clock.
+    pub last_pong: Option<(TermTime, u64)>,
     pub term: Option<Term>,
 }
 
 impl Process {
-    pub fn new(fast: i64) -> Self {
+    pub fn new(clock_drift: i64) -> Self {
         Self {
             incarnation: 1,
-            fast,
+            clock_drift,
             frozen_ms: 0,
             store_cut_ms: 0,
             promises: Promises::default(),
-            heard: None,
+            last_pong: None,
             term: None,
         }
     }
 
-    /// Returns the own clock's time.
+    /// Returns the time on the process's clock.
     pub const fn clock(&self, real_ms: u64) -> u64 {
-        real_ms * 1_000_u64.saturating_add_signed(self.fast) / 1_000
+        real_ms * 1_000_u64.saturating_add_signed(self.clock_drift) / 1_000
     }
 
-    /// Another process takes its place.
+    /// Replaces the process by a new one.
     pub fn restart(&mut self) {
-        let (incarnation, fast) = (self.incarnation + 1, self.fast);
-        *self = Self { incarnation, store_cut_ms: self.store_cut_ms, ..Self::new(fast) };
+        let (incarnation, clock_drift) = (self.incarnation + 1, self.clock_drift);
+        *self = Self { incarnation, store_cut_ms: self.store_cut_ms, ..Self::new(clock_drift) };
     }
 }
