--- a/crates/geraniumpost-batch/src/coordinator/asking.rs
+++ b/crates/geraniumpost-batch/src/coordinator/asking.rs
@@ -11,7 +11,7 @@
 impl Coordinator {
     /// Takes a caller's request; the answer comes as [`Effect::Reply`] under `ticket`, after
     /// everything it promises is committed.
-    pub fn ask(&mut self, ticket: u64, ask: CallerRequest, now: Now) {
+    pub fn handle_request(&mut self, ticket: u64, ask: CallerRequest, now: Now) {
         match ask {
             CallerRequest::Submit { job, spec, terms } => {
                 self.submit(ticket, job, spec, terms, now)
@@ -29,7 +29,7 @@
     }
 
     fn reply(&mut self, ticket: u64, answer: CallerResponse) {
-        self.effects.push(Effect::Reply { ticket, answer });
+        self.effects.push(Effect::Reply { ticket, response: answer });
     }
 
     fn submit(&mut self, ticket: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
@@ -48,7 +48,7 @@
             self.reply(ticket, CallerResponse::Invalid);
             return;
         }
-        if self.open.len() >= self.most_open_jobs {
+        if self.open.len() >= self.max_open_jobs {
             let open = self.open.len();
             self.note(format!("decision=refuse job={id} why=\"too many jobs\" open={open}"));
             self.reply(ticket, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
--- a/crates/geraniumpost-batch/src/coordinator/inherited.rs
+++ b/crates/geraniumpost-batch/src/coordinator/inherited.rs
@@ -67,7 +67,7 @@
 impl Coordinator {
     /// Takes over what a predecessor left behind; call it after [`Self::lease_ms`].
     #[must_use]
-    pub fn inheriting(mut self, inheritance: &PredecessorLeases, now: Now) -> Self {
+    pub fn with_predecessor_leases(mut self, inheritance: &PredecessorLeases, now: Now) -> Self {
         self.inherited = Inherited::new(inheritance, self.lease_ms, now);
         self
     }
@@ -94,7 +94,7 @@
     }
 
     /// Returns what a successor has to know of leases at this moment.
-    pub fn inheritance(&self, now: Now) -> PredecessorLeases {
+    pub fn leases_for_successor(&self, now: Now) -> PredecessorLeases {
         let left = |until_ms: &u64| until_ms.saturating_sub(now.steady_ms);
         let silent = self.inherited.silent.iter().map(|(at, waited)| {
             (*at, SilentCoordinator { term: waited.term, remaining_ms: left(&waited.until_ms) })
@@ -111,7 +111,7 @@
     ///
     /// The shell tells the store's writer before it sends what was decided: an agent that is reached
     /// again must not be left to a successor as one whose lease ends soon.
-    pub const fn take_inheritance_changed(&mut self) -> bool {
+    pub const fn take_leases_for_successor_changed(&mut self) -> bool {
         std::mem::replace(&mut self.inheritance_changed, false)
     }
 
--- a/crates/geraniumpost-batch/src/lib.rs
+++ b/crates/geraniumpost-batch/src/lib.rs
@@ -16,7 +16,7 @@
 //! let step = StepSpec { count: 2, demand: Demand::default(), ..StepSpec::default() };
 //! let spec = JobSpec { steps: vec![step], ..JobSpec::default() };
 //! let request = CallerRequest::Submit { job: JobId(1), spec, terms: QueueTerms::default() };
-//! coordinator.ask(1, request, Now::default());
+//! coordinator.handle_request(1, request, Now::default());
 //! // The caller gets no response before the record is written.
 //! assert!(matches!(coordinator.take_effects(Now::default())[..], [.., Effect::Write(_)]));
 //! ```
--- a/crates/geraniumpost/src/batch/coordination/key.rs
+++ b/crates/geraniumpost/src/batch/coordination/key.rs
@@ -5,7 +5,7 @@
 
 use geraniumpost_batch::SilentCoordinator;
 use geraniumpost_batch::tuning::{ENTRY_EXPIRY_MS, STORE_UNREACHABLE_MS};
-use geraniumpost_platform::{CommitError, Item, Put};
+use geraniumpost_platform::{CommitError, KeyValue, Transaction};
 
 use super::super::BootClock;
 use super::COORDINATOR_KEY;
@@ -22,7 +22,7 @@
     /// Returns whether the key gives silent coordinators much more time than they have left. Whoever reads
     /// it counts with all of that time from then on, whenever that may be, so it is rewritten.
     pub(super) fn overstates_waits(&self) -> bool {
-        let named = &self.record.inheritance.silent;
+        let named = &self.record.predecessor_leases.silent;
         if named.is_empty() {
             return false;
         }
@@ -63,9 +63,9 @@
     async fn rewrite_key(&mut self) -> Result<(), TermLost> {
         loop {
             self.record.barrier += 1;
-            self.record.inheritance = self.left.at(BootClock.now_ms()).while_coordinating();
-            self.record.forget_voters();
-            let put = Put {
+            self.record.predecessor_leases = self.left.at(BootClock.now_ms()).while_coordinating();
+            self.record.prune_voters();
+            let put = Transaction {
                 expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
                 write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
                 remove: Vec::new(),
@@ -85,8 +85,8 @@
                         return Ok(());
                     }
                 }
-                Err(CommitError::NotDone(_)) => tokio::time::sleep(PAUSE).await,
-                Err(CommitError::Unknown(_)) => {
+                Err(CommitError::NotApplied(_)) => tokio::time::sleep(PAUSE).await,
+                Err(CommitError::Indeterminate(_)) => {
                     self.timeout.unanswered();
                     if self.read_revision().await? {
                         return Ok(());
@@ -142,7 +142,7 @@
         let listed = self.peers.listed();
         let Some(lost) = listed.iter().find(lost) else { return };
         let own = (COORDINATOR_KEY.to_owned(), self.revision);
-        let put = Put {
+        let put = Transaction {
             expect: vec![own, (lost.key(), lost.revision)],
             write: Vec::new(),
             remove: vec![lost.key()],
@@ -155,7 +155,7 @@
     }
 
     /// Returns the key's revision if the term is still ours.
-    fn own(&self, item: Option<Item>) -> Result<u64, TermLost> {
+    fn own(&self, item: Option<KeyValue>) -> Result<u64, TermLost> {
         let item = item.ok_or(TermLost)?;
         let record = CoordinatorRecord::decode(&item.value).map_err(|_| TermLost)?;
         let ours = record.incarnation == self.record.incarnation && record.term == self.record.term;
@@ -172,9 +172,9 @@
 
     /// Gives the term up, so that the next coordinator need not wait for anything.
     pub async fn step_down(&mut self) {
-        self.record.vacant = true;
-        self.record.inheritance = self.left.at(BootClock.now_ms());
-        let put = Put {
+        self.record.stepped_down = true;
+        self.record.predecessor_leases = self.left.at(BootClock.now_ms());
+        let put = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
             remove: Vec::new(),
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -9,7 +9,7 @@
 use geraniumpost_batch::{
     Coordinator, InterferenceSnapshot, JobId, JobRecord, Now, PredecessorLeases,
 };
-use geraniumpost_platform::{Admission, Found, Page, Store, StoreError};
+use geraniumpost_platform::{Admission, GetResponse, Page, Store, StoreError};
 use tokio::sync::{mpsc, watch};
 
 use super::super::{BootClock, first_answer};
@@ -94,9 +94,9 @@
         );
         let coordinator = Coordinator::new(self.record.term, now)
             .lease_ms(self.lease_ms)
-            .term_asked_for(self.asked_ms)
-            .inheriting(&self.inheritance, self.taken)
-            .with_knowledge(&knowledge)
+            .term_requested_at(self.asked_ms)
+            .with_predecessor_leases(&self.inheritance, self.taken)
+            .with_interference(&knowledge)
             .with_records(records, now);
         let (writes_tx, mut writes) = mpsc::channel(BATCHES);
         let (questions_tx, questions) = mpsc::channel(QUEUE);
@@ -164,11 +164,11 @@
     /// Reads what a predecessor had learnt. Without it the coordinator learns anew.
     async fn read_knowledge(&self) -> InterferenceSnapshot {
         let reading = async {
-            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.finish(SILENCE).await
+            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.receive(SILENCE).await
         };
         let item = match reading.await {
-            Ok(Found { item: Some(item), .. }) => item,
-            Ok(Found { item: None, .. }) => return InterferenceSnapshot::default(),
+            Ok(GetResponse { item: Some(item), .. }) => item,
+            Ok(GetResponse { item: None, .. }) => return InterferenceSnapshot::default(),
             Err(error) => {
                 spdlog::warn!("event=read_failed what=knowledge why=\"{error}\"");
                 return InterferenceSnapshot::default();
@@ -214,7 +214,7 @@
         let attempt = |timeout| self.store.begin_page(JOB_PREFIX, after, timeout);
         loop {
             let read = match first_answer(&self.store, READ_SPACING, attempt, failed).await {
-                Ok(reading) => reading.finish(SILENCE).await,
+                Ok(reading) => reading.receive(SILENCE).await,
                 Err(error) => Err(error),
             };
             match read {
@@ -233,7 +233,7 @@
     inputs: mpsc::Sender<Input>,
 ) {
     while let Some((step, minions)) = questions.recv().await {
-        let answer = admission.ask(step, &minions, ADMISSION_TIMEOUT).await;
+        let answer = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
         if let Err(why) = &answer {
             spdlog::warn!("event=approval_unanswered step={step} why=\"{why}\"");
         }
@@ -270,7 +270,7 @@
     }
 }
 
-fn read_record(item: &geraniumpost_platform::Item) -> Option<(JobId, JobRecord)> {
+fn read_record(item: &geraniumpost_platform::KeyValue) -> Option<(JobId, JobRecord)> {
     let id = item.key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok());
     match (id, JobRecord::decode(&item.value)) {
         (Some(id), Ok(record)) => Some((id, record)),
