--- a/crates/geraniumpost-batch/src/coordinator/asking.rs
+++ b/crates/geraniumpost-batch/src/coordinator/asking.rs
@@ -14,7 +14,7 @@
     pub fn handle_request(&mut self, ticket: u64, ask: CallerRequest, now: Now) {
         match ask {
             CallerRequest::Submit { job, spec, terms } => {
-                self.submit(ticket, job, spec, terms, now)
+                self.submit(ticket, job, spec, terms, now);
             }
             CallerRequest::Cancel(job) => self.cancel(ticket, job, now),
             CallerRequest::State(job) => {
--- a/crates/geraniumpost-batch/src/interference/slope.rs
+++ b/crates/geraniumpost-batch/src/interference/slope.rs
@@ -10,6 +10,6 @@
 
 impl Slope {
     /// Estimate for a pair without observations. Some pairs hardly interfere and others strongly,
-    /// and nothing tells them apart beforehand.
+    /// and they cannot be distinguished beforehand.
     pub const UNKNOWN: Self = Self { mean: 0.8, deviation: 0.6 };
 }
--- a/crates/geraniumpost-batch/src/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/predecessor_leases.rs
@@ -23,7 +23,7 @@
 /// A successor does not know which leases its predecessors extended. If it considered only its
 /// direct predecessor, it would miss coordinators that stopped answering earlier, and would start
 /// tasks that still run beside an agent which one of those reaches. If it assumed a full lease for
-/// every agent, the wait would begin anew at each planned handover, and the persistent tasks of a
+/// every agent, the wait would start again at each planned handover, and the persistent tasks of a
 /// crashed minion would be down all that time.
 ///
 /// All times are in milliseconds from the moment of reporting, so that no two clocks are compared.
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -29,7 +29,7 @@
 }
 
 impl Support {
-    /// Returns the support at the begin of a term, at `now_ms` on the monotonic clock; the
+    /// Returns the support at the beginning of a term, at `now_ms` on the monotonic clock; the
     /// coordinator's key holds these voters.
     pub const fn new(voters: Voters, now_ms: u64) -> Self {
         Self { voters, next: None, changed_ms: now_ms, promises: BTreeMap::new() }
@@ -61,7 +61,7 @@
     }
 
     /// Returns until when a majority supports the coordinator, on the monotonic clock. A
-    /// coordinator without voters always has a majority: nobody can release a promise to it, so
+    /// coordinator without voters always has a majority: no entry can release a promise to it, so
     /// that its successor waits for the longest time.
     pub fn supported_until_ms(&self) -> u64 {
         let sets = std::iter::once(&self.voters).chain(&self.next);
@@ -99,8 +99,8 @@
 
     /// Returns the voters that should be written into the coordinator's key, or `None` if it needs
     /// no change at `now_ms`. The voters are the entries that answer. They do not change within
-    /// [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the begin of the term: a coordinator that
-    /// has just taken over has not heard from any entry, and would write an empty set.
+    /// [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term: a coordinator
+    /// that has just taken over has not heard from any entry, and would write an empty set.
     pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
         if now_ms < self.changed_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -12,8 +12,8 @@
 /// Limit on concurrent writes. One suffices at the store's usual response time of 4 ms; if the
 /// store needs a quarter of a second, four still carry 120 records per round trip.
 pub const MAX_CONCURRENT_WRITES: usize = 4;
-/// Pause after which an order that was not answered is sent again, in milliseconds. The agent's own
-/// timeout has expired before, so that the pause only has to exceed a round trip.
+/// Pause after which an order that was not answered is sent again, in milliseconds. It begins after
+/// the agent's own timeout, so that it only has to exceed a round trip.
 pub const ORDER_RETRY_MS: u64 = 300;
 /// Time after which an order whose result has not arrived is sent again, in milliseconds: the
 /// agent's timeout for a call, and a margin for a slow agent.
@@ -64,12 +64,12 @@
 /// covers the store outages that operators report, so that running tasks outlive them. A successor
 /// waits for this time before it takes runs on unreachable minions for ended.
 pub const STORE_OUTAGE_TOLERANCE_MS: u64 = 8_000;
-/// How long after a question to the store its answer alone permits a coordinator to extend leases,
-/// in milliseconds. It may be shorter than the interval between two questions, as one extension in
-/// several heartbeats keeps tasks running; a successor waits for all of it.
+/// How long after a request to the store its response alone permits a coordinator to extend leases,
+/// in milliseconds. It may be shorter than the interval between two requests, because one extension
+/// in several heartbeats keeps tasks running. A successor waits for all of this time.
 pub const STORE_CONFIRMATION_MS: u64 = 500;
 /// How long an entry's promise to support a coordinator lasts, in milliseconds, counted from when
-/// the coordinator sent the message that the entry answers. It covers three pings, and has expired
+/// the coordinator sent the pong that the entry answers. It covers three pings, and has expired
 /// when an entry takes the silent coordinator for lost.
 pub const PROMISE_MS: u64 = 900;
 /// How long an entry keeps its promise, in percent of the time for which the coordinator relies on
--- a/crates/geraniumpost-batch/tests/coordinator/world/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/agents.rs
@@ -20,7 +20,7 @@
                 self.beating.insert(minion.to_owned());
             }
             FromAgent::Heartbeat { .. } | FromAgent::MinionTerminated { .. } => {
-                self.fall_silent(minion)
+                self.fall_silent(minion);
             }
             _ => {}
         }
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -114,7 +114,7 @@
         for minion in 0..minions {
             let own = model.own_utilization(&Simulation::image(), &Simulation::group(minion));
             let expected = simulation.own(minion, 20_000 - GAUGE_MS);
-            prop_assert!((own - expected).abs() < 0.12, "estimated own load {own}, true own load {expected}");
+            prop_assert!((own - expected).abs() < 0.12, "estimated {own}, true own load {expected}");
         }
     }
 
@@ -145,12 +145,15 @@
         headroom in proptest::collection::vec(-0.3_f64..0.6, 1..4),
         images in proptest::collection::vec((1.0_f64..9_000.0, proptest::collection::vec(0.0_f64..0.6, 3)), 0..5),
     ) {
-        let pressures: Vec<Pressure> =
-            images.into_iter().map(|(processors, adds)| Pressure { processors, added_utilization: adds }).collect();
+        let pressures: Vec<Pressure> = images
+            .into_iter()
+            .map(|(processors, added_utilization)| Pressure { processors, added_utilization })
+            .collect();
         let shares = speed_limits(&headroom, &pressures);
         prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(share)));
         for (group, headroom) in headroom.iter().enumerate() {
-            let added: f64 = pressures.iter().zip(&shares).map(|(p, s)| p.added_utilization[group] * s).sum();
+            let added: f64 =
+                pressures.iter().zip(&shares).map(|(p, s)| p.added_utilization[group] * s).sum();
             prop_assert!(added <= headroom.max(0.0) + 1e-9, "{added} added to headroom {headroom}");
         }
     }
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -50,7 +50,7 @@
     assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
 }
 
-/// A majority lasts until its first promise expires.
+/// A majority lasts until the first of its promises expires.
 #[test]
 fn majority_ends_with_its_first_expired_promise() {
     let mut support = Support::new(voters(4), 0);
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -244,7 +244,7 @@
                 None => self.execute(incarnation, message),
                 // Messages to an earlier process are lost with its connections.
                 Some(to) if self.processes[to].incarnation == incarnation => {
-                    self.receive(to, message)
+                    self.receive(to, message);
                 }
                 Some(_) => {}
             }
