--- a/crates/geraniumpost/src/batch/agent/finder.rs
+++ b/crates/geraniumpost/src/batch/agent/finder.rs
@@ -40,7 +40,7 @@
             Ok(Some(item)) => {
                 lost = false;
                 if let Ok(record) = CoordinatorRecord::decode(&item.value)
-                    && !record.vacant
+                    && !record.stepped_down
                 {
                     Known { address: record.address, fence: record.term }.publish(&known);
                 }
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -50,7 +50,7 @@
     mut rx: LinkReceiver<ToPeer>,
     known: &mut watch::Receiver<Option<Known>>,
 ) {
-    if tx.send(FromPeer::Agent { node: state.node.clone() }).is_err() {
+    if tx.send(FromPeer::AgentHello { node: state.node.clone() }).is_err() {
         return;
     }
     state.heard_ms.store(BootClock.now_ms(), Ordering::Relaxed);
@@ -94,7 +94,7 @@
 fn beat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
     let minion_ok = state.answers_within(ANSWERED_MS);
     let beat = FromAgent::Beat { sent_at_ms: BootClock.now_ms(), minion_ok };
-    tx.send(FromPeer::AgentSays(beat)).is_ok()
+    tx.send(FromPeer::AgentMessage(beat)).is_ok()
 }
 
 fn take(state: &Arc<State>, message: ToAgent) {
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -269,7 +269,7 @@
 
 /// Tells the coordinator something; false if there is no link.
 fn tell(inner: &Inner, message: FromAgent) -> bool {
-    inner.link.as_ref().is_some_and(|link| link.send(FromPeer::AgentSays(message)).is_ok())
+    inner.link.as_ref().is_some_and(|link| link.send(FromPeer::AgentMessage(message)).is_ok())
 }
 
 /// Keeps the departure of an incarnation in mind, and tells the coordinator.
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -16,7 +16,7 @@
 use super::super::BootClock;
 use super::super::entry::{InForce, LinkState};
 use super::doorway::{Doorway, Inputs};
-use super::loss::{Loss, SILENCE_MS, judge_link};
+use super::loss::{CoordinatorLoss, SILENCE_MS, detect_loss};
 use super::own_promises::OwnPromises;
 use super::peers::Peers;
 use super::record::CoordinatorRecord;
@@ -149,24 +149,24 @@
         };
         let Some((record, revision)) = read(item.as_ref()) else {
             self.stagger().await;
-            self.take_over(item.as_ref(), Loss::Gone, inputs, stop).await;
+            self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         };
-        if record.vacant {
+        if record.stepped_down {
             // Whoever comes second finds the key taken, which costs it one call.
             tokio::time::sleep(Duration::from_millis(self.handicap_ms)).await;
-            self.take_over(item.as_ref(), Loss::Gone, inputs, stop).await;
+            self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
         if record.node == self.node {
             // An earlier process on this VM, or an earlier term of this one.
-            self.take_over(item.as_ref(), Loss::Gone, inputs, stop).await;
+            self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
         let known = Known { address: record.address, fence: record.term };
         known.publish(&self.known);
         let loss = self.lost(&known, seen.readable_since_ms).await;
-        if loss == Loss::Gone && seen.gone.replace(revision) != Some(revision) {
+        if loss == CoordinatorLoss::Ended && seen.gone.replace(revision) != Some(revision) {
             // It is about to say so in its key, or somebody has followed it; a takeover of the key as
             // it was read would only fail.
             return;
@@ -192,14 +192,14 @@
     }
 
     /// Waits until the coordinator seems lost.
-    async fn lost(&self, known: &Known, readable_since_ms: Option<u64>) -> Loss {
+    async fn lost(&self, known: &Known, readable_since_ms: Option<u64>) -> CoordinatorLoss {
         loop {
             tokio::time::sleep(PAUSE).await;
             let link = *self.link.borrow();
             if link.address != Some(known.address) {
                 continue;
             }
-            if let Some(loss) = judge_link(&link, readable_since_ms, BootClock.now_ms()) {
+            if let Some(loss) = detect_loss(&link, readable_since_ms, BootClock.now_ms()) {
                 return loss;
             }
         }
@@ -210,14 +210,19 @@
     /// An entry that is cut off sees the coordinator vanish while it serves everybody else. Were it
     /// to take over, agents would obey a coordinator that none of them reaches, and all work would
     /// stop; its users would see jobs that do not begin.
-    async fn may_take_over(&self, record: &CoordinatorRecord, loss: Loss, seen: &mut Seen) -> bool {
+    async fn may_take_over(
+        &self,
+        record: &CoordinatorRecord,
+        loss: CoordinatorLoss,
+        seen: &mut Seen,
+    ) -> bool {
         let link = *self.link.borrow();
-        let silent_ms = BootClock.now_ms().saturating_sub(link.heard_ms);
-        if loss == Loss::Silent && link.refused == 0 && silent_ms < SILENCE_MS {
+        let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
+        if loss == CoordinatorLoss::Silent && link.failed_connects == 0 && silent_ms < SILENCE_MS {
             // It says itself that it misses the store, which may be away for everybody.
             let readable = self.store.get(COORDINATOR_KEY, CALL).await.is_ok();
             seen.note(readable);
-            return link.store_lost_ms.is_some() && readable;
+            return link.store_unreachable_since_ms.is_some() && readable;
         }
         let probed = self.peers.probe(Some(&record.node)).await;
         if probed.iter().any(|probed| probed.answered) {
@@ -226,14 +231,14 @@
             return false;
         }
         let (answers, others) = (probed.len(), self.peers.count(&record.node));
-        answers > 0 || others == 0 || loss == Loss::Gone || silent_ms > ALONE_MS
+        answers > 0 || others == 0 || loss == CoordinatorLoss::Ended || silent_ms > ALONE_MS
     }
 
     /// Takes the coordinator's key, if it still is as it was read, and coordinates.
     async fn take_over(
         &self,
         item: Option<&Item>,
-        loss: Loss,
+        loss: CoordinatorLoss,
         inputs: &watch::Sender<Inputs>,
         stop: &watch::Receiver<bool>,
     ) {
@@ -286,7 +291,7 @@
         &self,
         before: Option<CoordinatorRecord>,
         item: Option<&Item>,
-        loss: Loss,
+        loss: CoordinatorLoss,
     ) -> (CoordinatorRecord, Inheritance) {
         // A revision of the store is higher than any before it, whatever was written or removed.
         let revision = item.map_or(0, |item| item.revision);
@@ -297,8 +302,9 @@
         });
         let (mut voters, inheritance) = before.map_or_else(Default::default, |before| {
             // One that is silent may answer again, and then tells whether it still coordinates.
-            let silent = (loss == Loss::Silent).then_some((before.address, before.term));
-            let inheritance = before.inheritance.taken_over(silent, self.address, self.hold_ms);
+            let silent = (loss == CoordinatorLoss::Silent).then_some((before.address, before.term));
+            let inheritance =
+                before.predecessor_leases.taken_over(silent, self.address, self.hold_ms);
             (before.voters, inheritance)
         });
         voters.insert(term, own);
@@ -308,11 +314,11 @@
             incarnation: self.promises.incarnation(),
             term,
             barrier: 0,
-            vacant: false,
-            inheritance: inheritance.clone().while_coordinating(),
+            stepped_down: false,
+            predecessor_leases: inheritance.clone().while_coordinating(),
             voters,
         };
-        record.forget_voters();
+        record.prune_voters();
         (record, inheritance)
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/doorway.rs
+++ b/crates/geraniumpost/src/batch/coordination/doorway.rs
@@ -104,8 +104,8 @@
         }
         let Some(term) = term else { return };
         let (peer, incarnation) = match first.head {
-            FromPeer::Entry { node, incarnation } => (Peer::Entry { node, link }, incarnation),
-            FromPeer::Agent { node } => (Peer::Agent { node, link }, 0),
+            FromPeer::EntryHello { node, incarnation } => (Peer::Entry { node, link }, incarnation),
+            FromPeer::AgentHello { node } => (Peer::Agent { node, link }, 0),
             _ => return,
         };
         if term.inputs.send(Input::Opened(peer.clone(), tx.clone())).await.is_err() {
@@ -118,13 +118,13 @@
 
     fn probed(&self) -> ToPeer {
         let coordinator = self.known.borrow().map(|known| (known.address, known.fence));
-        ToPeer::Probed { coordinator_answers: self.coordinator_answers(), coordinator }
+        ToPeer::ProbeResponse { coordinator_answers: self.coordinator_answers(), coordinator }
     }
 
     fn release(&self, term: u64) -> ToPeer {
         let lasts_ms = self.promises.release(term);
         spdlog::info!("event=support_released before_term={term} lasts_ms={lasts_ms}");
-        ToPeer::Released {
+        ToPeer::ReleaseResponse {
             node: self.promises.node().clone(),
             incarnation: self.promises.incarnation(),
             lasts_ms,
@@ -142,7 +142,10 @@
             };
             let Some(message) = message else { return };
             let input = match (message.head, peer) {
-                (FromPeer::EntrySays(FromEntry::Ping { configuration, supports, leaves }), _) => {
+                (
+                    FromPeer::EntryMessage(FromEntry::Ping { configuration, supports, leaves }),
+                    _,
+                ) => {
                     self.in_force.heard(configuration);
                     if let (Some(sent), Peer::Entry { node, .. }) = (supports, peer) {
                         support.promised(node, *incarnation, sent);
@@ -158,10 +161,11 @@
                     }
                     continue;
                 }
-                (FromPeer::EntrySays(FromEntry::Ask { ticket, ask }), Peer::Entry { link, .. }) => {
-                    Input::Ask { link: *link, ticket, ask }
-                }
-                (FromPeer::AgentSays(said), Peer::Agent { node, .. }) => agent_said(node, said),
+                (
+                    FromPeer::EntryMessage(FromEntry::Ask { ticket, ask }),
+                    Peer::Entry { link, .. },
+                ) => Input::Ask { link: *link, ticket, ask },
+                (FromPeer::AgentMessage(said), Peer::Agent { node, .. }) => agent_said(node, said),
                 _ => return,
             };
             if inputs.send(input).await.is_err() {
@@ -180,8 +184,8 @@
             return self.store_silent_ms() < STORE_SILENCE_MS;
         }
         let link = *self.link.borrow();
-        let silent_ms = BootClock.now_ms().saturating_sub(link.heard_ms);
-        link.refused == 0 && !link.denied && silent_ms < ANSWERS_MS
+        let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
+        link.failed_connects == 0 && !link.not_coordinating && silent_ms < ANSWERS_MS
     }
 }
 
--- a/crates/geraniumpost/src/batch/coordination/key.rs
+++ b/crates/geraniumpost/src/batch/coordination/key.rs
@@ -22,7 +22,7 @@
     /// Returns whether the key gives silent coordinators much more time than they have left. Whoever reads
     /// it counts with all of that time from then on, whenever that may be, so it is rewritten.
     pub(super) fn overstates_waits(&self) -> bool {
-        let named = &self.record.inheritance.silent;
+        let named = &self.record.predecessor_leases.silent;
         if named.is_empty() {
             return false;
         }
@@ -62,8 +62,8 @@
     async fn rewrite_key(&mut self) -> Result<(), TermLost> {
         loop {
             self.record.barrier += 1;
-            self.record.inheritance = self.left.at(BootClock.now_ms()).while_coordinating();
-            self.record.forget_voters();
+            self.record.predecessor_leases = self.left.at(BootClock.now_ms()).while_coordinating();
+            self.record.prune_voters();
             let put = Put {
                 expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
                 write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
@@ -171,8 +171,8 @@
 
     /// Gives the term up, so that the next coordinator need not wait for anything.
     pub async fn step_down(&mut self) {
-        self.record.vacant = true;
-        self.record.inheritance = self.left.at(BootClock.now_ms());
+        self.record.stepped_down = true;
+        self.record.predecessor_leases = self.left.at(BootClock.now_ms());
         let put = Put {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
--- a/crates/geraniumpost/src/batch/coordination/loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/loss.rs
@@ -16,9 +16,9 @@
 
 /// How a coordinator was lost, which decides what it may still do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
+pub enum CoordinatorLoss {
     /// Its process is gone, or it has stepped down.
-    Gone,
+    Ended,
     /// It may live on, and extend leases until it notices.
     Silent,
 }
@@ -28,16 +28,21 @@
 /// `readable_since_ms` is when the store answered this entry again after it had not. After an outage
 /// for everybody the coordinator reaches the store a moment after others do. Taking over then would
 /// stop all work for a second, for nothing.
-pub fn judge_link(link: &LinkState, readable_since_ms: Option<u64>, now_ms: u64) -> Option<Loss> {
-    if link.denied {
-        return Some(Loss::Gone);
+pub fn detect_loss(
+    link: &LinkState,
+    readable_since_ms: Option<u64>,
+    now_ms: u64,
+) -> Option<CoordinatorLoss> {
+    if link.not_coordinating {
+        return Some(CoordinatorLoss::Ended);
     }
     // A path that refuses connections says nothing of the process behind it.
-    let silent_ms = now_ms.saturating_sub(link.heard_ms);
-    if link.refused >= REFUSALS || silent_ms >= SILENCE_MS {
-        return Some(Loss::Silent);
+    let silent_ms = now_ms.saturating_sub(link.last_heard_ms);
+    if link.failed_connects >= REFUSALS || silent_ms >= SILENCE_MS {
+        return Some(CoordinatorLoss::Silent);
     }
     let after_outage = readable_since_ms.is_some_and(|since| now_ms < since + AFTER_OUTAGE_MS);
-    let missed = link.store_lost_ms.is_some_and(|since| now_ms >= since + STORE_MISSED_MS);
-    (missed && !after_outage).then_some(Loss::Silent)
+    let missed =
+        link.store_unreachable_since_ms.is_some_and(|since| now_ms >= since + STORE_MISSED_MS);
+    (missed && !after_outage).then_some(CoordinatorLoss::Silent)
 }
--- a/crates/geraniumpost/src/batch/coordination/mod.rs
+++ b/crates/geraniumpost/src/batch/coordination/mod.rs
@@ -19,7 +19,7 @@
 
 pub use candidate::Candidate;
 pub use known::Known;
-pub use loss::{Loss, judge_link};
+pub use loss::{CoordinatorLoss, detect_loss};
 pub use own_promises::OwnPromises;
 pub use peers::Peers;
 pub use record::CoordinatorRecord;
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -189,7 +189,7 @@
 /// Asks an entry what it knows of the coordinator.
 pub async fn probe(address: SocketAddr) -> Option<Probed> {
     match ask(address, FromPeer::Probe).await? {
-        ToPeer::Probed { coordinator_answers, coordinator } => {
+        ToPeer::ProbeResponse { coordinator_answers, coordinator } => {
             let known = coordinator.map(|(address, fence)| Known { address, fence });
             Some(Probed { answered: coordinator_answers, known })
         }
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -24,9 +24,9 @@
     /// Counts rewrites within a term, each of which bars all earlier writes.
     pub barrier: u64,
     /// Whether it has stepped down, so that the next one need not look for it first.
-    pub vacant: bool,
+    pub stepped_down: bool,
     /// Whose leases may last for how long, counted from the writing of this record.
-    pub inheritance: Inheritance,
+    pub predecessor_leases: Inheritance,
     /// The voters of this term, and of those of the silent coordinators that the inheritance names.
     pub voters: BTreeMap<u64, Voters>,
 }
@@ -54,8 +54,8 @@
     }
 
     /// Forgets the voters of terms that are over: nobody waits for them any more.
-    pub fn forget_voters(&mut self) {
-        let silent = |term: &u64| self.inheritance.silent.values().any(|s| s.term == *term);
+    pub fn prune_voters(&mut self) {
+        let silent = |term: &u64| self.predecessor_leases.silent.values().any(|s| s.term == *term);
         let own = self.term;
         self.voters.retain(|term, _| *term == own || silent(term));
     }
--- a/crates/geraniumpost/src/batch/coordination/releases.rs
+++ b/crates/geraniumpost/src/batch/coordination/releases.rs
@@ -104,7 +104,7 @@
 /// Asks one entry. The answer of another one that has taken its address says nothing of it.
 async fn ask_release(node: Name, address: SocketAddr, term: u64) -> Option<Answer> {
     match ask(address, FromPeer::Release { term }).await? {
-        ToPeer::Released { node: other, incarnation, lasts_ms } if other == node => {
+        ToPeer::ReleaseResponse { node: other, incarnation, lasts_ms } if other == node => {
             Some(Answer { node, incarnation, lasts_ms })
         }
         _ => None,
--- a/crates/geraniumpost/src/batch/entry/in_force.rs
+++ b/crates/geraniumpost/src/batch/entry/in_force.rs
@@ -78,7 +78,7 @@
         if version <= known {
             return;
         }
-        self.note(|newer| newer.heard(version, BootClock.now_ms()));
+        self.note(|newer| newer.observed(version, BootClock.now_ms()));
         spdlog::info!(
             "event=configuration_heard version={version} in_force={} age_ms={}",
             self.version(),
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -12,8 +12,8 @@
 /// ```
 /// use geraniumpost::batch::entry::NewerVersions;
 /// let mut newer = NewerVersions::default();
-/// newer.heard(7, 100);
-/// newer.heard(9, 300);
+/// newer.observed(7, 100);
+/// newer.observed(9, 300);
 /// assert_eq!(newer.behind_since_ms(), Some(100));
 /// newer.adopted(8);
 /// assert_eq!(newer.behind_since_ms(), Some(300));
@@ -28,7 +28,7 @@
 
 impl NewerVersions {
     /// Notes a version that another process has.
-    pub fn heard(&mut self, version: u64, now_ms: u64) {
+    pub fn observed(&mut self, version: u64, now_ms: u64) {
         if version <= self.own || self.newest() >= version {
             return;
         }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -30,13 +30,13 @@
     /// The coordinator that the rest is about.
     pub address: Option<SocketAddr>,
     /// When it answered last, or when the first link to it was tried, on the boot clock.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     /// Links in a row that could not be opened.
-    pub refused: u32,
+    pub failed_connects: u32,
     /// Whether it has answered that it does not coordinate.
-    pub denied: bool,
+    pub not_coordinating: bool,
     /// Since when the coordinator has not reached the store, on the boot clock.
-    pub store_lost_ms: Option<u64>,
+    pub store_unreachable_since_ms: Option<u64>,
 }
 
 /// A caller's request on its way.
@@ -187,7 +187,7 @@
                 Ok((tx, rx)) => self.relay(tx, rx).await,
                 Err(error) => {
                     spdlog::debug!("event=link_failed to={} why=\"{error}\"", known.address);
-                    self.state.send_modify(|state| state.refused += 1);
+                    self.state.send_modify(|state| state.failed_connects += 1);
                 }
             }
             self.waiting.retain(|_, waiting| !waiting.answer.is_closed());
@@ -200,8 +200,9 @@
         self.state.send_if_modified(|state| {
             let other = state.address != Some(address);
             if other {
-                let heard_ms = BootClock.now_ms();
-                *state = LinkState { address: Some(address), heard_ms, ..LinkState::default() };
+                let last_heard_ms = BootClock.now_ms();
+                *state =
+                    LinkState { address: Some(address), last_heard_ms, ..LinkState::default() };
             }
             other
         });
@@ -209,7 +210,7 @@
 
     async fn relay(&mut self, tx: Tx, mut rx: Rx) {
         let (node, incarnation) = (self.promises.node().clone(), self.promises.incarnation());
-        if tx.send(FromPeer::Entry { node, incarnation }).is_err() {
+        if tx.send(FromPeer::EntryHello { node, incarnation }).is_err() {
             return;
         }
         self.send_again(&tx);
@@ -234,7 +235,7 @@
                     self.keep(waiting, trusted.then_some(&tx));
                 }
                 _ = pings.tick() => {
-                    if tx.send(FromPeer::EntrySays(self.ping())).is_err() || self.is_silent() {
+                    if tx.send(FromPeer::EntryMessage(self.ping())).is_err() || self.is_silent() {
                         return;
                     }
                 }
@@ -258,7 +259,7 @@
     }
 
     fn silent_ms(&self) -> u64 {
-        BootClock.now_ms().saturating_sub(self.state.borrow().heard_ms)
+        BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
     fn take(&mut self, message: ToPeer) -> bool {
@@ -269,11 +270,14 @@
                 self.in_force.heard(configuration);
                 self.heard_ms.store(now_ms, Ordering::Relaxed);
                 self.state.send_modify(|state| {
-                    state.heard_ms = now_ms;
-                    state.refused = 0;
-                    state.denied = false;
-                    state.store_lost_ms =
-                        if store_ok { None } else { state.store_lost_ms.or(Some(now_ms)) };
+                    state.last_heard_ms = now_ms;
+                    state.failed_connects = 0;
+                    state.not_coordinating = false;
+                    state.store_unreachable_since_ms = if store_ok {
+                        None
+                    } else {
+                        state.store_unreachable_since_ms.or(Some(now_ms))
+                    };
                 });
             }
             ToPeer::Entry(ToEntry::Answer { ticket, answer }) => {
@@ -286,10 +290,10 @@
                 }
             }
             ToPeer::NotCoordinating => {
-                self.state.send_modify(|state| state.denied = true);
+                self.state.send_modify(|state| state.not_coordinating = true);
                 return false;
             }
-            ToPeer::Probed { .. } | ToPeer::Released { .. } | ToPeer::Agent(_) => {}
+            ToPeer::ProbeResponse { .. } | ToPeer::ReleaseResponse { .. } | ToPeer::Agent(_) => {}
         }
         true
     }
@@ -318,5 +322,5 @@
         return;
     }
     // A closed link is noticed by its reader, and the request is sent again on the next one.
-    let _ = tx.send(FromPeer::EntrySays(FromEntry::Ask { ticket, ask: waiting.ask.clone() }));
+    let _ = tx.send(FromPeer::EntryMessage(FromEntry::Ask { ticket, ask: waiting.ask.clone() }));
 }
--- a/crates/geraniumpost/src/batch/peer_message.rs
+++ b/crates/geraniumpost/src/batch/peer_message.rs
@@ -8,14 +8,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromPeer {
     /// The first message: an entry that relays callers' requests.
-    Entry {
+    EntryHello {
         /// Its name.
         node: Name,
         /// Random number of its process.
         incarnation: u64,
     },
     /// The first message: an agent.
-    Agent {
+    AgentHello {
         /// Its name.
         node: Name,
     },
@@ -27,9 +27,9 @@
         term: u64,
     },
     /// From an agent.
-    AgentSays(FromAgent),
+    AgentMessage(FromAgent),
     /// From an entry.
-    EntrySays(FromEntry),
+    EntryMessage(FromEntry),
 }
 
 /// What an entry answers on a link.
@@ -38,14 +38,14 @@
     /// This entry does not coordinate; the link ends.
     NotCoordinating,
     /// The answer to a probe.
-    Probed {
+    ProbeResponse {
         /// Whether the coordinator has answered lately.
         coordinator_answers: bool,
         /// Who coordinates as far as this entry knows: the address, and the fencing token.
         coordinator: Option<(SocketAddr, u64)>,
     },
     /// The answer to a request for release, which is granted.
-    Released {
+    ReleaseResponse {
         /// The entry that answers.
         node: Name,
         /// Random number of its process.
--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -13,8 +13,8 @@
         incarnation: 11,
         term: 7,
         barrier: 2,
-        vacant: true,
-        inheritance: Inheritance::default(),
+        stepped_down: true,
+        predecessor_leases: Inheritance::default(),
         voters: BTreeMap::new(),
     }
 }
@@ -28,8 +28,8 @@
 fn inheritance_is_read_as_it_was_written() {
     let mut record = record();
     let silent = Silent { term: 6, lasts_ms: 13_400 };
-    record.inheritance.silent.insert(([10, 0, 0, 2], 7160).into(), silent);
-    record.inheritance.unreached.insert("agent-3".into(), 800);
+    record.predecessor_leases.silent.insert(([10, 0, 0, 2], 7160).into(), silent);
+    record.predecessor_leases.unreached.insert("agent-3".into(), 800);
     assert_eq!(CoordinatorRecord::decode(&record.encode()), Ok(record));
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn record_without_voters_is_read() {
     let mut record = record();
-    record.inheritance.unreached.insert("agent-3".into(), 800);
+    record.predecessor_leases.unreached.insert("agent-3".into(), 800);
     let bytes = record.encode();
     assert_eq!(CoordinatorRecord::decode(&bytes[..bytes.len() - 1]), Ok(record));
 }
@@ -65,11 +65,14 @@
 #[test]
 fn voters_of_ended_terms_are_forgotten() {
     let mut record = record();
-    record.inheritance.silent.insert(([10, 0, 0, 2], 7160).into(), Silent { term: 5, lasts_ms: 9 });
+    record
+        .predecessor_leases
+        .silent
+        .insert(([10, 0, 0, 2], 7160).into(), Silent { term: 5, lasts_ms: 9 });
     for term in 4..=7 {
         record.voters.insert(term, voters());
     }
-    record.forget_voters();
+    record.prune_voters();
     assert_eq!(record.voters.into_keys().collect::<Vec<_>>(), [5, 7]);
 }
 
--- a/crates/geraniumpost/tests/newer_versions.rs
+++ b/crates/geraniumpost/tests/newer_versions.rs
@@ -35,7 +35,7 @@
         let mut newer = NewerVersions::default();
         for (event, at) in events.iter().zip(0..) {
             match event {
-                Event::Heard(version) => newer.heard(*version, at),
+                Event::Heard(version) => newer.observed(*version, at),
                 Event::Adopted(version) => newer.adopted(*version),
             }
         }
@@ -49,7 +49,7 @@
 fn long_series_is_kept_within_bounds() {
     let mut newer = NewerVersions::default();
     for version in 1..=1_000 {
-        newer.heard(version, version * 10);
+        newer.observed(version, version * 10);
     }
     assert_eq!((newer.behind_since_ms(), newer.newest()), (Some(10), 1_000));
     newer.adopted(999);
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -51,10 +51,10 @@
         loop {
             let message = tokio::time::timeout(PATIENCE, self.rx.next()).await;
             match message.expect("a request comes").expect("the link is open").head {
-                FromPeer::EntrySays(FromEntry::Ping { .. }) => {
+                FromPeer::EntryMessage(FromEntry::Ping { .. }) => {
                     self.say(PONG);
                 }
-                FromPeer::EntrySays(FromEntry::Ask { ticket, .. }) => return ticket,
+                FromPeer::EntryMessage(FromEntry::Ask { ticket, .. }) => return ticket,
                 _ => {}
             }
         }
