--- a/crates/geraniumpost-batch/src/coordinator/agents.rs
+++ b/crates/geraniumpost-batch/src/coordinator/agents.rs
@@ -41,7 +41,7 @@
     }
 
     /// Takes note that an agent's link is gone; what its minion runs goes on until its lease lapses.
-    pub fn agent_lost(&mut self, agent: &Name, now: Now) {
+    pub fn agent_disconnected(&mut self, agent: &Name, now: Now) {
         if let Some(known) = self.agents.get_mut(agent) {
             known.linked = false;
         }
--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -58,13 +58,13 @@
 }
 
 impl Coordinator {
-    /// Takes in the answer to an [`Effect::AskApproval`] that named the minions `asked`: the approved ones
+    /// Takes in the answer to an [`Effect::RequestApproval`] that named the minions `asked`: the approved ones
     /// with their tickets, and how long these hold. `None` says that there was no answer.
     ///
     /// A question that waits for long is put again, perhaps with other minions, and the first answer may
     /// come after that. It speaks only for the minions that it was asked about: one taken for refused is
     /// never asked about again, and a step that has no other place would wait for ever.
-    pub fn approved(
+    pub fn handle_approval(
         &mut self,
         step: TaskId,
         asked: &[Name],
@@ -117,7 +117,7 @@
         approval.asked = named.into_iter().map(|(_, id)| id).collect();
         approval.asked_ms = Some(now.steady_ms);
         let minions = approval.asked.clone();
-        self.effects.push(Effect::AskApproval { step, minions });
+        self.effects.push(Effect::RequestApproval { step, minions });
     }
 }
 
--- a/crates/geraniumpost-batch/src/coordinator/asking.rs
+++ b/crates/geraniumpost-batch/src/coordinator/asking.rs
@@ -11,7 +11,7 @@
 impl Coordinator {
     /// Takes a caller's request; the answer comes as [`Effect::Reply`] under `ticket`, after
     /// everything it promises is committed.
-    pub fn ask(&mut self, ticket: u64, ask: Ask, now: Now) {
+    pub fn handle_request(&mut self, ticket: u64, ask: Ask, now: Now) {
         match ask {
             Ask::Submit { job, spec, terms } => self.submit(ticket, job, spec, terms, now),
             Ask::Cancel(job) => self.cancel(ticket, job, now),
@@ -46,7 +46,7 @@
             self.reply(ticket, Answer::Invalid);
             return;
         }
-        if self.open.len() >= self.most_open_jobs {
+        if self.open.len() >= self.max_open_jobs {
             let open = self.open.len();
             self.note(format!("decision=refuse job={id} why=\"too many jobs\" open={open}"));
             self.reply(ticket, Answer::Refused { retry_after_ms: RETRY_AFTER_MS });
--- a/crates/geraniumpost-batch/src/coordinator/bar.rs
+++ b/crates/geraniumpost-batch/src/coordinator/bar.rs
@@ -10,7 +10,7 @@
     #[display("not_linked")]
     NotLinked,
     /// It stands in records, and has not been heard of by this coordinator.
-    #[display("not_heard_of")]
+    #[display("not_reported")]
     NotHeardOf,
     /// It runs another service's tasks.
     #[display("other_service")]
@@ -19,13 +19,13 @@
     #[display("label")]
     Label,
     /// Its lists have not been read over the present link.
-    #[display("not_looked_at")]
+    #[display("not_polled")]
     NotLookedAt,
     /// It does not answer its agent.
     #[display("no_answer")]
     NoAnswer,
     /// It failed or delayed what it was given.
-    #[display("shunned")]
+    #[display("quarantined")]
     Shunned,
     /// It leaves.
     #[display("draining")]
@@ -34,7 +34,7 @@
     #[display("over_bound")]
     OverBound,
     /// What is free is less than the task occupies.
-    #[display("no_room")]
+    #[display("no_capacity")]
     NoRoom,
     /// It runs as many tasks of the step as one minion may.
     #[display("spread")]
@@ -43,7 +43,7 @@
     #[display("no_approval")]
     NoApproval,
     /// What is free is kept for short tasks, and the task has no end and never ran.
-    #[display("room_kept_for_short")]
+    #[display("reserved_for_short")]
     RoomKeptForShort,
     /// The place that suits best is too slow for what fills.
     #[display("too_slow")]
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -42,7 +42,7 @@
     ///
     /// The shell reports a batch only once no earlier attempt at it, or at an earlier batch, can
     /// still change the store; an older record could otherwise replace a newer one.
-    pub fn written(&mut self, number: u64, now: Now) {
+    pub fn batch_written(&mut self, number: u64, now: Now) {
         let Some(batch) = self.batches.remove(&number) else { return };
         for written in batch.jobs {
             if let Some(job) = self.jobs.get_mut(&written.job) {
@@ -89,7 +89,7 @@
             if let Some(up_to) = up_to {
                 minion.acknowledged = up_to;
                 let message = ToAgent::Acknowledge { minion: id.clone(), up_to };
-                self.effects.push(Effect::Tell { agent: minion.agent.clone(), message });
+                self.effects.push(Effect::Send { agent: minion.agent.clone(), message });
             }
         }
     }
@@ -98,14 +98,14 @@
     pub(super) fn gather_writes(&mut self, now: Now) {
         while self.batches.len() < WRITES_AT_ONCE {
             let Some(mut write) = self.gather_write() else { return };
-            write.knowledge = self.knowledge_due(now);
+            write.interference = self.knowledge_due(now);
             self.effects.push(Effect::Write(write));
         }
     }
 
     fn gather_write(&mut self) -> Option<WriteBatch> {
         let number = self.next_batch;
-        let mut write = WriteBatch { number, put: Vec::new(), remove: Vec::new(), knowledge: None };
+        let mut write = WriteBatch { number, put: Vec::new(), remove: Vec::new(), interference: None };
         let mut written = Vec::new();
         let mut bytes = 0;
         for id in self.dirty.iter().copied().collect::<Vec<_>>() {
--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -39,7 +39,7 @@
         let settled = self.departures.extract_if(.., |_, d| d.unwritten.iter().all(durable));
         for (minion, departure) in settled {
             let message = ToAgent::DepartureSettled { minion };
-            self.effects.push(Effect::Tell { agent: departure.agent, message });
+            self.effects.push(Effect::Send { agent: departure.agent, message });
         }
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -5,7 +5,7 @@
 /// What the shell has to do for the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write records, and report it with [`Coordinator::written`](super::Coordinator::written).
+    /// Write records, and report it with [`Coordinator::batch_written`](super::Coordinator::batch_written).
     Write(WriteBatch),
     /// Answer a request.
     Reply {
@@ -15,15 +15,15 @@
         answer: Answer,
     },
     /// Send a message to an agent.
-    Tell {
+    Send {
         /// The agent.
         agent: Name,
         /// The message.
         message: ToAgent,
     },
     /// Ask the admission service which minions may run a step, and report it with
-    /// [`Coordinator::approved`](super::Coordinator::approved).
-    AskApproval {
+    /// [`Coordinator::handle_approval`](super::Coordinator::handle_approval).
+    RequestApproval {
         /// The step, named by its first task.
         step: TaskId,
         /// The minions in question.
@@ -32,7 +32,7 @@
     /// A minion has obeyed a newer coordinator: check who coordinates.
     Superseded,
     /// Something was decided that the log should tell.
-    Note(String),
+    Log(String),
 }
 
 /// Records that are written together or not at all.
@@ -45,5 +45,5 @@
     /// Records to remove.
     pub remove: Vec<JobId>,
     /// What was learnt of images, for a successor ([`crate::Knowledge`]).
-    pub knowledge: Option<Vec<u8>>,
+    pub interference: Option<Vec<u8>>,
 }
--- a/crates/geraniumpost-batch/src/coordinator/gauges.rs
+++ b/crates/geraniumpost-batch/src/coordinator/gauges.rs
@@ -23,7 +23,7 @@
 impl Coordinator {
     /// Takes over what a predecessor had learnt of images.
     #[must_use]
-    pub fn with_knowledge(mut self, knowledge: &Knowledge) -> Self {
+    pub fn with_interference(mut self, knowledge: &Knowledge) -> Self {
         self.interference.recall(knowledge);
         self
     }
--- a/crates/geraniumpost-batch/src/coordinator/inherited.rs
+++ b/crates/geraniumpost-batch/src/coordinator/inherited.rs
@@ -65,7 +65,7 @@
 impl Coordinator {
     /// Takes over what a predecessor left behind; call it after [`Self::hold_ms`].
     #[must_use]
-    pub fn inheriting(mut self, inheritance: &Inheritance, now: Now) -> Self {
+    pub fn with_predecessor_leases(mut self, inheritance: &Inheritance, now: Now) -> Self {
         self.inherited = Inherited::new(inheritance, self.hold_ms, now);
         self
     }
@@ -92,7 +92,7 @@
     }
 
     /// Returns what a successor has to know of leases at this moment.
-    pub fn inheritance(&self, now: Now) -> Inheritance {
+    pub fn leases_for_successor(&self, now: Now) -> Inheritance {
         let left = |until_ms: &u64| until_ms.saturating_sub(now.steady_ms);
         let silent = self.inherited.silent.iter().map(|(at, waited)| {
             (*at, Silent { term: waited.term, lasts_ms: left(&waited.until_ms) })
@@ -109,7 +109,7 @@
     ///
     /// The shell tells the store's writer before it sends what was decided: an agent that is reached
     /// again must not be left to a successor as one whose lease ends soon.
-    pub const fn take_inheritance_changed(&mut self) -> bool {
+    pub const fn take_leases_for_successor_changed(&mut self) -> bool {
         std::mem::replace(&mut self.inheritance_changed, false)
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -32,7 +32,7 @@
 impl Coordinator {
     /// Takes note until when a majority of entries supports this coordinator, on the steady clock, and how
     /// many of the others do at present.
-    pub const fn supported_until(&mut self, steady_ms: u64, supporters: usize) {
+    pub const fn set_supported_until(&mut self, steady_ms: u64, supporters: usize) {
         self.supported.until_ms = steady_ms;
         self.supported.supporters = supporters;
     }
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -43,7 +43,7 @@
         }
         let store_ok = silent_ms < STORE_SILENCE_MS;
         let message = ToAgent::Lease { sent_at_ms, hold_ms, fence: self.fence, store_ok };
-        self.effects.push(Effect::Tell { agent: agent.clone(), message });
+        self.effects.push(Effect::Send { agent: agent.clone(), message });
     }
 
     /// Returns when all that runs beside an agent has surely ended if its lease is not extended any more,
@@ -80,7 +80,7 @@
         for id in lapsed {
             let Some(minion) = self.minions.get(&id) else { continue };
             let runs: Vec<_> = minion.runs.iter().copied().collect();
-            self.note(format!("minion={id} event=lapsed runs={}", runs.len()));
+            self.note(format!("minion={id} event=lease_expired runs={}", runs.len()));
             for task in runs {
                 self.end_run(task, EndKind::Lapsed, &Name::default(), now);
             }
--- a/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
@@ -6,9 +6,9 @@
 pub struct LongestWait {
     /// Of the standing tasks that are down: they wait for a place or to begin, or their minion cannot
     /// be reached.
-    pub standing_ms: u64,
+    pub persistent_ms: u64,
     /// Of all other tasks that wait for a place, since their step last got one.
-    pub others_ms: u64,
+    pub other_ms: u64,
 }
 
 impl Coordinator {
@@ -24,8 +24,8 @@
             since_ms.map_or(0, |since_ms| now.steady_ms.saturating_sub(since_ms))
         };
         LongestWait {
-            standing_ms: waited_ms(down.map(|(_, since_ms)| *since_ms).min()),
-            others_ms: waited_ms(others.min()),
+            persistent_ms: waited_ms(down.map(|(_, since_ms)| *since_ms).min()),
+            other_ms: waited_ms(others.min()),
         }
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -64,7 +64,7 @@
 pub struct Coordinator {
     fence: u64,
     hold_ms: u64,
-    most_open_jobs: usize,
+    max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
     /// Jobs that may have waiting tasks.
     open: BTreeSet<JobId>,
@@ -110,7 +110,7 @@
         Self {
             fence,
             hold_ms: 0,
-            most_open_jobs: crate::tuning::MOST_OPEN_JOBS,
+            max_open_jobs: crate::tuning::MOST_OPEN_JOBS,
             jobs: BTreeMap::new(),
             open: BTreeSet::new(),
             dirty: BTreeSet::new(),
@@ -146,8 +146,8 @@
 
     /// Sets how many jobs may be open before new ones are refused.
     #[must_use]
-    pub const fn most_open_jobs(mut self, jobs: usize) -> Self {
-        self.most_open_jobs = jobs;
+    pub const fn max_open_jobs(mut self, jobs: usize) -> Self {
+        self.max_open_jobs = jobs;
         self
     }
 
@@ -167,12 +167,12 @@
     }
 
     /// Returns how many jobs are known, and how many runs may exist.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn job_and_run_counts(&self) -> (usize, usize) {
         (self.jobs.len(), self.runs.len())
     }
 
     /// Takes a message from an agent.
-    pub fn from_agent(&mut self, agent: &Name, message: FromAgent, now: Now) {
+    pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
             FromAgent::Hello { .. } => self.agent_linked(agent, now),
             FromAgent::Beat { sent_at_ms, minion_ok } => {
@@ -197,7 +197,7 @@
 
     /// Sets when the store was asked for the term, on the steady clock.
     #[must_use]
-    pub const fn term_asked_for(mut self, steady_ms: u64) -> Self {
+    pub const fn term_requested_at(mut self, steady_ms: u64) -> Self {
         self.asked_ms = steady_ms;
         self
     }
@@ -214,7 +214,7 @@
     }
 
     fn note(&mut self, line: String) {
-        self.effects.push(Effect::Note(line));
+        self.effects.push(Effect::Log(line));
     }
 
     /// Puts a job from the store in place, with the runs that may exist.
--- a/crates/geraniumpost-batch/src/coordinator/ordering.rs
+++ b/crates/geraniumpost-batch/src/coordinator/ordering.rs
@@ -66,7 +66,7 @@
         let agent = view.agent.clone();
         let order = Order { minion: minion.clone(), task, run, kind: OrderKind::Stop };
         self.note(format!("decision=stop_stranger task={task} run={run} minion={minion}"));
-        self.effects.push(Effect::Tell { agent, message: ToAgent::Order(order) });
+        self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
     }
 
     /// Sends an order for a run; false if the minion's agent is not linked.
@@ -78,7 +78,7 @@
         }
         let order = Order { minion: run.place.minion.clone(), task, run: run.number, kind };
         let agent = minion.agent.clone();
-        self.effects.push(Effect::Tell { agent, message: ToAgent::Order(order) });
+        self.effects.push(Effect::Send { agent, message: ToAgent::Order(order) });
         true
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -37,7 +37,7 @@
         let (minions, linked) =
             with_runs.fold((0, 0), |(all, linked), m| (all + 1, linked + u32::from(m.linked)));
         self.note(format!(
-            "event=inherited_wait wait_ms={wait_ms} minions_with_runs={minions} not_linked={}",
+            "event=predecessor_lease_wait wait_ms={wait_ms} minions_with_runs={minions} not_linked={}",
             minions - linked
         ));
     }
@@ -73,14 +73,14 @@
         let Some(minion) = self.minions.get(id) else { return };
         let (until_ms, inherited) = self.lapses(&minion.agent);
         let line = format!(
-            "minion={id} agent={} event=unreachable linked={} runs={} standing={standing} \
-             wait_ms={} decides={}{}",
+            "minion={id} agent={} event=unreachable linked={} runs={} persistent={standing} \
+             wait_ms={} lease_of={}{}",
             minion.agent,
             minion.linked,
             minion.runs.len(),
             until_ms.saturating_sub(now.steady_ms),
-            if inherited { "inherited" } else { "lease" },
-            field_unless_zero("left_out", left_out as u64),
+            if inherited { "predecessor" } else { "coordinator" },
+            field_unless_zero("omitted", left_out as u64),
         );
         self.note(line);
     }
--- a/crates/geraniumpost-batch/src/coordinator/waiting.rs
+++ b/crates/geraniumpost-batch/src/coordinator/waiting.rs
@@ -147,7 +147,7 @@
 
     fn tell_why(&mut self, key: StepKey, left_out: usize, now: Now) {
         if let Some(line) = self.why_not_placed(key, now) {
-            self.note(format!("{line}{}", field_unless_zero("left_out", left_out as u64)));
+            self.note(format!("{line}{}", field_unless_zero("omitted", left_out as u64)));
         }
         if let Some(wait) = self.waits.steps.get_mut(&key) {
             wait.told_ms = Some(now.steady_ms);
@@ -170,7 +170,7 @@
             waiting.len(),
             waiting.iter().filter(ran).count(),
             now.steady_ms.saturating_sub(since_ms),
-            field_unless_zero("gang_of", if spec.gang { spec.count.into() } else { 0 }),
+            field_unless_zero("gang_size", if spec.gang { spec.count.into() } else { 0 }),
             field_unless_zero("pause_ms", self.pause_ms(task, now)),
             self.minions.len(),
             self.reasons(task, spec, waiting.len(), now),
--- a/crates/geraniumpost-batch/src/lib.rs
+++ b/crates/geraniumpost-batch/src/lib.rs
@@ -13,7 +13,7 @@
 //! let step = StepSpec { count: 2, demand: Demand::default(), ..StepSpec::default() };
 //! let spec = JobSpec { steps: vec![step], ..JobSpec::default() };
 //! let ask = Ask::Submit { job: JobId(1), spec, terms: QueueTerms::default() };
-//! coordinator.ask(1, ask, Now::default());
+//! coordinator.handle_request(1, ask, Now::default());
 //! // Nothing is answered before the record is written.
 //! assert!(matches!(coordinator.take_effects(Now::default())[..], [.., Effect::Write(_)]));
 //! ```
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -83,10 +83,10 @@
     let mut world = World::new().with_minions(&["m1"]);
     world.now.steady_ms += STORE_LOST_MS + 1;
     let beat = FromAgent::Beat { sent_at_ms: 5, minion_ok: true };
-    world.coordinator.from_agent(&agent("m1"), beat, world.now);
+    world.coordinator.handle_agent_message(&agent("m1"), beat, world.now);
     let effects = world.coordinator.take_effects(world.now);
     let lease = effects.iter().find_map(|effect| match effect {
-        geraniumpost_batch::Effect::Tell {
+        geraniumpost_batch::Effect::Send {
             message: geraniumpost_batch::ToAgent::Lease { hold_ms, store_ok, .. },
             ..
         } => Some((*hold_ms, *store_ok)),
@@ -251,7 +251,7 @@
     let mut world = World::at_work(&["m1"], step(1));
     world.lose_agent("m1");
     world.pass(3_000);
-    let left = world.coordinator.inheritance(world.now);
+    let left = world.coordinator.leases_for_successor(world.now);
     let lasts_ms = left.unreached.get(&agent("m1")).copied();
     assert_eq!(lasts_ms, Some(surely_lapsed_ms(HOLD_MS) - 3_000));
     world.take_over_with(&left);
@@ -270,11 +270,11 @@
     let mut world = World::at_work(&["m1"], step(1));
     world.lose_agent("m1");
     world.pass(3_000);
-    assert!(world.coordinator.take_inheritance_changed());
+    assert!(world.coordinator.take_leases_for_successor_changed());
     let beat = FromAgent::Beat { sent_at_ms: world.now.steady_ms, minion_ok: true };
-    world.coordinator.from_agent(&agent("m1"), beat, world.now);
-    assert!(world.coordinator.take_inheritance_changed());
-    assert!(world.coordinator.inheritance(world.now).unreached.is_empty());
+    world.coordinator.handle_agent_message(&agent("m1"), beat, world.now);
+    assert!(world.coordinator.take_leases_for_successor_changed());
+    assert!(world.coordinator.leases_for_successor(world.now).unreached.is_empty());
 }
 
 /// An agent has linked to a successor, whose predecessor is silent for good. It obeys nobody else any
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -65,7 +65,7 @@
     world.look("m1");
     for passed_ms in (1_000..=6_000).step_by(1_000) {
         world.pass(1_000);
-        assert_eq!(longest(&world), LongestWait { standing_ms: passed_ms, others_ms: 0 });
+        assert_eq!(longest(&world), LongestWait { persistent_ms: passed_ms, other_ms: 0 });
     }
     assert_over_on(world, "m2");
 }
@@ -77,10 +77,10 @@
     let mut world = at_work();
     world.lose_agent("m1");
     world.pass(3_000);
-    assert_wait(longest(&world).standing_ms, 3_000);
+    assert_wait(longest(&world).persistent_ms, 3_000);
     world.pass(surely_lapsed_ms(HOLD_MS));
-    assert!(world.notes.iter().any(|line| line.contains("event=lapsed")));
-    assert_wait(longest(&world).standing_ms, 3_000 + surely_lapsed_ms(HOLD_MS));
+    assert!(world.notes.iter().any(|line| line.contains("event=lease_expired")));
+    assert_wait(longest(&world).persistent_ms, 3_000 + surely_lapsed_ms(HOLD_MS));
     assert_over_on(world, "m2");
 }
 
@@ -90,7 +90,7 @@
     let mut world = at_work();
     world.lose_agent("m1");
     world.pass(2_000);
-    assert_wait(longest(&world).standing_ms, 2_000);
+    assert_wait(longest(&world).persistent_ms, 2_000);
     assert_over_with_return(world);
 }
 
@@ -100,7 +100,7 @@
     let mut world = at_work();
     world.beat_without_answer("m1");
     world.pass(1_500);
-    assert_wait(longest(&world).standing_ms, 1_500);
+    assert_wait(longest(&world).persistent_ms, 1_500);
 }
 
 /// A successor knows nothing of runs whose agents have not linked: they count from its takeover.
@@ -109,7 +109,7 @@
     let mut world = at_work();
     world.take_over();
     world.pass(2_000);
-    assert_wait(longest(&world).standing_ms, 2_000);
+    assert_wait(longest(&world).persistent_ms, 2_000);
     assert_over_with_return(world);
 }
 
@@ -125,7 +125,7 @@
         }
         world.pass(100);
     }
-    assert_wait(longest(&world).standing_ms, 4_000);
+    assert_wait(longest(&world).persistent_ms, 4_000);
 }
 
 /// The store leaves writes without an answer, so that the start order cannot leave.
@@ -135,7 +135,7 @@
     world.writes_pass = false;
     world.submit(1, vec![standing(1)]);
     world.pass(3_000);
-    assert_wait(longest(&world).standing_ms, 3_000);
+    assert_wait(longest(&world).persistent_ms, 3_000);
     world.pass_writes();
     world.obey();
     world.look("m1");
@@ -155,7 +155,7 @@
     world.pass(100);
     world.end(&"m1".into(), task(1, 0, 0), EndKind::Failed);
     world.look("m1");
-    assert_eq!(longest(&world).standing_ms, 0);
+    assert_eq!(longest(&world).persistent_ms, 0);
 }
 
 /// A new incarnation answers beside the agent: what ran on the one before is down from then on.
@@ -164,7 +164,7 @@
     let mut world = at_work();
     world.say("m1", FromAgent::Minion(MinionInfo { draining: true, ..minion("m1-b") }));
     world.pass(700);
-    assert_eq!(longest(&world).standing_ms, 700);
+    assert_eq!(longest(&world).persistent_ms, 700);
 }
 
 /// The task that has waited longest counts, and one of a cancelled job does not.
@@ -175,9 +175,9 @@
     world.pass(3_000);
     world.submit(2, vec![standing(1)]);
     world.pass(3_000);
-    assert_wait(longest(&world).standing_ms, 6_000);
+    assert_wait(longest(&world).persistent_ms, 6_000);
     world.ask(Ask::Cancel(JobId(1)));
-    assert_wait(longest(&world).standing_ms, 3_000);
+    assert_wait(longest(&world).persistent_ms, 3_000);
     world.ask(Ask::Cancel(JobId(2)));
     assert_eq!(longest(&world), LongestWait::default());
 }
@@ -191,8 +191,8 @@
     world.obey();
     world.pass(3_000);
     world.beat("m1");
-    assert_eq!(longest(&world).standing_ms, 0);
-    assert_wait(longest(&world).others_ms, 3_000);
+    assert_eq!(longest(&world).persistent_ms, 0);
+    assert_wait(longest(&world).other_ms, 3_000);
     world.end_all(EndKind::Done);
     world.obey();
     world.pass(LOOK_MS);
--- a/crates/geraniumpost-batch/tests/coordinator/promises.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/promises.rs
@@ -234,7 +234,7 @@
     let mut world = World::new();
     let most = 5;
     world.coordinator =
-        geraniumpost_batch::Coordinator::new(1, world.now).most_open_jobs(most as usize);
+        geraniumpost_batch::Coordinator::new(1, world.now).max_open_jobs(most as usize);
     for id in 1..=most {
         world.submit(id, vec![step(1)]);
     }
--- a/crates/geraniumpost-batch/tests/coordinator/random.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random.rs
@@ -209,7 +209,7 @@
             }
             Event::LoseAgent { minion } => {
                 let now = self.world.now;
-                self.world.coordinator.agent_lost(&agent(MINIONS[minion]), now);
+                self.world.coordinator.agent_disconnected(&agent(MINIONS[minion]), now);
                 self.world.settle();
                 // Its orders are lost with the link, or on their way.
                 let lost = self.take_orders_of(minion);
--- a/crates/geraniumpost-batch/tests/coordinator/review.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/review.rs
@@ -22,7 +22,7 @@
     world.join("m2", |info| info);
     world.pass(7_000);
     assert!(world.orders.is_empty(), "the successor waits for the silent coordinator");
-    let left = world.coordinator.inheritance(world.now);
+    let left = world.coordinator.leases_for_successor(world.now);
     assert!(left.unreached.contains_key(&agent("m1")));
     // The silent one extended the lease until now, so that it lasts for as long as any.
     world.take_over_with(&left.taken_over(None, SILENT, HOLD_MS));
--- a/crates/geraniumpost-batch/tests/coordinator/sight.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/sight.rs
@@ -67,7 +67,7 @@
         world.submit(7, vec![StepSpec { required_label: "b".into(), ..standing(1) }]);
         world.take_over();
     };
-    minion_not_heard_of_is_named: "not_heard_of", |world: &mut World| {
+    minion_not_heard_of_is_named: "not_reported", |world: &mut World| {
         world.join("m1", |info| info);
         world.submit(1, vec![step(1)]);
         world.obey();
@@ -75,7 +75,7 @@
         world.take_over();
         world.say("m1", FromAgent::Hello { agent: agent("m1") });
     };
-    missing_look_is_named: "not_looked_at", |world: &mut World| {
+    missing_look_is_named: "not_polled", |world: &mut World| {
         world.say("m1", FromAgent::Hello { agent: agent("m1") });
         world.say("m1", FromAgent::Minion(minion("m1")));
         world.beat("m1");
@@ -98,7 +98,7 @@
         world.join("m1", |info| info);
         world.submit(7, vec![StepSpec { required_label: "b".into(), ..standing(1) }]);
     };
-    lack_of_room_is_named: "no_room", |world: &mut World| {
+    lack_of_room_is_named: "no_capacity", |world: &mut World| {
         world.join("m1", |info| info);
         world.submit(1, vec![step(16)]);
         world.submit(7, vec![standing(1)]);
@@ -114,7 +114,7 @@
         terms.needs_approval = true;
         world.submit_as(7, vec![standing(1)], terms);
     };
-    room_for_short_tasks_is_named: "room_kept_for_short", |world: &mut World| {
+    room_for_short_tasks_is_named: "reserved_for_short", |world: &mut World| {
         world.join("m1", |info| info);
         world.submit(1, vec![small(15_000)]);
         world.obey();
@@ -142,7 +142,7 @@
     }
     world.pass(STANDING_TOLD_MS);
     let told = lines(&world, "event=not_placed");
-    assert!(told.iter().any(|line| line.ends_with("minions=1 shunned=1")), "{:?}", world.notes);
+    assert!(told.iter().any(|line| line.ends_with("minions=1 quarantined=1")), "{:?}", world.notes);
 }
 
 /// What fills finds only a minion that would work it too slowly.
@@ -177,7 +177,7 @@
         ),
         "{line}"
     );
-    assert!(line.ends_with("minions=5 not_linked=1 label=1 draining=1 no_room=2"), "{line}");
+    assert!(line.ends_with("minions=5 not_linked=1 label=1 draining=1 no_capacity=2"), "{line}");
 }
 
 /// A standing task's line says how long it has been down, counted from the end of its run, and that
@@ -227,7 +227,7 @@
     world.submit(7, vec![StepSpec { gang: true, ..step(20) }]);
     world.pass(OTHERS_TOLD_MS);
     let line = last(&world, "event=not_placed");
-    assert_eq!((number(&line, "waiting"), number(&line, "gang_of")), (20, 20), "{line}");
+    assert_eq!((number(&line, "waiting"), number(&line, "gang_size")), (20, 20), "{line}");
     assert_eq!(number(&line, "fits"), 1, "{line}");
 }
 
@@ -267,7 +267,7 @@
     let first: Vec<u64> = told[..3].iter().map(|line| job_number(line)).collect();
     assert_eq!(first, [301, 302, 303]);
     assert!((20..=40).contains(&told.len()), "{}", told.len());
-    let most = told.iter().filter_map(|line| field(line, "left_out")).map(|n| n.parse().unwrap());
+    let most = told.iter().filter_map(|line| field(line, "omitted")).map(|n| n.parse().unwrap());
     assert!((295..=300).contains(&most.max().unwrap_or(0)));
     world.notes.clear();
     world.pass(100_000);
@@ -310,15 +310,15 @@
     let told = lines(&world, "event=unreachable");
     assert_eq!(told.len(), 1, "{:?}", world.notes);
     assert!(told[0].starts_with(
-        "minion=m1 agent=agent-m1 event=unreachable linked=false runs=3 standing=2 wait_ms="
+        "minion=m1 agent=agent-m1 event=unreachable linked=false runs=3 persistent=2 wait_ms="
     ));
-    assert_eq!(field(&told[0], "decides"), Some("lease"));
+    assert_eq!(field(&told[0], "lease_of"), Some("coordinator"));
     let left_ms = number(&told[0], "wait_ms");
     assert!((surely_lapsed_ms(HOLD_MS) - 600..surely_lapsed_ms(HOLD_MS)).contains(&left_ms));
     world.pass(left_ms - 600);
-    assert!(lines(&world, "event=lapsed").is_empty());
+    assert!(lines(&world, "event=lease_expired").is_empty());
     world.pass(1_200);
-    assert_eq!(lines(&world, "event=lapsed").len(), 1);
+    assert_eq!(lines(&world, "event=lease_expired").len(), 1);
     assert_eq!(lines(&world, "event=unreachable").len(), 1);
 }
 
@@ -331,7 +331,7 @@
     world.beat_without_answer("m1");
     world.pass(600);
     let line = last(&world, "event=unreachable");
-    assert_eq!((field(&line, "linked"), field(&line, "decides")), (Some("true"), Some("lease")));
+    assert_eq!((field(&line, "linked"), field(&line, "lease_of")), (Some("true"), Some("coordinator")));
 }
 
 /// The agent comes back and is lost again, which is told again.
@@ -357,19 +357,19 @@
     world.obey();
     world.take_over_from_silent();
     world.pass(100);
-    let first = last(&world, "event=inherited_wait");
+    let first = last(&world, "event=predecessor_lease_wait");
     let inherited_ms = surely_lapsed_ms(HOLD_MS) + STORE_LOST_MS;
     assert_eq!(number(&first, "wait_ms"), inherited_ms - 100);
     assert_eq!((number(&first, "minions_with_runs"), number(&first, "not_linked")), (2, 2));
     world.join("m2", |info| info);
     assert!(lines(&world, "event=unreachable").is_empty());
     world.pass(1_200);
-    let told = lines(&world, "event=inherited_wait");
+    let told = lines(&world, "event=predecessor_lease_wait");
     assert_eq!((told.len(), number(&told[1], "not_linked")), (2, 1));
     let told = lines(&world, "event=unreachable");
     assert_eq!(told.len(), 1, "{told:?}");
     assert_eq!((field(&told[0], "minion"), field(&told[0], "runs")), (Some("m1"), Some("1")));
-    assert_eq!(field(&told[0], "decides"), Some("inherited"));
+    assert_eq!(field(&told[0], "lease_of"), Some("predecessor"));
     let left_ms = number(&told[0], "wait_ms");
     assert!((inherited_ms - 1_300..=inherited_ms - 1_000).contains(&left_ms));
 }
@@ -390,6 +390,6 @@
     world.pass(2_000);
     let told = lines(&world, "event=unreachable");
     assert!((2..=6).contains(&told.len()), "{}", told.len());
-    assert_eq!(field(&told[0], "standing"), Some("1"));
-    assert_eq!(field(&told[0], "left_out"), Some("48"));
+    assert_eq!(field(&told[0], "persistent"), Some("1"));
+    assert_eq!(field(&told[0], "omitted"), Some("48"));
 }
--- a/crates/geraniumpost-batch/tests/coordinator/site/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/agents.rs
@@ -52,7 +52,7 @@
         }
         let name = agent(&machine.name);
         if std::mem::replace(&mut machine.known_linked, true) {
-            self.world.coordinator.agent_lost(&name, self.world.now);
+            self.world.coordinator.agent_disconnected(&name, self.world.now);
         }
         machine.linked = true;
         self.say(at, FromAgent::Hello { agent: name });
@@ -90,9 +90,9 @@
         let now = self.world.now;
         let Some((coordinator, _)) = &mut self.succession.cut_off else { return };
         let machine = &mut self.machines[at];
-        coordinator.from_agent(&agent(&machine.name), beat, now);
+        coordinator.handle_agent_message(&agent(&machine.name), beat, now);
         for effect in coordinator.take_effects(now) {
-            if let Effect::Tell { message: ToAgent::Lease { hold_ms, .. }, .. } = effect
+            if let Effect::Send { message: ToAgent::Lease { hold_ms, .. }, .. } = effect
                 && hold_ms > 0
             {
                 machine.extend_lease(now.steady_ms + hold_ms);
@@ -130,7 +130,7 @@
         machine.known_linked = false;
         let name = agent(&machine.name);
         if !self.succession.is_vacant() {
-            self.world.coordinator.agent_lost(&name, self.world.now);
+            self.world.coordinator.agent_disconnected(&name, self.world.now);
             self.world.settle();
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/site/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/succession.rs
@@ -88,7 +88,7 @@
             self.agenda.push((now.steady_ms + word_ms, 0, word));
         }
         if loss == Loss::Planned && !self.succession.is_vacant() {
-            self.succession.left = self.world.coordinator.inheritance(now);
+            self.succession.left = self.world.coordinator.leases_for_successor(now);
         }
         self.succession.vacate(loss, now.steady_ms);
         for machine in &mut self.machines {
@@ -136,7 +136,7 @@
         }
         let now_ms = self.world.now.steady_ms;
         let until_ms = self.entries.support(self.world.coordinator.fence(), now_ms);
-        self.world.coordinator.supported_until(until_ms, 0);
+        self.world.coordinator.set_supported_until(until_ms, 0);
         if self.world.store_confirms {
             self.entries.name_voters(now_ms);
         }
@@ -169,7 +169,7 @@
         }
         let fence = self.world.coordinator.fence();
         for (address, until_ms) in self.entries.ask(fence, now.steady_ms) {
-            if self.world.coordinator.inheritance(now).silent.contains_key(&address) {
+            if self.world.coordinator.leases_for_successor(now).silent.contains_key(&address) {
                 self.world.coordinator.predecessor_extends_until(address, until_ms);
             }
         }
@@ -179,7 +179,7 @@
         self.succession.ask_ms = now.steady_ms + DOUBT_MS;
         for number in self.succession.back.iter().copied() {
             let at = address(number);
-            if self.world.coordinator.inheritance(now).silent.contains_key(&at) {
+            if self.world.coordinator.leases_for_successor(now).silent.contains_key(&at) {
                 self.world.coordinator.predecessor_ended(at, now);
             }
         }
--- a/crates/geraniumpost-batch/tests/coordinator/world/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/agents.rs
@@ -22,7 +22,7 @@
             FromAgent::Beat { .. } | FromAgent::MinionGone { .. } => self.fall_silent(minion),
             _ => {}
         }
-        self.coordinator.from_agent(&agent(minion), message, self.now);
+        self.coordinator.handle_agent_message(&agent(minion), message, self.now);
         self.settle();
     }
 
@@ -34,7 +34,7 @@
     /// Lets the coordinator lose the link to a minion's agent.
     pub fn lose_agent(&mut self, minion: &str) {
         self.fall_silent(minion);
-        self.coordinator.agent_lost(&agent(minion), self.now);
+        self.coordinator.agent_disconnected(&agent(minion), self.now);
     }
 
     /// Lets a minion's agent be killed and start again, which counts its results from the beginning.
--- a/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
@@ -25,18 +25,18 @@
             Effect::Reply { ticket, answer } => {
                 self.answers.insert(ticket, answer);
             }
-            Effect::Tell { message: ToAgent::Order(order), .. } => self.orders.push(order),
-            Effect::Tell { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
+            Effect::Send { message: ToAgent::Order(order), .. } => self.orders.push(order),
+            Effect::Send { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
                 self.acknowledged.insert(minion, up_to);
             }
-            Effect::Tell { message: ToAgent::DepartureSettled { minion }, .. } => {
+            Effect::Send { message: ToAgent::DepartureSettled { minion }, .. } => {
                 self.settled.push(minion);
             }
-            Effect::Tell { agent, message: ToAgent::Lease { sent_at_ms, hold_ms, .. } } => {
+            Effect::Send { agent, message: ToAgent::Lease { sent_at_ms, hold_ms, .. } } => {
                 self.leases.push((agent, sent_at_ms, hold_ms));
             }
-            Effect::Note(line) => self.notes.push(line),
-            Effect::AskApproval { step, minions } => self.questions.push((step, minions)),
+            Effect::Log(line) => self.notes.push(line),
+            Effect::RequestApproval { step, minions } => self.questions.push((step, minions)),
             Effect::Superseded => {}
         }
     }
@@ -45,11 +45,11 @@
         for (job, record) in batch.put {
             self.store.insert(job, record);
         }
-        self.knowledge = batch.knowledge.or_else(|| self.knowledge.take());
+        self.knowledge = batch.interference.or_else(|| self.knowledge.take());
         for job in batch.remove {
             self.store.remove(&job);
         }
-        self.coordinator.written(batch.number, self.now);
+        self.coordinator.batch_written(batch.number, self.now);
     }
 
     /// Confirms the writes that were held back.
--- a/crates/geraniumpost-batch/tests/coordinator/world/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/mod.rs
@@ -142,7 +142,7 @@
             }
             if self.entries_support {
                 let until_ms = self.now.steady_ms + PROMISE_MS;
-                self.coordinator.supported_until(until_ms, SUPPORTERS);
+                self.coordinator.set_supported_until(until_ms, SUPPORTERS);
             }
             self.coordinator.tick(self.now);
             self.settle();
@@ -151,7 +151,7 @@
 
     pub fn ask(&mut self, ask: Ask) -> u64 {
         self.tickets += 1;
-        self.coordinator.ask(self.tickets, ask, self.now);
+        self.coordinator.handle_request(self.tickets, ask, self.now);
         self.settle();
         self.tickets
     }
@@ -178,7 +178,7 @@
     pub fn approve(&mut self, question: &(TaskId, Vec<Name>), good: Option<&[&str]>) {
         let ticket = |minion: &&str| (Name::from(*minion), Name::from("t-1"));
         let answer = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
-        self.coordinator.approved(question.0, &question.1, answer, self.now);
+        self.coordinator.handle_approval(question.0, &question.1, answer, self.now);
         self.settle();
     }
 
@@ -213,8 +213,8 @@
         });
         self.coordinator = Coordinator::new(self.fence, self.now)
             .hold_ms(HOLD_MS)
-            .inheriting(inheritance, self.now)
-            .with_knowledge(&self.knowledge.as_ref().map_or_else(Knowledge::default, |bytes| {
+            .with_predecessor_leases(inheritance, self.now)
+            .with_interference(&self.knowledge.as_ref().map_or_else(Knowledge::default, |bytes| {
                 Knowledge::decode(bytes).expect("this version wrote it")
             }))
             .with_records(records.collect(), self.now);
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -169,7 +169,7 @@
     /// Takes note of what holds at this moment, before anything is decided.
     fn begin_round(&mut self) {
         let (until_ms, supporters) = self.support.present();
-        self.coordinator.supported_until(until_ms, supporters);
+        self.coordinator.set_supported_until(until_ms, supporters);
         if let Some(gap_ms) = self.standstill.round(BootClock.now_ms()) {
             spdlog::warn!("event=stood_still gap_ms={gap_ms}");
         }
@@ -177,17 +177,17 @@
 
     /// Tells the writer what a successor has to know of leases, before what was decided leaves.
     fn note_left(&mut self) {
-        if self.coordinator.take_inheritance_changed() {
+        if self.coordinator.take_leases_for_successor_changed() {
             let now = BootClock.now();
-            self.left.set(self.coordinator.inheritance(now), now.steady_ms);
+            self.left.set(self.coordinator.leases_for_successor(now), now.steady_ms);
         }
     }
 
     fn tick(&mut self) {
         let now = BootClock.now();
         self.coordinator.tick(now);
-        let LongestWait { standing_ms, others_ms } = self.coordinator.longest_wait(now);
-        let [standing, others] = [standing_ms, others_ms].map(Duration::from_millis);
+        let LongestWait { persistent_ms, other_ms } = self.coordinator.longest_wait(now);
+        let [standing, others] = [persistent_ms, other_ms].map(Duration::from_millis);
         self.metrics.longest_wait(standing, others);
         self.metrics.lease_supporters(self.support.present().1 as u64);
     }
@@ -202,10 +202,10 @@
                 // A link that replaces another one is a new beginning, whatever the old one still
                 // carries.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
-                    self.coordinator.agent_lost(&node, now);
+                    self.coordinator.agent_disconnected(&node, now);
                 }
                 let hello = FromAgent::Hello { agent: node.clone() };
-                self.coordinator.from_agent(&node, hello, now);
+                self.coordinator.handle_agent_message(&node, hello, now);
             }
             Input::Closed(Peer::Entry { link, .. }) => {
                 self.entries.remove(&link);
@@ -213,20 +213,20 @@
             Input::Closed(Peer::Agent { node, link }) => {
                 if self.agents.get(&node).is_some_and(|(present, _)| *present == link) {
                     self.agents.remove(&node);
-                    self.coordinator.agent_lost(&node, now);
+                    self.coordinator.agent_disconnected(&node, now);
                 }
             }
             Input::Ask { link, ticket, ask } => {
                 let own = self.next_ticket;
                 self.next_ticket += 1;
                 self.owed.insert(own, (link, ticket));
-                self.coordinator.ask(own, ask, now);
+                self.coordinator.handle_request(own, ask, now);
             }
-            Input::Agent(node, said) => self.coordinator.from_agent(&node, said, now),
-            Input::Written(batch) => self.coordinator.written(batch, now),
+            Input::Agent(node, said) => self.coordinator.handle_agent_message(&node, said, now),
+            Input::Written(batch) => self.coordinator.batch_written(batch, now),
             Input::Approved((step, asked), answer) => {
                 let answer = answer.map(|answer| (answer.tickets, answer.valid_ms));
-                self.coordinator.approved(step, &asked, answer, now);
+                self.coordinator.handle_approval(step, &asked, answer, now);
             }
             Input::Confirmed { asked_ms, heard_ms } => {
                 self.coordinator.store_confirmed(asked_ms, heard_ms);
@@ -256,18 +256,18 @@
                     let _ = tx.send(ToPeer::Entry(ToEntry::Answer { ticket, answer }));
                 }
             }
-            Effect::Tell { agent, message } => {
+            Effect::Send { agent, message } => {
                 if let Some((agent, message)) = self.standstill.pass(agent, message) {
                     self.tell(&agent, message);
                 }
             }
-            Effect::AskApproval { step, minions } => {
+            Effect::RequestApproval { step, minions } => {
                 // Without a service the step waits; the configuration names none that exists.
                 if self.questions.send((step, minions)).await.is_err() {
                     spdlog::warn!("event=no_admission_service step={step}");
                 }
             }
-            Effect::Note(line) => spdlog::info!("{line}"),
+            Effect::Log(line) => spdlog::info!("{line}"),
             Effect::Superseded => {}
         }
     }
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -92,9 +92,9 @@
         );
         let coordinator = Coordinator::new(self.record.term, now)
             .hold_ms(self.hold_ms)
-            .term_asked_for(self.asked_ms)
-            .inheriting(&self.inheritance, self.taken)
-            .with_knowledge(&knowledge)
+            .term_requested_at(self.asked_ms)
+            .with_predecessor_leases(&self.inheritance, self.taken)
+            .with_interference(&knowledge)
             .with_records(records, now);
         let (writes_tx, mut writes) = mpsc::channel(BATCHES);
         let (questions_tx, questions) = mpsc::channel(QUEUE);
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -113,7 +113,7 @@
 
     fn write(&self, batch: WriteBatch) -> impl Future<Output = Done> + Send + use<> {
         let key = |id| format!("{JOB_PREFIX}{id}");
-        let knowledge = batch.knowledge.iter().map(|k| (KNOWLEDGE_KEY.to_owned(), k.clone()));
+        let knowledge = batch.interference.iter().map(|k| (KNOWLEDGE_KEY.to_owned(), k.clone()));
         let records = batch.put.iter().map(|(id, record)| (key(id), record.clone()));
         let put = Put {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
