--- a/crates/geraniumpost/src/batch/agent/beats.rs
+++ b/crates/geraniumpost/src/batch/agent/beats.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use geraniumpost_platform::{LEAVE, MinionReply, beat_path, decode_beat};
+use geraniumpost_platform::{
+    DEREGISTER_METHOD, MinionReply, decode_heartbeat, heartbeat_minion_id,
+};
 use geraniumpost_schema::Name;
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Request, StatusCode};
@@ -25,10 +27,10 @@
 
 /// Answers one heartbeat.
 pub async fn answer(req: Request<Incoming>, state: Arc<State>) -> Answer {
-    let Some(id) = beat_path(req.uri().path()).map(str::to_owned) else {
+    let Some(id) = heartbeat_minion_id(req.uri().path()).map(str::to_owned) else {
         return empty(StatusCode::NOT_FOUND);
     };
-    if req.method() == LEAVE {
+    if req.method() == DEREGISTER_METHOD {
         spdlog::info!("event=minion_leaves minion={id}");
         let id = id.into();
         state.leaves(&id);
@@ -45,7 +47,7 @@
             return empty(StatusCode::BAD_REQUEST);
         }
     };
-    match decode_beat(&id, &body) {
+    match decode_heartbeat(&id, &body) {
         Ok(info) => {
             state.heard(info);
             acknowledged()
@@ -68,7 +70,7 @@
     loop {
         tokio::time::sleep(FAREWELL).await;
         let fence = state.fence.load(Ordering::SeqCst);
-        let look = state.minion.look(&id, fence, 0, None, Duration::ZERO, LOOK_TIMEOUT);
+        let look = state.minion.poll(&id, fence, 0, None, Duration::ZERO, LOOK_TIMEOUT);
         if !matches!(look.await, MinionReply::Ok(_) | MinionReply::Superseded) {
             break;
         }
--- a/crates/geraniumpost/src/batch/agent/looking.rs
+++ b/crates/geraniumpost/src/batch/agent/looking.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use geraniumpost_batch::{FromAgent, Look};
-use geraniumpost_platform::{MinionReply, MinionView};
+use geraniumpost_platform::{MinionReply, TaskLists};
 use geraniumpost_schema::Name;
 
 use super::super::BootClock;
@@ -39,7 +39,7 @@
             let before = state.results();
             let (forget, _) = if unproved { (0, 0) } else { state.ends() };
             let hold_until = if unproved { None } else { state.hold_until() };
-            let reply = state.minion.look(&id, fence, forget, hold_until, wait, TIMEOUT).await;
+            let reply = state.minion.poll(&id, fence, forget, hold_until, wait, TIMEOUT).await;
             match reply {
                 MinionReply::Ok(view) => {
                     state.answered(&id, view.clock_ms, BootClock.now_ms());
@@ -64,7 +64,7 @@
 fn pass_on(
     state: &State,
     id: &Name,
-    view: MinionView,
+    view: TaskLists,
     before: Option<u64>,
     passed_ms: &mut u64,
 ) -> bool {
@@ -87,9 +87,9 @@
     waiting
 }
 
-fn failed(state: &State, id: &Name, reply: &MinionReply<MinionView>) {
+fn failed(state: &State, id: &Name, reply: &MinionReply<TaskLists>) {
     match reply {
-        MinionReply::Gone => state.gone(id),
+        MinionReply::IncarnationMismatch => state.gone(id),
         MinionReply::Superseded => {
             // The coordinator that this agent obeys has a successor; the link to it is of no use.
             spdlog::warn!("event=coordinator_superseded minion={id}");
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -35,11 +35,11 @@
 pub async fn serve(settings: NodeSettings) -> Result<()> {
     let stop = crate::stop_signal::stop_signal()?;
     crate::stop_signal::on_reload(|| load_settings().map(drop))?;
-    let minion = settings.minion.wrap_err("no address of the minion")?;
-    let heartbeats = settings.heartbeats.wrap_err("no address for heartbeats")?;
+    let minion = settings.minion_address.wrap_err("no address of the minion")?;
+    let heartbeats = settings.heartbeat_address.wrap_err("no address for heartbeats")?;
     spdlog::info!("event=start role=job-agent node={} minion={minion}", settings.node);
     let metrics = super::serve_metrics(settings.ip).await?;
-    let store = Arc::new(Store::new(settings.store));
+    let store = Arc::new(Store::new(settings.store_address));
     let state = Arc::new(State::new(settings.node.clone(), Minion::new(minion)));
     let listener = http_server::bind(heartbeats).await?;
     let (known_tx, known) = watch::channel(None);
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -7,7 +7,7 @@
 
 use geraniumpost_batch::Inheritance;
 use geraniumpost_batch::quorum::Voters;
-use geraniumpost_platform::{CommitError, Item, NodeSettings, Put, Store};
+use geraniumpost_platform::{CommitError, KeyValue, NodeSettings, Store, Transaction};
 use geraniumpost_schema::Name;
 use rand::Rng as _;
 use tokio::net::TcpListener;
@@ -87,14 +87,14 @@
         promises: Arc<OwnPromises>,
         metrics: Arc<Metrics>,
     ) -> Self {
-        let hold_ms = settings.bounds.max_hold_ms.saturating_sub(HOLD_MARGIN_MS);
+        let hold_ms = settings.bounds.max_lease_ms.saturating_sub(HOLD_MARGIN_MS);
         let address = SocketAddr::new(settings.ip, settings.peer_port);
         Self {
             store,
             node: settings.node.clone(),
             address,
             peers: Arc::new(Peers::new(settings.node.clone(), address)),
-            admission: settings.admission,
+            admission: settings.admission_address,
             promises,
             handicap_ms: (8.0 / settings.cpu_share.max(0.05)) as u64,
             hold_ms: hold_ms.min(LONGEST_HOLD_MS),
@@ -237,7 +237,7 @@
     /// Takes the coordinator's key, if it still is as it was read, and coordinates.
     async fn take_over(
         &self,
-        item: Option<&Item>,
+        item: Option<&KeyValue>,
         loss: CoordinatorLoss,
         inputs: &watch::Sender<Inputs>,
         stop: &watch::Receiver<bool>,
@@ -248,7 +248,7 @@
         let before = read(item).map(|(record, _)| record);
         let (record, inheritance) = self.next_term(before, item, loss);
         let revision = item.map_or(0, |item| item.revision);
-        let put = Put {
+        let put = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), revision)],
             write: vec![(COORDINATOR_KEY.to_owned(), record.encode())],
             remove: Vec::new(),
@@ -256,10 +256,10 @@
         let asked_ms = BootClock.now_ms();
         let taken = match self.store.commit(&put, CALL).await {
             Ok(taken) => taken,
-            Err(CommitError::NotDone(_)) => return tokio::time::sleep(PAUSE).await,
+            Err(CommitError::NotApplied(_)) => return tokio::time::sleep(PAUSE).await,
             // The next reading shows who holds the key. If an unanswered call was carried out, the
             // key names this process, and is simply taken again.
-            Err(CommitError::Conflict(_) | CommitError::Unknown(_)) => return,
+            Err(CommitError::Conflict(_) | CommitError::Indeterminate(_)) => return,
         };
         let term = Term {
             store: Arc::clone(&self.store),
@@ -290,7 +290,7 @@
     fn next_term(
         &self,
         before: Option<CoordinatorRecord>,
-        item: Option<&Item>,
+        item: Option<&KeyValue>,
         loss: CoordinatorLoss,
     ) -> (CoordinatorRecord, Inheritance) {
         // A revision of the store is higher than any before it, whatever was written or removed.
@@ -323,7 +323,7 @@
     }
 }
 
-fn read(item: Option<&Item>) -> Option<(CoordinatorRecord, u64)> {
+fn read(item: Option<&KeyValue>) -> Option<(CoordinatorRecord, u64)> {
     let item = item?;
     CoordinatorRecord::decode(&item.value).ok().map(|record| (record, item.revision))
 }
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -10,7 +10,7 @@
     WriteBatch,
 };
 use geraniumpost_net::LinkSender;
-use geraniumpost_platform::Approved;
+use geraniumpost_platform::ApprovedMinions;
 use geraniumpost_schema::Name;
 use tokio::sync::mpsc;
 
@@ -65,7 +65,7 @@
     /// A batch is written.
     Written(u64),
     /// The admission service has answered on a step, or not.
-    Approved(Question, Option<Approved>),
+    Approved(Question, Option<ApprovedMinions>),
     /// The store has confirmed that this entry coordinates.
     Confirmed {
         /// When it was asked, on the boot clock.
--- a/crates/geraniumpost/src/batch/coordination/key.rs
+++ b/crates/geraniumpost/src/batch/coordination/key.rs
@@ -5,7 +5,7 @@
 
 use geraniumpost_batch::Silent;
 use geraniumpost_batch::tuning::{ENTRY_GONE_MS, STORE_SILENCE_MS};
-use geraniumpost_platform::{CommitError, Item, Put};
+use geraniumpost_platform::{CommitError, KeyValue, Transaction};
 
 use super::super::BootClock;
 use super::COORDINATOR_KEY;
@@ -64,7 +64,7 @@
             self.record.barrier += 1;
             self.record.predecessor_leases = self.left.at(BootClock.now_ms()).while_coordinating();
             self.record.prune_voters();
-            let put = Put {
+            let put = Transaction {
                 expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
                 write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
                 remove: Vec::new(),
@@ -84,8 +84,8 @@
                         return Ok(());
                     }
                 }
-                Err(CommitError::NotDone(_)) => tokio::time::sleep(PAUSE).await,
-                Err(CommitError::Unknown(_)) => {
+                Err(CommitError::NotApplied(_)) => tokio::time::sleep(PAUSE).await,
+                Err(CommitError::Indeterminate(_)) => {
                     self.timeout.unanswered();
                     if self.read_revision().await? {
                         return Ok(());
@@ -141,7 +141,7 @@
         let listed = self.peers.listed();
         let Some(lost) = listed.iter().find(lost) else { return };
         let own = (COORDINATOR_KEY.to_owned(), self.revision);
-        let put = Put {
+        let put = Transaction {
             expect: vec![own, (lost.key(), lost.revision)],
             write: Vec::new(),
             remove: vec![lost.key()],
@@ -154,7 +154,7 @@
     }
 
     /// Returns the key's revision if the term is still ours.
-    fn own(&self, item: Option<Item>) -> Result<u64, TermLost> {
+    fn own(&self, item: Option<KeyValue>) -> Result<u64, TermLost> {
         let item = item.ok_or(TermLost)?;
         let record = CoordinatorRecord::decode(&item.value).map_err(|_| TermLost)?;
         let ours = record.incarnation == self.record.incarnation && record.term == self.record.term;
@@ -173,7 +173,7 @@
     pub async fn step_down(&mut self) {
         self.record.stepped_down = true;
         self.record.predecessor_leases = self.left.at(BootClock.now_ms());
-        let put = Put {
+        let put = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
             remove: Vec::new(),
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use geraniumpost_platform::{Item, Put, Store, StoreError};
+use geraniumpost_platform::{KeyValue, Store, StoreError, Transaction};
 use geraniumpost_schema::Name;
 use tokio::task::JoinSet;
 
@@ -40,7 +40,7 @@
 }
 
 impl Listed {
-    fn read(item: &Item) -> Option<Self> {
+    fn read(item: &KeyValue) -> Option<Self> {
         let node = Name::from(item.key.strip_prefix(ENTRY_PREFIX)?);
         let address = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
         Some(Self { node, address, revision: item.revision })
@@ -89,9 +89,9 @@
     ///
     /// Fails if the store does not confirm it.
     pub async fn announce(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
-        let put = Put {
+        let put = Transaction {
             write: vec![(key(&self.node), self.address.to_string().into())],
-            ..Put::default()
+            ..Transaction::default()
         };
         let revision = store.commit(&put, timeout).await?;
         self.own_revision.store(revision, Ordering::Relaxed);
@@ -102,10 +102,10 @@
     pub async fn leave(&self, store: &Store, timeout: Duration) {
         self.leaves.store(true, Ordering::Relaxed);
         let key = key(&self.node);
-        let put = Put {
+        let put = Transaction {
             expect: vec![(key.clone(), self.own_revision.load(Ordering::Relaxed))],
             remove: vec![key],
-            ..Put::default()
+            ..Transaction::default()
         };
         if let Err(error) = store.commit(&put, timeout).await {
             spdlog::warn!("event=leave_failed why=\"{error}\"");
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -7,7 +7,7 @@
 
 use geraniumpost_batch::tuning::STORE_SILENCE_MS;
 use geraniumpost_batch::{Coordinator, Inheritance, JobId, JobRecord, Knowledge, Now};
-use geraniumpost_platform::{Admission, Found, Page, Store, StoreError};
+use geraniumpost_platform::{Admission, GetResponse, Page, Store, StoreError};
 use tokio::sync::{mpsc, watch};
 
 use super::super::{BootClock, first_answer};
@@ -162,11 +162,11 @@
     /// Reads what a predecessor had learnt. Without it the coordinator learns anew.
     async fn read_knowledge(&self) -> Knowledge {
         let reading = async {
-            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.finish(SILENCE).await
+            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.receive(SILENCE).await
         };
         let item = match reading.await {
-            Ok(Found { item: Some(item), .. }) => item,
-            Ok(Found { item: None, .. }) => return Knowledge::default(),
+            Ok(GetResponse { item: Some(item), .. }) => item,
+            Ok(GetResponse { item: None, .. }) => return Knowledge::default(),
             Err(error) => {
                 spdlog::warn!("event=read_failed what=knowledge why=\"{error}\"");
                 return Knowledge::default();
@@ -212,7 +212,7 @@
         let attempt = |timeout| self.store.begin_page(JOB_PREFIX, after, timeout);
         loop {
             let read = match first_answer(&self.store, READ_SPACING, attempt, failed).await {
-                Ok(reading) => reading.finish(SILENCE).await,
+                Ok(reading) => reading.receive(SILENCE).await,
                 Err(error) => Err(error),
             };
             match read {
@@ -231,7 +231,7 @@
     inputs: mpsc::Sender<Input>,
 ) {
     while let Some((step, minions)) = questions.recv().await {
-        let answer = admission.ask(step, &minions, ADMISSION_TIMEOUT).await;
+        let answer = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
         if let Err(why) = &answer {
             spdlog::warn!("event=approval_unanswered step={step} why=\"{why}\"");
         }
@@ -268,7 +268,7 @@
     }
 }
 
-fn read_record(item: &geraniumpost_platform::Item) -> Option<(JobId, JobRecord)> {
+fn read_record(item: &geraniumpost_platform::KeyValue) -> Option<(JobId, JobRecord)> {
     let id = item.key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok());
     match (id, JobRecord::decode(&item.value)) {
         (Some(id), Ok(record)) => Some((id, record)),
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -8,7 +8,7 @@
 use derive_more::{Display, Error};
 use geraniumpost_batch::WriteBatch;
 use geraniumpost_batch::tuning::WRITES_AT_ONCE;
-use geraniumpost_platform::{CommitError, Put, Store};
+use geraniumpost_platform::{CommitError, Store, Transaction};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
@@ -115,7 +115,7 @@
         let key = |id| format!("{JOB_PREFIX}{id}");
         let knowledge = batch.interference.iter().map(|k| (KNOWLEDGE_KEY.to_owned(), k.clone()));
         let records = batch.put.iter().map(|(id, record)| (key(id), record.clone()));
-        let put = Put {
+        let put = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: records.chain(knowledge).collect(),
             remove: batch.remove.iter().map(key).collect(),
@@ -140,8 +140,8 @@
         let outcome = match &result {
             Ok(_) => "ok",
             Err(CommitError::Conflict(_)) => "conflict",
-            Err(CommitError::NotDone(_)) => "refused",
-            Err(CommitError::Unknown(_)) => "lost",
+            Err(CommitError::NotApplied(_)) => "refused",
+            Err(CommitError::Indeterminate(_)) => "lost",
         };
         self.metrics.store_call("commit", outcome, took);
         self.metrics.store_up(result.is_ok());
@@ -153,13 +153,13 @@
                 Ok(false)
             }
             Err(CommitError::Conflict(_)) => Err(TermLost),
-            Err(CommitError::NotDone(why)) => {
+            Err(CommitError::NotApplied(why)) => {
                 spdlog::debug!("event=write_refused why=\"{why}\"");
                 queue.push_front(batch);
                 tokio::time::sleep(PAUSE).await;
                 Ok(false)
             }
-            Err(CommitError::Unknown(why)) => {
+            Err(CommitError::Indeterminate(why)) => {
                 self.timeout.unanswered();
                 spdlog::warn!("event=write_unanswered records={} why=\"{why}\"", batch.put.len());
                 queue.push_front(batch);
--- a/crates/geraniumpost/src/batch/entry/callers.rs
+++ b/crates/geraniumpost/src/batch/entry/callers.rs
@@ -63,7 +63,7 @@
     match *req.method() {
         Method::GET => relay(shared, Ask::State(job), deadline).await,
         Method::DELETE => relay(shared, Ask::Cancel(job), deadline).await,
-        Method::POST => submit(req, shared, job, route, routes.largest_body, deadline).await,
+        Method::POST => submit(req, shared, job, route, routes.max_body_bytes, deadline).await,
         _ => empty(StatusCode::METHOD_NOT_ALLOWED),
     }
 }
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use geraniumpost_platform::{
-    CONFIGURATION_KEY, Change, Found, Reading, Store, StoreError, Watched,
+    CONFIGURATION_KEY, Change, GetResponse, PendingResponse, Store, StoreError, WatchResponse,
 };
 
 use super::super::{BootClock, first_answer};
@@ -47,7 +47,7 @@
     async fn read(&mut self) -> u64 {
         loop {
             let Ok((asked_ms, reading)) = self.begin_read().await else { continue };
-            match reading.finish(SILENCE).await {
+            match reading.receive(SILENCE).await {
                 Ok(found) => {
                     if let Some(item) = found.item {
                         self.in_force.adopt(&item.value, asked_ms);
@@ -76,10 +76,10 @@
             let Ok((asked_ms, reading)) = begun else {
                 return tokio::time::sleep(PAUSE).await;
             };
-            if reading.declared_bytes().is_some_and(|bytes| bytes > LONG) {
+            if reading.content_length().is_some_and(|bytes| bytes > LONG) {
                 return self.in_force.unread();
             }
-            match reading.finish(SILENCE).await {
+            match reading.receive(SILENCE).await {
                 Ok(watched) => revision = revision.max(self.take(watched, asked_ms)),
                 Err(error) => {
                     self.failed(asked_ms, &error);
@@ -93,7 +93,7 @@
     }
 
     /// Takes what a watch told, and returns the revision from which to go on.
-    fn take(&mut self, watched: Watched, asked_ms: u64) -> u64 {
+    fn take(&mut self, watched: WatchResponse, asked_ms: u64) -> u64 {
         for change in watched.changes {
             if let Change::Written(item) = change
                 && item.key == CONFIGURATION_KEY
@@ -105,7 +105,7 @@
         watched.revision
     }
 
-    async fn begin_read(&mut self) -> Result<(u64, Reading<'a, Found>), StoreError> {
+    async fn begin_read(&mut self) -> Result<(u64, PendingResponse<'a, GetResponse>), StoreError> {
         let store = self.store;
         let attempt = |timeout| async move {
             let asked_ms = BootClock.now_ms();
@@ -118,7 +118,7 @@
     async fn begin_watch(
         &mut self,
         revision: u64,
-    ) -> Result<(u64, Reading<'a, Watched>), StoreError> {
+    ) -> Result<(u64, PendingResponse<'a, WatchResponse>), StoreError> {
         let store = self.store;
         let attempt = |timeout| async move {
             let asked_ms = BootClock.now_ms();
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -69,11 +69,11 @@
 pub async fn serve(settings: NodeSettings) -> Result<()> {
     let stop = crate::stop_signal::stop_signal()?;
     crate::stop_signal::on_reload(|| load_settings().map(drop))?;
-    let callers = settings.callers.wrap_err("no address for callers")?;
-    let ready = settings.ready.wrap_err("no address for the balancer")?;
+    let callers = settings.caller_address.wrap_err("no address for callers")?;
+    let ready = settings.readiness_address.wrap_err("no address for the balancer")?;
     spdlog::info!("event=start role=job-entry node={} callers={callers}", settings.node);
     let metrics = super::serve_metrics(settings.ip).await?;
-    let store = Arc::new(Store::new(settings.store));
+    let store = Arc::new(Store::new(settings.store_address));
     let (known_tx, known) = watch::channel::<Option<Known>>(None);
     let in_force = Arc::new(InForce::new(Arc::clone(&metrics)));
     let promises = Arc::new(OwnPromises::new(settings.node.clone(), rand::rng().random()));
--- a/crates/geraniumpost/tests/attempts.rs
+++ b/crates/geraniumpost/tests/attempts.rs
@@ -144,7 +144,7 @@
     let store = Store::new(address);
     let long = Duration::from_secs(20);
     let store = &store;
-    let get = |timeout| async move { store.begin_get("a", timeout).await?.finish(long).await };
+    let get = |timeout| async move { store.begin_get("a", timeout).await?.receive(long).await };
     let (one, other) = tokio::join!(get(long), get(long));
     assert!(one.is_ok() && other.is_ok());
     answers.store(false, Ordering::SeqCst);
