--- a/crates/geraniumpost-batch/src/agent_message.rs
+++ b/crates/geraniumpost-batch/src/agent_message.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::{Look, MinionInfo, Order, OrderResult};
+use crate::{MinionInfo, Order, OrderResult, PollResult};
 
 /// What an agent tells the coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
         agent: Name,
     },
     /// The agent is there, and asks for its lease to be extended.
-    Beat {
+    Heartbeat {
         /// The agent's own clock when it sent this, echoed in the answer.
         sent_at_ms: u64,
         /// Whether the minion answers the agent; a lease for one that does not is not extended.
@@ -21,12 +21,12 @@
     /// The incarnation beside the agent, or news of it.
     Minion(MinionInfo),
     /// An incarnation is certainly gone, with all that it ran. Repeated on every link until it is settled.
-    MinionGone {
+    MinionTerminated {
         /// The incarnation.
         minion: Name,
     },
     /// The minion's lists.
-    Look(Look),
+    PollResult(PollResult),
     /// What became of an order.
     Result(OrderResult),
 }
@@ -39,7 +39,7 @@
         /// The agent's clock, as it said in the beat that is answered.
         sent_at_ms: u64,
         /// How long tasks may be held from that instant, in milliseconds.
-        hold_ms: u64,
+        lease_ms: u64,
         /// The coordinator's fencing token.
         fence: u64,
         /// Whether the coordinator reaches the store; if not, a successor may exist.
@@ -55,7 +55,7 @@
         up_to: u64,
     },
     /// The records hold that all that ran on an incarnation has ended; its agent may forget it.
-    DepartureSettled {
+    DepartureRecorded {
         /// The incarnation.
         minion: Name,
     },
--- a/crates/geraniumpost-batch/src/coordinator/barring.rs
+++ b/crates/geraniumpost-batch/src/coordinator/barring.rs
@@ -93,7 +93,7 @@
 /// Returns why a minion cannot hold a task of a step beside what it has.
 #[inline]
 fn full(minion: &Minion, spec: &StepSpec) -> Option<Bar> {
-    if spec.fills && minion.over_for_ms > 0 {
+    if spec.best_effort && minion.over_for_ms > 0 {
         return Some(Bar::OverBound);
     }
     let fits = occupied(spec).fits(room_for(minion, spec));
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -1,8 +1,8 @@
 //! What is written, and what waits for it.
 
 use super::{Coordinator, Effect, WriteBatch};
-use crate::tuning::{WRITE_BYTES, WRITE_RECORDS, WRITES_AT_ONCE};
-use crate::{Answer, JobId, JobState, Now, TaskId, ToAgent};
+use crate::tuning::{MAX_BYTES_PER_WRITE, MAX_CONCURRENT_WRITES, MAX_RECORDS_PER_WRITE};
+use crate::{CallerResponse, JobId, JobState, Now, TaskId, ToAgent};
 
 /// A write under way.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Deferred {
     /// Answer a request.
-    Reply(u64, Answer),
+    Reply(u64, CallerResponse),
     /// Give the start order of a placement.
     Start(TaskId, u32),
 }
@@ -96,7 +96,7 @@
 
     /// Gathers changed records into writes, as far as writes may begin.
     pub(super) fn gather_writes(&mut self, now: Now) {
-        while self.batches.len() < WRITES_AT_ONCE {
+        while self.batches.len() < MAX_CONCURRENT_WRITES {
             let Some(mut write) = self.gather_write() else { return };
             write.interference = self.knowledge_due(now);
             self.effects.push(Effect::Write(write));
@@ -105,7 +105,8 @@
 
     fn gather_write(&mut self) -> Option<WriteBatch> {
         let number = self.next_batch;
-        let mut write = WriteBatch { number, put: Vec::new(), remove: Vec::new(), interference: None };
+        let mut write =
+            WriteBatch { number, put: Vec::new(), remove: Vec::new(), interference: None };
         let mut written = Vec::new();
         let mut bytes = 0;
         for id in self.dirty.iter().copied().collect::<Vec<_>>() {
@@ -116,7 +117,7 @@
             if job.writing {
                 continue;
             }
-            if written.len() >= WRITE_RECORDS || bytes >= WRITE_BYTES {
+            if written.len() >= MAX_RECORDS_PER_WRITE || bytes >= MAX_BYTES_PER_WRITE {
                 break;
             }
             self.dirty.remove(&id);
@@ -128,7 +129,7 @@
             let (version, state) = (job.version, job.record.state);
             written.push(Written { job: id, version, state, then });
         }
-        let room = WRITE_RECORDS - written.len();
+        let room = MAX_RECORDS_PER_WRITE - written.len();
         let removed: Vec<_> = self.expired.drain(..room.min(self.expired.len())).collect();
         write.remove.clone_from(&removed);
         if written.is_empty() && removed.is_empty() {
--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -38,7 +38,7 @@
             |(id, version): &(JobId, u64)| jobs.get(id).is_none_or(|job| job.durable >= *version);
         let settled = self.departures.extract_if(.., |_, d| d.unwritten.iter().all(durable));
         for (minion, departure) in settled {
-            let message = ToAgent::DepartureSettled { minion };
+            let message = ToAgent::DepartureRecorded { minion };
             self.effects.push(Effect::Send { agent: departure.agent, message });
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::Name;
 
-use crate::{Answer, JobId, TaskId, ToAgent};
+use crate::{CallerResponse, JobId, TaskId, ToAgent};
 
 /// What the shell has to do for the coordinator.
 #[derive(Debug, Clone, PartialEq)]
@@ -12,7 +12,7 @@
         /// The request's ticket.
         ticket: u64,
         /// The answer.
-        answer: Answer,
+        answer: CallerResponse,
     },
     /// Send a message to an agent.
     Send {
@@ -44,6 +44,6 @@
     pub put: Vec<(JobId, Vec<u8>)>,
     /// Records to remove.
     pub remove: Vec<JobId>,
-    /// What was learnt of images, for a successor ([`crate::Knowledge`]).
+    /// What was learnt of images, for a successor ([`crate::InterferenceSnapshot`]).
     pub interference: Option<Vec<u8>>,
 }
--- a/crates/geraniumpost-batch/src/coordinator/ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/ends.rs
@@ -4,7 +4,7 @@
 
 use super::Coordinator;
 use super::run::{OrderState, Run};
-use crate::tuning::{AFTER_FAILURE_MS, SICK_FAILURES, SICK_MS};
+use crate::tuning::{FAILURE_BACKOFF_MS, QUARANTINE_FAILURES, QUARANTINE_MS};
 use crate::{EndKind, EndedTask, JobId, JobState, Now, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 impl Coordinator {
@@ -26,7 +26,7 @@
                 end.task.job, end.task, end.run, end.kind
             ));
             self.judge_minion(minion, &end, now);
-            let version = self.end_run(end.task, end.kind, &end.saved, now);
+            let version = self.end_run(end.task, end.kind, &end.checkpoint, now);
             Some((end.task.job, version))
         } else {
             None
@@ -38,7 +38,13 @@
 
     /// Ends a run: frees its room, and lets its task wait, be done or fail its job. Returns the
     /// version of the record that holds this.
-    pub(super) fn end_run(&mut self, task: TaskId, kind: EndKind, saved: &Name, now: Now) -> u64 {
+    pub(super) fn end_run(
+        &mut self,
+        task: TaskId,
+        kind: EndKind,
+        checkpoint: &Name,
+        now: Now,
+    ) -> u64 {
         let run = self.remove_run(task);
         self.standing_ended(task, run.as_ref(), now);
         self.placing_due = true;
@@ -48,14 +54,14 @@
             return self.touch_final(task.job);
         }
         let spec = job.record.spec.steps[usize::from(task.step)].clone();
-        if !saved.is_empty() && spec.checkpoints {
-            self.keep_checkpoint(task, &spec, saved);
+        if !checkpoint.is_empty() && spec.checkpoints {
+            self.keep_checkpoint(task, &spec, checkpoint);
         }
-        let bad = matches!(kind, EndKind::Failed | EndKind::Lapsed);
+        let bad = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
         let avoid = run.filter(|_| bad).map(|run| run.place.minion);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let hint = job.hints.entry(task).or_default();
-            hint.not_before_ms = now.steady_ms + if bad { AFTER_FAILURE_MS } else { 0 };
+            hint.not_before_ms = now.steady_ms + if bad { FAILURE_BACKOFF_MS } else { 0 };
             hint.avoid = avoid;
         }
         match kind {
@@ -150,12 +156,12 @@
         }
     }
 
-    fn keep_checkpoint(&mut self, task: TaskId, spec: &StepSpec, saved: &Name) {
+    fn keep_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         // Any member's checkpoint serves its gang, and all members must go on from the same one.
         let indices = if spec.gang { 0..spec.count } else { task.index..task.index + 1 };
         for index in indices {
-            job.hints.entry(TaskId { index, ..task }).or_default().saved = saved.clone();
+            job.hints.entry(TaskId { index, ..task }).or_default().checkpoint = checkpoint.clone();
         }
     }
 
@@ -174,11 +180,11 @@
             EndKind::Failed if view.failed_job != Some(end.task.job) => {
                 view.failures += 1;
                 view.failed_job = Some(end.task.job);
-                if view.failures >= SICK_FAILURES {
-                    view.shunned_ms = now.steady_ms + SICK_MS;
+                if view.failures >= QUARANTINE_FAILURES {
+                    view.shunned_ms = now.steady_ms + QUARANTINE_MS;
                     let failures = view.failures;
                     self.note(format!(
-                        "decision=shun minion={minion} failures_in_a_row={failures} for_ms={SICK_MS}"
+                        "decision=shun minion={minion} failures_in_a_row={failures} for_ms={QUARANTINE_MS}"
                     ));
                 }
             }
--- a/crates/geraniumpost-batch/src/coordinator/gauges.rs
+++ b/crates/geraniumpost-batch/src/coordinator/gauges.rs
@@ -6,8 +6,8 @@
 
 use super::Coordinator;
 use crate::interference::ServingGroup;
-use crate::tuning::TELL_EVERY_MS;
-use crate::{Knowledge, Now, TaskId};
+use crate::tuning::INTERFERENCE_WRITE_INTERVAL_MS;
+use crate::{InterferenceSnapshot, Now, TaskId};
 
 /// What one look showed of a minion.
 #[derive(Debug, Default)]
@@ -23,25 +23,25 @@
 impl Coordinator {
     /// Takes over what a predecessor had learnt of images.
     #[must_use]
-    pub fn with_interference(mut self, knowledge: &Knowledge) -> Self {
-        self.interference.recall(knowledge);
+    pub fn with_interference(mut self, knowledge: &InterferenceSnapshot) -> Self {
+        self.interference.restore(knowledge);
         self
     }
 
     /// Returns what was learnt of images, if a successor should be told anew.
     pub(super) fn knowledge_due(&mut self, now: Now) -> Option<Vec<u8>> {
-        if now.steady_ms < self.told_ms + TELL_EVERY_MS {
+        if now.steady_ms < self.told_ms + INTERFERENCE_WRITE_INTERVAL_MS {
             return None;
         }
         self.told_ms = now.steady_ms;
-        let knowledge = self.interference.knowledge();
+        let knowledge = self.interference.snapshot();
         (!knowledge.pairs.is_empty()).then(|| knowledge.encode())
     }
 
     /// Forgets what is known of serving tasks that are gone.
     pub(super) fn forget_groups(&mut self) {
         let minions = &self.minions;
-        self.interference.retain(|group| {
+        self.interference.retain_groups(|group| {
             let last = TaskId { index: u32::MAX, ..group.step };
             let minion = minions.get(&group.minion);
             minion.is_some_and(|minion| minion.runs.range(group.step..=last).next().is_some())
@@ -78,7 +78,7 @@
                 let group = (step.image.clone(), ServingGroup::of(*task, id));
                 gauges.tails.entry(group).or_default().push(tail);
                 gauges.over.push((*task, tail > 1.0));
-            } else if step.fills && run.started_ms.is_some() {
+            } else if step.best_effort && run.started_ms.is_some() {
                 let used = gauges.used.entry(step.image.clone()).or_default();
                 *used += f64::from(run.gauge) / milli_cpus;
             }
--- a/crates/geraniumpost-batch/src/coordinator/inherited.rs
+++ b/crates/geraniumpost-batch/src/coordinator/inherited.rs
@@ -5,8 +5,8 @@
 
 use geraniumpost_schema::Name;
 
-use super::{Coordinator, surely_lapsed_ms};
-use crate::{Inheritance, Now, Silent};
+use super::{Coordinator, lease_expiry_bound_ms};
+use crate::{Now, PredecessorLeases, SilentCoordinator};
 
 /// Age of an agent's last extension, in milliseconds, from which on a successor is told of it: three
 /// beats. Others are linked to the successor at once, as a rule.
@@ -31,12 +31,14 @@
 }
 
 impl Inherited {
-    fn new(inheritance: &Inheritance, hold_ms: u64, now: Now) -> Self {
+    fn new(inheritance: &PredecessorLeases, lease_ms: u64, now: Now) -> Self {
         let from_now = |ms: &u64| now.steady_ms + ms;
-        let waited =
-            |silent: &Silent| Waited { term: silent.term, until_ms: from_now(&silent.lasts_ms) };
+        let waited = |silent: &SilentCoordinator| Waited {
+            term: silent.term,
+            until_ms: from_now(&silent.remaining_ms),
+        };
         Self {
-            predecessor_ms: now.steady_ms + surely_lapsed_ms(hold_ms),
+            predecessor_ms: now.steady_ms + lease_expiry_bound_ms(lease_ms),
             silent: inheritance.silent.iter().map(|(at, silent)| (*at, waited(silent))).collect(),
             unreached: inheritance
                 .unreached
@@ -63,10 +65,10 @@
 }
 
 impl Coordinator {
-    /// Takes over what a predecessor left behind; call it after [`Self::hold_ms`].
+    /// Takes over what a predecessor left behind; call it after [`Self::lease_ms`].
     #[must_use]
-    pub fn with_predecessor_leases(mut self, inheritance: &Inheritance, now: Now) -> Self {
-        self.inherited = Inherited::new(inheritance, self.hold_ms, now);
+    pub fn with_predecessor_leases(mut self, inheritance: &PredecessorLeases, now: Now) -> Self {
+        self.inherited = Inherited::new(inheritance, self.lease_ms, now);
         self
     }
 
@@ -83,7 +85,7 @@
     /// Takes note that the coordinator that was silent at an address extends no lease after a time on the
     /// steady clock, as the store has another one and too few entries support it.
     pub fn predecessor_extends_until(&mut self, address: SocketAddr, steady_ms: u64) {
-        let until_ms = steady_ms + surely_lapsed_ms(self.hold_ms);
+        let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let Some(waited) = self.inherited.silent.get_mut(&address) else { return };
         let earlier_by_ms = waited.until_ms.saturating_sub(until_ms);
         waited.until_ms = until_ms.min(waited.until_ms);
@@ -92,14 +94,14 @@
     }
 
     /// Returns what a successor has to know of leases at this moment.
-    pub fn leases_for_successor(&self, now: Now) -> Inheritance {
+    pub fn leases_for_successor(&self, now: Now) -> PredecessorLeases {
         let left = |until_ms: &u64| until_ms.saturating_sub(now.steady_ms);
         let silent = self.inherited.silent.iter().map(|(at, waited)| {
-            (*at, Silent { term: waited.term, lasts_ms: left(&waited.until_ms) })
+            (*at, SilentCoordinator { term: waited.term, remaining_ms: left(&waited.until_ms) })
         });
         let unreached = self.unreached.iter().map(|(agent, until)| (agent.clone(), left(until)));
-        Inheritance {
-            silent: silent.filter(|(_, silent)| silent.lasts_ms > 0).collect(),
+        PredecessorLeases {
+            silent: silent.filter(|(_, silent)| silent.remaining_ms > 0).collect(),
             unreached: unreached.collect(),
         }
     }
@@ -120,7 +122,7 @@
 
     /// Takes note of the agents that are not reached though something may run beside them.
     pub(super) fn note_unreached(&mut self, now: Now) {
-        let extended_ms = now.steady_ms + surely_lapsed_ms(self.hold_ms);
+        let extended_ms = now.steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let lapsed_ms = |agent: &Name| self.agents.get(agent).map_or(0, |agent| agent.lapsed_ms);
         let busy = self.minions.values().filter(|minion| !minion.runs.is_empty());
         let unreached: BTreeMap<Name, u64> = busy
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -26,14 +26,14 @@
     /// Since when nothing of it has been at work, on the steady clock.
     pub(super) idle_ms: Option<u64>,
     /// Estimated length of the longest chain in milliseconds.
-    pub(super) chain_ms: u64,
+    pub(super) critical_path_ms: u64,
 }
 
 /// What helps to place a task again.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Hint {
     /// Last checkpoint; empty for none.
-    pub(super) saved: Name,
+    pub(super) checkpoint: Name,
     /// Not placed before this time on the steady clock.
     pub(super) not_before_ms: u64,
     /// The minion of its last run that went wrong.
@@ -42,7 +42,7 @@
 
 impl Job {
     pub(super) fn new(record: JobRecord) -> Self {
-        let chain_ms = record.spec.chain_ms();
+        let critical_path_ms = record.spec.critical_path_ms();
         Self {
             shown: record.state,
             record,
@@ -53,7 +53,7 @@
             after_commit: Vec::new(),
             hints: HashMap::new(),
             idle_ms: None,
-            chain_ms,
+            critical_path_ms,
         }
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -4,10 +4,10 @@
 
 use super::Coordinator;
 use crate::Now;
-use crate::tuning::{STORE_CONFIRMS_MS, STORE_LOST_MS};
+use crate::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// Shortest pause between two lines on what leases rest on, in milliseconds.
-const TELL_EVERY_MS: u64 = 1_000;
+const INTERFERENCE_WRITE_INTERVAL_MS: u64 = 1_000;
 
 /// The support of other entries, as last heard.
 #[derive(Debug, Default)]
@@ -42,13 +42,13 @@
     /// Nothing does for long after the store was last asked: a successor that hears from too few entries
     /// takes the work for ended then.
     pub(super) const fn lease_basis(&self, now: Now) -> Option<LeaseBasis> {
-        if now.steady_ms >= self.asked_ms + STORE_LOST_MS {
+        if now.steady_ms >= self.asked_ms + STORE_OUTAGE_TOLERANCE_MS {
             return None;
         }
         if now.steady_ms < self.supported.until_ms {
             return Some(LeaseBasis::Entries);
         }
-        if now.steady_ms < self.asked_ms + STORE_CONFIRMS_MS {
+        if now.steady_ms < self.asked_ms + STORE_CONFIRMATION_MS {
             return Some(LeaseBasis::Store);
         }
         None
@@ -59,7 +59,9 @@
         let basis = self.lease_basis(now);
         let due = match self.supported.told {
             None => true,
-            Some((told, at_ms)) => told != basis && now.steady_ms >= at_ms + TELL_EVERY_MS,
+            Some((told, at_ms)) => {
+                told != basis && now.steady_ms >= at_ms + INTERFERENCE_WRITE_INTERVAL_MS
+            }
         };
         if !due {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -4,17 +4,17 @@
 
 use super::minion::Minion;
 use super::{Coordinator, Effect};
-use crate::tuning::{LAPSE_MARGIN_MS, LAPSE_PERCENT, STORE_SILENCE_MS};
+use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, STORE_UNREACHABLE_MS};
 use crate::{EndKind, Now, ToAgent};
 
 /// Time that an agent is given after it has linked to show its minion's lists, in milliseconds; most need
 /// less than half of it.
 const LISTS_MS: u64 = 1_000;
 
-/// Returns after how many milliseconds a lease that holds for `hold_ms` has surely lapsed, on the
+/// Returns after how many milliseconds a lease that holds for `lease_ms` has surely lapsed, on the
 /// slowest clock that a minion may have.
-pub const fn surely_lapsed_ms(hold_ms: u64) -> u64 {
-    hold_ms * LAPSE_PERCENT / 100 + LAPSE_MARGIN_MS
+pub const fn lease_expiry_bound_ms(lease_ms: u64) -> u64 {
+    lease_ms * LEASE_EXPIRY_PERCENT / 100 + LEASE_EXPIRY_MARGIN_MS
 }
 
 impl Coordinator {
@@ -28,11 +28,11 @@
     ) {
         let silent_ms = now.steady_ms.saturating_sub(self.confirmed_ms);
         let extend = minion_ok && self.lease_basis(now).is_some();
-        let hold_ms = if extend { self.hold_ms } else { 0 };
+        let lease_ms = if extend { self.lease_ms } else { 0 };
         if extend {
             self.agent_reached(agent);
             // The agent counts from its own sending, which was earlier than this moment.
-            let lapsed_ms = now.steady_ms + surely_lapsed_ms(hold_ms);
+            let lapsed_ms = now.steady_ms + lease_expiry_bound_ms(lease_ms);
             let known = self.agents.entry(agent.clone()).or_default();
             known.lapsed_ms = known.lapsed_ms.max(lapsed_ms);
         }
@@ -41,8 +41,8 @@
             self.placing_due |= minion_ok && !minion.answers;
             minion.answers = minion_ok;
         }
-        let store_ok = silent_ms < STORE_SILENCE_MS;
-        let message = ToAgent::Lease { sent_at_ms, hold_ms, fence: self.fence, store_ok };
+        let store_ok = silent_ms < STORE_UNREACHABLE_MS;
+        let message = ToAgent::Lease { sent_at_ms, lease_ms, fence: self.fence, store_ok };
         self.effects.push(Effect::Send { agent: agent.clone(), message });
     }
 
@@ -52,7 +52,8 @@
         let inherited_ms = self.inherited.until_ms(agent);
         let Some(agent) = self.agents.get(agent) else { return (inherited_ms, true) };
         // An agent that has linked to this coordinator obeys no earlier one any more.
-        let linked_ms = agent.linked_ms.map(|linked_ms| linked_ms + surely_lapsed_ms(self.hold_ms));
+        let linked_ms =
+            agent.linked_ms.map(|linked_ms| linked_ms + lease_expiry_bound_ms(self.lease_ms));
         let inherited_ms = linked_ms.unwrap_or(inherited_ms).min(inherited_ms);
         (agent.lapsed_ms.max(inherited_ms), inherited_ms > agent.lapsed_ms)
     }
@@ -82,7 +83,7 @@
             let runs: Vec<_> = minion.runs.iter().copied().collect();
             self.note(format!("minion={id} event=lease_expired runs={}", runs.len()));
             for task in runs {
-                self.end_run(task, EndKind::Lapsed, &Name::default(), now);
+                self.end_run(task, EndKind::LeaseExpired, &Name::default(), now);
             }
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/looks.rs
+++ b/crates/geraniumpost-batch/src/coordinator/looks.rs
@@ -4,7 +4,7 @@
 
 use super::Coordinator;
 use super::run::OrderState;
-use crate::{Look, Now, RunningTask, TaskId};
+use crate::{Now, PollResult, RunningTask, TaskId};
 
 /// What to do about a run that a minion's lists do not show.
 enum Missing {
@@ -18,7 +18,7 @@
 
 impl Coordinator {
     /// Takes in a minion's lists.
-    pub(super) fn look(&mut self, agent: &Name, look: Look, now: Now) {
+    pub(super) fn look(&mut self, agent: &Name, look: PollResult, now: Now) {
         let Some(minion) = self.minions.get(&look.minion) else { return };
         if minion.agent != *agent {
             return;
@@ -31,10 +31,10 @@
             let seen: std::collections::HashSet<TaskId> =
                 running.iter().map(|row| row.task).collect();
             for row in running {
-                self.seen_running(&id, row, look.orders_before, now);
+                self.seen_running(&id, row, look.orders_reported_before, now);
             }
             if !look.more_ends {
-                self.find_missing(&id, &seen, look.orders_before, now);
+                self.find_missing(&id, &seen, look.orders_reported_before, now);
             }
             if let Some(minion) = self.minions.get_mut(&id) {
                 self.placing_due |= !minion.looked;
@@ -45,7 +45,13 @@
         self.acknowledge();
     }
 
-    fn seen_running(&mut self, minion: &Name, row: RunningTask, orders_before: u64, now: Now) {
+    fn seen_running(
+        &mut self,
+        minion: &Name,
+        row: RunningTask,
+        orders_reported_before: u64,
+        now: Now,
+    ) {
         let Some(run) = self.runs.get_mut(&row.task) else {
             self.stop_stranger(minion, row.task, row.run);
             return;
@@ -57,22 +63,22 @@
             }
             return;
         }
-        if row.percent != run.percent || run.pace == 0 {
-            run.percent = row.percent;
+        if row.progress_percent != run.percent || run.pace == 0 {
+            run.percent = row.progress_percent;
             run.progressed_ms = now.steady_ms;
         }
         run.gauge = row.gauge;
         run.seen_ms = now.steady_ms;
         if !run.stopping() {
-            run.order = OrderState::Started { number: orders_before };
+            run.order = OrderState::Started { number: orders_reported_before };
             self.run_began(row.task, now);
         }
-        if !row.saved.is_empty()
+        if !row.checkpoint.is_empty()
             && let Some(job) = self.jobs.get_mut(&row.task.job)
         {
             let hint = job.hints.entry(row.task).or_default();
-            if hint.saved != row.saved {
-                hint.saved = row.saved;
+            if hint.checkpoint != row.checkpoint {
+                hint.checkpoint = row.checkpoint;
             }
         }
     }
@@ -81,7 +87,7 @@
         &mut self,
         id: &Name,
         seen: &std::collections::HashSet<TaskId>,
-        orders_before: u64,
+        orders_reported_before: u64,
         now: Now,
     ) {
         let Some(minion) = self.minions.get(id) else { return };
@@ -89,7 +95,7 @@
             minion.runs.iter().filter(|task| !seen.contains(task)).copied().collect();
         for task in absent {
             let Some(run) = self.runs.get(&task) else { continue };
-            match judge(run.order, orders_before) {
+            match judge(run.order, orders_reported_before) {
                 Missing::Wait => {}
                 Missing::Start => self.send_start(task, now),
                 Missing::Over => {
@@ -103,13 +109,13 @@
 }
 
 /// Judges a run that is in neither list of its minion.
-fn judge(order: OrderState, orders_before: u64) -> Missing {
+fn judge(order: OrderState, orders_reported_before: u64) -> Missing {
     match order {
         OrderState::Unknown { .. } => Missing::Start,
         OrderState::Started { number }
         | OrderState::Over { number }
         | OrderState::Barred { number, .. }
-            if number <= orders_before =>
+            if number <= orders_reported_before =>
         {
             Missing::Over
         }
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -5,7 +5,7 @@
 use super::filling::Filling;
 use super::rooms::Room;
 use super::serving::Serving;
-use crate::tuning::SERVING_UNUSED_PERCENT;
+use crate::tuning::SERVING_UNUSED_CPU_PERCENT;
 use crate::{Demand, JobId, MinionInfo, TaskId};
 
 /// What the coordinator knows of one minion.
@@ -98,7 +98,7 @@
 
     /// Returns the processors, in thousandths, that filling tasks there could use together.
     pub(super) fn unused_milli_cpus(&self) -> i64 {
-        self.free().milli_cpus + self.serving_cpus * SERVING_UNUSED_PERCENT / 100
+        self.free().milli_cpus + self.serving_cpus * SERVING_UNUSED_CPU_PERCENT / 100
     }
 
     /// Returns which share of its processors so many thousandths of one are.
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -37,11 +37,11 @@
 
 use geraniumpost_schema::Name;
 
-use crate::interference::Interference;
+use crate::interference::InterferenceModel;
 use crate::{FromAgent, JobId, JobRecord, Now, TaskId};
 
 pub use effect::{Effect, WriteBatch};
-pub use leases::surely_lapsed_ms;
+pub use leases::lease_expiry_bound_ms;
 pub use longest_wait::LongestWait;
 
 use agents::Agent;
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Coordinator {
     fence: u64,
-    hold_ms: u64,
+    lease_ms: u64,
     max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
     /// Jobs that may have waiting tasks.
@@ -92,7 +92,7 @@
     inheritance_changed: bool,
     approvals: Approvals,
     /// How much images that fill slow images that serve.
-    interference: Interference,
+    interference: InterferenceModel,
     /// Whether something changed that may let a task be placed.
     placing_due: bool,
     /// When a successor was last told what was learnt of images.
@@ -109,8 +109,8 @@
     pub fn new(fence: u64, now: Now) -> Self {
         Self {
             fence,
-            hold_ms: 0,
-            max_open_jobs: crate::tuning::MOST_OPEN_JOBS,
+            lease_ms: 0,
+            max_open_jobs: crate::tuning::MAX_OPEN_JOBS,
             jobs: BTreeMap::new(),
             open: BTreeSet::new(),
             dirty: BTreeSet::new(),
@@ -128,7 +128,7 @@
             unreached: BTreeMap::new(),
             inheritance_changed: false,
             approvals: Approvals::default(),
-            interference: Interference::default(),
+            interference: InterferenceModel::default(),
             placing_due: false,
             told_ms: now.steady_ms,
             unplaceable: BTreeMap::new(),
@@ -139,8 +139,8 @@
 
     /// Sets how long a lease lets minions hold their tasks, in milliseconds.
     #[must_use]
-    pub const fn hold_ms(mut self, hold_ms: u64) -> Self {
-        self.hold_ms = hold_ms;
+    pub const fn lease_ms(mut self, lease_ms: u64) -> Self {
+        self.lease_ms = lease_ms;
         self
     }
 
@@ -175,12 +175,12 @@
     pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
             FromAgent::Hello { .. } => self.agent_linked(agent, now),
-            FromAgent::Beat { sent_at_ms, minion_ok } => {
+            FromAgent::Heartbeat { sent_at_ms, minion_ok } => {
                 self.extend_lease(agent, sent_at_ms, minion_ok, now);
             }
             FromAgent::Minion(info) => self.minion_reported(agent, info, now),
-            FromAgent::MinionGone { minion } => self.minion_departed(agent, &minion, now),
-            FromAgent::Look(look) => self.look(agent, look, now),
+            FromAgent::MinionTerminated { minion } => self.minion_departed(agent, &minion, now),
+            FromAgent::PollResult(look) => self.look(agent, look, now),
             FromAgent::Result(result) => self.order_result(result, now),
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -2,7 +2,7 @@
 
 use super::run::{OrderState, Run};
 use super::{Coordinator, Effect};
-use crate::tuning::{AFTER_NO_ROOM_MS, SICK_MS};
+use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_MS};
 use crate::{Now, OrderOutcome, OrderResult, OrderVerb, TaskId};
 
 /// Unanswered starts after which a run is given up at its minion.
@@ -15,7 +15,7 @@
             self.effects.push(Effect::Superseded);
             return;
         }
-        if result.outcome == OrderOutcome::Gone {
+        if result.outcome == OrderOutcome::MinionTerminated {
             self.minion_gone(&result.minion, now);
             return;
         }
@@ -73,7 +73,7 @@
             }
             OrderOutcome::Unhealthy => {
                 if let Some(minion) = self.minions.get_mut(&result.minion) {
-                    minion.shunned_ms = now.steady_ms + SICK_MS;
+                    minion.shunned_ms = now.steady_ms + QUARANTINE_MS;
                 }
                 self.place_elsewhere(task, now);
             }
@@ -91,7 +91,7 @@
         if self.runs.get(&task).is_some_and(Run::may_still_begin) {
             self.send_stop(task, now);
         } else {
-            self.requeue(task, AFTER_NO_ROOM_MS, true, now);
+            self.requeue(task, NO_CAPACITY_BACKOFF_MS, true, now);
         }
     }
 
@@ -123,7 +123,8 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.begun = true;
         }
-        let image = self.step_spec(task).filter(|step| step.fills).map(|step| step.image.clone());
+        let image =
+            self.step_spec(task).filter(|step| step.best_effort).map(|step| step.image.clone());
         let Some(image) = image else { return };
         let filling = self.minions.get(&minion).and_then(|minion| minion.fill_images.get(&image));
         let percent = filling.map_or(100, |filling| filling.percent);
--- a/crates/geraniumpost-batch/src/coordinator/ordering.rs
+++ b/crates/geraniumpost-batch/src/coordinator/ordering.rs
@@ -29,7 +29,10 @@
         let ticket = self.approvals.ticket(task, &place, now).cloned().unwrap_or_default();
         let kind = OrderKind::Start {
             payload: job.record.spec.payload.clone(),
-            saved: job.hints.get(&task).map_or_else(Name::default, |hint| hint.saved.clone()),
+            checkpoint: job
+                .hints
+                .get(&task)
+                .map_or_else(Name::default, |hint| hint.checkpoint.clone()),
             ticket,
         };
         let sent = self.send(task, kind);
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -74,8 +74,9 @@
 
     fn filling_on(&self, id: &Name, image: &Name) -> Vec<TaskId> {
         let Some(minion) = self.minions.get(id) else { return Vec::new() };
-        let ours =
-            |task: &&TaskId| self.step_spec(**task).is_some_and(|s| s.fills && s.image == *image);
+        let ours = |task: &&TaskId| {
+            self.step_spec(**task).is_some_and(|s| s.best_effort && s.image == *image)
+        };
         minion.runs.iter().filter(ours).copied().collect()
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/patience.rs
+++ b/crates/geraniumpost-batch/src/coordinator/patience.rs
@@ -18,7 +18,7 @@
 impl Coordinator {
     /// Returns whether a task begins at this speed rather than wait for a better place.
     pub(super) fn takes(&self, task: TaskId, spec: &StepSpec, speed: FillSpeed, now: Now) -> bool {
-        let patient = spec.fills && !self.is_idle(task, now);
+        let patient = spec.best_effort && !self.is_idle(task, now);
         !patient || (speed.unused >= LEAST_UNUSED && speed.harmless >= LEAST_HARMLESS)
     }
 
@@ -34,7 +34,7 @@
     /// Under overload hundreds of steps wait for the same few kinds of places, and asking every
     /// minion for each of them would take most of a small VM's processor.
     pub(super) fn is_unplaceable(&self, id: JobId, spec: &StepSpec) -> bool {
-        let Some(job) = self.jobs.get(&id).filter(|_| spec.fills) else { return false };
+        let Some(job) = self.jobs.get(&id).filter(|_| spec.best_effort) else { return false };
         let kind = (job.record.terms.service.clone(), spec.image.clone());
         let at_least = |smaller: &Demand| {
             spec.demand.milli_cpus >= smaller.milli_cpus
@@ -47,8 +47,8 @@
     pub(super) fn note_unplaceable(&mut self, id: JobId, spec: &StepSpec) {
         let Some(job) = self.jobs.get(&id) else { return };
         let terms = &job.record.terms;
-        let plain = spec.required_label.is_empty() && spec.most_per_minion == 0;
-        if spec.fills && plain && !terms.needs_approval && !self.is_unplaceable(id, spec) {
+        let plain = spec.required_label.is_empty() && spec.max_per_minion == 0;
+        if spec.best_effort && plain && !terms.needs_approval && !self.is_unplaceable(id, spec) {
             self.unplaceable.insert((terms.service.clone(), spec.image.clone()), spec.demand);
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/placing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placing.rs
@@ -9,7 +9,7 @@
 use super::minion::Minion;
 use super::rooms::FillSpeed;
 use super::run::{OrderState, Run, occupied};
-use crate::tuning::{CPUS_FOR_STANDING_PERCENT, MEMORY_FOR_FILLING_PERCENT};
+use crate::tuning::{BEST_EFFORT_MEMORY_PERCENT, PERSISTENT_CPU_PERCENT};
 use crate::{Demand, JobId, JobRecord, Now, Place, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 /// Least share of its speed that is told of any place, so that places stay comparable.
@@ -197,7 +197,7 @@
             Fit { avoided, far, cost: self.preference(minion, spec) }
         };
         let fast = |minion: &&Minion| {
-            !spec.fills || self.takes(task, spec, self.fill_speed(minion, spec), now)
+            !spec.best_effort || self.takes(task, spec, self.fill_speed(minion, spec), now)
         };
         let best = self.minions.values().filter(fits).filter(fast).min_by_key(fit)?;
         Some(best.info.id.clone())
@@ -212,7 +212,7 @@
         /// Weight of one serving task against processors, in thousandths of a processor.
         const BESIDE_SERVING: i64 = 1_000_000;
         let free_cpus = minion.free().milli_cpus;
-        if spec.fills {
+        if spec.best_effort {
             let FillSpeed { unused, harmless, spent } = self.fill_speed(minion, spec);
             // Among minions at full speed, the one with the most room keeps it longest.
             let left = minion.unused_milli_cpus() - minion.fill_cpus;
@@ -275,12 +275,12 @@
 
 #[inline]
 pub(super) fn spread_allows(task: TaskId, spec: &StepSpec, minion: &Minion) -> bool {
-    if spec.most_per_minion == 0 {
+    if spec.max_per_minion == 0 {
         return true;
     }
     let first = TaskId { index: 0, ..task };
     let last = TaskId { index: u32::MAX, ..task };
-    (minion.runs.range(first..=last).count() as u32) < spec.most_per_minion
+    (minion.runs.range(first..=last).count() as u32) < spec.max_per_minion
 }
 
 /// Returns whether a minion can take one task of a step.
@@ -293,16 +293,18 @@
 /// One that ran before and ended takes its room back all the same: its users wait for it.
 #[inline]
 pub(super) fn leaves_room_for_short(minion: &Minion, spec: &StepSpec) -> bool {
-    let kept = minion.info.capacity.milli_cpus * (100 - CPUS_FOR_STANDING_PERCENT) / 100;
-    !spec.persistent || spec.fills || spec.demand.milli_cpus + kept <= minion.free().milli_cpus
+    let kept = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
+    !spec.persistent
+        || spec.best_effort
+        || spec.demand.milli_cpus + kept <= minion.free().milli_cpus
 }
 
 /// Returns what is free for a task of a step.
 #[inline]
 pub(super) fn room_for(minion: &Minion, spec: &StepSpec) -> Demand {
     let mut free = minion.free();
-    if spec.fills {
-        let kept = minion.info.capacity.memory_mb * (100 - MEMORY_FOR_FILLING_PERCENT) / 100;
+    if spec.best_effort {
+        let kept = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
         free.memory_mb -= kept;
     }
     free
@@ -321,7 +323,7 @@
 /// Ranks a job.
 fn rank(job: &Job, now: Now) -> Rank {
     let terms = &job.record.terms;
-    let objective_ms = terms.objective_ms(job.chain_ms);
+    let objective_ms = terms.objective_ms(job.critical_path_ms);
     let due_ms = job.record.occurrences.first().map_or(job.record.accepted_ms, |o| o.due_ms);
     let age_ms = now.wall_ms.saturating_sub(due_ms);
     // A late job is still worth something up to three times its objective, and nothing after it.
--- a/crates/geraniumpost-batch/src/coordinator/presence.rs
+++ b/crates/geraniumpost-batch/src/coordinator/presence.rs
@@ -58,7 +58,7 @@
         let runs: Vec<_> = minion.runs.iter().copied().collect();
         self.note(format!("minion={id} event=gone runs={}", runs.len()));
         for task in runs {
-            self.end_run(task, EndKind::Lapsed, &Name::default(), now);
+            self.end_run(task, EndKind::LeaseExpired, &Name::default(), now);
         }
         self.minions.remove(id);
         for agent in self.agents.values_mut().filter(|agent| agent.minion.as_ref() == Some(id)) {
--- a/crates/geraniumpost-batch/src/coordinator/rooms.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rooms.rs
@@ -4,8 +4,8 @@
 
 use super::Coordinator;
 use super::minion::Minion;
-use crate::interference::{Pressure, ServingGroup, bearable_shares};
-use crate::tuning::FILL_TO_TAIL;
+use crate::interference::{Pressure, ServingGroup, speed_limits};
+use crate::tuning::BEST_EFFORT_TAIL_LIMIT;
 use crate::{StepSpec, TaskId};
 
 /// Least utilization that counts as left, so that no share is divided by nothing.
@@ -16,7 +16,7 @@
 pub(super) struct Room {
     /// Its image.
     image: Name,
-    /// How much its utilization may rise before its tail reaches [`FILL_TO_TAIL`]; negative if it is over.
+    /// How much its utilization may rise before its tail reaches [`BEST_EFFORT_TAIL_LIMIT`]; negative if it is over.
     left: f64,
 }
 
@@ -44,8 +44,8 @@
             }
             let Some(spec) = self.step_spec(*task).filter(|spec| spec.serves()) else { continue };
             let group = ServingGroup::of(*task, &minion.info.id);
-            let most = self.interference.utilization_at(&spec.image, FILL_TO_TAIL);
-            let left = most - self.interference.own(&spec.image, &group);
+            let most = self.interference.utilization_at(&spec.image, BEST_EFFORT_TAIL_LIMIT);
+            let left = most - self.interference.own_utilization(&spec.image, &group);
             rooms.push(Room { image: spec.image.clone(), left });
         }
         rooms
@@ -59,7 +59,7 @@
         for room in &mut rooms {
             let added = |(image, filling): (&Name, &super::filling::Filling)| {
                 let share = minion.share(filling.at(filling.percent));
-                self.interference.adds(&room.image, image, share)
+                self.interference.added_utilization(&room.image, image, share)
             };
             room.left -= minion.fill_images.iter().map(added).sum::<f64>();
         }
@@ -77,7 +77,7 @@
         let unused = (unused / wanted).min(1.0);
         let mut speed = FillSpeed { unused, harmless: 1.0, spent: 0.0 };
         for room in &minion.rooms {
-            let adds = self.interference.adds(&room.image, &spec.image, share);
+            let adds = self.interference.added_utilization(&room.image, &spec.image, share);
             if adds > room.left {
                 speed.harmless = speed.harmless.min((room.left / adds).max(0.0));
             }
@@ -93,11 +93,13 @@
         let pressure = |(image, filling): (&Name, &super::filling::Filling)| {
             let processors = filling.at(100);
             let share = minion.share(processors);
-            let adds = rooms.iter().map(|room| self.interference.adds(&room.image, image, share));
-            Pressure { processors, adds: adds.collect() }
+            let adds = rooms
+                .iter()
+                .map(|room| self.interference.added_utilization(&room.image, image, share));
+            Pressure { processors, added_utilization: adds.collect() }
         };
         let pressures: Vec<Pressure> = minion.fill_images.iter().map(pressure).collect();
-        let shares = bearable_shares(&room, &pressures);
+        let shares = speed_limits(&room, &pressures);
         let paces = shares.into_iter().map(|share| (share * 100.0) as u8);
         minion.fill_images.keys().cloned().zip(paces).collect()
     }
@@ -107,7 +109,7 @@
         let Some(step) = self.step_spec(task).cloned() else { return };
         let Some(minion) = self.minions.get_mut(id) else { return };
         let change = if enters { 1 } else { -1 };
-        if step.fills {
+        if step.best_effort {
             let filling = minion.fill_images.entry(step.image.clone()).or_default();
             filling.runs += change;
             filling.milli_cpus += i64::from(change) * step.demand.milli_cpus;
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -72,7 +72,7 @@
             number,
             order,
             occupied: occupied(spec),
-            fill_cpus: if spec.fills { spec.demand.milli_cpus } else { 0 },
+            fill_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
             serving_cpus: spec.serves().then_some(spec.demand.milli_cpus),
             started_ms: None,
             percent: 0,
@@ -137,6 +137,6 @@
 /// Returns what a task of a step occupies on a minion: one that takes only what others leave over
 /// is given memory and accelerators, but no processors.
 pub(super) fn occupied(spec: &StepSpec) -> Demand {
-    let milli_cpus = if spec.fills { 0 } else { spec.demand.milli_cpus };
+    let milli_cpus = if spec.best_effort { 0 } else { spec.demand.milli_cpus };
     Demand { milli_cpus, ..spec.demand }
 }
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -4,7 +4,10 @@
 
 use super::Coordinator;
 use super::run::OrderState;
-use crate::tuning::{KEEP_FINISHED_MS, ORDER_RESULT_MS, REPEAT_ORDER_MS, REPEAT_STOP_MS, STUCK_MS};
+use crate::tuning::{
+    FINISHED_JOB_RETENTION_MS, ORDER_RESULT_TIMEOUT_MS, ORDER_RETRY_MS, STALLED_RUN_TIMEOUT_MS,
+    STOP_RETRY_MS,
+};
 use crate::{JobId, Now, TaskId};
 
 impl Coordinator {
@@ -73,7 +76,7 @@
     /// Stops runs that make no progress, so that they go on elsewhere.
     ///
     /// On some minions tasks stand still while everything else seems well. Their callers would wait
-    /// for ever, as nothing ends. Progress that does not move for [`STUCK_MS`]
+    /// for ever, as nothing ends. Progress that does not move for [`STALLED_RUN_TIMEOUT_MS`]
     /// from look to look shows it; a minion that is not looked at shows nothing.
     fn stop_stuck(&mut self, now: Now) {
         let stuck: Vec<TaskId> = self
@@ -81,13 +84,13 @@
             .iter()
             .filter(|(_, run)| matches!(run.order, OrderState::Started { .. }))
             .filter(|(_, run)| run.percent < 100 && run.pace > 0)
-            .filter(|(_, run)| run.seen_ms >= run.progressed_ms + STUCK_MS)
+            .filter(|(_, run)| run.seen_ms >= run.progressed_ms + STALLED_RUN_TIMEOUT_MS)
             .map(|(task, _)| *task)
             .collect();
         for task in stuck {
             let Some(step) = self.step_spec(task) else { continue };
             // One percent of a long task takes long.
-            let patience_ms = u64::from(step.estimate_ms) / 10 + STUCK_MS;
+            let patience_ms = u64::from(step.estimate_ms) / 10 + STALLED_RUN_TIMEOUT_MS;
             let Some(run) = self.runs.get(&task) else { continue };
             let minion: Name = run.place.minion.clone();
             let looked = self.minions.get(&minion).is_some_and(|minion| minion.looked);
@@ -101,7 +104,7 @@
                 run.seen_ms - run.progressed_ms
             ));
             if let Some(minion) = self.minions.get_mut(&minion) {
-                minion.shunned_ms = now.steady_ms + crate::tuning::SICK_MS;
+                minion.shunned_ms = now.steady_ms + crate::tuning::QUARANTINE_MS;
             }
             self.stop_run(task, now);
         }
@@ -112,7 +115,7 @@
             .jobs
             .iter()
             .filter(|(_, job)| job.record.state.is_final() && job.durable == job.version)
-            .filter(|(_, job)| now.wall_ms >= job.record.finished_ms + KEEP_FINISHED_MS)
+            .filter(|(_, job)| now.wall_ms >= job.record.finished_ms + FINISHED_JOB_RETENTION_MS)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
@@ -126,10 +129,10 @@
 /// Returns whether an order is to be given again.
 fn is_due(order: OrderState, now_ms: u64) -> bool {
     match order {
-        OrderState::Unknown { since_ms } => now_ms >= since_ms + REPEAT_ORDER_MS,
-        OrderState::Sent { at_ms } => now_ms >= at_ms + ORDER_RESULT_MS,
+        OrderState::Unknown { since_ms } => now_ms >= since_ms + ORDER_RETRY_MS,
+        OrderState::Sent { at_ms } => now_ms >= at_ms + ORDER_RESULT_TIMEOUT_MS,
         OrderState::Stopping { at_ms } | OrderState::Barred { at_ms, .. } => {
-            now_ms >= at_ms + REPEAT_STOP_MS
+            now_ms >= at_ms + STOP_RETRY_MS
         }
         _ => false,
     }
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -23,15 +23,15 @@
 
 impl Departures {
     /// Takes note that a minion has said its farewell.
-    pub fn leaves(&mut self, minion: &Name) {
+    pub fn record_leaving(&mut self, minion: &Name) {
         if !self.leaving.contains(minion) {
             self.leaving.push(minion.clone());
         }
     }
 
     /// Takes note that a minion is gone.
-    pub fn gone(&mut self, minion: &Name) {
-        self.forget(minion);
+    pub fn record_terminated(&mut self, minion: &Name) {
+        self.remove(minion);
         if self.gone.len() == MOST {
             self.gone.pop_front();
         }
@@ -39,18 +39,18 @@
     }
 
     /// Takes note that the records hold a departure, or that the minion answers all the same.
-    pub fn forget(&mut self, minion: &Name) {
+    pub fn remove(&mut self, minion: &Name) {
         self.leaving.retain(|leaving| leaving != minion);
         self.gone.retain(|gone| gone != minion);
     }
 
     /// Returns the minions that are gone, in the order in which they went.
-    pub fn unsettled(&self) -> impl Iterator<Item = &Name> {
+    pub fn unrecorded(&self) -> impl Iterator<Item = &Name> {
         self.gone.iter()
     }
 
     /// Returns whether nothing is left to tell.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.leaving.is_empty() && self.gone.is_empty()
     }
 }
--- a/crates/geraniumpost-batch/src/entry_message.rs
+++ b/crates/geraniumpost-batch/src/entry_message.rs
@@ -5,7 +5,7 @@
 
 /// What an entry asks of the coordinator for a caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum CallerRequest {
     /// Accept a job; the same job again is no second one.
     Submit {
         /// The job.
@@ -25,7 +25,7 @@
 
 /// What the coordinator answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum CallerResponse {
     /// The job is accepted and committed.
     Accepted,
     /// The job is not accepted and never will be by this request.
@@ -56,14 +56,14 @@
         /// successor for a while after that pong.
         supports: Option<TermTime>,
         /// Whether the entry is about to stop, and should be counted no more.
-        leaves: bool,
+        stopping: bool,
     },
     /// A caller's request.
-    Ask {
+    Request {
         /// Names the answer.
         ticket: u64,
         /// The request.
-        ask: Ask,
+        request: CallerRequest,
     },
 }
 
@@ -89,10 +89,10 @@
         sent: TermTime,
     },
     /// The answer to a request.
-    Answer {
+    Response {
         /// The request's ticket.
         ticket: u64,
         /// The answer.
-        answer: Answer,
+        response: CallerResponse,
     },
 }
--- a/crates/geraniumpost-batch/src/inheritance.rs
+++ b/crates/geraniumpost-batch/src/inheritance.rs
@@ -4,16 +4,16 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::surely_lapsed_ms;
-use crate::tuning::STORE_LOST_MS;
+use crate::lease_expiry_bound_ms;
+use crate::tuning::STORE_OUTAGE_TOLERANCE_MS;
 
 /// A coordinator that fell silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Silent {
+pub struct SilentCoordinator {
     /// Its term. A process at its address that knows of a later one has ended this one.
     pub term: u64,
     /// How long leases may last that it extends, in milliseconds.
-    pub lasts_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// What a coordinator leaves to its successor: whose leases may last for how long.
@@ -25,28 +25,28 @@
 /// times are milliseconds from the moment at which this is told, so that no clocks are compared; read
 /// later, they are too long and never too short.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Inheritance {
+pub struct PredecessorLeases {
     /// Coordinators that fell silent and may live on, and how long leases may last that they extend.
-    pub silent: BTreeMap<SocketAddr, Silent>,
+    pub silent: BTreeMap<SocketAddr, SilentCoordinator>,
     /// Agents that the last coordinator did not reach when it stepped down, and how long their leases may
     /// last if no silent coordinator extends them.
     pub unreached: BTreeMap<Name, u64>,
 }
 
-impl Inheritance {
+impl PredecessorLeases {
     /// Returns what a coordinator at `own` inherits, whose predecessor left this behind. That one is named
     /// with its term if it only fell silent.
     #[must_use]
-    pub fn taken_over(
+    pub fn after_takeover(
         mut self,
         silent: Option<(SocketAddr, u64)>,
         own: SocketAddr,
-        hold_ms: u64,
+        lease_ms: u64,
     ) -> Self {
         if let Some((address, term)) = silent {
             // It goes on for as long as one that misses the store may.
-            let lasts_ms = STORE_LOST_MS + surely_lapsed_ms(hold_ms);
-            self.silent.insert(address, Silent { term, lasts_ms });
+            let remaining_ms = STORE_OUTAGE_TOLERANCE_MS + lease_expiry_bound_ms(lease_ms);
+            self.silent.insert(address, SilentCoordinator { term, remaining_ms });
             self.unreached.clear();
         }
         // An earlier term at the own address has ended, but it may have reached any agent a moment ago.
@@ -58,10 +58,12 @@
 
     /// Returns what is left of it after so many milliseconds.
     #[must_use]
-    pub fn after(mut self, ms: u64) -> Self {
-        self.silent.retain(|_, silent| silent.lasts_ms > ms);
-        self.silent.values_mut().for_each(|silent| silent.lasts_ms -= ms);
-        self.unreached.values_mut().for_each(|lasts_ms| *lasts_ms = lasts_ms.saturating_sub(ms));
+    pub fn aged_by(mut self, ms: u64) -> Self {
+        self.silent.retain(|_, silent| silent.remaining_ms > ms);
+        self.silent.values_mut().for_each(|silent| silent.remaining_ms -= ms);
+        self.unreached
+            .values_mut()
+            .for_each(|remaining_ms| *remaining_ms = remaining_ms.saturating_sub(ms));
         self
     }
 
--- a/crates/geraniumpost-batch/src/interference/mod.rs
+++ b/crates/geraniumpost-batch/src/interference/mod.rs
@@ -20,8 +20,8 @@
 mod slope;
 mod slopes;
 
-pub use estimator::Interference;
-pub use paces::{Pressure, bearable_shares};
+pub use estimator::InterferenceModel;
+pub use paces::{Pressure, speed_limits};
 pub use serving_group::ServingGroup;
 
 use baseline::Baseline;
--- a/crates/geraniumpost-batch/src/interference/paces.rs
+++ b/crates/geraniumpost-batch/src/interference/paces.rs
@@ -4,7 +4,7 @@
     /// Processors that it would use.
     pub processors: f64,
     /// What it would add to the utilization of each group.
-    pub adds: Vec<f64>,
+    pub added_utilization: Vec<f64>,
 }
 
 /// Returns the share of its speed, from 0 to 1, that each filling image may work at, so that it adds no more
@@ -12,16 +12,17 @@
 ///
 /// The image that adds most for its processors yields first: that costs the least work. What it yields
 /// for one group counts for the next.
-pub fn bearable_shares(room: &[f64], pressures: &[Pressure]) -> Vec<f64> {
+pub fn speed_limits(room: &[f64], pressures: &[Pressure]) -> Vec<f64> {
     let mut shares = vec![1.0; pressures.len()];
     for (group, room) in room.iter().enumerate() {
-        let added = |at: usize, shares: &[f64]| pressures[at].adds[group] * shares[at];
+        let added = |at: usize, shares: &[f64]| pressures[at].added_utilization[group] * shares[at];
         let mut over: f64 = (0..pressures.len()).map(|at| added(at, &shares)).sum::<f64>() - room;
-        let by_cost = |at: usize| pressures[at].adds[group] / pressures[at].processors.max(1.0);
+        let by_cost =
+            |at: usize| pressures[at].added_utilization[group] / pressures[at].processors.max(1.0);
         let mut order: Vec<usize> = (0..pressures.len()).collect();
         order.sort_by(|a, b| by_cost(*b).total_cmp(&by_cost(*a)));
         for at in order {
-            let adds = pressures[at].adds[group];
+            let adds = pressures[at].added_utilization[group];
             if over <= 0.0 || adds <= 0.0 {
                 break;
             }
--- a/crates/geraniumpost-batch/src/job_spec.rs
+++ b/crates/geraniumpost-batch/src/job_spec.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the estimated length of the longest chain of steps in milliseconds.
-    pub fn chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let begin = step.after.iter().map(|&s| ends[usize::from(s)]).max().unwrap_or(0);
@@ -85,8 +85,8 @@
 }
 
 impl QueueTerms {
-    /// Returns the latency objective of a job whose longest chain is `chain_ms` long.
-    pub const fn objective_ms(&self, chain_ms: u64) -> u64 {
-        chain_ms * self.stretch_percent as u64 / 100 + self.target_ms as u64
+    /// Returns the latency objective of a job whose longest chain is `critical_path_ms` long.
+    pub const fn objective_ms(&self, critical_path_ms: u64) -> u64 {
+        critical_path_ms * self.stretch_percent as u64 / 100 + self.target_ms as u64
     }
 }
--- a/crates/geraniumpost-batch/src/knowledge.rs
+++ b/crates/geraniumpost-batch/src/knowledge.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::LearntPair;
+use crate::InterferencePair;
 
 /// What a coordinator has learnt of images, for its successor.
 ///
@@ -9,14 +9,14 @@
 /// while what fills beside them is slowed down by guesses. A rolling restart changes the coordinator
 /// every few seconds, so it would hardly ever know. Losing this costs nothing but that time.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct InterferenceSnapshot {
     /// How much filling images slow serving ones.
-    pub pairs: Vec<LearntPair>,
+    pub pairs: Vec<InterferencePair>,
     /// The lowest tail of each serving image, in bounds.
-    pub quiet: Vec<(Name, f64)>,
+    pub idle_tails: Vec<(Name, f64)>,
 }
 
-impl Knowledge {
+impl InterferenceSnapshot {
     /// Returns the bytes for the store.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
--- a/crates/geraniumpost-batch/src/lib.rs
+++ b/crates/geraniumpost-batch/src/lib.rs
@@ -7,12 +7,12 @@
 //! # Example
 //!
 //! ```
-//! use geraniumpost_batch::{Ask, Coordinator, Demand, Effect, JobId, JobSpec, Now, QueueTerms, StepSpec};
+//! use geraniumpost_batch::{CallerRequest, Coordinator, Demand, Effect, JobId, JobSpec, Now, QueueTerms, StepSpec};
 //!
 //! let mut coordinator = Coordinator::new(7, Now::default());
 //! let step = StepSpec { count: 2, demand: Demand::default(), ..StepSpec::default() };
 //! let spec = JobSpec { steps: vec![step], ..JobSpec::default() };
-//! let ask = Ask::Submit { job: JobId(1), spec, terms: QueueTerms::default() };
+//! let ask = CallerRequest::Submit { job: JobId(1), spec, terms: QueueTerms::default() };
 //! coordinator.handle_request(1, ask, Now::default());
 //! // Nothing is answered before the record is written.
 //! assert!(matches!(coordinator.take_effects(Now::default())[..], [.., Effect::Write(_)]));
@@ -42,18 +42,18 @@
 pub mod tuning;
 
 pub use agent_message::{FromAgent, ToAgent};
-pub use coordinator::{Coordinator, Effect, LongestWait, WriteBatch, surely_lapsed_ms};
+pub use coordinator::{Coordinator, Effect, LongestWait, WriteBatch, lease_expiry_bound_ms};
 pub use demand::Demand;
 pub use departures::Departures;
-pub use entry_message::{Answer, Ask, FromEntry, TermTime, ToEntry};
-pub use inheritance::{Inheritance, Silent};
+pub use entry_message::{CallerRequest, CallerResponse, FromEntry, TermTime, ToEntry};
+pub use inheritance::{PredecessorLeases, SilentCoordinator};
 pub use job_id::{JobId, JobIdError};
 pub use job_record::{JobRecord, Occurrence, Place, TaskPhase, TaskRecord};
 pub use job_spec::{JobSpec, MAX_TASKS, QueueTerms};
 pub use job_state::JobState;
-pub use knowledge::Knowledge;
-pub use learnt_pair::LearntPair;
-pub use look::{EndKind, EndedTask, Look, RunningTask};
+pub use knowledge::InterferenceSnapshot;
+pub use learnt_pair::InterferencePair;
+pub use look::{EndKind, EndedTask, PollResult, RunningTask};
 pub use minion_info::MinionInfo;
 pub use now::Now;
 pub use order::{Order, OrderKind, OrderOutcome, OrderResult, OrderVerb};
--- a/crates/geraniumpost-batch/src/look.rs
+++ b/crates/geraniumpost-batch/src/look.rs
@@ -6,7 +6,7 @@
 
 /// What a minion's own lists say, as its agent read them.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Look {
+pub struct PollResult {
     /// The incarnation that answered.
     pub minion: Name,
     /// All that runs, or `None` in a look that only carries ends.
@@ -16,7 +16,7 @@
     /// Whether the minion has more unacknowledged ends than it listed.
     pub more_ends: bool,
     /// Orders whose results the agent had passed on before it began this look.
-    pub orders_before: u64,
+    pub orders_reported_before: u64,
 }
 
 /// A run that is there.
@@ -27,9 +27,9 @@
     /// Number of the run.
     pub run: u32,
     /// Its last checkpoint; empty for none.
-    pub saved: Name,
+    pub checkpoint: Name,
     /// How far it is.
-    pub percent: u8,
+    pub progress_percent: u8,
     /// Tail latency in milliseconds of a task that serves; thousandths of a processor in use else.
     pub gauge: u32,
 }
@@ -46,7 +46,7 @@
     /// How it ended.
     pub kind: EndKind,
     /// Its last checkpoint; empty for none.
-    pub saved: Name,
+    pub checkpoint: Name,
 }
 
 /// How a run ended.
@@ -62,12 +62,12 @@
     #[display("stopped")]
     Stopped,
     /// The minion's lease ran out.
-    #[display("lapsed")]
-    Lapsed,
+    #[display("lease_expired")]
+    LeaseExpired,
     /// Another member of its gang ended.
-    #[display("broken")]
-    Broken,
+    #[display("gang_member_ended")]
+    GangMemberEnded,
     /// The other members of its gang did not come in time.
-    #[display("alone")]
-    Alone,
+    #[display("gang_incomplete")]
+    GangIncomplete,
 }
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -27,7 +27,7 @@
         /// The job's payload.
         payload: Arc<str>,
         /// Checkpoint to go on from; empty for none.
-        saved: Name,
+        checkpoint: Name,
         /// The admission service's ticket; empty where none is needed.
         ticket: Name,
     },
@@ -97,8 +97,8 @@
     #[display("refused: too late")]
     TooLate,
     /// It does not fit; nothing was done.
-    #[display("refused: no room")]
-    NoRoom,
+    #[display("refused: no capacity")]
+    NoCapacity,
     /// The admission ticket is missing or has expired; nothing was done.
     #[display("refused: ticket")]
     BadTicket,
@@ -109,8 +109,8 @@
     #[display("refused: malformed")]
     Malformed,
     /// Another incarnation answered; the one meant is gone with all that it ran.
-    #[display("minion is gone")]
-    Gone,
+    #[display("minion has terminated")]
+    MinionTerminated,
     /// The agent holds no lease to give, or the minion is leaving; the order was not sent.
     #[display("not sent")]
     NotSent,
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -24,7 +24,7 @@
     ///
     /// Another incarnation than the one that was counted knows nothing of its promises, but that one has
     /// ended and gives no more.
-    pub fn released(&mut self, node: &Name, incarnation: u64, lasts_ms: u64, now_ms: u64) {
+    pub fn record(&mut self, node: &Name, incarnation: u64, lasts_ms: u64, now_ms: u64) {
         let Some(counted) = self.voters.incarnation(node) else { return };
         let same = counted == incarnation;
         let lasts_ms = if same { lasts_ms } else { PROMISE_MS * PROMISE_PERCENT / 100 };
@@ -32,7 +32,7 @@
     }
 
     /// Returns the voters that have not answered.
-    pub fn missing(&self) -> impl Iterator<Item = &Name> {
+    pub fn unanswered(&self) -> impl Iterator<Item = &Name> {
         self.voters.names().filter(|node| !self.until_ms.contains_key(*node))
     }
 
@@ -43,7 +43,7 @@
 
     /// Returns after which time on the steady clock no majority supports the silent coordinator any more, if
     /// enough voters have answered to know.
-    pub fn until_ms(&self) -> Option<u64> {
+    pub fn support_end_ms(&self) -> Option<u64> {
         let mut until_ms: Vec<u64> = self.until_ms.values().copied().collect();
         until_ms.sort_unstable();
         until_ms.get(self.voters.needed_to_release() - 1).copied()
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Voters;
-use crate::tuning::{NAME_VOTERS_EVERY_MS, PROMISE_MS, VOTER_SILENCE_MS};
+use crate::tuning::{PROMISE_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS};
 
 /// The last promise of an entry.
 #[derive(Debug, Clone, Copy)]
@@ -11,7 +11,7 @@
     incarnation: u64,
     /// When the coordinator sent what the entry has answered, on its own steady clock.
     sent_at_ms: u64,
-    leaves: bool,
+    stopping: bool,
 }
 
 /// The support that a coordinator has from other entries in one term.
@@ -33,8 +33,8 @@
     }
 
     /// Takes note that an entry promises support in answer to what was sent at a time on the steady clock.
-    pub fn promised(&mut self, node: &Name, incarnation: u64, sent_at_ms: u64) {
-        let promise = Promise { incarnation, sent_at_ms, leaves: false };
+    pub fn record_promise(&mut self, node: &Name, incarnation: u64, sent_at_ms: u64) {
+        let promise = Promise { incarnation, sent_at_ms, stopping: false };
         match self.promises.get_mut(node) {
             Some(known) if known.sent_at_ms > sent_at_ms => {}
             Some(known) => *known = promise,
@@ -43,9 +43,9 @@
     }
 
     /// Takes note that an entry is about to stop. What it promised holds, but it should be a voter no more.
-    pub fn leaves(&mut self, node: &Name) {
+    pub fn mark_stopping(&mut self, node: &Name) {
         if let Some(promise) = self.promises.get_mut(node) {
-            promise.leaves = true;
+            promise.stopping = true;
         }
     }
 
@@ -56,7 +56,7 @@
 
     /// Returns until when a majority supports the coordinator, on the steady clock. A coordinator without
     /// any voters always has one: nobody can release it, so that a successor waits for the longest time.
-    pub fn until_ms(&self) -> u64 {
+    pub fn supported_until_ms(&self) -> u64 {
         let lists = std::iter::once(&self.voters).chain(&self.next);
         lists.map(|voters| self.until_ms_by(voters)).min().unwrap_or(0)
     }
@@ -79,7 +79,7 @@
     }
 
     /// Returns how many voters support the coordinator at a time on the steady clock.
-    pub fn supporters(&self, now_ms: u64) -> usize {
+    pub fn supporter_count(&self, now_ms: u64) -> usize {
         self.promises_of(&self.voters).filter(|until_ms| *until_ms > now_ms).count()
     }
 
@@ -91,8 +91,8 @@
     /// Returns the voters that the key should name at a time on the steady clock, if it should name others:
     /// the entries that answer, unless voters were named a moment ago. A coordinator that has just taken over
     /// has heard of nobody yet, and would name none.
-    pub fn wanted(&self, now_ms: u64) -> Option<Voters> {
-        if now_ms < self.named_ms + NAME_VOTERS_EVERY_MS {
+    pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
+        if now_ms < self.named_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
         }
         let answering = self.answering(now_ms);
@@ -101,19 +101,19 @@
 
     fn answering(&self, now_ms: u64) -> Voters {
         let fresh =
-            |promise: &Promise| !promise.leaves && promise.sent_at_ms + VOTER_SILENCE_MS > now_ms;
+            |promise: &Promise| !promise.stopping && promise.sent_at_ms + VOTER_TIMEOUT_MS > now_ms;
         let answering = self.promises.iter().filter(|(_, promise)| fresh(promise));
         answering.map(|(node, promise)| (node.clone(), promise.incarnation)).collect()
     }
 
     /// Takes note that another list is about to be written, at a time on the steady clock.
-    pub fn change(&mut self, voters: Voters, now_ms: u64) {
+    pub fn begin_voter_change(&mut self, voters: Voters, now_ms: u64) {
         self.next = Some(voters);
         self.named_ms = now_ms;
     }
 
     /// Takes note that the key holds the list that was about to be written.
-    pub fn changed(&mut self) {
+    pub fn complete_voter_change(&mut self) {
         if let Some(voters) = self.next.take() {
             self.voters = voters;
         }
--- a/crates/geraniumpost-batch/src/step_spec.rs
+++ b/crates/geraniumpost-batch/src/step_spec.rs
@@ -26,7 +26,7 @@
     /// Rack on which the data lies; empty for none.
     pub data_rack: Name,
     /// Most tasks of the step on one minion; 0 for no bound.
-    pub most_per_minion: u32,
+    pub max_per_minion: u32,
     /// Whether copies of a task may run at once.
     pub copies_allowed: bool,
     /// Whether the tasks run until the job is cancelled.
@@ -36,7 +36,7 @@
     /// Bound on the tail latency of a task that serves users, in milliseconds; 0 for none.
     pub latency_bound_ms: u32,
     /// Whether the tasks take only processor time that others leave over.
-    pub fills: bool,
+    pub best_effort: bool,
     /// How many tasks of a persistent step may be away at once through orders of ours.
     pub disruption_budget: u32,
 }
--- a/crates/geraniumpost-batch/tests/coordinator/copies.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/copies.rs
@@ -5,7 +5,7 @@
 //! room and the health of the moment at which it reaches it.
 
 use assert_matches::assert_matches;
-use geraniumpost_batch::tuning::{AFTER_NO_ROOM_MS, ORDER_RESULT_MS};
+use geraniumpost_batch::tuning::{NO_CAPACITY_BACKOFF_MS, ORDER_RESULT_TIMEOUT_MS};
 use geraniumpost_batch::{EndKind, Order, OrderKind, OrderOutcome, OrderVerb};
 
 use crate::world::{COMPLETED, World, step, task};
@@ -29,14 +29,14 @@
     for minion in MINIONS {
         world.beat(minion);
     }
-    world.pass(ORDER_RESULT_MS + TICK_MS);
+    world.pass(ORDER_RESULT_TIMEOUT_MS + TICK_MS);
     assert_matches!(world.orders[..], [_]);
     world.orders.remove(0)
 }
 
 fn refuse(world: &mut World, copy: &Order, outcome: OrderOutcome) {
     world.result(copy, OrderVerb::Start, outcome);
-    world.pass(AFTER_NO_ROOM_MS + TICK_MS);
+    world.pass(NO_CAPACITY_BACKOFF_MS + TICK_MS);
 }
 
 fn starts(world: &World) -> usize {
@@ -54,7 +54,7 @@
             world.beat(minion);
             world.look(minion);
         }
-        world.pass(AFTER_NO_ROOM_MS + TICK_MS);
+        world.pass(NO_CAPACITY_BACKOFF_MS + TICK_MS);
     }
     assert_matches!(world.places()[..], [(of, ..)] if of == task(1, 0, 0));
     world.end_all(EndKind::Done);
@@ -142,7 +142,7 @@
 fn both_copies_are_refused(outcome: OrderOutcome) {
     let (mut world, first, second) = given_twice();
     refuse(&mut world, &first, outcome);
-    refuse(&mut world, &second, OrderOutcome::NoRoom);
+    refuse(&mut world, &second, OrderOutcome::NoCapacity);
     runs_once_to_its_end(world);
 }
 
@@ -172,7 +172,7 @@
 
             #[test]
             fn no_room() {
-                super::$case(OrderOutcome::NoRoom);
+                super::$case(OrderOutcome::NoCapacity);
             }
 
             #[test]
@@ -236,7 +236,7 @@
         refused.push(copy);
     }
     for copy in &refused {
-        world.result(copy, OrderVerb::Start, OrderOutcome::NoRoom);
+        world.result(copy, OrderVerb::Start, OrderOutcome::NoCapacity);
     }
     let began_ms = world.now.steady_ms;
     let mut extra = 0;
@@ -257,14 +257,14 @@
 /// user must not wait for a stop and a look on top of the usual pause.
 #[test]
 fn refusal_of_a_single_copy_costs_nothing_more() {
-    let pause_ms = AFTER_NO_ROOM_MS.next_multiple_of(TICK_MS);
+    let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     assert_eq!(cost_of_refusals(1), (0, pause_ms));
 }
 
 /// A start that was given twice is seldom, and its task waits for one stop and one look more.
 #[test]
 fn refusal_of_a_repeated_start_costs_one_stop() {
-    let pause_ms = AFTER_NO_ROOM_MS.next_multiple_of(TICK_MS);
+    let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     let (stops, waited_ms) = cost_of_refusals(2);
     assert_eq!(stops, 1);
     assert!(waited_ms <= pause_ms + 2 * TICK_MS, "waited {waited_ms} ms");
--- a/crates/geraniumpost-batch/tests/coordinator/filling.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/filling.rs
@@ -10,7 +10,7 @@
 
 fn filling(count: u32) -> StepSpec {
     let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
-    StepSpec { fills: true, image: "logs".into(), demand, checkpoints: true, ..step(count) }
+    StepSpec { best_effort: true, image: "logs".into(), demand, checkpoints: true, ..step(count) }
 }
 
 /// A serving task's tail stays over its bound beside filling work: users wait. Whatever the model
@@ -161,5 +161,5 @@
 /// What lies in the store may be of another version, or damaged. It is refused as a whole.
 #[test]
 fn damaged_knowledge_is_refused() {
-    assert!(geraniumpost_batch::Knowledge::decode(&[0xff; 7]).is_err());
+    assert!(geraniumpost_batch::InterferenceSnapshot::decode(&[0xff; 7]).is_err());
 }
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -1,8 +1,8 @@
 //! Leases of what runs, and minions that come, leave and vanish.
 
 use assert_matches::assert_matches;
-use geraniumpost_batch::tuning::STORE_LOST_MS;
-use geraniumpost_batch::{EndKind, FromAgent, OrderKind, OrderOutcome, surely_lapsed_ms};
+use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
+use geraniumpost_batch::{EndKind, FromAgent, OrderKind, OrderOutcome, lease_expiry_bound_ms};
 
 use crate::world::{COMPLETED, HOLD_MS, SILENT, World, agent, minion, standing, step};
 
@@ -69,7 +69,7 @@
     let mut world = World::at_work(&["m1"], step(1));
     world.take_over_from_silent();
     world.join("m2", |info| info);
-    world.pass(HOLD_MS + STORE_LOST_MS);
+    world.pass(HOLD_MS + STORE_OUTAGE_TOLERANCE_MS);
     world.coordinator.predecessor_ended(SILENT, world.now);
     assert!(world.orders.is_empty());
     world.pass(600);
@@ -81,15 +81,15 @@
 #[test]
 fn unconfirmed_coordinator_extends_no_lease() {
     let mut world = World::new().with_minions(&["m1"]);
-    world.now.steady_ms += STORE_LOST_MS + 1;
-    let beat = FromAgent::Beat { sent_at_ms: 5, minion_ok: true };
+    world.now.steady_ms += STORE_OUTAGE_TOLERANCE_MS + 1;
+    let beat = FromAgent::Heartbeat { sent_at_ms: 5, minion_ok: true };
     world.coordinator.handle_agent_message(&agent("m1"), beat, world.now);
     let effects = world.coordinator.take_effects(world.now);
     let lease = effects.iter().find_map(|effect| match effect {
         geraniumpost_batch::Effect::Send {
-            message: geraniumpost_batch::ToAgent::Lease { hold_ms, store_ok, .. },
+            message: geraniumpost_batch::ToAgent::Lease { lease_ms, store_ok, .. },
             ..
-        } => Some((*hold_ms, *store_ok)),
+        } => Some((*lease_ms, *store_ok)),
         _ => None,
     });
     assert_eq!(lease, Some((0, false)));
@@ -104,7 +104,7 @@
     let asked_ms = world.now.steady_ms;
     world.now.steady_ms += 3_000;
     world.coordinator.store_confirmed(asked_ms, world.now.steady_ms);
-    world.now.steady_ms = asked_ms + STORE_LOST_MS;
+    world.now.steady_ms = asked_ms + STORE_OUTAGE_TOLERANCE_MS;
     world.leases.clear();
     world.beat("m1");
     assert_matches!(world.leases[..], [(_, _, 0)]);
@@ -159,7 +159,8 @@
 fn standing_task_is_started_again() {
     let mut world = World::new().with_minions(&["m1", "m2"]);
     world.submit(1, vec![standing(1)]);
-    for kind in [EndKind::Failed, EndKind::Failed, EndKind::Failed, EndKind::Lapsed, EndKind::Done]
+    for kind in
+        [EndKind::Failed, EndKind::Failed, EndKind::Failed, EndKind::LeaseExpired, EndKind::Done]
     {
         world.obey();
         assert_eq!(world.places().len(), 1, "before it ended as {kind}");
@@ -253,7 +254,7 @@
     world.pass(3_000);
     let left = world.coordinator.leases_for_successor(world.now);
     let lasts_ms = left.unreached.get(&agent("m1")).copied();
-    assert_eq!(lasts_ms, Some(surely_lapsed_ms(HOLD_MS) - 3_000));
+    assert_eq!(lasts_ms, Some(lease_expiry_bound_ms(HOLD_MS) - 3_000));
     world.take_over_with(&left);
     world.join("m2", |info| info);
     world.pass(2_300);
@@ -271,7 +272,7 @@
     world.lose_agent("m1");
     world.pass(3_000);
     assert!(world.coordinator.take_leases_for_successor_changed());
-    let beat = FromAgent::Beat { sent_at_ms: world.now.steady_ms, minion_ok: true };
+    let beat = FromAgent::Heartbeat { sent_at_ms: world.now.steady_ms, minion_ok: true };
     world.coordinator.handle_agent_message(&agent("m1"), beat, world.now);
     assert!(world.coordinator.take_leases_for_successor_changed());
     assert!(world.coordinator.leases_for_successor(world.now).unreached.is_empty());
@@ -318,7 +319,7 @@
     let (task, minion, _) = world.places()[0].clone();
     world.lose_agent(&minion);
     world.end(&minion, task, EndKind::Done);
-    world.pass(surely_lapsed_ms(HOLD_MS) - 100);
+    world.pass(lease_expiry_bound_ms(HOLD_MS) - 100);
     world.say(&minion, FromAgent::Hello { agent: agent(&minion) });
     world.pass(200);
     world.look(&minion);
@@ -334,7 +335,7 @@
     world.obey();
     let (_, minion, _) = world.places()[0].clone();
     world.lose_agent(&minion);
-    world.pass(surely_lapsed_ms(HOLD_MS) - 100);
+    world.pass(lease_expiry_bound_ms(HOLD_MS) - 100);
     world.say(&minion, FromAgent::Hello { agent: agent(&minion) });
     world.pass(900);
     assert!(world.orders.is_empty());
--- a/crates/geraniumpost-batch/tests/coordinator/leaving.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leaving.rs
@@ -90,7 +90,7 @@
 fn farewell_is_settled_only_once_it_is_written() {
     let mut world = World::at_work(&["m1"], standing(1));
     world.writes_pass = false;
-    let word = || FromAgent::MinionGone { minion: "m1".into() };
+    let word = || FromAgent::MinionTerminated { minion: "m1".into() };
     world.say("m1", word());
     assert!(world.settled.is_empty());
     world.writes_pass = true;
@@ -110,7 +110,7 @@
     let mut world = World::at_work(&["m1", "m2"], standing(1));
     let (_, left, _) = world.places()[0].clone();
     for _ in 0..3 {
-        world.say(&left, FromAgent::MinionGone { minion: left.clone() });
+        world.say(&left, FromAgent::MinionTerminated { minion: left.clone() });
         world.pass(300);
     }
     assert_eq!(world.settled.len(), 3);
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -1,8 +1,8 @@
 //! How long the task that waits longest has waited, as gauges tell it.
 
 use geraniumpost_batch::{
-    Ask, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderOutcome, OrderVerb, StepSpec,
-    surely_lapsed_ms,
+    CallerRequest, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderOutcome, OrderVerb,
+    StepSpec, lease_expiry_bound_ms,
 };
 
 use crate::world::{HOLD_MS, World, minion, standing, step, task};
@@ -78,9 +78,9 @@
     world.lose_agent("m1");
     world.pass(3_000);
     assert_wait(longest(&world).persistent_ms, 3_000);
-    world.pass(surely_lapsed_ms(HOLD_MS));
+    world.pass(lease_expiry_bound_ms(HOLD_MS));
     assert!(world.notes.iter().any(|line| line.contains("event=lease_expired")));
-    assert_wait(longest(&world).persistent_ms, 3_000 + surely_lapsed_ms(HOLD_MS));
+    assert_wait(longest(&world).persistent_ms, 3_000 + lease_expiry_bound_ms(HOLD_MS));
     assert_over_on(world, "m2");
 }
 
@@ -121,7 +121,7 @@
     world.submit(1, vec![standing(1)]);
     for _ in 0..40 {
         while let Some(order) = world.orders.pop() {
-            world.result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
+            world.result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
         }
         world.pass(100);
     }
@@ -176,9 +176,9 @@
     world.submit(2, vec![standing(1)]);
     world.pass(3_000);
     assert_wait(longest(&world).persistent_ms, 6_000);
-    world.ask(Ask::Cancel(JobId(1)));
+    world.ask(CallerRequest::Cancel(JobId(1)));
     assert_wait(longest(&world).persistent_ms, 3_000);
-    world.ask(Ask::Cancel(JobId(2)));
+    world.ask(CallerRequest::Cancel(JobId(2)));
     assert_eq!(longest(&world), LongestWait::default());
 }
 
--- a/crates/geraniumpost-batch/tests/coordinator/promises.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/promises.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{
-    Answer, Ask, EndKind, FromAgent, JobId, OrderKind, OrderOutcome, OrderVerb,
+    CallerRequest, CallerResponse, EndKind, FromAgent, JobId, OrderKind, OrderOutcome, OrderVerb,
 };
 
 use crate::world::{COMPLETED, World, step, task};
@@ -16,7 +16,7 @@
     let ticket = world.submit(1, vec![step(1)]);
     assert_eq!(world.answer(ticket), None);
     world.pass_writes();
-    assert_eq!(world.answer(ticket), Some(Answer::Accepted));
+    assert_eq!(world.answer(ticket), Some(CallerResponse::Accepted));
 }
 
 /// A caller that lost its answer sends the job again, through any entry, perhaps seconds after it
@@ -26,13 +26,13 @@
     let mut world = World::new().with_minions(&["m1"]);
     world.submit(1, vec![step(2)]);
     let repeat = world.submit(1, vec![step(2)]);
-    assert_eq!(world.answer(repeat), Some(Answer::Accepted));
+    assert_eq!(world.answer(repeat), Some(CallerResponse::Accepted));
     world.obey();
     assert_eq!(world.places().len(), 2);
     world.end_all(EndKind::Done);
     assert_eq!(world.state(1), COMPLETED);
     let late = world.submit(1, vec![step(2)]);
-    assert_eq!(world.answer(late), Some(Answer::Accepted));
+    assert_eq!(world.answer(late), Some(CallerResponse::Accepted));
     assert!(world.orders.is_empty());
     assert_eq!(world.state(1), COMPLETED);
 }
@@ -57,7 +57,7 @@
     world.writes_pass = false;
     world.end_all(EndKind::Done);
     assert!(world.acknowledged.is_empty());
-    assert_eq!(world.state(1), Answer::State(geraniumpost_batch::JobState::Running));
+    assert_eq!(world.state(1), CallerResponse::State(geraniumpost_batch::JobState::Running));
     world.pass_writes();
     assert_eq!(world.acknowledged.get("m1"), Some(&1));
     assert_eq!(world.state(1), COMPLETED);
@@ -105,21 +105,21 @@
         world.pass(200);
     }
     assert!(world.orders.is_empty());
-    assert_eq!(world.state(1), Answer::State(geraniumpost_batch::JobState::Failed));
+    assert_eq!(world.state(1), CallerResponse::State(geraniumpost_batch::JobState::Failed));
 }
 
 /// A caller cancels a job that runs. Its tasks are stopped, and it is never shown as anything else.
 #[test]
 fn cancelled_job_is_stopped() {
     let mut world = World::at_work(&["m1"], step(2));
-    let ticket = world.ask(Ask::Cancel(JobId(1)));
-    assert_eq!(world.answer(ticket), Some(Answer::Cancelled));
+    let ticket = world.ask(CallerRequest::Cancel(JobId(1)));
+    assert_eq!(world.answer(ticket), Some(CallerResponse::Cancelled));
     world.obey();
     world.look("m1");
     assert!(world.places().is_empty());
     world.pass(500);
     assert!(world.orders.is_empty());
-    assert_eq!(world.state(1), Answer::State(geraniumpost_batch::JobState::Cancelled));
+    assert_eq!(world.state(1), CallerResponse::State(geraniumpost_batch::JobState::Cancelled));
 }
 
 /// A minion leaves a start unanswered and then has no room for its copy. The first one may still be
@@ -133,7 +133,7 @@
     world.pass(400);
     let copy = world.orders.remove(0);
     assert_eq!((copy.task, copy.run, &copy.minion), (order.task, order.run, &order.minion));
-    world.result(&copy, OrderVerb::Start, OrderOutcome::NoRoom);
+    world.result(&copy, OrderVerb::Start, OrderOutcome::NoCapacity);
     assert_matches!(world.orders[..], [ref stop] if stop.kind == OrderKind::Stop);
     world.obey();
     assert!(world.orders.is_empty());
@@ -149,7 +149,7 @@
     let mut world = World::new().with_minions(&["m1", "m2"]);
     world.submit(1, vec![step(1)]);
     let order = world.orders.remove(0);
-    world.result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
+    world.result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
     world.pass(300);
     assert_matches!(world.orders[..], [ref start] if start.minion != order.minion);
 }
@@ -188,7 +188,7 @@
     world.join("m1-b", |info| info);
     world.pass(200);
     assert_matches!(world.orders[..], [ref order] if &*order.minion == "m1-b" && order.run == 2);
-    world.say("m1", FromAgent::MinionGone { minion: "m1".into() });
+    world.say("m1", FromAgent::MinionTerminated { minion: "m1".into() });
     assert_eq!(world.orders.len(), 1);
 }
 
@@ -239,8 +239,11 @@
         world.submit(id, vec![step(1)]);
     }
     let refused = world.submit(most + 1, vec![step(1)]);
-    assert_matches!(world.answer(refused), Some(Answer::Refused { retry_after_ms: 1..=5_000 }));
+    assert_matches!(
+        world.answer(refused),
+        Some(CallerResponse::Refused { retry_after_ms: 1..=5_000 })
+    );
     let repeat = world.submit(1, vec![step(1)]);
-    assert_eq!(world.answer(repeat), Some(Answer::Accepted));
-    assert_eq!(world.state(most + 1), Answer::Unknown);
+    assert_eq!(world.answer(repeat), Some(CallerResponse::Accepted));
+    assert_eq!(world.state(most + 1), CallerResponse::Unknown);
 }
--- a/crates/geraniumpost-batch/tests/coordinator/random.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use geraniumpost_batch::{
-    Answer, EndKind, JobState, Order, OrderKind, OrderOutcome, OrderVerb, TaskId, surely_lapsed_ms,
+    CallerResponse, EndKind, JobState, Order, OrderKind, OrderOutcome, OrderVerb, TaskId,
+    lease_expiry_bound_ms,
 };
 use geraniumpost_schema::Name;
 use proptest::collection::vec;
@@ -90,7 +91,7 @@
 fn refusal() -> impl Strategy<Value = OrderOutcome> {
     prop_oneof![
         Just(OrderOutcome::NotSent),
-        Just(OrderOutcome::NoRoom),
+        Just(OrderOutcome::NoCapacity),
         Just(OrderOutcome::Unhealthy),
         Just(OrderOutcome::BadTicket),
         Just(OrderOutcome::Malformed),
@@ -278,7 +279,7 @@
         self.end_with_lease(minion);
         self.agents[minion].frozen = false;
         let now_ms = self.world.now.steady_ms;
-        let lapsed = now_ms >= agent.beat_ms + surely_lapsed_ms(HOLD_MS);
+        let lapsed = now_ms >= agent.beat_ms + lease_expiry_bound_ms(HOLD_MS);
         if now_ms >= agent.beat_ms + HOLD_MS {
             let count = if lapsed || agent.away { usize::MAX } else { refused };
             let orders = self.take_orders_of(minion);
@@ -307,7 +308,7 @@
         let name = Name::from(MINIONS[minion]);
         for (task, run) in self.world.running.get(&name).cloned().unwrap_or_default() {
             self.barred.insert((name.clone(), task), run);
-            self.world.end(&name, task, EndKind::Lapsed);
+            self.world.end(&name, task, EndKind::LeaseExpired);
         }
         self.delayed.retain(|order| order.minion != name);
     }
@@ -384,7 +385,7 @@
     for id in 1..=day.jobs {
         let state = day.world.state(id);
         assert!(
-            matches!(state, Answer::State(JobState::Completed | JobState::Failed)),
+            matches!(state, CallerResponse::State(JobState::Completed | JobState::Failed)),
             "job {id} is {state:?}; task {:?}",
             task(id, 0, 0)
         );
--- a/crates/geraniumpost-batch/tests/coordinator/review.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/review.rs
@@ -25,7 +25,7 @@
     let left = world.coordinator.leases_for_successor(world.now);
     assert!(left.unreached.contains_key(&agent("m1")));
     // The silent one extended the lease until now, so that it lasts for as long as any.
-    world.take_over_with(&left.taken_over(None, SILENT, HOLD_MS));
+    world.take_over_with(&left.after_takeover(None, SILENT, HOLD_MS));
     world.join("m2", |info| info);
     world.pass(HOLD_MS);
     assert!(
@@ -55,7 +55,7 @@
     world.writes_pass = false;
     world.end(&minion, task, EndKind::Stopped);
     world.look("m1");
-    world.say("m1", FromAgent::MinionGone { minion: minion.clone() });
+    world.say("m1", FromAgent::MinionTerminated { minion: minion.clone() });
     assert!(world.settled.is_empty(), "the records still name a run there");
     world.pass_writes();
     assert_eq!(world.settled, [minion]);
@@ -72,7 +72,7 @@
     world.writes_pass = false;
     world.pass(HOLD_MS + 1_000);
     world.say("m1", FromAgent::Hello { agent: agent("m1") });
-    world.say("m1", FromAgent::MinionGone { minion: "m1".into() });
+    world.say("m1", FromAgent::MinionTerminated { minion: "m1".into() });
     assert!(world.settled.is_empty(), "the records still name a run there");
     world.pass_writes();
     assert_eq!(world.settled, ["m1".into()]);
@@ -87,7 +87,8 @@
     world.obey();
     let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
     let estimate_ms = 60_000;
-    let filling = StepSpec { fills: true, image: "logs".into(), demand, estimate_ms, ..step(1) };
+    let filling =
+        StepSpec { best_effort: true, image: "logs".into(), demand, estimate_ms, ..step(1) };
     world.submit(2, vec![filling]);
     world.obey();
     world.set_gauge(task(1, 0, 0), 150);
--- a/crates/geraniumpost-batch/tests/coordinator/sharing.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/sharing.rs
@@ -1,6 +1,8 @@
 //! Who goes first and where, when filling and serving tasks of many images share few minions.
 
-use geraniumpost_batch::{Demand, EndKind, JobId, Knowledge, LearntPair, StepSpec};
+use geraniumpost_batch::{
+    Demand, EndKind, InterferencePair, InterferenceSnapshot, JobId, StepSpec,
+};
 use geraniumpost_schema::Name;
 
 use crate::world::{World, standing, step, task};
@@ -11,21 +13,21 @@
 
 fn filling(image: &str, count: u32) -> StepSpec {
     let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
-    StepSpec { fills: true, image: image.into(), demand, checkpoints: true, ..step(count) }
+    StepSpec { best_effort: true, image: image.into(), demand, checkpoints: true, ..step(count) }
 }
 
 /// Returns a world in which this is known: what each filling image adds to the utilization of each serving
 /// one.
 fn knowing(slopes: &[(&str, &str, f64)]) -> World {
-    let pair = |(serving, filling, slope): &(&str, &str, f64)| LearntPair {
+    let pair = |(serving, filling, slope): &(&str, &str, f64)| InterferencePair {
         serving: Name::from(*serving),
-        filling: Name::from(*filling),
+        best_effort: Name::from(*filling),
         slope: *slope,
         deviation: 0.05,
     };
     let pairs = slopes.iter().map(pair).collect();
     let mut world = World::new();
-    world.knowledge = Some(Knowledge { pairs, quiet: Vec::new() }.encode());
+    world.knowledge = Some(InterferenceSnapshot { pairs, idle_tails: Vec::new() }.encode());
     world.take_over();
     world
 }
--- a/crates/geraniumpost-batch/tests/coordinator/sight.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/sight.rs
@@ -1,8 +1,9 @@
 //! What the logs tell of tasks that wait, and of minions that cannot be reached.
 
-use geraniumpost_batch::tuning::STORE_LOST_MS;
+use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
 use geraniumpost_batch::{
-    Demand, EndKind, FromAgent, MinionInfo, OrderOutcome, OrderVerb, StepSpec, surely_lapsed_ms,
+    Demand, EndKind, FromAgent, MinionInfo, OrderOutcome, OrderVerb, StepSpec,
+    lease_expiry_bound_ms,
 };
 
 use crate::world::{HOLD_MS, World, agent, minion, standing, step, task, terms};
@@ -105,7 +106,7 @@
     };
     spread_is_named: "spread", |world: &mut World| {
         world.join("m1", |info| info);
-        world.submit(7, vec![StepSpec { most_per_minion: 1, ..standing(2) }]);
+        world.submit(7, vec![StepSpec { max_per_minion: 1, ..standing(2) }]);
         world.obey();
     };
     approval_is_named: "no_approval", |world: &mut World| {
@@ -149,7 +150,7 @@
 #[test]
 fn slow_place_is_named() {
     let mut world = World::new().with_minions(&["m1"]);
-    let filling = |count| StepSpec { fills: true, image: "sift".into(), ..step(count) };
+    let filling = |count| StepSpec { best_effort: true, image: "sift".into(), ..step(count) };
     // The job is not idle, so that its next task waits for a place at speed.
     world.submit(7, vec![filling(40)]);
     world.obey();
@@ -211,7 +212,7 @@
     // The minion refuses for lack of room again and again, and each time the task pauses.
     for _ in 0..STANDING_TOLD_MS / 100 {
         while let Some(order) = world.orders.pop() {
-            world.result(&order, OrderVerb::Start, OrderOutcome::NoRoom);
+            world.result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
         }
         world.pass(100);
     }
@@ -314,7 +315,9 @@
     ));
     assert_eq!(field(&told[0], "lease_of"), Some("coordinator"));
     let left_ms = number(&told[0], "wait_ms");
-    assert!((surely_lapsed_ms(HOLD_MS) - 600..surely_lapsed_ms(HOLD_MS)).contains(&left_ms));
+    assert!(
+        (lease_expiry_bound_ms(HOLD_MS) - 600..lease_expiry_bound_ms(HOLD_MS)).contains(&left_ms)
+    );
     world.pass(left_ms - 600);
     assert!(lines(&world, "event=lease_expired").is_empty());
     world.pass(1_200);
@@ -331,7 +334,10 @@
     world.beat_without_answer("m1");
     world.pass(600);
     let line = last(&world, "event=unreachable");
-    assert_eq!((field(&line, "linked"), field(&line, "lease_of")), (Some("true"), Some("coordinator")));
+    assert_eq!(
+        (field(&line, "linked"), field(&line, "lease_of")),
+        (Some("true"), Some("coordinator"))
+    );
 }
 
 /// The agent comes back and is lost again, which is told again.
@@ -353,12 +359,12 @@
 #[test]
 fn inherited_wait_is_told() {
     let mut world = World::new().with_minions(&["m1", "m2"]);
-    world.submit(1, vec![StepSpec { most_per_minion: 1, ..standing(2) }]);
+    world.submit(1, vec![StepSpec { max_per_minion: 1, ..standing(2) }]);
     world.obey();
     world.take_over_from_silent();
     world.pass(100);
     let first = last(&world, "event=predecessor_lease_wait");
-    let inherited_ms = surely_lapsed_ms(HOLD_MS) + STORE_LOST_MS;
+    let inherited_ms = lease_expiry_bound_ms(HOLD_MS) + STORE_OUTAGE_TOLERANCE_MS;
     assert_eq!(number(&first, "wait_ms"), inherited_ms - 100);
     assert_eq!((number(&first, "minions_with_runs"), number(&first, "not_linked")), (2, 2));
     world.join("m2", |info| info);
@@ -383,7 +389,7 @@
     for name in &names {
         world.join(name, |info| info);
     }
-    world.submit(1, vec![StepSpec { most_per_minion: 1, ..step(50) }]);
+    world.submit(1, vec![StepSpec { max_per_minion: 1, ..step(50) }]);
     world.submit(2, vec![standing(1)]);
     world.obey();
     world.take_over();
--- a/crates/geraniumpost-batch/tests/coordinator/site/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/agents.rs
@@ -56,8 +56,8 @@
         }
         machine.linked = true;
         self.say(at, FromAgent::Hello { agent: name });
-        for minion in self.machines[at].departures.unsettled().cloned().collect::<Vec<_>>() {
-            self.say(at, FromAgent::MinionGone { minion });
+        for minion in self.machines[at].departures.unrecorded().cloned().collect::<Vec<_>>() {
+            self.say(at, FromAgent::MinionTerminated { minion });
         }
         self.tell_minion(at);
         self.beat(at);
@@ -92,20 +92,20 @@
         let machine = &mut self.machines[at];
         coordinator.handle_agent_message(&agent(&machine.name), beat, now);
         for effect in coordinator.take_effects(now) {
-            if let Effect::Send { message: ToAgent::Lease { hold_ms, .. }, .. } = effect
-                && hold_ms > 0
+            if let Effect::Send { message: ToAgent::Lease { lease_ms, .. }, .. } = effect
+                && lease_ms > 0
             {
-                machine.extend_lease(now.steady_ms + hold_ms);
+                machine.extend_lease(now.steady_ms + lease_ms);
             }
         }
     }
 
     /// Agents take in the leases that the coordinator has extended.
     fn extend_leases(&mut self) {
-        for (name, sent_at_ms, hold_ms) in std::mem::take(&mut self.world.leases) {
+        for (name, sent_at_ms, lease_ms) in std::mem::take(&mut self.world.leases) {
             let machine = self.machines.iter_mut().find(|machine| agent(&machine.name) == name);
-            if let Some(machine) = machine.filter(|_| hold_ms > 0) {
-                machine.extend_lease(sent_at_ms + hold_ms);
+            if let Some(machine) = machine.filter(|_| lease_ms > 0) {
+                machine.extend_lease(sent_at_ms + lease_ms);
             }
         }
     }
@@ -114,7 +114,7 @@
     pub(super) fn stop_agent(&mut self, at: usize) {
         let machine = &self.machines[at];
         let Some(until_ms) = machine.stopping_ms else { return };
-        if self.world.now.steady_ms >= until_ms || machine.departures.is_settled() {
+        if self.world.now.steady_ms >= until_ms || machine.departures.is_empty() {
             self.end_agent(at);
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/site/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/entries.rs
@@ -5,7 +5,7 @@
 
 use geraniumpost_batch::Now;
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMS_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
 use geraniumpost_schema::Name;
 
 /// Entries of the site.
@@ -59,17 +59,17 @@
         for (number, entry) in self.all.iter_mut().enumerate() {
             let up = number != self.coordinator && entry.away_ms <= now_ms;
             if up && entry.promises.promise(term, now_ms) {
-                self.support.promised(&entry.name, entry.incarnation, now_ms);
+                self.support.record_promise(&entry.name, entry.incarnation, now_ms);
             }
         }
-        self.support.until_ms()
+        self.support.supported_until_ms()
     }
 
     /// The coordinator names the entries that answer in its key, from time to time.
     pub(super) fn name_voters(&mut self, now_ms: u64) {
-        if let Some(voters) = self.support.wanted(now_ms) {
-            self.support.change(voters, now_ms);
-            self.support.changed();
+        if let Some(voters) = self.support.voters_to_write(now_ms) {
+            self.support.begin_voter_change(voters, now_ms);
+            self.support.complete_voter_change();
         }
     }
 
@@ -119,11 +119,11 @@
         for entry in up {
             let lasts_ms = entry.promises.release(term, now_ms);
             for asked in self.asked.values_mut() {
-                asked.releases.released(&entry.name, entry.incarnation, lasts_ms, now_ms);
+                asked.releases.record(&entry.name, entry.incarnation, lasts_ms, now_ms);
             }
         }
         let end = |asked: &Asked| {
-            asked.releases.until_ms().map(|ms| ms.max(asked.taken_ms + STORE_CONFIRMS_MS))
+            asked.releases.support_end_ms().map(|ms| ms.max(asked.taken_ms + STORE_CONFIRMATION_MS))
         };
         self.asked.iter().filter_map(|(at, asked)| Some((*at, end(asked)?))).collect()
     }
--- a/crates/geraniumpost-batch/tests/coordinator/site/hearing.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/hearing.rs
@@ -75,17 +75,17 @@
     fn depart(&mut self, at: usize, id: &Name) {
         let machine = &mut self.machines[at];
         machine.present.take_if(|present| present == id);
-        machine.departures.gone(id);
+        machine.departures.record_terminated(id);
         let reaches = self.reaches(at);
         self.trace(&format!("agent finds {id} gone, heard by the coordinator: {reaches}"));
-        self.say(at, FromAgent::MinionGone { minion: id.clone() });
+        self.say(at, FromAgent::MinionTerminated { minion: id.clone() });
     }
 
     /// Agents forget the departures that the records hold.
     pub(super) fn settle_departures(&mut self) {
         for minion in std::mem::take(&mut self.world.settled) {
             if let Some(at) = self.machine_of(&minion).filter(|at| self.reaches(*at)) {
-                self.machines[at].departures.forget(&minion);
+                self.machines[at].departures.remove(&minion);
             }
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/site/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/machine.rs
@@ -88,7 +88,7 @@
     /// Returns the agent's beat.
     pub(super) const fn beat(&self, now_ms: u64) -> FromAgent {
         let answers = now_ms < self.answered_ms + ANSWERED_MS;
-        FromAgent::Beat { sent_at_ms: now_ms, minion_ok: self.present.is_some() && answers }
+        FromAgent::Heartbeat { sent_at_ms: now_ms, minion_ok: self.present.is_some() && answers }
     }
 
     /// Returns whether an incarnation lives.
--- a/crates/geraniumpost-batch/tests/coordinator/site/minions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/minions.rs
@@ -44,7 +44,7 @@
         let runs = self.world.running.get(&id).cloned().unwrap_or_default();
         minion.barred.extend(&runs);
         for task in runs.into_keys() {
-            self.world.end(&id, task, EndKind::Lapsed);
+            self.world.end(&id, task, EndKind::LeaseExpired);
             self.trace(&format!("{task} lapses at {id}"));
         }
     }
@@ -53,7 +53,7 @@
     pub(super) fn obey(&mut self, order: &Order) -> OrderOutcome {
         let at = self.machine_of(&order.minion);
         let Some(at) = at.filter(|at| self.machines[*at].lives(&order.minion)) else {
-            return OrderOutcome::Gone;
+            return OrderOutcome::MinionTerminated;
         };
         match order.kind {
             OrderKind::Start { .. } => self.start(at, order),
@@ -65,7 +65,7 @@
     fn start(&mut self, at: usize, order: &Order) -> OrderOutcome {
         let (used, now_ms) = (self.used(at), self.world.now.steady_ms);
         let machine = &mut self.machines[at];
-        let Some(minion) = &mut machine.minion else { return OrderOutcome::Gone };
+        let Some(minion) = &mut machine.minion else { return OrderOutcome::MinionTerminated };
         let runs = self.world.running.entry(order.minion.clone()).or_default();
         if minion.is_over(order.task, order.run) {
             return OrderOutcome::RunIsOver;
@@ -74,7 +74,7 @@
             return OrderOutcome::Done;
         }
         if used + demand(order.task) > machine.milli_cpus {
-            return OrderOutcome::NoRoom;
+            return OrderOutcome::NoCapacity;
         }
         if machine.lease_ms <= now_ms {
             return OrderOutcome::TooLate;
@@ -85,7 +85,9 @@
     }
 
     fn stop(&mut self, at: usize, order: &Order) -> OrderOutcome {
-        let Some(minion) = &mut self.machines[at].minion else { return OrderOutcome::Gone };
+        let Some(minion) = &mut self.machines[at].minion else {
+            return OrderOutcome::MinionTerminated;
+        };
         let barred = minion.barred.entry(order.task).or_default();
         *barred = order.run.max(*barred);
         let runs = self.world.running.get(&order.minion);
--- a/crates/geraniumpost-batch/tests/coordinator/site/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/mod.rs
@@ -11,7 +11,7 @@
 //! that are not settled.
 //!
 //! The coordinator is the real one, and so is what it leaves to its successor
-//! ([`Inheritance`](geraniumpost_batch::Inheritance)) and what agents keep of departures
+//! ([`PredecessorLeases`](geraniumpost_batch::PredecessorLeases)) and what agents keep of departures
 //! ([`Departures`](geraniumpost_batch::Departures)), and whom entries support
 //! ([`quorum`](geraniumpost_batch::quorum)). What the shell around them does is copied here,
 //! and must follow it: when an entry takes over and whom it asks for a word (`Candidate`,
--- a/crates/geraniumpost-batch/tests/coordinator/site/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/orders.rs
@@ -61,7 +61,7 @@
             self.answer(&order, outcome);
         } else {
             self.find_gone(at, &order.minion);
-            self.answer(&order, OrderOutcome::Gone);
+            self.answer(&order, OrderOutcome::MinionTerminated);
         }
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/site/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/succession.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use geraniumpost_batch::{Coordinator, Inheritance};
+use geraniumpost_batch::{Coordinator, PredecessorLeases};
 
 use super::Site;
 use super::act::Act;
@@ -22,7 +22,7 @@
     /// Losses of coordinators so far.
     losses: u64,
     /// What the coordinator's key leaves to the next one.
-    left: Inheritance,
+    left: PredecessorLeases,
     /// When the coordinator next asks silent ones for a word.
     ask_ms: u64,
     /// Losses whose coordinators answer again, and know who coordinates.
@@ -147,7 +147,7 @@
             (vacancy.loss != Loss::Planned).then(|| (address(vacancy.number), vacancy.number));
         let own = address(self.succession.losses + 1);
         let left = std::mem::take(&mut self.succession.left);
-        let inheritance = left.taken_over(silent, own, HOLD_MS);
+        let inheritance = left.after_takeover(silent, own, HOLD_MS);
         self.world.take_over_with(&inheritance);
         self.entries.take_over(silent.map(|(address, _)| address), self.world.now.steady_ms);
         self.succession.left = inheritance.while_coordinating();
--- a/crates/geraniumpost-batch/tests/coordinator/site/troubles.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/site/troubles.rs
@@ -66,7 +66,7 @@
         let gone_ms = self.world.now.steady_ms + FAREWELL_MS;
         let heard = self.machines[at].agent_up;
         if let Some(id) = self.end_minion(at).filter(|_| heard) {
-            self.machines[at].departures.leaves(&id);
+            self.machines[at].departures.record_leaving(&id);
             self.machines[at].leaving = Some((gone_ms, id));
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -1,7 +1,8 @@
 //! Steps: their order, gangs, spread, labels and repetitions.
 
 use geraniumpost_batch::{
-    Answer, Ask, EndKind, JobId, JobSpec, OrderKind, OrderOutcome, OrderVerb, StepSpec,
+    CallerRequest, CallerResponse, EndKind, JobId, JobSpec, OrderKind, OrderOutcome, OrderVerb,
+    StepSpec,
 };
 
 use crate::world::{COMPLETED, World, step, task, terms};
@@ -46,7 +47,7 @@
     world.obey();
     let places = world.places();
     for (at, (task, minion, _)) in places.iter().enumerate() {
-        world.end(minion, *task, if at == 0 { EndKind::Failed } else { EndKind::Broken });
+        world.end(minion, *task, if at == 0 { EndKind::Failed } else { EndKind::GangMemberEnded });
     }
     world.look("m1");
     world.look("m2");
@@ -59,7 +60,7 @@
 #[test]
 fn spread_bound_holds_per_minion() {
     let mut world = World::new().with_minions(&["m1", "m2"]);
-    world.submit(1, vec![StepSpec { most_per_minion: 2, ..step(6) }]);
+    world.submit(1, vec![StepSpec { max_per_minion: 2, ..step(6) }]);
     world.obey();
     assert_eq!(world.running["m1"].len(), 2);
     assert_eq!(world.running["m2"].len(), 2);
@@ -105,7 +106,7 @@
         first_due_ms: world.now.wall_ms + 1_000,
         interval_ms: 2_000,
     };
-    world.ask(Ask::Submit { job: JobId(1), spec, terms: terms() });
+    world.ask(CallerRequest::Submit { job: JobId(1), spec, terms: terms() });
     world.pass(900);
     assert!(world.orders.is_empty());
     world.pass(200);
@@ -126,8 +127,8 @@
 fn impossible_order_of_steps_is_refused() {
     let mut world = World::new();
     let ticket = world.submit(1, vec![StepSpec { after: vec![0], ..step(1) }]);
-    assert_eq!(world.answer(ticket), Some(Answer::Invalid));
-    assert_eq!(world.state(1), Answer::Unknown);
+    assert_eq!(world.answer(ticket), Some(CallerResponse::Invalid));
+    assert_eq!(world.state(1), CallerResponse::Unknown);
 }
 
 #[test]
@@ -137,12 +138,12 @@
     world.submit(2, vec![step(40)]);
     world.submit(3, vec![step(1)]);
     let pending = |world: &mut World| {
-        let ticket = world.ask(Ask::Pending("studies".into()));
+        let ticket = world.ask(CallerRequest::Pending("studies".into()));
         world.answer(ticket)
     };
-    assert_eq!(pending(&mut world), Some(Answer::Pending(3)));
+    assert_eq!(pending(&mut world), Some(CallerResponse::Pending(3)));
     world.obey();
-    assert_eq!(pending(&mut world), Some(Answer::Pending(1)));
+    assert_eq!(pending(&mut world), Some(CallerResponse::Pending(1)));
 }
 
 /// A queue whose steps need approval: tasks begin only where the admission service allows it, with
@@ -229,17 +230,17 @@
     world.submit(1, vec![StepSpec { gang: true, ..step(3) }]);
     world.obey();
     for (at, (task, minion, _)) in world.places().iter().enumerate() {
-        world.end(minion, *task, if at < 2 { EndKind::Failed } else { EndKind::Broken });
+        world.end(minion, *task, if at < 2 { EndKind::Failed } else { EndKind::GangMemberEnded });
     }
     world.look("m1");
     world.look("m2");
     world.pass(300);
-    assert_eq!(world.state(1), Answer::State(geraniumpost_batch::JobState::Running));
+    assert_eq!(world.state(1), CallerResponse::State(geraniumpost_batch::JobState::Running));
     world.obey();
     let running = world.places();
     assert_eq!(running.iter().map(|(.., run)| *run).collect::<Vec<_>>(), [2, 2, 2]);
     let (task, minion, _) = running[0].clone();
     world.end(&minion, task, EndKind::Failed);
     world.look(&minion);
-    assert_eq!(world.state(1), Answer::State(geraniumpost_batch::JobState::Failed));
+    assert_eq!(world.state(1), CallerResponse::State(geraniumpost_batch::JobState::Failed));
 }
--- a/crates/geraniumpost-batch/tests/coordinator/wide_jobs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/wide_jobs.rs
@@ -62,7 +62,7 @@
                 persistent: true,
                 image: format!("serving-{id}").into(),
                 latency_bound_ms: BOUND_MS,
-                most_per_minion: 1,
+                max_per_minion: 1,
                 demand,
                 ..step(6)
             };
@@ -100,7 +100,7 @@
     fn submit(&mut self, id: JobId) {
         let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
         let spec = StepSpec {
-            fills: true,
+            best_effort: true,
             image: format!("filling-{}", id.0 % FILLING).into(),
             checkpoints: true,
             estimate_ms: WORK_MS as u32,
--- a/crates/geraniumpost-batch/tests/coordinator/world/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/agents.rs
@@ -1,6 +1,6 @@
 //! What agents tell the coordinator.
 
-use geraniumpost_batch::{FromAgent, Look, MinionInfo, RunningTask, TaskId};
+use geraniumpost_batch::{FromAgent, MinionInfo, PollResult, RunningTask, TaskId};
 use geraniumpost_schema::Name;
 
 use super::{World, agent, minion};
@@ -16,10 +16,12 @@
 
     pub fn say(&mut self, minion: &str, message: FromAgent) {
         match message {
-            FromAgent::Beat { minion_ok: true, .. } => {
+            FromAgent::Heartbeat { minion_ok: true, .. } => {
                 self.beating.insert(minion.to_owned());
             }
-            FromAgent::Beat { .. } | FromAgent::MinionGone { .. } => self.fall_silent(minion),
+            FromAgent::Heartbeat { .. } | FromAgent::MinionTerminated { .. } => {
+                self.fall_silent(minion)
+            }
             _ => {}
         }
         self.coordinator.handle_agent_message(&agent(minion), message, self.now);
@@ -46,13 +48,13 @@
 
     pub fn beat(&mut self, minion: &str) {
         let sent_at_ms = self.now.steady_ms;
-        self.say(minion, FromAgent::Beat { sent_at_ms, minion_ok: true });
+        self.say(minion, FromAgent::Heartbeat { sent_at_ms, minion_ok: true });
     }
 
     /// Lets an agent beat whose minion does not answer it.
     pub fn beat_without_answer(&mut self, minion: &str) {
         let sent_at_ms = self.now.steady_ms;
-        self.say(minion, FromAgent::Beat { sent_at_ms, minion_ok: false });
+        self.say(minion, FromAgent::Heartbeat { sent_at_ms, minion_ok: false });
     }
 
     /// Lets a minion's agent pass its lists on.
@@ -62,20 +64,20 @@
         let running = running.map(|(task, run)| RunningTask {
             task: *task,
             run: *run,
-            saved: Name::default(),
-            percent: self.progress.get(task).copied().unwrap_or(self.percent),
+            checkpoint: Name::default(),
+            progress_percent: self.progress.get(task).copied().unwrap_or(self.percent),
             gauge: self.gauges.get(task).copied().unwrap_or(0),
         });
         let acknowledged = self.acknowledged.get(&name).copied().unwrap_or(0);
         let ended = self.ends.get(&name).into_iter().flatten();
-        let look = Look {
+        let look = PollResult {
             minion: name.clone(),
             running: Some(running.collect()),
             ended: ended.filter(|end| end.sequence > acknowledged).cloned().collect(),
             more_ends: false,
-            orders_before: self.results,
+            orders_reported_before: self.results,
         };
-        self.say(minion, FromAgent::Look(look));
+        self.say(minion, FromAgent::PollResult(look));
     }
 
     pub fn set_gauge(&mut self, task: TaskId, gauge: u32) {
--- a/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
@@ -29,11 +29,11 @@
             Effect::Send { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
                 self.acknowledged.insert(minion, up_to);
             }
-            Effect::Send { message: ToAgent::DepartureSettled { minion }, .. } => {
+            Effect::Send { message: ToAgent::DepartureRecorded { minion }, .. } => {
                 self.settled.push(minion);
             }
-            Effect::Send { agent, message: ToAgent::Lease { sent_at_ms, hold_ms, .. } } => {
-                self.leases.push((agent, sent_at_ms, hold_ms));
+            Effect::Send { agent, message: ToAgent::Lease { sent_at_ms, lease_ms, .. } } => {
+                self.leases.push((agent, sent_at_ms, lease_ms));
             }
             Effect::Log(line) => self.notes.push(line),
             Effect::RequestApproval { step, minions } => self.questions.push((step, minions)),
--- a/crates/geraniumpost-batch/tests/coordinator/world/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/mod.rs
@@ -16,8 +16,8 @@
 
 use geraniumpost_batch::tuning::PROMISE_MS;
 use geraniumpost_batch::{
-    Answer, Ask, Coordinator, EndedTask, Inheritance, JobId, JobRecord, JobSpec, JobState,
-    Knowledge, Now, Order, QueueTerms, StepSpec, TaskId, WriteBatch,
+    CallerRequest, CallerResponse, Coordinator, EndedTask, InterferenceSnapshot, JobId, JobRecord,
+    JobSpec, JobState, Now, Order, PredecessorLeases, QueueTerms, StepSpec, TaskId, WriteBatch,
 };
 use geraniumpost_schema::Name;
 
@@ -44,7 +44,7 @@
     pub writes: Vec<WriteBatch>,
     /// Whether writes are confirmed at once.
     pub writes_pass: bool,
-    pub answers: BTreeMap<u64, Answer>,
+    pub answers: BTreeMap<u64, CallerResponse>,
     /// Orders that no minion has taken yet.
     pub orders: Vec<Order>,
     /// Ends acknowledged to minions.
@@ -82,7 +82,7 @@
     pub fn new() -> Self {
         let now = Now { steady_ms: 100_000, wall_ms: 1_000_000 };
         Self {
-            coordinator: Coordinator::new(1, now).hold_ms(HOLD_MS),
+            coordinator: Coordinator::new(1, now).lease_ms(HOLD_MS),
             now,
             store: BTreeMap::new(),
             knowledge: None,
@@ -149,7 +149,7 @@
         }
     }
 
-    pub fn ask(&mut self, ask: Ask) -> u64 {
+    pub fn ask(&mut self, ask: CallerRequest) -> u64 {
         self.tickets += 1;
         self.coordinator.handle_request(self.tickets, ask, self.now);
         self.settle();
@@ -162,15 +162,15 @@
 
     pub fn submit_as(&mut self, id: u64, steps: Vec<StepSpec>, terms: QueueTerms) -> u64 {
         let spec = JobSpec { payload: "work".into(), steps, ..JobSpec::default() };
-        self.ask(Ask::Submit { job: JobId(id), spec, terms })
+        self.ask(CallerRequest::Submit { job: JobId(id), spec, terms })
     }
 
-    pub fn answer(&self, ticket: u64) -> Option<Answer> {
+    pub fn answer(&self, ticket: u64) -> Option<CallerResponse> {
         self.answers.get(&ticket).copied()
     }
 
-    pub fn state(&mut self, id: u64) -> Answer {
-        let ticket = self.ask(Ask::State(JobId(id)));
+    pub fn state(&mut self, id: u64) -> CallerResponse {
+        let ticket = self.ask(CallerRequest::State(JobId(id)));
         self.answer(ticket).expect("states are told at once")
     }
 
@@ -195,28 +195,33 @@
 
     /// Loses the coordinator, and lets another one take over from the store.
     pub fn take_over(&mut self) {
-        self.take_over_with(&Inheritance::default());
+        self.take_over_with(&PredecessorLeases::default());
     }
 
     /// Lets another coordinator take over from one that may live on without the store.
     pub fn take_over_from_silent(&mut self) {
-        let silent =
-            Inheritance::default().taken_over(Some((SILENT, self.fence)), SUCCESSOR, HOLD_MS);
+        let silent = PredecessorLeases::default().after_takeover(
+            Some((SILENT, self.fence)),
+            SUCCESSOR,
+            HOLD_MS,
+        );
         self.take_over_with(&silent);
     }
 
     /// Lets another coordinator take over with what its predecessor left behind.
-    pub fn take_over_with(&mut self, inheritance: &Inheritance) {
+    pub fn take_over_with(&mut self, inheritance: &PredecessorLeases) {
         self.fence += 1;
         let records = self.store.iter().map(|(id, bytes)| {
             (*id, JobRecord::decode(bytes).expect("the record was written by this version"))
         });
         self.coordinator = Coordinator::new(self.fence, self.now)
-            .hold_ms(HOLD_MS)
+            .lease_ms(HOLD_MS)
             .with_predecessor_leases(inheritance, self.now)
-            .with_interference(&self.knowledge.as_ref().map_or_else(Knowledge::default, |bytes| {
-                Knowledge::decode(bytes).expect("this version wrote it")
-            }))
+            .with_interference(
+                &self.knowledge.as_ref().map_or_else(InterferenceSnapshot::default, |bytes| {
+                    InterferenceSnapshot::decode(bytes).expect("this version wrote it")
+                }),
+            )
             .with_records(records.collect(), self.now);
         self.orders.clear();
         self.writes.clear();
@@ -225,4 +230,4 @@
     }
 }
 
-pub const COMPLETED: Answer = Answer::State(JobState::Completed);
+pub const COMPLETED: CallerResponse = CallerResponse::State(JobState::Completed);
--- a/crates/geraniumpost-batch/tests/coordinator/world/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/orders.rs
@@ -57,7 +57,7 @@
         let run = run.expect("the task runs there");
         let ends = self.ends.entry(minion.clone()).or_default();
         let sequence = ends.len() as u64 + 1;
-        ends.push(EndedTask { sequence, task, run, kind, saved: Name::default() });
+        ends.push(EndedTask { sequence, task, run, kind, checkpoint: Name::default() });
     }
 
     /// Ends everything that runs, and lets all minions be looked at.
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -8,7 +8,7 @@
 }
 
 fn unsettled(departures: &Departures) -> Vec<&str> {
-    departures.unsettled().map(|name| &**name).collect()
+    departures.unrecorded().map(|name| &**name).collect()
 }
 
 /// A farewell comes while nobody coordinates, so that nobody hears of it. It is told to each
@@ -16,13 +16,13 @@
 #[test]
 fn departure_is_kept_until_it_is_settled() {
     let mut departures = Departures::default();
-    departures.leaves(&name("m1"));
+    departures.record_leaving(&name("m1"));
     assert!(unsettled(&departures).is_empty(), "it may still be running");
-    assert!(!departures.is_settled());
-    departures.gone(&name("m1"));
+    assert!(!departures.is_empty());
+    departures.record_terminated(&name("m1"));
     assert_eq!(unsettled(&departures), ["m1"]);
-    departures.forget(&name("m1"));
-    assert!(departures.is_settled());
+    departures.remove(&name("m1"));
+    assert!(departures.is_empty());
 }
 
 /// A minion is heard of as gone twice: by its farewell, and by another incarnation that answers. It is
@@ -30,9 +30,9 @@
 #[test]
 fn departure_is_kept_once() {
     let mut departures = Departures::default();
-    departures.gone(&name("m1"));
-    departures.gone(&name("m2"));
-    departures.gone(&name("m1"));
+    departures.record_terminated(&name("m1"));
+    departures.record_terminated(&name("m2"));
+    departures.record_terminated(&name("m1"));
     assert_eq!(unsettled(&departures), ["m2", "m1"]);
 }
 
@@ -42,7 +42,7 @@
 fn oldest_departures_are_forgotten_first() {
     let mut departures = Departures::default();
     for life in 0..100 {
-        departures.gone(&name(&format!("m1-{life}")));
+        departures.record_terminated(&name(&format!("m1-{life}")));
     }
     let kept = unsettled(&departures);
     assert_eq!(kept.len(), 16);
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::f64::consts::TAU;
 
-use geraniumpost_batch::interference::{Interference, Pressure, ServingGroup, bearable_shares};
-use geraniumpost_batch::{JobId, Knowledge, LearntPair, TaskId};
+use geraniumpost_batch::interference::{InterferenceModel, Pressure, ServingGroup, speed_limits};
+use geraniumpost_batch::{InterferencePair, InterferenceSnapshot, JobId, TaskId};
 use geraniumpost_schema::Name;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -49,8 +49,8 @@
     }
 
     /// Lets all minions show gauges for so long, and returns what was learnt.
-    fn watch(&self, ms: u64) -> Interference {
-        let mut learnt = Interference::default();
+    fn watch(&self, ms: u64) -> InterferenceModel {
+        let mut learnt = InterferenceModel::default();
         // One gauge of an idle task, of another step, tells the tail that the image has then.
         let step = TaskId { job: JobId(2), occurrence: 0, step: 0, index: 0 };
         let idle = ServingGroup::of(step, &Name::from("idle"));
@@ -69,8 +69,8 @@
         learnt
     }
 
-    fn learnt_slope(learnt: &Interference) -> f64 {
-        learnt.adds(&Self::image(), &Self::filling(), 1.0)
+    fn learnt_slope(learnt: &InterferenceModel) -> f64 {
+        learnt.added_utilization(&Self::image(), &Self::filling(), 1.0)
     }
 }
 
@@ -111,7 +111,7 @@
         let served = Served { minions, lag, slope, rough: 0.01 };
         let learnt = served.watch(20_000);
         for minion in 0..minions {
-            let own = learnt.own(&Served::image(), &Served::group(minion));
+            let own = learnt.own_utilization(&Served::image(), &Served::group(minion));
             let really = served.own(minion, 20_000 - GAUGE_MS);
             prop_assert!((own - really).abs() < 0.12, "{own}, really {really}");
         }
@@ -121,8 +121,8 @@
     #[test]
     fn successor_knows_the_slopes(slope in 0.0_f64..1.2) {
         let first = Served { minions: 3, lag: 0.0, slope, rough: 0.0 }.watch(20_000);
-        let mut second = Interference::default();
-        second.recall(&first.knowledge());
+        let mut second = InterferenceModel::default();
+        second.restore(&first.snapshot());
         let change = Served::learnt_slope(&first) - Served::learnt_slope(&second);
         prop_assert!(change.abs() < 0.02);
     }
@@ -131,9 +131,9 @@
     #[test]
     fn senseless_pairs_change_nothing(slope in any::<f64>(), deviation in any::<f64>()) {
         let (serving, filling) = (Served::image(), Served::filling());
-        let pairs = vec![LearntPair { serving, filling, slope, deviation }];
-        let mut learnt = Interference::default();
-        learnt.recall(&Knowledge { pairs, quiet: Vec::new() });
+        let pairs = vec![InterferencePair { serving, best_effort: filling, slope, deviation }];
+        let mut learnt = InterferenceModel::default();
+        learnt.restore(&InterferenceSnapshot { pairs, idle_tails: Vec::new() });
         prop_assert!(Served::learnt_slope(&learnt).is_finite());
     }
 
@@ -145,11 +145,11 @@
         images in proptest::collection::vec((1.0_f64..9_000.0, proptest::collection::vec(0.0_f64..0.6, 3)), 0..5),
     ) {
         let pressures: Vec<Pressure> =
-            images.into_iter().map(|(processors, adds)| Pressure { processors, adds }).collect();
-        let shares = bearable_shares(&room, &pressures);
+            images.into_iter().map(|(processors, adds)| Pressure { processors, added_utilization: adds }).collect();
+        let shares = speed_limits(&room, &pressures);
         prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(share)));
         for (group, room) in room.iter().enumerate() {
-            let added: f64 = pressures.iter().zip(&shares).map(|(p, s)| p.adds[group] * s).sum();
+            let added: f64 = pressures.iter().zip(&shares).map(|(p, s)| p.added_utilization[group] * s).sum();
             prop_assert!(added <= room.max(0.0) + 1e-9, "{added} in {room}");
         }
     }
@@ -159,7 +159,7 @@
 /// slowed the users, or an image that disturbs hard passes for harmless.
 #[test]
 fn ends_alone_tell_the_slope() {
-    let mut learnt = Interference::default();
+    let mut learnt = InterferenceModel::default();
     let used = |share| BTreeMap::from([(Served::filling(), share)]);
     let (image, group) = (Served::image(), Served::group(0));
     learnt.observe(&image, &group, IDLE, &used(0.0), 0);
@@ -176,7 +176,7 @@
 /// second one's users time and bring the first ones nothing.
 #[test]
 fn who_does_no_harm_keeps_its_pace() {
-    let hard = Pressure { processors: 4_000.0, adds: vec![0.3] };
-    let harmless = Pressure { processors: 4_000.0, adds: vec![0.0] };
-    assert_eq!(bearable_shares(&[0.15], &[hard, harmless]), [0.5, 1.0]);
+    let hard = Pressure { processors: 4_000.0, added_utilization: vec![0.3] };
+    let harmless = Pressure { processors: 4_000.0, added_utilization: vec![0.0] };
+    assert_eq!(speed_limits(&[0.15], &[hard, harmless]), [0.5, 1.0]);
 }
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
-    NAME_VOTERS_EVERY_MS, PROMISE_MS, PROMISE_PERCENT, VOTER_SILENCE_MS,
+    PROMISE_MS, PROMISE_PERCENT, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
 };
 use geraniumpost_schema::Name;
 
@@ -42,11 +42,11 @@
 #[test]
 fn promise_counts_from_the_word_that_it_answers() {
     let mut support = Support::new(voters(2), 0);
-    assert_eq!(support.until_ms(), 0);
-    support.promised(&entry(1), INCARNATION, 5_000);
-    assert_eq!(support.until_ms(), 5_000 + PROMISE_MS);
-    support.promised(&entry(1), INCARNATION, 4_000);
-    assert_eq!(support.until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 0);
+    support.record_promise(&entry(1), INCARNATION, 5_000);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    support.record_promise(&entry(1), INCARNATION, 4_000);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
 }
 
 /// The majority lasts for as long as its shortest promise.
@@ -54,10 +54,10 @@
 fn majority_ends_with_its_shortest_promise() {
     let mut support = Support::new(voters(4), 0);
     for (number, sent_at_ms) in [(1, 900), (2, 300), (3, 600)] {
-        support.promised(&entry(number), INCARNATION, sent_at_ms);
+        support.record_promise(&entry(number), INCARNATION, sent_at_ms);
     }
-    assert_eq!(support.until_ms(), 600 + PROMISE_MS);
-    assert_eq!(support.supporters(500 + PROMISE_MS), 2);
+    assert_eq!(support.supported_until_ms(), 600 + PROMISE_MS);
+    assert_eq!(support.supporter_count(500 + PROMISE_MS), 2);
 }
 
 /// A process that has just started promises like any other, but the successor does not count it: the one
@@ -65,9 +65,9 @@
 #[test]
 fn promise_of_another_incarnation_does_not_count() {
     let mut support = Support::new(voters(1), 0);
-    support.promised(&entry(1), INCARNATION + 1, 5_000);
-    support.promised(&entry(9), INCARNATION, 5_000);
-    assert_eq!(support.until_ms(), 0);
+    support.record_promise(&entry(1), INCARNATION + 1, 5_000);
+    support.record_promise(&entry(9), INCARNATION, 5_000);
+    assert_eq!(support.supported_until_ms(), 0);
 }
 
 /// While another list of voters is written, the key may hold either of the two, and a successor asks
@@ -75,12 +75,12 @@
 #[test]
 fn both_lists_count_while_one_is_written() {
     let mut support = Support::new(voters(1), 0);
-    support.promised(&entry(1), INCARNATION, 5_000);
-    support.change([(entry(2), INCARNATION)].into_iter().collect(), 5_000);
-    assert_eq!(support.until_ms(), 0);
-    support.promised(&entry(2), INCARNATION, 4_900);
-    assert_eq!(support.until_ms(), 4_900 + PROMISE_MS);
-    support.changed();
+    support.record_promise(&entry(1), INCARNATION, 5_000);
+    support.begin_voter_change([(entry(2), INCARNATION)].into_iter().collect(), 5_000);
+    assert_eq!(support.supported_until_ms(), 0);
+    support.record_promise(&entry(2), INCARNATION, 4_900);
+    assert_eq!(support.supported_until_ms(), 4_900 + PROMISE_MS);
+    support.complete_voter_change();
     assert!(support.voters().contains(&entry(2), INCARNATION));
 }
 
@@ -89,9 +89,9 @@
 #[test]
 fn silent_entries_are_to_be_voters_no_more() {
     let mut support = Support::new(voters(2), 0);
-    support.promised(&entry(1), INCARNATION, 5_000);
-    support.promised(&entry(3), INCARNATION, 9_000);
-    let wanted = support.wanted(5_000 + VOTER_SILENCE_MS).expect("two are silent");
+    support.record_promise(&entry(1), INCARNATION, 5_000);
+    support.record_promise(&entry(3), INCARNATION, 9_000);
+    let wanted = support.voters_to_write(5_000 + VOTER_TIMEOUT_MS).expect("two are silent");
     assert_eq!(wanted.names().collect::<Vec<_>>(), [&entry(3)]);
 }
 
@@ -99,10 +99,10 @@
 #[test]
 fn leaving_entry_is_to_be_a_voter_no_more() {
     let mut support = Support::new(voters(1), 0);
-    support.promised(&entry(1), INCARNATION, 5_000);
-    support.leaves(&entry(1));
-    assert_eq!(support.wanted(5_100), Some(Voters::default()));
-    assert_eq!(support.until_ms(), 5_000 + PROMISE_MS);
+    support.record_promise(&entry(1), INCARNATION, 5_000);
+    support.mark_stopping(&entry(1));
+    assert_eq!(support.voters_to_write(5_100), Some(Voters::default()));
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
 }
 
 /// A coordinator has just taken over and rewrites its key for another reason. It has heard of nobody; were it to name
@@ -110,8 +110,8 @@
 #[test]
 fn new_coordinator_keeps_the_voters_of_its_predecessor_at_first() {
     let support = Support::new(voters(2), 1_000);
-    assert_eq!(support.wanted(1_000 + NAME_VOTERS_EVERY_MS - 1), None);
-    assert_eq!(support.wanted(1_000 + NAME_VOTERS_EVERY_MS), Some(Voters::default()));
+    assert_eq!(support.voters_to_write(1_000 + VOTER_CHANGE_INTERVAL_MS - 1), None);
+    assert_eq!(support.voters_to_write(1_000 + VOTER_CHANGE_INTERVAL_MS), Some(Voters::default()));
 }
 
 /// An entry promises nothing to a coordinator that has a successor, also if it hears of that one from the
@@ -131,12 +131,12 @@
 #[test]
 fn end_is_known_once_no_majority_is_left() {
     let mut releases = Releases::new(voters(3));
-    releases.released(&entry(1), INCARNATION, 400, 1_000);
-    releases.released(&entry(9), INCARNATION, 0, 1_000);
-    assert_eq!(releases.until_ms(), None);
-    assert_eq!(releases.missing().collect::<Vec<_>>(), [&entry(2), &entry(3)]);
-    releases.released(&entry(3), INCARNATION, 100, 1_200);
-    assert_eq!(releases.until_ms(), Some(1_400));
+    releases.record(&entry(1), INCARNATION, 400, 1_000);
+    releases.record(&entry(9), INCARNATION, 0, 1_000);
+    assert_eq!(releases.support_end_ms(), None);
+    assert_eq!(releases.unanswered().collect::<Vec<_>>(), [&entry(2), &entry(3)]);
+    releases.record(&entry(3), INCARNATION, 100, 1_200);
+    assert_eq!(releases.support_end_ms(), Some(1_400));
 }
 
 /// A voter was restarted: it knows of no promise, but the process before it may have given one just before
@@ -144,13 +144,13 @@
 #[test]
 fn restarted_voter_counts_with_a_whole_promise() {
     let mut releases = Releases::new(voters(1));
-    releases.released(&entry(1), INCARNATION + 1, 0, 1_000);
-    assert_eq!(releases.until_ms(), Some(1_000 + KEPT_MS));
+    releases.record(&entry(1), INCARNATION + 1, 0, 1_000);
+    assert_eq!(releases.support_end_ms(), Some(1_000 + KEPT_MS));
 }
 
 /// A coordinator without voters may go on for long, and nobody can tell when it ends.
 #[test]
 fn end_of_a_lone_coordinator_is_not_known() {
-    assert_eq!(Releases::new(Voters::default()).until_ms(), None);
-    assert_eq!(Support::new(Voters::default(), 0).until_ms(), u64::MAX);
+    assert_eq!(Releases::new(Voters::default()).support_end_ms(), None);
+    assert_eq!(Support::new(Voters::default(), 0).supported_until_ms(), u64::MAX);
 }
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -281,7 +281,7 @@
             Message::Ping { from, incarnation, supports } => {
                 let Some(term) = &mut process.term else { return };
                 if let Some(sent) = supports.filter(|sent| sent.term == term.number) {
-                    term.support.promised(&name(from), incarnation, sent.steady_ms);
+                    term.support.record_promise(&name(from), incarnation, sent.steady_ms);
                 }
                 let sent = TermTime { term: term.number, steady_ms: clock_ms };
                 self.send(at, from, Message::Pong(sent));
@@ -296,7 +296,7 @@
                 let own = process.term.as_mut().filter(|own| own.number == term);
                 let Some(term) = own else { return };
                 for releases in term.releases.values_mut() {
-                    releases.released(&name(from), incarnation, lasts_ms, clock_ms);
+                    releases.record(&name(from), incarnation, lasts_ms, clock_ms);
                 }
             }
             Message::Confirmed { term, asked_ms } => {
@@ -313,7 +313,7 @@
                 let current = |own: &&mut Term| own.number == term && own.lists == list;
                 let own = process.term.as_mut().filter(current);
                 if let Some(own) = own {
-                    own.support.changed();
+                    own.support.complete_voter_change();
                     own.naming = None;
                 }
             }
@@ -329,7 +329,7 @@
         let Some(term) = &mut process.term else { return };
         let lasts_ms = process.promises.release(term.number, clock_ms);
         for releases in term.releases.values_mut() {
-            releases.released(&name(at), process.incarnation, lasts_ms, clock_ms);
+            releases.record(&name(at), process.incarnation, lasts_ms, clock_ms);
         }
     }
 
@@ -347,9 +347,9 @@
         let number = term.number;
         if names
             && term.naming.is_none()
-            && let Some(wanted) = term.support.wanted(clock_ms)
+            && let Some(wanted) = term.support.voters_to_write(clock_ms)
         {
-            term.support.change(wanted.clone(), clock_ms);
+            term.support.begin_voter_change(wanted.clone(), clock_ms);
             term.naming = Some(wanted);
             term.lists += 1;
         }
--- a/crates/geraniumpost-batch/tests/succession/process.rs
+++ b/crates/geraniumpost-batch/tests/succession/process.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_batch::TermTime;
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
-use geraniumpost_batch::tuning::{STORE_CONFIRMS_MS, STORE_LOST_MS};
+use geraniumpost_batch::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// What a coordinator knows in one term.
 #[derive(Debug)]
@@ -42,19 +42,20 @@
 
     /// Returns whether leases may be extended without the store's word, as a majority supports the term.
     pub fn is_supported(&self, now_ms: u64) -> bool {
-        now_ms < self.asked_ms + STORE_LOST_MS && now_ms < self.support.until_ms()
+        now_ms < self.asked_ms + STORE_OUTAGE_TOLERANCE_MS
+            && now_ms < self.support.supported_until_ms()
     }
 
     /// Returns whether leases may be extended.
     pub fn extends(&self, now_ms: u64) -> bool {
-        self.is_supported(now_ms) || now_ms < self.asked_ms + STORE_CONFIRMS_MS
+        self.is_supported(now_ms) || now_ms < self.asked_ms + STORE_CONFIRMATION_MS
     }
 
     /// Takes note of the ends that are known by now.
     pub fn note_ends(&mut self) {
         for (term, releases) in &self.releases {
-            if let Some(until_ms) = releases.until_ms() {
-                let end_ms = until_ms.max(self.taken_ms + STORE_CONFIRMS_MS);
+            if let Some(until_ms) = releases.support_end_ms() {
+                let end_ms = until_ms.max(self.taken_ms + STORE_CONFIRMATION_MS);
                 self.ends_ms.entry(*term).or_insert(end_ms);
             }
         }
