--- a/crates/geraniumpost/src/batch/agent/finder.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -7,7 +7,7 @@
 use geraniumpost_platform::Store;
 use tokio::sync::watch;
 
-use super::super::coordination::{COORDINATOR_KEY, CoordinatorRecord, Known};
+use super::super::coordination::{COORDINATOR_KEY, CoordinatorRecord, KnownCoordinator};
 use super::state::State;
 
 /// Longest time a reading may take.
@@ -26,7 +26,11 @@
 /// Reads who coordinates whenever there is no link, or the linked one may have been replaced.
 ///
 /// While the link works the store need not be asked, so that a fleet costs it nothing.
-pub async fn find(store: Arc<Store>, state: Arc<State>, known: watch::Sender<Option<Known>>) {
+pub async fn find(
+    store: Arc<Store>,
+    state: Arc<State>,
+    known: watch::Sender<Option<KnownCoordinator>>,
+) {
     let mut lost = false;
     loop {
         let linked = state.results().is_some();
@@ -42,7 +46,8 @@
                 if let Ok(record) = CoordinatorRecord::decode(&item.value)
                     && !record.stepped_down
                 {
-                    Known { address: record.address, fence: record.term }.publish(&known);
+                    KnownCoordinator { address: record.address, fence: record.term }
+                        .publish(&known);
                 }
             }
             Ok(None) => lost = false,
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -8,9 +8,9 @@
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use tokio::sync::watch;
 
-use super::super::coordination::Known;
+use super::super::coordination::KnownCoordinator;
 use super::super::{BootClock, FromPeer, ToPeer, peer_link};
-use super::ordering;
+use super::orders;
 use super::state::State;
 
 /// Pause between two beats: a lease of several seconds survives the loss of many.
@@ -24,7 +24,7 @@
 const ANSWERED_MS: u64 = 1_600;
 
 /// Keeps a link to whoever is known to coordinate.
-pub async fn keep(state: Arc<State>, mut known: watch::Receiver<Option<Known>>) {
+pub async fn keep(state: Arc<State>, mut known: watch::Receiver<Option<KnownCoordinator>>) {
     loop {
         let found = *known.borrow_and_update();
         let Some(found) = found else {
@@ -48,7 +48,7 @@
     state: &Arc<State>,
     tx: LinkSender<FromPeer>,
     mut rx: LinkReceiver<ToPeer>,
-    known: &mut watch::Receiver<Option<Known>>,
+    known: &mut watch::Receiver<Option<KnownCoordinator>>,
 ) {
     if tx.send(FromPeer::AgentHello { node: state.node.clone() }).is_err() {
         return;
@@ -93,20 +93,20 @@
 /// Asks for the lease to be extended; false if the link is gone.
 fn beat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
     let minion_ok = state.answers_within(ANSWERED_MS);
-    let beat = FromAgent::Beat { sent_at_ms: BootClock.now_ms(), minion_ok };
+    let beat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
     tx.send(FromPeer::AgentMessage(beat)).is_ok()
 }
 
 fn take(state: &Arc<State>, message: ToAgent) {
     match message {
-        ToAgent::Lease { sent_at_ms, hold_ms, fence, store_ok } => {
+        ToAgent::Lease { sent_at_ms, lease_ms, fence, store_ok } => {
             state.coordinator_misses_store.store(!store_ok, Ordering::Relaxed);
-            state.lease(sent_at_ms, hold_ms, fence);
+            state.lease(sent_at_ms, lease_ms, fence);
         }
         ToAgent::Order(order) => {
-            tokio::spawn(ordering::carry_out(Arc::clone(state), order));
+            tokio::spawn(orders::carry_out(Arc::clone(state), order));
         }
         ToAgent::Acknowledge { minion, up_to } => state.acknowledge(&minion, up_to),
-        ToAgent::DepartureSettled { minion } => state.departure_settled(&minion),
+        ToAgent::DepartureRecorded { minion } => state.departure_settled(&minion),
     }
 }
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -1,10 +1,10 @@
 //! The agent: hears the minion's heartbeats, keeps its lease, and passes orders and ends on.
 
-mod beats;
-mod finder;
+mod coordinator_lookup;
+mod heartbeats;
 mod link;
-mod looking;
-mod ordering;
+mod orders;
+mod polling;
 mod state;
 
 use std::sync::Arc;
@@ -43,13 +43,13 @@
     let state = Arc::new(State::new(settings.node.clone(), Minion::new(minion)));
     let listener = http_server::bind(heartbeats).await?;
     let (known_tx, known) = watch::channel(None);
-    tokio::spawn(finder::find(store, Arc::clone(&state), known_tx));
+    tokio::spawn(coordinator_lookup::find(store, Arc::clone(&state), known_tx));
     tokio::spawn(link::keep(Arc::clone(&state), known));
-    tokio::spawn(looking::look_always(Arc::clone(&state)));
+    tokio::spawn(polling::look_always(Arc::clone(&state)));
     let on_beat = Arc::clone(&state);
     let serving = tokio::spawn(http_server::serve(listener, stop.clone(), move |req| {
         metrics.heartbeat("minion");
-        beats::answer(req, Arc::clone(&on_beat))
+        heartbeats::answer(req, Arc::clone(&on_beat))
     }));
     crate::stop_signal::stopped(&mut stop.clone()).await;
     let _ = tokio::time::timeout(LAST_HEARTBEATS, serving).await;
--- a/crates/geraniumpost/src/batch/agent/ordering.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -54,7 +54,7 @@
             order.minion
         );
     }
-    if outcome == OrderOutcome::Gone {
+    if outcome == OrderOutcome::MinionTerminated {
         state.gone(&order.minion);
     }
     state.send_result(OrderResult {
--- a/crates/geraniumpost/src/batch/agent/looking.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use geraniumpost_batch::{FromAgent, Look};
+use geraniumpost_batch::{FromAgent, PollResult};
 use geraniumpost_platform::{MinionReply, TaskLists};
 use geraniumpost_schema::Name;
 
@@ -71,7 +71,9 @@
     let (_, passed_on) = state.ends();
     let waiting = !view.ended.is_empty();
     let last = view.ended.last().map(|end| end.sequence);
-    let Some(orders_before) = before.filter(|_| state.results().is_some()) else { return waiting };
+    let Some(orders_reported_before) = before.filter(|_| state.results().is_some()) else {
+        return waiting;
+    };
     let ended: Vec<_> = view.ended.into_iter().filter(|end| end.sequence > passed_on).collect();
     let now_ms = BootClock.now_ms();
     let whole = state.pass_on(last, now_ms >= *passed_ms + WHOLE_EVERY_MS);
@@ -83,7 +85,13 @@
     let running = whole.then_some(view.running);
     let minion = id.clone();
     let more_ends = view.more_ends;
-    state.send(FromAgent::Look(Look { minion, running, ended, more_ends, orders_before }));
+    state.send(FromAgent::PollResult(PollResult {
+        minion,
+        running,
+        ended,
+        more_ends,
+        orders_reported_before,
+    }));
     waiting
 }
 
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -120,7 +120,7 @@
         let Some(info) = inner.unproved.remove(id) else { return };
         spdlog::info!("event=minion_present minion={id}");
         inner.present = Some(info.clone());
-        inner.departures.forget(id);
+        inner.departures.remove(id);
         inner.unproved.clear();
         inner.forget = 0;
         inner.passed_on = 0;
@@ -141,7 +141,7 @@
 
     /// Takes note that an incarnation has said its farewell.
     pub fn leaves(&self, id: &Name) {
-        self.lock().departures.leaves(id);
+        self.lock().departures.record_leaving(id);
     }
 
     /// Takes note that an incarnation has ended after its farewell. A process that has just started may
@@ -154,13 +154,13 @@
 
     /// Takes note that the coordinator's records hold a departure.
     pub fn departure_settled(&self, id: &Name) {
-        self.lock().departures.forget(id);
+        self.lock().departures.remove(id);
         spdlog::info!("event=departure_settled minion={id}");
     }
 
     /// Returns whether no departure is left to tell.
     pub fn departures_settled(&self) -> bool {
-        self.lock().departures.is_settled()
+        self.lock().departures.is_empty()
     }
 
     /// Returns the incarnation that answers.
@@ -176,13 +176,13 @@
 
     /// Extends the lease. It counts from the sending of the beat that is answered, so that a late
     /// answer extends nothing beyond what the coordinator counts with.
-    pub fn lease(&self, sent_at_ms: u64, hold_ms: u64, fence: u64) {
+    pub fn lease(&self, sent_at_ms: u64, lease_ms: u64, fence: u64) {
         if self.fence.fetch_max(fence, Ordering::SeqCst) < fence {
             spdlog::info!("event=coordinator_obeyed fence={fence}");
             self.wake.notify_waiters();
         }
-        if fence == self.fence.load(Ordering::SeqCst) && hold_ms > 0 {
-            self.lease_ms.fetch_max(sent_at_ms + hold_ms, Ordering::SeqCst);
+        if fence == self.fence.load(Ordering::SeqCst) && lease_ms > 0 {
+            self.lease_ms.fetch_max(sent_at_ms + lease_ms, Ordering::SeqCst);
         }
     }
 
@@ -232,8 +232,8 @@
         inner.link = link;
         inner.passed_on = inner.forget;
         inner.whole = true;
-        for minion in inner.departures.unsettled().cloned().collect::<Vec<_>>() {
-            tell(&inner, FromAgent::MinionGone { minion });
+        for minion in inner.departures.unrecorded().cloned().collect::<Vec<_>>() {
+            tell(&inner, FromAgent::MinionTerminated { minion });
         }
         if let Some(info) = inner.present.clone() {
             tell(&inner, FromAgent::Minion(info));
@@ -278,7 +278,7 @@
         inner.present = None;
         inner.clock = None;
     }
-    inner.departures.gone(id);
-    let told = tell(inner, FromAgent::MinionGone { minion: id.clone() });
+    inner.departures.record_terminated(id);
+    let told = tell(inner, FromAgent::MinionTerminated { minion: id.clone() });
     spdlog::info!("event=minion_gone minion={id} told={told}");
 }
--- a/crates/geraniumpost/src/batch/coordination/loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -5,14 +5,14 @@
 /// Silence after which a coordinator is taken for lost, in milliseconds: three missing answers.
 pub const SILENCE_MS: u64 = 900;
 /// Refused links in a row after which a coordinator is taken for gone.
-const REFUSALS: u32 = 2;
+const MAX_FAILED_CONNECTS: u32 = 2;
 /// How long a coordinator may miss the store before another entry that reaches it takes over, in
 /// milliseconds, on top of the time after which it says so.
-const STORE_MISSED_MS: u64 = 200;
+const STORE_UNREACHABLE_MS: u64 = 200;
 /// How long a coordinator may take to reach a store that was away from this entry as well, in
 /// milliseconds: its calls wait for up to a second while the store is silent, and this entry hears of
 /// the next one with the answer to a ping.
-const AFTER_OUTAGE_MS: u64 = 1_200;
+const OUTAGE_RECOVERY_MS: u64 = 1_200;
 
 /// How a coordinator was lost, which decides what it may still do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,11 +38,11 @@
     }
     // A path that refuses connections says nothing of the process behind it.
     let silent_ms = now_ms.saturating_sub(link.last_heard_ms);
-    if link.failed_connects >= REFUSALS || silent_ms >= SILENCE_MS {
+    if link.failed_connects >= MAX_FAILED_CONNECTS || silent_ms >= SILENCE_MS {
         return Some(CoordinatorLoss::Silent);
     }
-    let after_outage = readable_since_ms.is_some_and(|since| now_ms < since + AFTER_OUTAGE_MS);
-    let missed =
-        link.store_unreachable_since_ms.is_some_and(|since| now_ms >= since + STORE_MISSED_MS);
-    (missed && !after_outage).then_some(CoordinatorLoss::Silent)
+    let recovering = readable_since_ms.is_some_and(|since| now_ms < since + OUTAGE_RECOVERY_MS);
+    let store_unreachable =
+        link.store_unreachable_since_ms.is_some_and(|since| now_ms >= since + STORE_UNREACHABLE_MS);
+    (store_unreachable && !recovering).then_some(CoordinatorLoss::Silent)
 }
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use geraniumpost_batch::{
-    Ask, Coordinator, Effect, FromAgent, LongestWait, OrderKind, TaskId, ToAgent, ToEntry,
-    WriteBatch,
+    CallerRequest, Coordinator, Effect, FromAgent, LongestWait, OrderKind, TaskId, ToAgent,
+    ToEntry, WriteBatch,
 };
 use geraniumpost_net::LinkSender;
 use geraniumpost_platform::ApprovedMinions;
@@ -15,15 +15,15 @@
 use tokio::sync::mpsc;
 
 use super::super::{BootClock, ToPeer};
-use super::left::Left;
-use super::standstill::Standstill;
+use super::process_pause::ProcessPause;
+use super::successor_leases::SuccessorLeases;
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
 /// Pause between two ticks: timeouts are hundreds of milliseconds.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Messages taken in before decisions are made on all of them.
-const TOGETHER: usize = 64;
+const MAX_INPUTS_PER_ROUND: usize = 64;
 
 /// A process at the other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -48,30 +48,30 @@
 #[derive(Debug)]
 pub enum Input {
     /// A link has opened.
-    Opened(Peer, LinkSender<ToPeer>),
+    LinkOpened(Peer, LinkSender<ToPeer>),
     /// A link has closed.
-    Closed(Peer),
+    LinkClosed(Peer),
     /// An entry asks for a caller.
-    Ask {
+    Request {
         /// The entry's link.
         link: u64,
         /// Its ticket.
         ticket: u64,
         /// What it asks.
-        ask: Ask,
+        ask: CallerRequest,
     },
     /// An agent says something.
-    Agent(Name, FromAgent),
+    AgentMessage(Name, FromAgent),
     /// A batch is written.
-    Written(u64),
+    BatchWritten(u64),
     /// The admission service has answered on a step, or not.
-    Approved(Question, Option<ApprovedMinions>),
+    ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
     /// The store has confirmed that this entry coordinates.
-    Confirmed {
+    TermConfirmed {
         /// When it was asked, on the boot clock.
-        asked_ms: u64,
+        requested_ms: u64,
         /// When its answer was read, on the boot clock.
-        heard_ms: u64,
+        received_ms: u64,
     },
     /// The term of a coordinator that was silent at this address has ended.
     PredecessorEnded(SocketAddr),
@@ -85,7 +85,7 @@
 }
 
 /// A question for the admission service: which of these minions may run the step?
-pub type Question = (TaskId, Vec<Name>);
+pub type ApprovalRequest = (TaskId, Vec<Name>);
 
 /// Why a coordinator's term ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,16 +101,16 @@
     coordinator: Coordinator,
     metrics: Arc<Metrics>,
     writes: mpsc::Sender<WriteBatch>,
-    questions: mpsc::Sender<Question>,
+    approval_requests: mpsc::Sender<ApprovalRequest>,
     entries: HashMap<u64, LinkSender<ToPeer>>,
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
     /// Who is owed an answer: the entry's link, and its ticket.
-    owed: HashMap<u64, (u64, u64)>,
+    pending_replies: HashMap<u64, (u64, u64)>,
     next_ticket: u64,
     /// What a successor has to know of leases.
-    left: Arc<Left>,
+    successor_leases: Arc<SuccessorLeases>,
     support: Arc<TermSupport>,
-    standstill: Standstill,
+    process_pause: ProcessPause,
 }
 
 impl Driver {
@@ -119,44 +119,44 @@
     pub fn new(
         coordinator: Coordinator,
         writes: mpsc::Sender<WriteBatch>,
-        questions: mpsc::Sender<Question>,
-        left: Arc<Left>,
+        approval_requests: mpsc::Sender<ApprovalRequest>,
+        successor_leases: Arc<SuccessorLeases>,
         support: Arc<TermSupport>,
         metrics: Arc<Metrics>,
     ) -> Self {
         Self {
-            left,
+            successor_leases,
             support,
-            standstill: Standstill::new(BootClock.now_ms()),
+            process_pause: ProcessPause::new(BootClock.now_ms()),
             metrics,
             coordinator,
             writes,
-            questions,
+            approval_requests,
             entries: HashMap::new(),
             agents: HashMap::new(),
-            owed: HashMap::new(),
+            pending_replies: HashMap::new(),
             next_ticket: 1,
         }
     }
 
     /// Decides until the term ends.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) -> TermEnd {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut batch = Vec::with_capacity(TOGETHER);
+        let mut batch = Vec::with_capacity(MAX_INPUTS_PER_ROUND);
         loop {
             tokio::select! {
-                count = inputs.recv_many(&mut batch, TOGETHER) => if count == 0 {
+                count = inputs.recv_many(&mut batch, MAX_INPUTS_PER_ROUND) => if count == 0 {
                     return TermEnd::Closed;
                 },
                 _ = ticks.tick() => self.tick(),
             }
             self.begin_round();
             for input in batch.drain(..) {
-                self.take(input);
+                self.handle(input);
             }
             let effects = self.coordinator.take_effects(BootClock.now());
-            self.note_left();
+            self.update_successor_leases();
             for effect in effects {
                 if effect == Effect::Superseded {
                     return TermEnd::Superseded;
@@ -168,18 +168,18 @@
 
     /// Takes note of what holds at this moment, before anything is decided.
     fn begin_round(&mut self) {
-        let (until_ms, supporters) = self.support.present();
+        let (until_ms, supporters) = self.support.current();
         self.coordinator.set_supported_until(until_ms, supporters);
-        if let Some(gap_ms) = self.standstill.round(BootClock.now_ms()) {
+        if let Some(gap_ms) = self.process_pause.begin_round(BootClock.now_ms()) {
             spdlog::warn!("event=stood_still gap_ms={gap_ms}");
         }
     }
 
     /// Tells the writer what a successor has to know of leases, before what was decided leaves.
-    fn note_left(&mut self) {
+    fn update_successor_leases(&mut self) {
         if self.coordinator.take_leases_for_successor_changed() {
             let now = BootClock.now();
-            self.left.set(self.coordinator.leases_for_successor(now), now.steady_ms);
+            self.successor_leases.set(self.coordinator.leases_for_successor(now), now.steady_ms);
         }
     }
 
@@ -187,18 +187,18 @@
         let now = BootClock.now();
         self.coordinator.tick(now);
         let LongestWait { persistent_ms, other_ms } = self.coordinator.longest_wait(now);
-        let [standing, others] = [persistent_ms, other_ms].map(Duration::from_millis);
-        self.metrics.longest_wait(standing, others);
-        self.metrics.lease_supporters(self.support.present().1 as u64);
+        let [persistent, other] = [persistent_ms, other_ms].map(Duration::from_millis);
+        self.metrics.longest_wait(persistent, other);
+        self.metrics.lease_supporters(self.support.current().1 as u64);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = BootClock.now();
         match input {
-            Input::Opened(Peer::Entry { link, .. }, tx) => {
+            Input::LinkOpened(Peer::Entry { link, .. }, tx) => {
                 self.entries.insert(link, tx);
             }
-            Input::Opened(Peer::Agent { node, link }, tx) => {
+            Input::LinkOpened(Peer::Agent { node, link }, tx) => {
                 // A link that replaces another one is a new beginning, whatever the old one still
                 // carries.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
@@ -207,31 +207,33 @@
                 let hello = FromAgent::Hello { agent: node.clone() };
                 self.coordinator.handle_agent_message(&node, hello, now);
             }
-            Input::Closed(Peer::Entry { link, .. }) => {
+            Input::LinkClosed(Peer::Entry { link, .. }) => {
                 self.entries.remove(&link);
             }
-            Input::Closed(Peer::Agent { node, link }) => {
-                if self.agents.get(&node).is_some_and(|(present, _)| *present == link) {
+            Input::LinkClosed(Peer::Agent { node, link }) => {
+                if self.agents.get(&node).is_some_and(|(current, _)| *current == link) {
                     self.agents.remove(&node);
                     self.coordinator.agent_disconnected(&node, now);
                 }
             }
-            Input::Ask { link, ticket, ask } => {
-                let own = self.next_ticket;
+            Input::Request { link, ticket, ask } => {
+                let own_ticket = self.next_ticket;
                 self.next_ticket += 1;
-                self.owed.insert(own, (link, ticket));
-                self.coordinator.handle_request(own, ask, now);
+                self.pending_replies.insert(own_ticket, (link, ticket));
+                self.coordinator.handle_request(own_ticket, ask, now);
             }
-            Input::Agent(node, said) => self.coordinator.handle_agent_message(&node, said, now),
-            Input::Written(batch) => self.coordinator.batch_written(batch, now),
-            Input::Approved((step, asked), answer) => {
+            Input::AgentMessage(node, message) => {
+                self.coordinator.handle_agent_message(&node, message, now)
+            }
+            Input::BatchWritten(batch) => self.coordinator.batch_written(batch, now),
+            Input::ApprovalResponse((step, asked), answer) => {
                 let answer = answer.map(|answer| (answer.tickets, answer.valid_ms));
                 self.coordinator.handle_approval(step, &asked, answer, now);
             }
-            Input::Confirmed { asked_ms, heard_ms } => {
-                self.coordinator.store_confirmed(asked_ms, heard_ms);
-                for (agent, message) in self.standstill.confirmed(asked_ms) {
-                    self.tell(&agent, message);
+            Input::TermConfirmed { requested_ms, received_ms } => {
+                self.coordinator.store_confirmed(requested_ms, received_ms);
+                for (agent, message) in self.process_pause.term_confirmed(requested_ms) {
+                    self.send_to_agent(&agent, message);
                 }
             }
             Input::PredecessorEnded(address) => self.coordinator.predecessor_ended(address, now),
@@ -250,20 +252,20 @@
                 }
             }
             Effect::Reply { ticket, answer } => {
-                let Some((link, ticket)) = self.owed.remove(&ticket) else { return };
+                let Some((link, ticket)) = self.pending_replies.remove(&ticket) else { return };
                 if let Some(tx) = self.entries.get(&link) {
                     // An entry whose link is gone asks again on the next one.
-                    let _ = tx.send(ToPeer::Entry(ToEntry::Answer { ticket, answer }));
+                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response: answer }));
                 }
             }
             Effect::Send { agent, message } => {
-                if let Some((agent, message)) = self.standstill.pass(agent, message) {
-                    self.tell(&agent, message);
+                if let Some((agent, message)) = self.process_pause.hold_if_unconfirmed(agent, message) {
+                    self.send_to_agent(&agent, message);
                 }
             }
             Effect::RequestApproval { step, minions } => {
                 // Without a service the step waits; the configuration names none that exists.
-                if self.questions.send((step, minions)).await.is_err() {
+                if self.approval_requests.send((step, minions)).await.is_err() {
                     spdlog::warn!("event=no_admission_service step={step}");
                 }
             }
@@ -272,7 +274,7 @@
         }
     }
 
-    fn tell(&self, agent: &Name, message: ToAgent) {
+    fn send_to_agent(&self, agent: &Name, message: ToAgent) {
         self.count(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
             // An order that is lost with its link is given again on the next one.
--- a/crates/geraniumpost/src/batch/coordination/known.rs
+++ b/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
@@ -4,27 +4,27 @@
 
 /// A coordinator as others know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownCoordinator {
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its fencing token.
     pub fence: u64,
 }
 
-impl Known {
+impl KnownCoordinator {
     /// Tells those who watch that this is the coordinator, if they know another one or none.
-    pub fn publish(self, known: &watch::Sender<Option<Self>>) {
-        known.send_if_modified(|present| {
-            let news = *present != Some(self);
-            if news {
+    pub fn publish(self, coordinator_tx: &watch::Sender<Option<Self>>) {
+        coordinator_tx.send_if_modified(|current| {
+            let changed = *current != Some(self);
+            if changed {
                 spdlog::info!(
                     "event=coordinator_known address={} fence={}",
                     self.address,
                     self.fence
                 );
             }
-            *present = Some(self);
-            news
+            *current = Some(self);
+            changed
         });
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/own_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -9,17 +9,17 @@
 
 /// What this process has promised to coordinators, shared by those who promise and those who release.
 #[derive(Debug)]
-pub struct OwnPromises {
+pub struct LocalPromises {
     node: Name,
     incarnation: u64,
     promises: Mutex<Promises>,
-    leaves: AtomicBool,
+    is_stopping: AtomicBool,
 }
 
-impl OwnPromises {
+impl LocalPromises {
     /// Returns that nothing is promised yet by an incarnation of an entry.
     pub fn new(node: Name, incarnation: u64) -> Self {
-        Self { node, incarnation, promises: Mutex::default(), leaves: AtomicBool::new(false) }
+        Self { node, incarnation, promises: Mutex::default(), is_stopping: AtomicBool::new(false) }
     }
 
     /// Returns the entry's name.
@@ -33,13 +33,13 @@
     }
 
     /// Takes note that the process was asked to stop.
-    pub fn leave(&self) {
-        self.leaves.store(true, Ordering::Relaxed);
+    pub fn set_stopping(&self) {
+        self.is_stopping.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether the process was asked to stop.
-    pub fn leaves(&self) -> bool {
-        self.leaves.load(Ordering::Relaxed)
+    pub fn is_stopping(&self) -> bool {
+        self.is_stopping.load(Ordering::Relaxed)
     }
 
     fn lock(&self) -> MutexGuard<'_, Promises> {
--- a/crates/geraniumpost/src/batch/coordination/mod.rs
+++ b/crates/geraniumpost/src/batch/coordination/mod.rs
@@ -1,29 +1,29 @@
 //! Who coordinates, and the coordinator's own process.
 
+mod adaptive_timeout;
 mod candidate;
-mod doorway;
+mod coordinator_key;
+mod coordinator_loss;
 mod driver;
-mod key;
-mod known;
-mod left;
-mod loss;
-mod own_promises;
+mod known_coordinator;
+mod local_promises;
+mod peer_listener;
 mod peers;
+mod process_pause;
 mod record;
-mod releases;
-mod standstill;
+mod release_requester;
+mod successor_leases;
 mod term;
 mod term_support;
-mod timeout;
 mod writer;
 
 pub use candidate::Candidate;
-pub use known::Known;
-pub use loss::{CoordinatorLoss, detect_loss};
-pub use own_promises::OwnPromises;
+pub use coordinator_loss::{CoordinatorLoss, detect_loss};
+pub use known_coordinator::KnownCoordinator;
+pub use local_promises::LocalPromises;
 pub use peers::Peers;
+pub use process_pause::ProcessPause;
 pub use record::CoordinatorRecord;
-pub use standstill::Standstill;
 
 /// Key of the record that names the coordinator.
 pub const COORDINATOR_KEY: &str = "geraniumpost/coordinator";
@@ -33,4 +33,4 @@
 pub const JOB_PREFIX: &str = "geraniumpost/job/";
 
 /// Key of what coordinators have learnt of images.
-pub const KNOWLEDGE_KEY: &str = "geraniumpost/interference";
+pub const INTERFERENCE_KEY: &str = "geraniumpost/interference";
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -11,26 +11,26 @@
 use tokio::task::JoinSet;
 
 use super::super::{FromPeer, ToPeer, peer_link};
-use super::{ENTRY_PREFIX, Known};
+use super::{ENTRY_PREFIX, KnownCoordinator};
 
 /// Longest time a probe of another entry may take.
-const PROBE: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The other entries, as the store last named them.
 #[derive(Debug)]
 pub struct Peers {
     node: Name,
     address: SocketAddr,
-    others: ArcSwap<Vec<Listed>>,
+    others: ArcSwap<Vec<RegisteredEntry>>,
     /// Revision of this entry's own key; 0 while it is not listed.
     own_revision: AtomicU64,
     /// Whether this entry is asked to stop, and lists itself no more.
-    leaves: AtomicBool,
+    is_stopping: AtomicBool,
 }
 
 /// Another entry as the store names it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct RegisteredEntry {
     /// Its name.
     pub node: Name,
     /// Where it is reached.
@@ -39,8 +39,8 @@
     pub revision: u64,
 }
 
-impl Listed {
-    fn read(item: &KeyValue) -> Option<Self> {
+impl RegisteredEntry {
+    fn decode(item: &KeyValue) -> Option<Self> {
         let node = Name::from(item.key.strip_prefix(ENTRY_PREFIX)?);
         let address = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
         Some(Self { node, address, revision: item.revision })
@@ -58,17 +58,17 @@
 
 /// Pause between two readings of the list: entries come and go within minutes, and the first
 /// readings find only some of those that started together.
-const REFRESH: Duration = Duration::from_secs(4);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
 /// Longest time one reading may take.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// What another entry said.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Probed {
+pub struct ProbeResult {
     /// Whether the coordinator answers it.
-    pub answered: bool,
+    pub coordinator_responds: bool,
     /// Whom it knows to coordinate.
-    pub known: Option<Known>,
+    pub known_coordinator: Option<KnownCoordinator>,
 }
 
 impl Peers {
@@ -79,7 +79,7 @@
             address,
             others: ArcSwap::default(),
             own_revision: AtomicU64::new(0),
-            leaves: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
         }
     }
 
@@ -88,40 +88,40 @@
     /// # Errors
     ///
     /// Fails if the store does not confirm it.
-    pub async fn announce(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
-        let put = Transaction {
+    pub async fn register(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
+        let transaction = Transaction {
             write: vec![(key(&self.node), self.address.to_string().into())],
             ..Transaction::default()
         };
-        let revision = store.commit(&put, timeout).await?;
+        let revision = store.commit(&transaction, timeout).await?;
         self.own_revision.store(revision, Ordering::Relaxed);
         Ok(())
     }
 
     /// Takes this entry off the list for good, unless another process of the same name has listed itself.
-    pub async fn leave(&self, store: &Store, timeout: Duration) {
-        self.leaves.store(true, Ordering::Relaxed);
+    pub async fn deregister(&self, store: &Store, timeout: Duration) {
+        self.is_stopping.store(true, Ordering::Relaxed);
         let key = key(&self.node);
-        let put = Transaction {
+        let transaction = Transaction {
             expect: vec![(key.clone(), self.own_revision.load(Ordering::Relaxed))],
             remove: vec![key],
             ..Transaction::default()
         };
-        if let Err(error) = store.commit(&put, timeout).await {
+        if let Err(error) = store.commit(&transaction, timeout).await {
             spdlog::warn!("event=leave_failed why=\"{error}\"");
         }
     }
 
     /// Keeps the list of the other entries for as long as the process runs. Without the store the
     /// entries known before stay known, as that is when they are needed.
-    pub async fn follow(self: Arc<Self>, store: Arc<Store>) {
+    pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
             match self.refresh(&store, READ_TIMEOUT).await {
                 Ok(true) => {}
-                Ok(false) => self.list_again(&store).await,
+                Ok(false) => self.register_again(&store).await,
                 Err(error) => spdlog::debug!("event=read_failed what=entries why=\"{error}\""),
             }
-            tokio::time::sleep(REFRESH).await;
+            tokio::time::sleep(REFRESH_INTERVAL).await;
         }
     }
 
@@ -129,80 +129,88 @@
     /// listed for a while, and do not answer.
     async fn refresh(&self, store: &Store, timeout: Duration) -> Result<bool, StoreError> {
         let items = store.list(ENTRY_PREFIX, timeout).await?;
-        let (own, others): (Vec<_>, Vec<_>) =
-            items.iter().filter_map(Listed::read).partition(|listed| listed.node == self.node);
+        let (own, others): (Vec<_>, Vec<_>) = items
+            .iter()
+            .filter_map(RegisteredEntry::decode)
+            .partition(|registered| registered.node == self.node);
         self.others.store(Arc::new(others));
         Ok(!own.is_empty())
     }
 
     /// Lists this entry again that a coordinator took for gone.
-    async fn list_again(&self, store: &Store) {
-        if self.leaves.load(Ordering::Relaxed) {
+    async fn register_again(&self, store: &Store) {
+        if self.is_stopping.load(Ordering::Relaxed) {
             return;
         }
-        let result = self.announce(store, READ_TIMEOUT).await;
+        let result = self.register(store, READ_TIMEOUT).await;
         spdlog::warn!("event=listed_again ok={}", result.is_ok());
     }
 
     /// Returns the other entries.
-    pub fn listed(&self) -> Arc<Vec<Listed>> {
+    pub fn registered(&self) -> Arc<Vec<RegisteredEntry>> {
         self.others.load_full()
     }
 
     /// Asks all other entries but one what they know of the coordinator.
-    pub async fn probe(&self, except: Option<&Name>) -> Vec<Probed> {
+    pub async fn probe(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
         let mut probes = JoinSet::new();
-        for Listed { node, address, .. } in self.others.load().iter() {
-            if Some(node) != except {
+        for RegisteredEntry { node, address, .. } in self.others.load().iter() {
+            if Some(node) != excluded {
                 probes.spawn(probe(*address));
             }
         }
-        let mut answers = Vec::new();
-        while let Some(answer) = probes.join_next().await {
-            answers.extend(answer.ok().flatten());
+        let mut results = Vec::new();
+        while let Some(response) = probes.join_next().await {
+            results.extend(response.ok().flatten());
         }
-        answers
+        results
     }
 
     /// Returns where another entry is reached.
     pub fn address(&self, node: &Name) -> Option<SocketAddr> {
         let others = self.others.load();
-        others.iter().find(|listed| listed.node == *node).map(|listed| listed.address)
+        others
+            .iter()
+            .find(|registered| registered.node == *node)
+            .map(|registered| registered.address)
     }
 
     /// Returns how many other entries are known, but for one.
-    pub fn count(&self, except: &Name) -> usize {
-        self.others.load().iter().filter(|listed| listed.node != *except).count()
+    pub fn count(&self, excluded: &Name) -> usize {
+        self.others.load().iter().filter(|registered| registered.node != *excluded).count()
     }
 
     /// Asks the other entries for a coordinator with a higher token than `fence`.
     ///
     /// An entry that the store turns away learns of no takeover by itself. Its callers would wait
     /// for a coordinator that has a successor, while every other entry serves.
-    pub async fn successor(&self, fence: u64) -> Option<Known> {
-        let answers = self.probe(None).await;
-        let newer = answers.into_iter().filter_map(|probed| probed.known);
-        newer.filter(|known| known.fence > fence).max_by_key(|known| known.fence)
+    pub async fn successor(&self, fence: u64) -> Option<KnownCoordinator> {
+        let results = self.probe(None).await;
+        let successors = results.into_iter().filter_map(|result| result.known_coordinator);
+        successors
+            .filter(|known_coordinator| known_coordinator.fence > fence)
+            .max_by_key(|known_coordinator| known_coordinator.fence)
     }
 }
 
 /// Asks an entry what it knows of the coordinator.
-pub async fn probe(address: SocketAddr) -> Option<Probed> {
-    match ask(address, FromPeer::Probe).await? {
-        ToPeer::ProbeResponse { coordinator_answers, coordinator } => {
-            let known = coordinator.map(|(address, fence)| Known { address, fence });
-            Some(Probed { answered: coordinator_answers, known })
+pub async fn probe(address: SocketAddr) -> Option<ProbeResult> {
+    match request(address, FromPeer::Probe).await? {
+        ToPeer::ProbeResponse { coordinator_responds, coordinator } => {
+            let known_coordinator =
+                coordinator.map(|(address, fence)| KnownCoordinator { address, fence });
+            Some(ProbeResult { coordinator_responds, known_coordinator })
         }
         _ => None,
     }
 }
 
 /// Sends one message to an entry over a connection of its own, and returns the answer.
-pub async fn ask(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
-    let asking = async {
+pub async fn request(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
+    let exchange = async {
         let (tx, mut rx) = peer_link::dial::<FromPeer, ToPeer>(address).await.ok()?;
         tx.send(message).ok()?;
-        rx.next().await.map(|answer| answer.head)
+        rx.next().await.map(|response| response.head)
     };
-    tokio::time::timeout(PROBE, asking).await.ok().flatten()
+    tokio::time::timeout(PROBE_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -1,14 +1,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use geraniumpost_batch::Inheritance;
+use geraniumpost_batch::PredecessorLeases;
 use geraniumpost_batch::quorum::Voters;
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
 /// What earlier versions leave out at the end of their records, as it is encoded empty: the voters, and an
-/// [`Inheritance`] before them.
-const LEFT_OUT: [&[u8]; 3] = [&[], &[0], &[0, 0, 0]];
+/// [`PredecessorLeases`] before them.
+const OMITTED_TAILS: [&[u8]; 3] = [&[], &[0], &[0, 0, 0]];
 
 /// What lies under the coordinator's key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
     /// Whether it has stepped down, so that the next one need not look for it first.
     pub stepped_down: bool,
     /// Whose leases may last for how long, counted from the writing of this record.
-    pub predecessor_leases: Inheritance,
+    pub predecessor_leases: PredecessorLeases,
     /// The voters of this term, and of those of the silent coordinators that the inheritance names.
     pub voters: BTreeMap<u64, Voters>,
 }
@@ -43,9 +43,9 @@
     ///
     /// Fails on bytes of another layout.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
-        let read = |left_out: &&[u8]| postcard::from_bytes(&[bytes, left_out].concat());
-        let mut tries = LEFT_OUT.iter().map(read);
-        tries.find(Result::is_ok).unwrap_or_else(|| postcard::from_bytes(bytes))
+        let decode = |omitted: &&[u8]| postcard::from_bytes(&[bytes, omitted].concat());
+        let mut attempts = OMITTED_TAILS.iter().map(decode);
+        attempts.find(Result::is_ok).unwrap_or_else(|| postcard::from_bytes(bytes))
     }
 
     /// Returns the voters of a term.
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -5,40 +5,42 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_SILENCE_MS;
-use geraniumpost_batch::{Coordinator, Inheritance, JobId, JobRecord, Knowledge, Now};
+use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
+use geraniumpost_batch::{
+    Coordinator, InterferenceSnapshot, JobId, JobRecord, Now, PredecessorLeases,
+};
 use geraniumpost_platform::{Admission, GetResponse, Page, Store, StoreError};
 use tokio::sync::{mpsc, watch};
 
-use super::super::{BootClock, first_answer};
-use super::doorway::{Inputs, TermInputs};
-use super::driver::{Driver, Input, Question};
-use super::left::Left;
-use super::own_promises::OwnPromises;
+use super::super::{BootClock, hedged_read};
+use super::adaptive_timeout::AdaptiveTimeout;
+use super::driver::{ApprovalRequest, Driver, Input};
+use super::local_promises::LocalPromises;
+use super::peer_listener::{Inputs, TermInputs};
 use super::peers::{Peers, probe};
 use super::record::CoordinatorRecord;
-use super::releases::{Asker, SilentTerm};
+use super::release_requester::{ReleaseRequester, SilentTerm};
+use super::successor_leases::SuccessorLeases;
 use super::term_support::TermSupport;
-use super::timeout::Timeout;
 use super::writer::{TermLost, Writer};
-use super::{JOB_PREFIX, KNOWLEDGE_KEY};
+use super::{INTERFERENCE_KEY, JOB_PREFIX};
 use crate::metrics::Metrics;
 
 /// Messages that may wait for the coordinator.
-const QUEUE: usize = 4_096;
+const INPUT_QUEUE: usize = 4_096;
 /// Batches that may wait for the writer; the coordinator gathers no more than it lets be under way.
-const BATCHES: usize = 8;
+const WRITE_QUEUE: usize = 8;
 /// Time from one attempt to read records to the next, until one is answered.
-const READ_SPACING: Duration = Duration::from_millis(1_500);
+const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Longest time in which nothing of a page of records arrives that has begun.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest time that one question to the admission service may take; it needs some milliseconds for
 /// each minion named.
 const ADMISSION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two looks for a successor, or at a predecessor.
-const DOUBT_PAUSE: Duration = Duration::from_millis(300);
+const SUCCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause after the store failed.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
 /// A term that was just taken.
 pub struct Term {
@@ -47,18 +49,18 @@
     /// Revision of the coordinator's key.
     pub revision: u64,
     /// How long minions hold their tasks, in milliseconds.
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     /// When the store was asked for the term, on the boot clock.
-    pub asked_ms: u64,
+    pub requested_ms: u64,
     /// When the term was taken.
-    pub taken: Now,
+    pub began: Now,
     /// What earlier coordinators left behind, as it held then.
-    pub inheritance: Inheritance,
+    pub predecessor_leases: PredecessorLeases,
     pub confirmed_ms: Arc<AtomicU64>,
     /// The other entries, which may know of a successor.
     pub peers: Arc<Peers>,
     /// What this entry has promised to coordinators.
-    pub promises: Arc<OwnPromises>,
+    pub promises: Arc<LocalPromises>,
     /// The service that approves minions for steps, if there is one.
     pub admission: Option<SocketAddr>,
     /// Counters and histograms.
@@ -67,20 +69,20 @@
 
 impl Term {
     /// Coordinates until the term is lost or the process is asked to stop.
-    pub async fn run(self, doorway: &watch::Sender<Inputs>, stop: watch::Receiver<bool>) {
-        let (tx, mut rx) = mpsc::channel(QUEUE);
+    pub async fn run(self, peer_listener: &watch::Sender<Inputs>, stop: watch::Receiver<bool>) {
+        let (tx, mut rx) = mpsc::channel(INPUT_QUEUE);
         self.confirmed_ms.store(BootClock.now_ms(), Ordering::Relaxed);
         // Links are taken at once; their messages wait until the records are read.
         let voters = self.record.voters_of(self.record.term);
         let support =
             Arc::new(TermSupport::new(self.record.node.clone(), self.record.term, voters));
-        doorway
+        peer_listener
             .send_replace(Some(TermInputs { inputs: tx.clone(), support: Arc::clone(&support) }));
-        self.ask_silent(&tx);
-        let (records, knowledge) =
-            tokio::join!(self.read_records(stop.clone()), self.read_knowledge());
+        self.query_silent_coordinators(&tx);
+        let (records, interference) =
+            tokio::join!(self.read_records(stop.clone()), self.read_interference());
         let Some(records) = records else {
-            doorway.send_replace(None);
+            peer_listener.send_replace(None);
             return;
         };
         let now = BootClock.now();
@@ -91,19 +93,23 @@
             records.len()
         );
         let coordinator = Coordinator::new(self.record.term, now)
-            .hold_ms(self.hold_ms)
-            .term_requested_at(self.asked_ms)
-            .with_predecessor_leases(&self.inheritance, self.taken)
-            .with_interference(&knowledge)
+            .lease_ms(self.lease_ms)
+            .term_requested_at(self.requested_ms)
+            .with_predecessor_leases(&self.predecessor_leases, self.began)
+            .with_interference(&interference)
             .with_records(records, now);
-        let (writes_tx, mut writes) = mpsc::channel(BATCHES);
-        let (questions_tx, questions) = mpsc::channel(QUEUE);
+        let (writes_tx, mut writes) = mpsc::channel(WRITE_QUEUE);
+        let (approval_requests_tx, approval_requests) = mpsc::channel(INPUT_QUEUE);
         if let Some(address) = self.admission {
-            tokio::spawn(ask_admission(Admission::new(address), questions, tx.clone()));
+            tokio::spawn(serve_approval_requests(
+                Admission::new(address),
+                approval_requests,
+                tx.clone(),
+            ));
         }
-        let left = Arc::new(Left::new(
-            self.inheritance.clone().while_coordinating(),
-            self.taken.steady_ms,
+        let successor_leases = Arc::new(SuccessorLeases::new(
+            self.predecessor_leases.clone().while_coordinating(),
+            self.began.steady_ms,
         ));
         let mut writer = Writer {
             store: self.store,
@@ -111,32 +117,39 @@
             revision: self.revision,
             inputs: tx,
             confirmed_ms: self.confirmed_ms,
-            timeout: Timeout::default(),
-            left: Arc::clone(&left),
+            timeout: AdaptiveTimeout::default(),
+            successor_leases: Arc::clone(&successor_leases),
             support: Arc::clone(&support),
             peers: Arc::clone(&self.peers),
-            taken_ms: self.taken.steady_ms,
+            term_began_ms: self.began.steady_ms,
             metrics: Arc::clone(&self.metrics),
         };
         self.metrics.planner_term(writer.record.term);
         let confirmed_ms = Arc::clone(&writer.confirmed_ms);
-        let succeeded = succeeded(self.peers, confirmed_ms, writer.record.term);
+        let successor_found = successor_found(self.peers, confirmed_ms, writer.record.term);
         let metrics = Arc::clone(&self.metrics);
-        let driver = Driver::new(coordinator, writes_tx, questions_tx, left, support, metrics);
+        let driver = Driver::new(
+            coordinator,
+            writes_tx,
+            approval_requests_tx,
+            successor_leases,
+            support,
+            metrics,
+        );
         let ended = tokio::select! {
             end = driver.run(&mut rx) => {
                 spdlog::warn!("event=term_ended why=\"{end:?}\"");
                 Err(TermLost)
             }
             end = writer.run(&mut writes, stop) => end,
-            () = succeeded => Err(TermLost),
+            () = successor_found => Err(TermLost),
         };
         // The key says that it is vacant before the links close: who looks then sees it at once.
         match ended {
             Ok(()) => writer.step_down().await,
             Err(error) => spdlog::warn!("event=term_lost why=\"{error}\""),
         }
-        doorway.send_replace(None);
+        peer_listener.send_replace(None);
         self.metrics.planner_term(0);
         self.metrics.longest_wait(Duration::ZERO, Duration::ZERO);
         self.metrics.lease_supporters(0);
@@ -144,37 +157,41 @@
 
     /// Begins to ask silent coordinators for a word, and entries for theirs. The answers wait until the
     /// records are read.
-    fn ask_silent(&self, inputs: &mpsc::Sender<Input>) {
-        let asker = Asker {
+    fn query_silent_coordinators(&self, inputs: &mpsc::Sender<Input>) {
+        let requester = ReleaseRequester {
             term: self.record.term,
-            taken_ms: self.taken.steady_ms,
+            term_began_ms: self.began.steady_ms,
             promises: Arc::clone(&self.promises),
             peers: Arc::clone(&self.peers),
         };
-        for (address, silent) in &self.inheritance.silent {
+        for (address, silent) in &self.predecessor_leases.silent {
             let (address, term) = (*address, silent.term);
-            tokio::spawn(await_predecessor(address, term, inputs.clone()));
+            tokio::spawn(await_predecessor_end(address, term, inputs.clone()));
             let silent = SilentTerm { address, term, voters: self.record.voters_of(term) };
-            tokio::spawn(asker.clone().await_releases(silent, inputs.clone()));
+            tokio::spawn(requester.clone().collect_releases(silent, inputs.clone()));
         }
     }
 
     /// Reads what a predecessor had learnt. Without it the coordinator learns anew.
-    async fn read_knowledge(&self) -> Knowledge {
-        let reading = async {
-            self.store.begin_get(KNOWLEDGE_KEY, READ_SPACING).await?.receive(SILENCE).await
+    async fn read_interference(&self) -> InterferenceSnapshot {
+        let response = async {
+            self.store
+                .begin_get(INTERFERENCE_KEY, READ_ATTEMPT_INTERVAL)
+                .await?
+                .receive(BODY_IDLE_TIMEOUT)
+                .await
         };
-        let item = match reading.await {
+        let item = match response.await {
             Ok(GetResponse { item: Some(item), .. }) => item,
-            Ok(GetResponse { item: None, .. }) => return Knowledge::default(),
+            Ok(GetResponse { item: None, .. }) => return InterferenceSnapshot::default(),
             Err(error) => {
                 spdlog::warn!("event=read_failed what=knowledge why=\"{error}\"");
-                return Knowledge::default();
+                return InterferenceSnapshot::default();
             }
         };
-        Knowledge::decode(&item.value).unwrap_or_else(|error| {
-            spdlog::warn!("event=record_unreadable key={KNOWLEDGE_KEY} why=\"{error}\"");
-            Knowledge::default()
+        InterferenceSnapshot::decode(&item.value).unwrap_or_else(|error| {
+            spdlog::warn!("event=record_unreadable key={INTERFERENCE_KEY} why=\"{error}\"");
+            InterferenceSnapshot::default()
         })
     }
 
@@ -193,12 +210,12 @@
     /// records in this term, and a list that began anew with each failure might never end.
     async fn read_all_pages(&self) -> Vec<(JobId, JobRecord)> {
         let mut records = Vec::new();
-        let mut last = None;
+        let mut last_key = None;
         loop {
-            let page = self.read_page(last.as_deref()).await;
+            let page = self.read_page(last_key.as_deref()).await;
             self.confirmed_ms.store(BootClock.now_ms(), Ordering::Relaxed);
             records.extend(page.items.iter().filter_map(read_record));
-            last = page.items.last().map(|item| item.key.clone());
+            last_key = page.items.last().map(|item| item.key.clone());
             if !page.more {
                 return records;
             }
@@ -206,47 +223,48 @@
     }
 
     async fn read_page(&self, after: Option<&str>) -> Page {
-        let failed = |error: &StoreError| {
+        let log_failure = |error: &StoreError| {
             spdlog::warn!("event=read_failed what=records why=\"{error}\"");
         };
         let attempt = |timeout| self.store.begin_page(JOB_PREFIX, after, timeout);
         loop {
-            let read = match first_answer(&self.store, READ_SPACING, attempt, failed).await {
-                Ok(reading) => reading.receive(SILENCE).await,
-                Err(error) => Err(error),
-            };
+            let read =
+                match hedged_read(&self.store, READ_ATTEMPT_INTERVAL, attempt, log_failure).await {
+                    Ok(response) => response.receive(BODY_IDLE_TIMEOUT).await,
+                    Err(error) => Err(error),
+                };
             match read {
                 Ok(page) => return page,
-                Err(error) => failed(&error),
+                Err(error) => log_failure(&error),
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 /// Puts questions to the admission service, one at a time, as it answers them.
-async fn ask_admission(
+async fn serve_approval_requests(
     admission: Admission,
-    mut questions: mpsc::Receiver<Question>,
+    mut approval_requests: mpsc::Receiver<ApprovalRequest>,
     inputs: mpsc::Sender<Input>,
 ) {
-    while let Some((step, minions)) = questions.recv().await {
-        let answer = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
-        if let Err(why) = &answer {
+    while let Some((step, minions)) = approval_requests.recv().await {
+        let response = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
+        if let Err(why) = &response {
             spdlog::warn!("event=approval_unanswered step={step} why=\"{why}\"");
         }
-        if inputs.send(Input::Approved((step, minions), answer.ok())).await.is_err() {
+        if inputs.send(Input::ApprovalResponse((step, minions), response.ok())).await.is_err() {
             return;
         }
     }
 }
 
 /// Waits until another entry knows a successor, while the store is silent.
-async fn succeeded(peers: Arc<Peers>, confirmed_ms: Arc<AtomicU64>, fence: u64) {
+async fn successor_found(peers: Arc<Peers>, confirmed_ms: Arc<AtomicU64>, fence: u64) {
     loop {
-        tokio::time::sleep(DOUBT_PAUSE).await;
+        tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
         let silent_ms = BootClock.now_ms().saturating_sub(confirmed_ms.load(Ordering::Relaxed));
-        if silent_ms >= STORE_SILENCE_MS && peers.successor(fence).await.is_some() {
+        if silent_ms >= STORE_UNREACHABLE_MS && peers.successor(fence).await.is_some() {
             return;
         }
     }
@@ -256,15 +274,15 @@
 ///
 /// It need not know the present one: an entry whose link to the coordinator is well reads the key no more, also
 /// if that entry has begun another term meanwhile.
-async fn await_predecessor(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
+async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
-        let known = probe(address).await.and_then(|probed| probed.known);
-        if known.is_some_and(|known| known.fence > term) {
+        let known_coordinator = probe(address).await.and_then(|result| result.known_coordinator);
+        if known_coordinator.is_some_and(|known_coordinator| known_coordinator.fence > term) {
             // A term that ended meanwhile needs no word of it.
             let _ = inputs.send(Input::PredecessorEnded(address)).await;
             return;
         }
-        tokio::time::sleep(DOUBT_PAUSE).await;
+        tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
     }
 }
 
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -11,15 +11,15 @@
 #[derive(Debug)]
 pub struct TermSupport {
     /// The entry that coordinates; its own support goes without saying.
-    own: Name,
+    local_node: Name,
     term: u64,
     support: Mutex<Support>,
 }
 
 impl TermSupport {
     /// Returns the support of a term that begins now, whose key names these voters.
-    pub fn new(own: Name, term: u64, voters: Voters) -> Self {
-        Self { own, term, support: Mutex::new(Support::new(voters, BootClock.now_ms())) }
+    pub fn new(local_node: Name, term: u64, voters: Voters) -> Self {
+        Self { local_node, term, support: Mutex::new(Support::new(voters, BootClock.now_ms())) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Support> {
@@ -27,20 +27,20 @@
     }
 
     /// Returns the present time, to be sent with a pong.
-    pub fn now(&self) -> TermTime {
+    pub fn pong_time(&self) -> TermTime {
         TermTime { term: self.term, steady_ms: BootClock.now_ms() }
     }
 
     /// Takes note that an entry sends the time of a pong back, and with it a promise.
-    pub fn promised(&self, node: &Name, incarnation: u64, sent: TermTime) {
-        if sent.term == self.term && *node != self.own {
-            self.lock().promised(node, incarnation, sent.steady_ms);
+    pub fn record_promise(&self, node: &Name, incarnation: u64, sent: TermTime) {
+        if sent.term == self.term && *node != self.local_node {
+            self.lock().record_promise(node, incarnation, sent.steady_ms);
         }
     }
 
     /// Takes note that an entry is about to stop.
-    pub fn leaves(&self, node: &Name) {
-        self.lock().leaves(node);
+    pub fn mark_stopping(&self, node: &Name) {
+        self.lock().mark_stopping(node);
     }
 
     /// Returns for how long an entry has not answered, if it ever did in this term.
@@ -49,23 +49,23 @@
     }
 
     /// Returns until when a majority supports the term, on the boot clock, and how many other entries do now.
-    pub fn present(&self) -> (u64, usize) {
+    pub fn current(&self) -> (u64, usize) {
         let support = self.lock();
-        (support.until_ms(), support.supporters(BootClock.now_ms()))
+        (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
 
     /// Returns the voters that the key should name, if it names others.
-    pub fn wanted(&self) -> Option<Voters> {
-        self.lock().wanted(BootClock.now_ms())
+    pub fn voters_to_write(&self) -> Option<Voters> {
+        self.lock().voters_to_write(BootClock.now_ms())
     }
 
     /// Takes note that the key is about to name other voters.
-    pub fn change(&self, voters: Voters) {
-        self.lock().change(voters, BootClock.now_ms());
+    pub fn begin_voter_change(&self, voters: Voters) {
+        self.lock().begin_voter_change(voters, BootClock.now_ms());
     }
 
     /// Takes note that the key names them.
-    pub fn changed(&self) {
-        self.lock().changed();
+    pub fn complete_voter_change(&self) {
+        self.lock().complete_voter_change();
     }
 }
--- a/crates/geraniumpost/src/batch/entry/in_force.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -14,7 +14,7 @@
 
 /// The configuration in force, and what is known of newer ones.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     routes: ArcSwapOption<Routes>,
     /// When the call was sent that last showed the newest version, on the boot clock.
     confirmed_ms: AtomicU64,
@@ -26,7 +26,7 @@
     metrics: Arc<Metrics>,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Returns that of an entry which has read none yet.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         let confirmed_ms = AtomicU64::new(BootClock.now_ms());
--- a/crates/geraniumpost/src/batch/entry/callers.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use geraniumpost_batch::{Answer as Told, Ask, JobId};
+use geraniumpost_batch::{CallerRequest, CallerResponse as Told, JobId};
 use geraniumpost_platform::{DEADLINE_HEADER, Route, decode_job, encode_pending, encode_state};
 use http::header::{CONTENT_TYPE, HOST, RETRY_AFTER};
 use http::{HeaderValue, Method, Request, StatusCode};
@@ -55,14 +55,14 @@
     let deadline = deadline(&req);
     let rest = &req.uri().path()[route.prefix.len()..];
     if rest.is_empty() && req.method() == Method::GET {
-        return relay(shared, Ask::Pending(route.terms.queue.clone()), deadline).await;
+        return relay(shared, CallerRequest::Pending(route.terms.queue.clone()), deadline).await;
     }
     let Ok(job) = rest.parse::<JobId>() else {
         return empty(StatusCode::NOT_FOUND);
     };
     match *req.method() {
-        Method::GET => relay(shared, Ask::State(job), deadline).await,
-        Method::DELETE => relay(shared, Ask::Cancel(job), deadline).await,
+        Method::GET => relay(shared, CallerRequest::State(job), deadline).await,
+        Method::DELETE => relay(shared, CallerRequest::Cancel(job), deadline).await,
         Method::POST => submit(req, shared, job, route, routes.max_body_bytes, deadline).await,
         _ => empty(StatusCode::METHOD_NOT_ALLOWED),
     }
@@ -90,11 +90,11 @@
             return empty(StatusCode::BAD_REQUEST);
         }
     };
-    relay(shared, Ask::Submit { job, spec, terms: route.terms.clone() }, deadline).await
+    relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, deadline).await
 }
 
 /// Has the coordinator answer, and translates what it says.
-async fn relay(shared: &Shared, ask: Ask, deadline: Duration) -> Answer {
+async fn relay(shared: &Shared, ask: CallerRequest, deadline: Duration) -> Answer {
     // While the coordinator has been silent for long, holding callers would only cost them time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent = UNSENT.saturating_sub(silent).max(LEAST_UNSENT);
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -7,8 +7,8 @@
     CONFIGURATION_KEY, Change, GetResponse, PendingResponse, Store, StoreError, WatchResponse,
 };
 
-use super::super::{BootClock, first_answer};
-use super::{InForce, Shared};
+use super::super::{BootClock, hedged_read};
+use super::{ActiveConfiguration, Shared};
 
 /// How long a watch waits. A connection that has gone silent is noticed after it.
 const WATCH: Duration = Duration::from_secs(1);
@@ -37,7 +37,7 @@
 
 struct Follower<'a> {
     store: &'a Store,
-    in_force: &'a InForce,
+    in_force: &'a ActiveConfiguration,
     /// Attempts in a row that failed.
     failed: u32,
 }
@@ -112,7 +112,7 @@
             Ok((asked_ms, store.begin_get(CONFIGURATION_KEY, timeout).await?))
         };
         let began_ms = BootClock.now_ms();
-        first_answer(store, READ_SPACING, attempt, |error| self.failed(began_ms, error)).await
+        hedged_read(store, READ_SPACING, attempt, |error| self.failed(began_ms, error)).await
     }
 
     async fn begin_watch(
@@ -126,7 +126,7 @@
             Ok((asked_ms, watch.await?))
         };
         let began_ms = BootClock.now_ms();
-        first_answer(store, WATCH_SPACING, attempt, |error| self.failed(began_ms, error)).await
+        hedged_read(store, WATCH_SPACING, attempt, |error| self.failed(began_ms, error)).await
     }
 
     fn failed(&mut self, asked_ms: u64, error: &StoreError) {
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The entry: callers' requests, readiness, and a candidate for coordinating.
 
-mod callers;
+mod active_configuration;
+mod caller_requests;
 mod configuration;
-mod in_force;
 mod newer_versions;
 mod readiness;
 mod relay;
@@ -16,11 +16,11 @@
 use rand::Rng as _;
 use tokio::sync::watch;
 
-use super::coordination::{Candidate, Known, OwnPromises};
+use super::coordination::{Candidate, KnownCoordinator, LocalPromises};
 use super::http_server;
 use crate::metrics::Metrics;
 
-pub use in_force::InForce;
+pub use active_configuration::ActiveConfiguration;
 pub use newer_versions::NewerVersions;
 pub use relay::{LinkState, NoAnswer, Relay};
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Shared {
     /// The configuration in force.
-    pub in_force: Arc<InForce>,
+    pub in_force: Arc<ActiveConfiguration>,
     /// Time in which an acknowledged configuration has to be in force, in milliseconds.
     pub config_apply_ms: u64,
     /// Relays requests to the coordinator.
@@ -74,9 +74,9 @@
     spdlog::info!("event=start role=job-entry node={} callers={callers}", settings.node);
     let metrics = super::serve_metrics(settings.ip).await?;
     let store = Arc::new(Store::new(settings.store_address));
-    let (known_tx, known) = watch::channel::<Option<Known>>(None);
-    let in_force = Arc::new(InForce::new(Arc::clone(&metrics)));
-    let promises = Arc::new(OwnPromises::new(settings.node.clone(), rand::rng().random()));
+    let (known_tx, known) = watch::channel::<Option<KnownCoordinator>>(None);
+    let in_force = Arc::new(ActiveConfiguration::new(Arc::clone(&metrics)));
+    let promises = Arc::new(LocalPromises::new(settings.node.clone(), rand::rng().random()));
     let relay = Relay::start(Arc::clone(&promises), known, Arc::clone(&in_force));
     let shared = Arc::new(Shared {
         in_force: Arc::clone(&in_force),
@@ -102,16 +102,16 @@
     }));
     let on_call = Arc::clone(&shared);
     let serving = tokio::spawn(http_server::serve(callers, closing, move |req| {
-        callers::answer(req, Arc::clone(&on_call))
+        caller_requests::answer(req, Arc::clone(&on_call))
     }));
     crate::stop_signal::stopped(&mut stop.clone()).await;
-    promises.leave();
+    promises.set_stopping();
     tokio::time::sleep(LEAVING_TIME).await;
     closing_tx.send_replace(true);
     let rest = settings.bounds.grace_ms.saturating_sub(LAST_ANSWERS_MS);
     let rest = Duration::from_millis(rest).saturating_sub(LEAVING_TIME);
     let _ = tokio::time::timeout(rest, serving).await;
-    peers.leave(&store, LEAVE_TIMEOUT).await;
+    peers.deregister(&store, LEAVE_TIMEOUT).await;
     spdlog::info!("event=stop role=job-entry node={}", settings.node);
     spdlog::default_logger().flush();
     Ok(())
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -6,14 +6,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::{Answer, Ask, FromEntry, TermTime, ToEntry};
+use geraniumpost_batch::{CallerRequest, CallerResponse, FromEntry, TermTime, ToEntry};
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use super::super::coordination::{Known, OwnPromises};
+use super::super::coordination::{KnownCoordinator, LocalPromises};
 use super::super::{BootClock, FromPeer, ToPeer, peer_link};
-use super::InForce;
+use super::ActiveConfiguration;
 
 /// Pause between two pings. A coordinator that is gone is noticed by three missing answers.
 const PING: Duration = Duration::from_millis(250);
@@ -42,8 +42,8 @@
 /// A caller's request on its way.
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
-    answer: oneshot::Sender<Answer>,
+    ask: CallerRequest,
+    answer: oneshot::Sender<CallerResponse>,
     /// Copies of the request that left.
     sent: Arc<AtomicU64>,
     /// Copies of it that the coordinator refused.
@@ -57,8 +57,8 @@
     /// one copy: another may be read later, when there is room, and be accepted. Its caller would have
     /// been told that the job does not run, and it would run all the same. What is not settled in time is
     /// told as unknown.
-    fn is_settled_by(&mut self, answer: Answer) -> bool {
-        if !matches!(answer, Answer::Refused { .. }) {
+    fn is_settled_by(&mut self, answer: CallerResponse) -> bool {
+        if !matches!(answer, CallerResponse::Refused { .. }) {
             return true;
         }
         self.refused += 1;
@@ -89,9 +89,9 @@
     /// Pings carry the version of the configuration in force, and answers the newest one that the
     /// coordinator has heard of. Pings also carry this entry's promise to support the coordinator.
     pub fn start(
-        promises: Arc<OwnPromises>,
-        known: watch::Receiver<Option<Known>>,
-        in_force: Arc<InForce>,
+        promises: Arc<LocalPromises>,
+        known: watch::Receiver<Option<KnownCoordinator>>,
+        in_force: Arc<ActiveConfiguration>,
     ) -> Self {
         let (tx, rx) = mpsc::channel(QUEUE);
         let (state_tx, state) = watch::channel(LinkState::default());
@@ -128,7 +128,12 @@
     ///
     /// Tells whether the request certainly had no effect. One that could not be sent is given up
     /// after `unsent` already, one that was sent only after `all`.
-    pub async fn ask(&self, ask: Ask, unsent: Duration, all: Duration) -> Result<Answer, NoAnswer> {
+    pub async fn ask(
+        &self,
+        ask: CallerRequest,
+        unsent: Duration,
+        all: Duration,
+    ) -> Result<CallerResponse, NoAnswer> {
         let sent = Arc::new(AtomicU64::new(0));
         let (answer_tx, mut answer) = oneshot::channel();
         let waiting = Waiting { ask, answer: answer_tx, sent: Arc::clone(&sent), refused: 0 };
@@ -153,11 +158,11 @@
 }
 
 struct Task {
-    promises: Arc<OwnPromises>,
+    promises: Arc<LocalPromises>,
     /// When the coordinator sent its last pong, and when that was heard, on the boot clock.
     heard: Option<(TermTime, u64)>,
-    known: watch::Receiver<Option<Known>>,
-    in_force: Arc<InForce>,
+    known: watch::Receiver<Option<KnownCoordinator>>,
+    in_force: Arc<ActiveConfiguration>,
     rx: mpsc::Receiver<Waiting>,
     state: watch::Sender<LinkState>,
     heard_ms: Arc<AtomicU64>,
@@ -249,7 +254,7 @@
         FromEntry::Ping {
             configuration: self.in_force.version(),
             supports: self.heard.and_then(promise),
-            leaves: self.promises.leaves(),
+            stopping: self.promises.is_stopping(),
         }
     }
 
@@ -280,7 +285,7 @@
                     };
                 });
             }
-            ToPeer::Entry(ToEntry::Answer { ticket, answer }) => {
+            ToPeer::Entry(ToEntry::Response { ticket, response: answer }) => {
                 let Some(waiting) = self.waiting.get_mut(&ticket) else { return true };
                 if waiting.is_settled_by(answer)
                     && let Some(waiting) = self.waiting.remove(&ticket)
@@ -322,5 +327,6 @@
         return;
     }
     // A closed link is noticed by its reader, and the request is sent again on the next one.
-    let _ = tx.send(FromPeer::EntryMessage(FromEntry::Ask { ticket, ask: waiting.ask.clone() }));
+    let _ = tx
+        .send(FromPeer::EntryMessage(FromEntry::Request { ticket, request: waiting.ask.clone() }));
 }
--- a/crates/geraniumpost/src/batch/attempts.rs
+++ b/crates/geraniumpost/src/batch/hedged_read.rs
@@ -8,7 +8,7 @@
 
 /// Attempts that may be under way at a time. Each gets this many times the time between two of them to be
 /// answered.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_CONCURRENT_ATTEMPTS: u32 = 3;
 /// Pause after an attempt that failed at once.
 const PAUSE: Duration = Duration::from_millis(150);
 
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// Fails only if the history that is asked for is gone.
-pub async fn first_answer<T, F>(
+pub async fn hedged_read<T, F>(
     store: &Store,
     spacing: Duration,
     attempt: impl Fn(Duration) -> F,
@@ -36,11 +36,11 @@
     let mut next = Instant::now();
     loop {
         tokio::select! {
-            () = tokio::time::sleep_until(next), if under_way.len() < ATTEMPTS as usize => {
+            () = tokio::time::sleep_until(next), if under_way.len() < MAX_CONCURRENT_ATTEMPTS as usize => {
                 if !under_way.is_empty() {
                     store.close_idle();
                 }
-                under_way.push(attempt(spacing * ATTEMPTS));
+                under_way.push(attempt(spacing * MAX_CONCURRENT_ATTEMPTS));
                 next = Instant::now() + spacing;
             }
             Some(answer) = under_way.next() => match answer {
--- a/crates/geraniumpost/src/batch/mod.rs
+++ b/crates/geraniumpost/src/batch/mod.rs
@@ -5,16 +5,16 @@
 //! `docs/design/0601-jobs-on-a-shared-store.md`.
 
 pub mod agent;
-mod attempts;
 mod boot_clock;
 pub mod coordination;
 pub mod entry;
+mod hedged_read;
 mod http_server;
 mod peer_link;
 mod peer_message;
 
-pub use attempts::{ATTEMPTS, first_answer};
 pub use boot_clock::BootClock;
+pub use hedged_read::{MAX_CONCURRENT_ATTEMPTS, hedged_read};
 pub use peer_message::{FromPeer, ToPeer};
 
 use eyre::Result;
--- a/crates/geraniumpost/src/batch/peer_message.rs
+++ b/crates/geraniumpost/src/batch/peer_message.rs
@@ -40,7 +40,7 @@
     /// The answer to a probe.
     ProbeResponse {
         /// Whether the coordinator has answered lately.
-        coordinator_answers: bool,
+        coordinator_responds: bool,
         /// Who coordinates as far as this entry knows: the address, and the fencing token.
         coordinator: Option<(SocketAddr, u64)>,
     },
@@ -51,7 +51,7 @@
         /// Random number of its process.
         incarnation: u64,
         /// For how many milliseconds earlier coordinators may still count on it.
-        lasts_ms: u64,
+        remaining_ms: u64,
     },
     /// To an agent.
     Agent(ToAgent),
--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -4,7 +4,7 @@
 
 use geraniumpost::batch::coordination::CoordinatorRecord;
 use geraniumpost_batch::quorum::Voters;
-use geraniumpost_batch::{Inheritance, Silent};
+use geraniumpost_batch::{PredecessorLeases, SilentCoordinator};
 
 fn record() -> CoordinatorRecord {
     CoordinatorRecord {
@@ -14,7 +14,7 @@
         term: 7,
         barrier: 2,
         stepped_down: true,
-        predecessor_leases: Inheritance::default(),
+        predecessor_leases: PredecessorLeases::default(),
         voters: BTreeMap::new(),
     }
 }
@@ -27,7 +27,7 @@
 #[test]
 fn inheritance_is_read_as_it_was_written() {
     let mut record = record();
-    let silent = Silent { term: 6, lasts_ms: 13_400 };
+    let silent = SilentCoordinator { term: 6, remaining_ms: 13_400 };
     record.predecessor_leases.silent.insert(([10, 0, 0, 2], 7160).into(), silent);
     record.predecessor_leases.unreached.insert("agent-3".into(), 800);
     assert_eq!(CoordinatorRecord::decode(&record.encode()), Ok(record));
@@ -68,7 +68,7 @@
     record
         .predecessor_leases
         .silent
-        .insert(([10, 0, 0, 2], 7160).into(), Silent { term: 5, lasts_ms: 9 });
+        .insert(([10, 0, 0, 2], 7160).into(), SilentCoordinator { term: 5, remaining_ms: 9 });
     for term in 4..=7 {
         record.voters.insert(term, voters());
     }
--- a/crates/geraniumpost/tests/attempts.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use geraniumpost::batch::{ATTEMPTS, first_answer};
+use geraniumpost::batch::{MAX_CONCURRENT_ATTEMPTS, hedged_read};
 use geraniumpost_platform::{Store, StoreError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -35,7 +35,7 @@
             Ok(mine)
         }
     };
-    let answer = first_answer(&store(), SPACING, attempt, |_| panic!("no attempt fails")).await;
+    let answer = hedged_read(&store(), SPACING, attempt, |_| panic!("no attempt fails")).await;
     assert_eq!((answer, number.get()), (Ok(1), 3));
 }
 
@@ -54,7 +54,7 @@
         }
     };
     let began = Instant::now();
-    let answer = first_answer(&store(), SPACING, attempt, |_| panic!("no attempt fails")).await;
+    let answer = hedged_read(&store(), SPACING, attempt, |_| panic!("no attempt fails")).await;
     assert_eq!(answer, Ok(2));
     assert!(began.elapsed() < SPACING * 2, "{:?}", began.elapsed());
 }
@@ -74,11 +74,11 @@
         }
     };
     let store = store();
-    let reading = first_answer(&store, SPACING, attempt, |_| *failed.borrow_mut() += 1);
-    let ended = tokio::time::timeout(SPACING * ATTEMPTS * 4, reading).await;
+    let reading = hedged_read(&store, SPACING, attempt, |_| *failed.borrow_mut() += 1);
+    let ended = tokio::time::timeout(SPACING * MAX_CONCURRENT_ATTEMPTS * 4, reading).await;
     assert!(ended.is_err(), "it goes on");
     assert!(*failed.borrow() >= 6, "{} failed", failed.borrow());
-    assert_eq!(most.get(), ATTEMPTS);
+    assert_eq!(most.get(), MAX_CONCURRENT_ATTEMPTS);
 }
 
 #[tokio::test]
@@ -92,7 +92,7 @@
     let began = Instant::now();
     let failed = Cell::new(0);
     let answer =
-        first_answer(&store(), Duration::from_secs(20), attempt, |_| failed.set(failed.get() + 1))
+        hedged_read(&store(), Duration::from_secs(20), attempt, |_| failed.set(failed.get() + 1))
             .await;
     assert_eq!((answer, failed.get()), (Ok(3), 2));
     assert!(began.elapsed() >= Duration::from_millis(300), "{:?}", began.elapsed());
@@ -102,7 +102,7 @@
 #[tokio::test]
 async fn lost_history_is_told_at_once() {
     let attempt = |_| async { Err::<(), _>(StoreError::Compacted) };
-    let answer = first_answer(&store(), SPACING, attempt, |_| panic!("it is no failure")).await;
+    let answer = hedged_read(&store(), SPACING, attempt, |_| panic!("it is no failure")).await;
     assert_eq!(answer, Err(StoreError::Compacted));
 }
 
@@ -149,7 +149,7 @@
     assert!(one.is_ok() && other.is_ok());
     answers.store(false, Ordering::SeqCst);
     let began = Instant::now();
-    let answer = first_answer(store, SPACING, get, |_| panic!("no attempt fails")).await;
+    let answer = hedged_read(store, SPACING, get, |_| panic!("no attempt fails")).await;
     assert!(answer.is_ok());
     assert!(began.elapsed() < SPACING * 2, "{:?}", began.elapsed());
 }
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -4,11 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use geraniumpost::batch::coordination::{Known, OwnPromises};
-use geraniumpost::batch::entry::{InForce, NoAnswer, Relay};
+use geraniumpost::batch::coordination::{KnownCoordinator, LocalPromises};
+use geraniumpost::batch::entry::{ActiveConfiguration, NoAnswer, Relay};
 use geraniumpost::batch::{FromPeer, ToPeer};
 use geraniumpost::metrics::Metrics;
-use geraniumpost_batch::{Answer, Ask, FromEntry, JobId, JobSpec, QueueTerms, TermTime, ToEntry};
+use geraniumpost_batch::{
+    CallerRequest, CallerResponse, FromEntry, JobId, JobSpec, QueueTerms, TermTime, ToEntry,
+};
 use geraniumpost_net::{Connection, FrameReader, LinkReceiver, LinkSender, open_link};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -20,7 +22,7 @@
 const PATIENCE: Duration = Duration::from_secs(5);
 const PONG: ToEntry =
     ToEntry::Pong { store_ok: true, configuration: 0, sent: TermTime { term: 1, steady_ms: 1 } };
-const REFUSED: Answer = Answer::Refused { retry_after_ms: 1_000 };
+const REFUSED: CallerResponse = CallerResponse::Refused { retry_after_ms: 1_000 };
 
 /// The coordinator's end of an entry's link.
 struct Link {
@@ -41,8 +43,8 @@
         self.tx.send(ToPeer::Entry(message)).expect("the link is open");
     }
 
-    fn answer(&self, ticket: u64, answer: Answer) {
-        self.say(ToEntry::Answer { ticket, answer });
+    fn answer(&self, ticket: u64, answer: CallerResponse) {
+        self.say(ToEntry::Response { ticket, response: answer });
     }
 
     /// Answers pings until a request comes, and returns its ticket.
@@ -54,29 +56,32 @@
                 FromPeer::EntryMessage(FromEntry::Ping { .. }) => {
                     self.say(PONG);
                 }
-                FromPeer::EntryMessage(FromEntry::Ask { ticket, .. }) => return ticket,
+                FromPeer::EntryMessage(FromEntry::Request { ticket, .. }) => return ticket,
                 _ => {}
             }
         }
     }
 }
 
-type Told = JoinHandle<Result<Answer, NoAnswer>>;
+type Told = JoinHandle<Result<CallerResponse, NoAnswer>>;
 
 /// Lets an entry send a job twice, over a link that is lost and over the next one.
 async fn sent_twice() -> (TcpListener, Link, u64, Told) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("bound");
-    let (known_tx, known) = watch::channel(Some(Known { address, fence: 1 }));
+    let (known_tx, known) = watch::channel(Some(KnownCoordinator { address, fence: 1 }));
     let metrics = Arc::new(Metrics::new().expect("metrics"));
     let relay = Relay::start(
-        Arc::new(OwnPromises::new("entry-1".into(), 1)),
+        Arc::new(LocalPromises::new("entry-1".into(), 1)),
         known,
-        Arc::new(InForce::new(metrics)),
+        Arc::new(ActiveConfiguration::new(metrics)),
     );
     let told = tokio::spawn(async move {
-        let ask =
-            Ask::Submit { job: JobId(1), spec: JobSpec::default(), terms: QueueTerms::default() };
+        let ask = CallerRequest::Submit {
+            job: JobId(1),
+            spec: JobSpec::default(),
+            terms: QueueTerms::default(),
+        };
         let answer = relay.ask(ask, DEADLINE, DEADLINE).await;
         drop(known_tx);
         answer
@@ -89,7 +94,7 @@
     (listener, second, ticket, told)
 }
 
-async fn answer_of(told: Told) -> Result<Answer, NoAnswer> {
+async fn answer_of(told: Told) -> Result<CallerResponse, NoAnswer> {
     tokio::time::timeout(PATIENCE, told).await.expect("the caller is told").expect("no panic")
 }
 
@@ -108,8 +113,8 @@
 async fn copy_that_is_accepted_counts() {
     let (_listener, link, ticket, told) = sent_twice().await;
     link.answer(ticket, REFUSED);
-    link.answer(ticket, Answer::Accepted);
-    assert_eq!(answer_of(told).await, Ok(Answer::Accepted));
+    link.answer(ticket, CallerResponse::Accepted);
+    assert_eq!(answer_of(told).await, Ok(CallerResponse::Accepted));
 }
 
 /// Both copies are refused: the job will never run by this request, and the caller may be told so.
