--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -1,4 +1,4 @@
-//! An entry as a candidate: it learns who coordinates, and takes over when nobody does.
+//! An entry as a candidate: follows the current coordinator, and takes over when it is lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,29 +24,32 @@
 use super::{COORDINATOR_KEY, KnownCoordinator};
 use crate::metrics::Metrics;
 
-/// Longest time one call to the store may take here.
+/// Timeout of one call to the store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after the store failed.
+/// Pause after a failed call to the store, and between two checks of the link.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Longest random pause before a takeover, so that candidates seldom meet.
+/// Upper bound of the random delay before a takeover, in milliseconds. It keeps candidates from
+/// competing for the key.
 const MAX_STAGGER_MS: u64 = 120;
-/// How long an entry that reaches no other one waits before it takes over all the same, in
-/// milliseconds: it may be the one that is cut off, and would take the agents' coordinator away.
+/// Silence of the coordinator after which an entry that reaches no other entry takes over, in
+/// milliseconds. The wait is long because the entry itself may be partitioned, and would then replace
+/// a coordinator that still serves the agents.
 const ISOLATED_TAKEOVER_MS: u64 = 3_000;
-/// Longest time for which a lease is ever extended, in milliseconds.
+/// Upper bound of the duration of leases, in milliseconds.
 const MAX_LEASE_MS: u64 = 5_000;
-/// Kept below the longest hold that minions allow, in milliseconds.
+/// Difference between the longest lease that minions accept and the duration in use, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 500;
 
-/// A candidate for coordinating.
+/// Competes for the coordinator's key on behalf of one entry.
 pub struct Candidate {
     store: Arc<Store>,
     node: Name,
     address: SocketAddr,
     promises: Arc<LocalPromises>,
     peers: Arc<Peers>,
-    admission: Option<SocketAddr>,
-    /// A larger share of a processor makes a better coordinator.
+    admission_address: Option<SocketAddr>,
+    /// Delay before a takeover. It is shorter for entries with a larger share of a processor, which
+    /// are preferred as coordinators.
     takeover_delay_ms: u64,
     lease_ms: u64,
     known_coordinator: watch::Sender<Option<KnownCoordinator>>,
@@ -56,14 +59,14 @@
     confirmed_ms: Arc<AtomicU64>,
 }
 
-/// What readings of the store have shown.
+/// Results of earlier reads of the store.
 #[derive(Debug, Default)]
 struct StoreObservations {
-    /// Revision of the key at which its holder was found not to coordinate.
+    /// Revision of the coordinator's key at which its holder was found to have ended.
     ended_revision: Option<u64>,
-    /// Whether the last reading failed.
+    /// Whether the last read failed.
     last_read_failed: bool,
-    /// When a reading succeeded after one that failed, on the boot clock.
+    /// When a read last succeeded after a failed one, on the boot clock.
     readable_since_ms: Option<u64>,
 }
 
@@ -77,7 +80,7 @@
 }
 
 impl Candidate {
-    /// Returns a candidate that publishes the coordinator through `known`.
+    /// Returns a candidate that publishes the current coordinator through `known_coordinator`.
     pub fn new(
         settings: &NodeSettings,
         store: Arc<Store>,
@@ -94,7 +97,7 @@
             node: settings.node.clone(),
             address,
             peers: Arc::new(Peers::new(settings.node.clone(), address)),
-            admission: settings.admission_address,
+            admission_address: settings.admission_address,
             promises,
             takeover_delay_ms: (8.0 / settings.cpu_share.max(0.05)) as u64,
             lease_ms: lease_ms.min(MAX_LEASE_MS),
@@ -106,13 +109,13 @@
         }
     }
 
-    /// Returns the other entries as this one knows them.
+    /// Returns the registry of the other entries.
     pub fn peers(&self) -> Arc<Peers> {
         Arc::clone(&self.peers)
     }
 
-    /// Runs for as long as the process does. Once that is asked to stop, it only learns who
-    /// coordinates, for the callers that are still served.
+    /// Runs until the process exits. After a request to stop it only follows the current
+    /// coordinator, for the callers that are still served, and does not take over.
     pub async fn run(self, listener: TcpListener, stop: watch::Receiver<bool>) {
         let (inputs_tx, inputs) = watch::channel::<Inputs>(None);
         let peer_listener = PeerListener {
@@ -125,7 +128,7 @@
         };
         tokio::spawn(Arc::new(peer_listener).serve(listener));
         while let Err(error) = self.peers.register(&self.store, STORE_CALL_TIMEOUT).await {
-            spdlog::debug!("event=announce_failed why=\"{error}\"");
+            spdlog::debug!("event=register_failed why=\"{error}\"");
             tokio::time::sleep(RETRY_PAUSE).await;
         }
         tokio::spawn(Arc::clone(&self.peers).refresh_periodically(Arc::clone(&self.store)));
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Learns who coordinates, and waits until that changes or takes over.
+    /// Reads who coordinates, waits until that coordinator is lost, and takes over if allowed.
     async fn run_once(
         &self,
         inputs: &watch::Sender<Inputs>,
@@ -153,24 +156,24 @@
             return;
         };
         if record.stepped_down {
-            // Whoever comes second finds the key taken, which costs it one call.
+            // A second candidate finds the key taken, which costs it only one call.
             tokio::time::sleep(Duration::from_millis(self.takeover_delay_ms)).await;
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
         if record.node == self.node {
-            // An earlier process on this VM, or an earlier term of this one.
+            // The record is from an earlier process on this VM, or from an earlier term of this one.
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
-        let known_coordinator = KnownCoordinator { address: record.address, fence: record.term };
-        known_coordinator.publish(&self.known_coordinator);
-        let loss = self.wait_for_loss(&known_coordinator, observations.readable_since_ms).await;
+        let coordinator = KnownCoordinator { address: record.address, fence: record.term };
+        coordinator.publish(&self.known_coordinator);
+        let loss = self.wait_for_loss(&coordinator, observations.readable_since_ms).await;
         if loss == CoordinatorLoss::Ended
             && observations.ended_revision.replace(revision) != Some(revision)
         {
-            // It is about to say so in its key, or somebody has followed it; a takeover of the key as
-            // it was read would only fail.
+            // The coordinator is about to record that it stepped down, or has a successor already. A
+            // takeover at this revision would fail, so the key is read again first.
             return;
         }
         if self.may_take_over(&record, loss, observations).await {
@@ -179,10 +182,9 @@
         }
     }
 
-    /// Learns from the other entries who coordinates, while the store does not answer this one.
+    /// Asks the other entries who coordinates. Used while the store does not answer this entry.
     async fn learn_from_peers(&self) {
-        let fence =
-            self.known_coordinator.borrow().map_or(0, |known_coordinator| known_coordinator.fence);
+        let fence = self.known_coordinator.borrow().map_or(0, |coordinator| coordinator.fence);
         if let Some(successor) = self.peers.successor(fence).await {
             successor.publish(&self.known_coordinator);
         }
@@ -194,16 +196,16 @@
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 
-    /// Waits until the coordinator seems lost.
+    /// Waits until the link's state shows that the coordinator is lost.
     async fn wait_for_loss(
         &self,
-        known_coordinator: &KnownCoordinator,
+        coordinator: &KnownCoordinator,
         readable_since_ms: Option<u64>,
     ) -> CoordinatorLoss {
         loop {
             tokio::time::sleep(RETRY_PAUSE).await;
             let link = *self.link.borrow();
-            if link.address != Some(known_coordinator.address) {
+            if link.address != Some(coordinator.address) {
                 continue;
             }
             if let Some(loss) = detect_loss(&link, readable_since_ms, BootClock.now_ms()) {
@@ -212,11 +214,11 @@
         }
     }
 
-    /// Asks the other entries whether the coordinator answers them.
+    /// Returns whether this entry may take over. Asks the other entries whether the coordinator still
+    /// answers them.
     ///
-    /// An entry that is cut off sees the coordinator vanish while it serves everybody else. Were it
-    /// to take over, agents would obey a coordinator that none of them reaches, and all work would
-    /// stop; its users would see jobs that do not begin.
+    /// A partitioned entry loses the coordinator while all others still reach it. If it took over,
+    /// the agents would be bound to a coordinator that none of them can reach, and no job would start.
     async fn may_take_over(
         &self,
         record: &CoordinatorRecord,
@@ -226,25 +228,27 @@
         let link = *self.link.borrow();
         let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
         if loss == CoordinatorLoss::Silent && link.failed_connects == 0 && silent_ms < SILENCE_MS {
-            // It says itself that it misses the store, which may be away for everybody.
+            // The coordinator reports that it does not reach the store. The store may be unavailable
+            // to all entries, so this entry checks that it can read the store itself.
             let is_readable = self.store.get(COORDINATOR_KEY, STORE_CALL_TIMEOUT).await.is_ok();
             observations.record_read(is_readable);
             return link.store_unreachable_since_ms.is_some() && is_readable;
         }
-        let probed = self.peers.probe(Some(&record.node)).await;
-        if probed.iter().any(|probed| probed.coordinator_responds) {
+        let probe_results = self.peers.probe(Some(&record.node)).await;
+        if probe_results.iter().any(|result| result.coordinator_responds) {
             spdlog::info!("event=coordinator_answers_others node={}", record.node);
             tokio::time::sleep(RETRY_PAUSE).await;
             return false;
         }
-        let (response_count, other_count) = (probed.len(), self.peers.count(&record.node));
+        let (response_count, other_count) = (probe_results.len(), self.peers.count(&record.node));
         response_count > 0
             || other_count == 0
             || loss == CoordinatorLoss::Ended
             || silent_ms > ISOLATED_TAKEOVER_MS
     }
 
-    /// Takes the coordinator's key, if it still is as it was read, and coordinates.
+    /// Takes over the coordinator's key if it is unchanged since it was read, and coordinates until
+    /// the term ends.
     async fn take_over(
         &self,
         item: Option<&KeyValue>,
@@ -264,17 +268,17 @@
             remove: Vec::new(),
         };
         let requested_ms = BootClock.now_ms();
-        let taken = match self.store.commit(&transaction, STORE_CALL_TIMEOUT).await {
-            Ok(taken) => taken,
+        let term_revision = match self.store.commit(&transaction, STORE_CALL_TIMEOUT).await {
+            Ok(revision) => revision,
             Err(CommitError::NotApplied(_)) => return tokio::time::sleep(RETRY_PAUSE).await,
-            // The next reading shows who holds the key. If an unanswered call was carried out, the
-            // key names this process, and is simply taken again.
+            // The next read shows who holds the key. If an unanswered commit was applied, the key names
+            // this process, and is taken over again.
             Err(CommitError::Conflict(_) | CommitError::Indeterminate(_)) => return,
         };
         let term = Term {
             store: Arc::clone(&self.store),
             record,
-            revision: taken,
+            revision: term_revision,
             lease_ms: self.lease_ms,
             requested_ms,
             began: BootClock.now(),
@@ -282,12 +286,12 @@
             confirmed_ms: Arc::clone(&self.confirmed_ms),
             peers: Arc::clone(&self.peers),
             promises: Arc::clone(&self.promises),
-            admission: self.admission,
+            admission_address: self.admission_address,
             metrics: Arc::clone(&self.metrics),
         };
         let fence = term.record.term;
         spdlog::info!(
-            "event=take_over fence={fence} revision={taken} after={loss:?} silent={:?} unreached={:?}",
+            "event=take_over fence={fence} revision={term_revision} after={loss:?} silent={:?} unreached={:?}",
             term.predecessor_leases.silent,
             term.predecessor_leases.unreached
         );
@@ -297,22 +301,23 @@
         self.known_coordinator.send_replace(None);
     }
 
-    /// Returns the record of the term that follows the one in the key, and what that one leaves behind.
+    /// Returns the record of the next term, and the leases that earlier coordinators may have extended.
     fn next_term(
         &self,
         previous: Option<CoordinatorRecord>,
         item: Option<&KeyValue>,
         loss: CoordinatorLoss,
     ) -> (CoordinatorRecord, PredecessorLeases) {
-        // A revision of the store is higher than any before it, whatever was written or removed.
+        // The store's revisions only grow, also when keys are removed, so the term grows even if the
+        // previous record is lost.
         let revision = item.map_or(0, |item| item.revision);
         let term = previous.as_ref().map_or(0, |previous| previous.term).max(revision) + 1;
-        // Those of the term before, as the entries that answer are not known yet.
+        // The voters of the previous term: no entry has answered in the new one yet.
         let voters_except_self = previous.as_ref().map_or_else(Voters::default, |previous| {
             previous.voters_of(previous.term).without(&self.node)
         });
         let (mut voters, predecessor_leases) = previous.map_or_else(Default::default, |previous| {
-            // One that is silent may answer again, and then tells whether it still coordinates.
+            // A silent coordinator may answer again, and then reports whether it still coordinates.
             let silent =
                 (loss == CoordinatorLoss::Silent).then_some((previous.address, previous.term));
             let predecessor_leases =
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -1,4 +1,4 @@
-//! The coordinator's key: what a term keeps in it, and what shows that the term lasts.
+//! The part of the writer that maintains the coordinator's key and confirms the term.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -14,43 +14,44 @@
 use super::record::CoordinatorRecord;
 use super::writer::{RETRY_PAUSE, TermLost, Writer};
 
-/// By how much the key may give a silent coordinator too much time, in milliseconds: a rewrite takes a call,
-/// in which no batch is written, and about five are needed until its time is over.
+/// Difference between the recorded and the actual remaining time of a silent coordinator's leases from
+/// which on the key is rewritten, in milliseconds. No batch is written during a rewrite; with this
+/// value about five rewrites are needed until the leases have expired.
 const MAX_OVERSTATEMENT_MS: u64 = 2_500;
 
 impl Writer {
-    /// Returns whether the key gives silent coordinators much more time than they have left. Whoever reads
-    /// it counts with all of that time from then on, whenever that may be, so it is rewritten.
+    /// Returns whether the key records much more time for the leases of silent coordinators than they
+    /// have left. A successor waits for the recorded time from the moment at which it reads the key.
     pub(super) fn overstates_leases(&self) -> bool {
         let recorded = &self.record.predecessor_leases.silent;
         if recorded.is_empty() {
             return false;
         }
-        let successor_leases = self.successor_leases.at(BootClock.now_ms()).silent;
+        let remaining = self.successor_leases.at(BootClock.now_ms()).silent;
         let overstated = |(address, recorded): (&SocketAddr, &SilentCoordinator)| {
-            successor_leases.get(address).is_none_or(|successor_leases| {
-                successor_leases.remaining_ms + MAX_OVERSTATEMENT_MS <= recorded.remaining_ms
+            remaining.get(address).is_none_or(|remaining| {
+                remaining.remaining_ms + MAX_OVERSTATEMENT_MS <= recorded.remaining_ms
             })
         };
         recorded.iter().any(overstated)
     }
 
-    /// Returns whether the key should name other voters, and the store answers: this is not urgent enough to
-    /// ask for again and again while it does not.
+    /// Returns whether the key should name other voters and the store answers. The change is not urgent
+    /// enough to be retried while the store does not answer.
     pub(super) fn voter_change_is_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         let store_responds = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
         store_responds && self.support.voters_to_write().is_some()
     }
 
-    /// Makes sure that no earlier write can be carried out any more.
+    /// Rewrites the coordinator's key, so that no earlier write can be applied any longer.
     ///
-    /// A write without an answer may be carried out seconds later, after a newer one of the same
-    /// record, and would put the older one back: after the loss of all processes an ended task
-    /// would seem to run. Every write requires the revision of the coordinator's key, so rewriting
-    /// that key bars them all.
+    /// The store may apply an unanswered write seconds later, after a newer write of the same record,
+    /// and would restore the old value: after the loss of all processes an ended task would seem to
+    /// run. Every write requires the revision of the coordinator's key, so changing it invalidates
+    /// all earlier ones.
     ///
-    /// The same rewrite names other voters if that is due; each attempt names the same ones.
+    /// The same rewrite changes the voters if that is due; each attempt names the same ones.
     pub(super) async fn fence_earlier_writes(&mut self) -> Result<(), TermLost> {
         if let Some(voters) = self.support.voters_to_write() {
             self.record.voters.insert(self.record.term, voters.clone());
@@ -73,16 +74,16 @@
                 remove: Vec::new(),
             };
             let requested_ms = BootClock.now_ms();
-            let began = tokio::time::Instant::now();
+            let started_at = tokio::time::Instant::now();
             match self.store.commit(&transaction, self.timeout.get()).await {
                 Ok(revision) => {
-                    self.timeout.record_response(began.elapsed());
+                    self.timeout.record_response(started_at.elapsed());
                     self.revision = revision;
                     self.report_confirmed(requested_ms).await;
                     return Ok(());
                 }
                 Err(CommitError::Conflict(_)) => {
-                    // An unanswered attempt of ours has been carried out, or the term is lost.
+                    // Either an unanswered attempt of this writer was applied, or the term is lost.
                     if self.read_revision().await? {
                         return Ok(());
                     }
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Reads the coordinator's key; returns whether its revision has changed by our own doing.
+    /// Reads the coordinator's key; returns whether an earlier attempt of this writer has changed its
+    /// revision.
     async fn read_revision(&mut self) -> Result<bool, TermLost> {
         loop {
             let requested_ms = BootClock.now_ms();
@@ -119,13 +121,13 @@
         }
     }
 
-    /// Checks that the term lasts, while nothing is written.
+    /// Reads the coordinator's key to check that the term is not lost. A failed read changes nothing.
     pub(super) async fn confirm(&mut self) -> Result<(), TermLost> {
         let requested_ms = BootClock.now_ms();
-        let began = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         match self.store.get(COORDINATOR_KEY, self.timeout.get()).await {
             Ok(item) => {
-                self.timeout.record_response(began.elapsed());
+                self.timeout.record_response(started_at.elapsed());
                 self.revision = self.check_own_term(item)?;
                 self.report_confirmed(requested_ms).await;
             }
@@ -134,8 +136,8 @@
         Ok(())
     }
 
-    /// Removes an entry from the list that has not been heard of for long; others would ask it in vain for ever.
-    /// It is one each time, as this is not urgent.
+    /// Removes an entry from the registry that has been silent for [`ENTRY_EXPIRY_MS`], so that others
+    /// no longer send requests to it. Removes at most one entry per call, as this is not urgent.
     pub(super) async fn deregister_lost_entry(&self) {
         let term_ms = BootClock.now_ms().saturating_sub(self.term_began_ms);
         let lost = |registered: &&RegisteredEntry| {
@@ -150,13 +152,13 @@
             remove: vec![lost.key()],
         };
         match self.store.commit(&transaction, self.timeout.get()).await {
-            Ok(_) => spdlog::info!("event=entry_unlisted node={}", lost.node),
-            // It was removed a moment ago, has listed itself anew, or is found again next time.
-            Err(error) => spdlog::debug!("event=unlist_failed why=\"{error}\""),
+            Ok(_) => spdlog::info!("event=entry_deregistered node={}", lost.node),
+            // The entry was just removed or has registered again; otherwise the next call retries.
+            Err(error) => spdlog::debug!("event=entry_deregister_failed why=\"{error}\""),
         }
     }
 
-    /// Returns the key's revision if the term is still ours.
+    /// Returns the revision of the coordinator's key if it still names this term.
     fn check_own_term(&self, item: Option<KeyValue>) -> Result<u64, TermLost> {
         let item = item.ok_or(TermLost)?;
         let record = CoordinatorRecord::decode(&item.value).map_err(|_| TermLost)?;
@@ -165,15 +167,17 @@
         if is_own_term { Ok(item.revision) } else { Err(TermLost) }
     }
 
-    /// Takes note that the store has confirmed the term, for the time at which it was asked.
+    /// Records and reports to the driver that the store has confirmed the term in response to a call
+    /// sent at `requested_ms`.
     pub(super) async fn report_confirmed(&self, requested_ms: u64) {
         let received_ms = BootClock.now_ms();
         self.confirmed_ms.store(received_ms, Ordering::Relaxed);
-        // The driver ends only with the term.
+        // Sending fails only if the term has ended.
         let _ = self.inputs.send(Input::TermConfirmed { requested_ms, received_ms }).await;
     }
 
-    /// Gives the term up, so that the next coordinator need not wait for anything.
+    /// Records in the key that the coordinator has stepped down, so that a successor takes over at once
+    /// and waits only for the leases that the key names.
     pub async fn step_down(&mut self) {
         self.record.stepped_down = true;
         self.record.predecessor_leases = self.successor_leases.at(BootClock.now_ms());
@@ -183,7 +187,7 @@
             remove: Vec::new(),
         };
         if let Err(error) = self.store.commit(&transaction, self.timeout.get()).await {
-            spdlog::warn!("event=step_down_unanswered why=\"{error}\"");
+            spdlog::warn!("event=step_down_failed why=\"{error}\"");
         }
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the coordinator's decisions: messages in, effects out.
+//! Feeds messages into the coordinator's state machine and carries out its effects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,9 +20,10 @@
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
-/// Pause between two ticks: timeouts are hundreds of milliseconds.
+/// Interval of the coordinator's timer ticks. The timeouts that they check are hundreds of
+/// milliseconds.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Messages taken in before decisions are made on all of them.
+/// Inputs that are handled in one round, before the coordinator decides on all of them.
 const MAX_INPUTS_PER_ROUND: usize = 64;
 
 /// A process at the other end of a link.
@@ -30,73 +31,73 @@
 pub enum Peer {
     /// An entry.
     Entry {
-        /// Its name.
+        /// Name of the entry.
         node: Name,
-        /// The link.
+        /// Number of the link in this process.
         link: u64,
     },
     /// An agent.
     Agent {
-        /// Its name.
+        /// Name of the agent.
         node: Name,
-        /// The link.
+        /// Number of the link in this process.
         link: u64,
     },
 }
 
-/// What reaches the driver.
+/// Inputs of the driver.
 #[derive(Debug)]
 pub enum Input {
     /// A link has opened.
     LinkOpened(Peer, LinkSender<ToPeer>),
     /// A link has closed.
     LinkClosed(Peer),
-    /// An entry asks for a caller.
+    /// An entry relays a caller's request.
     Request {
-        /// The entry's link.
+        /// Link of the entry.
         link: u64,
-        /// Its ticket.
+        /// Number by which the entry matches the response to its request.
         ticket: u64,
-        /// What it asks.
-        ask: CallerRequest,
+        /// The caller's request.
+        request: CallerRequest,
     },
-    /// An agent says something.
+    /// An agent has sent a message.
     AgentMessage(Name, FromAgent),
-    /// A batch is written.
+    /// The store has committed the batch of this number.
     BatchWritten(u64),
-    /// The admission service has answered on a step, or not.
+    /// The admission service has responded, or `None` if it did not.
     ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
     /// The store has confirmed that this entry coordinates.
     TermConfirmed {
-        /// When it was asked, on the boot clock.
+        /// When the call to the store was sent, on the boot clock.
         requested_ms: u64,
-        /// When its answer was read, on the boot clock.
+        /// When the store's response was received, on the boot clock.
         received_ms: u64,
     },
-    /// The term of a coordinator that was silent at this address has ended.
+    /// The term of the silent coordinator at this address has ended.
     PredecessorEnded(SocketAddr),
-    /// A coordinator that was silent extends no lease after a time.
+    /// A silent coordinator cannot extend any lease after `until_ms`.
     PredecessorExtendsUntil {
-        /// Where it was.
+        /// Address of the silent coordinator.
         address: SocketAddr,
-        /// That time, on the boot clock.
+        /// End of its last possible extension, on the boot clock.
         until_ms: u64,
     },
 }
 
-/// A question for the admission service: which of these minions may run the step?
+/// A request to the admission service: which of these minions may run the step?
 pub type ApprovalRequest = (TaskId, Vec<Name>);
 
 /// Why a coordinator's term ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TermEnd {
-    /// A minion has obeyed a newer coordinator.
+    /// A minion has rejected this coordinator's fencing token in favor of a newer one.
     Superseded,
     /// All inputs have closed.
     Closed,
 }
 
-/// The driver of one term.
+/// Drives the coordinator during one term.
 pub struct Driver {
     coordinator: Coordinator,
     metrics: Arc<Metrics>,
@@ -104,18 +105,18 @@
     approval_requests: mpsc::Sender<ApprovalRequest>,
     entries: HashMap<u64, LinkSender<ToPeer>>,
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
-    /// Who is owed an answer: the entry's link, and its ticket.
+    /// Link and ticket of the entry that waits for each response, by the driver's own ticket.
     pending_replies: HashMap<u64, (u64, u64)>,
     next_ticket: u64,
-    /// What a successor has to know of leases.
+    /// Leases that a successor has to wait for, for the writer.
     successor_leases: Arc<SuccessorLeases>,
     support: Arc<TermSupport>,
     process_pause: ProcessPause,
 }
 
 impl Driver {
-    /// Returns a driver that hands records to `writes`, and questions for the admission service to
-    /// `questions`.
+    /// Returns a driver that sends records to `writes`, and requests to the admission service to
+    /// `approval_requests`.
     pub fn new(
         coordinator: Coordinator,
         writes: mpsc::Sender<WriteBatch>,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Decides until the term ends.
+    /// Handles inputs until the term ends.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) -> TermEnd {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -166,16 +167,16 @@
         }
     }
 
-    /// Takes note of what holds at this moment, before anything is decided.
+    /// Updates the support by other entries and checks for a process pause, before any decision.
     fn begin_round(&mut self) {
         let (until_ms, supporters) = self.support.current();
         self.coordinator.set_supported_until(until_ms, supporters);
         if let Some(gap_ms) = self.process_pause.begin_round(BootClock.now_ms()) {
-            spdlog::warn!("event=stood_still gap_ms={gap_ms}");
+            spdlog::warn!("event=process_paused gap_ms={gap_ms}");
         }
     }
 
-    /// Tells the writer what a successor has to know of leases, before what was decided leaves.
+    /// Reports changed leases to the writer before the effects of this round are carried out.
     fn update_successor_leases(&mut self) {
         if self.coordinator.take_leases_for_successor_changed() {
             let now = BootClock.now();
@@ -199,8 +200,7 @@
                 self.entries.insert(link, tx);
             }
             Input::LinkOpened(Peer::Agent { node, link }, tx) => {
-                // A link that replaces another one is a new beginning, whatever the old one still
-                // carries.
+                // A new link replaces the old one, even if messages are still under way on that one.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
                     self.coordinator.agent_disconnected(&node, now);
                 }
@@ -216,19 +216,19 @@
                     self.coordinator.agent_disconnected(&node, now);
                 }
             }
-            Input::Request { link, ticket, ask } => {
+            Input::Request { link, ticket, request } => {
                 let own_ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.pending_replies.insert(own_ticket, (link, ticket));
-                self.coordinator.handle_request(own_ticket, ask, now);
+                self.coordinator.handle_request(own_ticket, request, now);
             }
             Input::AgentMessage(node, message) => {
                 self.coordinator.handle_agent_message(&node, message, now)
             }
             Input::BatchWritten(batch) => self.coordinator.batch_written(batch, now),
-            Input::ApprovalResponse((step, asked), answer) => {
-                let answer = answer.map(|answer| (answer.tickets, answer.valid_ms));
-                self.coordinator.handle_approval(step, &asked, answer, now);
+            Input::ApprovalResponse((step, requested_minions), response) => {
+                let response = response.map(|response| (response.tickets, response.valid_ms));
+                self.coordinator.handle_approval(step, &requested_minions, response, now);
             }
             Input::TermConfirmed { requested_ms, received_ms } => {
                 self.coordinator.store_confirmed(requested_ms, received_ms);
@@ -246,7 +246,7 @@
     async fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Write(batch) => {
-                // The writer has room for every batch that may be under way at once.
+                // The writer's queue holds as many batches as may be under way at once.
                 if self.writes.send(batch).await.is_err() {
                     spdlog::debug!("event=writer_ended");
                 }
@@ -254,17 +254,19 @@
             Effect::Reply { ticket, answer } => {
                 let Some((link, ticket)) = self.pending_replies.remove(&ticket) else { return };
                 if let Some(tx) = self.entries.get(&link) {
-                    // An entry whose link is gone asks again on the next one.
+                    // An entry whose link has closed sends its request again on the next one.
                     let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response: answer }));
                 }
             }
             Effect::Send { agent, message } => {
-                if let Some((agent, message)) = self.process_pause.hold_if_unconfirmed(agent, message) {
+                if let Some((agent, message)) =
+                    self.process_pause.hold_if_unconfirmed(agent, message)
+                {
                     self.send_to_agent(&agent, message);
                 }
             }
             Effect::RequestApproval { step, minions } => {
-                // Without a service the step waits; the configuration names none that exists.
+                // Without an admission service in the settings the step keeps waiting.
                 if self.approval_requests.send((step, minions)).await.is_err() {
                     spdlog::warn!("event=no_admission_service step={step}");
                 }
@@ -275,14 +277,14 @@
     }
 
     fn send_to_agent(&self, agent: &Name, message: ToAgent) {
-        self.count(&message);
+        self.count_order(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
-            // An order that is lost with its link is given again on the next one.
+            // An order that is lost with its link is repeated on the next one.
             let _ = tx.send(ToPeer::Agent(message));
         }
     }
 
-    fn count(&self, message: &ToAgent) {
+    fn count_order(&self, message: &ToAgent) {
         let ToAgent::Order(order) = message else { return };
         match order.kind {
             OrderKind::Start { .. } => self.metrics.placement("steps"),
--- a/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
+++ b/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
@@ -2,17 +2,17 @@
 
 use tokio::sync::watch;
 
-/// A coordinator as others know it.
+/// Address and fencing token of the current coordinator, as learned from the store or from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownCoordinator {
-    /// Where it is reached.
+    /// Address on which the coordinator accepts links.
     pub address: SocketAddr,
-    /// Its fencing token.
+    /// Fencing token of the coordinator, which equals its term.
     pub fence: u64,
 }
 
 impl KnownCoordinator {
-    /// Tells those who watch that this is the coordinator, if they know another one or none.
+    /// Publishes this coordinator to all watchers if it differs from the published one.
     pub fn publish(self, coordinator_tx: &watch::Sender<Option<Self>>) {
         coordinator_tx.send_if_modified(|current| {
             let changed = *current != Some(self);
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -7,7 +7,8 @@
 
 use super::super::BootClock;
 
-/// What this process has promised to coordinators, shared by those who promise and those who release.
+/// The promises of this process to support coordinators. Shared by the relay, which makes them, and
+/// by the peer listener and the candidate, which release them.
 #[derive(Debug)]
 pub struct LocalPromises {
     node: Name,
@@ -17,22 +18,22 @@
 }
 
 impl LocalPromises {
-    /// Returns that nothing is promised yet by an incarnation of an entry.
+    /// Returns the state of an entry that has made no promise yet.
     pub fn new(node: Name, incarnation: u64) -> Self {
         Self { node, incarnation, promises: Mutex::default(), is_stopping: AtomicBool::new(false) }
     }
 
-    /// Returns the entry's name.
+    /// Returns the name of this entry.
     pub const fn node(&self) -> &Name {
         &self.node
     }
 
-    /// Returns the random number of this process.
+    /// Returns the random number that identifies this process.
     pub const fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Takes note that the process was asked to stop.
+    /// Records that the process was asked to stop.
     pub fn set_stopping(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -46,14 +47,15 @@
         self.promises.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Promises support to the coordinator that sent a pong, heard at a time on the boot clock. Returns the time
-    /// to send back with the next ping, unless a successor has asked for the support.
+    /// Promises support to the coordinator that sent a pong at `sent`, which arrived at `heard_ms` on the
+    /// boot clock. Returns the time to echo in the next ping, or `None` if a successor has requested the
+    /// release of earlier terms.
     pub fn support(&self, sent: TermTime, heard_ms: u64) -> Option<TermTime> {
         self.lock().promise(sent.term, heard_ms).then_some(sent)
     }
 
-    /// Supports no coordinator of an earlier term any more. Returns for how many milliseconds they may still
-    /// count on this entry.
+    /// Withdraws support from all coordinators before `term`. Returns for how many milliseconds they may
+    /// still rely on earlier promises of this entry.
     pub fn release(&self, term: u64) -> u64 {
         self.lock().release(term, BootClock.now_ms())
     }
--- a/crates/geraniumpost/src/batch/coordination/mod.rs
+++ b/crates/geraniumpost/src/batch/coordination/mod.rs
@@ -1,4 +1,4 @@
-//! Who coordinates, and the coordinator's own process.
+//! Election of the coordinator, and the coordinator itself.
 
 mod adaptive_timeout;
 mod candidate;
@@ -25,12 +25,11 @@
 pub use process_pause::ProcessPause;
 pub use record::CoordinatorRecord;
 
-/// Key of the record that names the coordinator.
+/// Store key of the [`CoordinatorRecord`].
 pub const COORDINATOR_KEY: &str = "geraniumpost/coordinator";
-/// Prefix of the keys by which entries find each other.
+/// Prefix of the store keys under which entries register their addresses.
 pub const ENTRY_PREFIX: &str = "geraniumpost/entry/";
-/// Prefix of the keys of jobs.
+/// Prefix of the store keys of job records.
 pub const JOB_PREFIX: &str = "geraniumpost/job/";
-
-/// Key of what coordinators have learnt of images.
+/// Store key of the learned interference between images.
 pub const INTERFERENCE_KEY: &str = "geraniumpost/interference";
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The port on which other processes of the system reach an entry.
+//! Accepts the connections of agents and other entries.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,49 +18,50 @@
 use super::local_promises::LocalPromises;
 use super::term_support::TermSupport;
 
-/// How long a new link may stay silent.
+/// Time in which the first message of a new link must arrive.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the coordinator may be silent and still count as answering, in milliseconds.
+/// Silence of the coordinator up to which it counts as answering, in milliseconds.
 const MAX_COORDINATOR_SILENCE_MS: u64 = 800;
-/// What links need while this entry coordinates.
+
+/// Destinations of the current term; `None` while this entry does not coordinate.
 pub type Inputs = Option<TermInputs>;
 
-/// Where the links of one term deliver what they hear.
+/// Destinations of the messages that arrive during one term.
 #[derive(Debug, Clone)]
 pub struct TermInputs {
-    /// Messages to the coordinator.
+    /// Queue of the coordinator's driver.
     pub inputs: mpsc::Sender<Input>,
-    /// The promises of other entries.
+    /// Records the promises of other entries.
     pub support: Arc<TermSupport>,
 }
 
-/// An open link, and who is at its other end.
+/// An open link and the process at its other end.
 struct Link {
     peer: Peer,
-    /// Random number of the other process, if it is an entry.
+    /// Incarnation of the other process if it is an entry, otherwise 0.
     incarnation: u64,
     tx: LinkSender<ToPeer>,
 }
 
-/// What the doorway's links share.
+/// Serves the links that other processes open to this entry.
 #[derive(Debug)]
 pub struct PeerListener {
-    /// Messages go here while this entry coordinates.
+    /// Destinations of messages while this entry coordinates.
     pub inputs: watch::Receiver<Inputs>,
-    /// When the store last confirmed this entry as the coordinator, on the boot clock.
+    /// When the store last confirmed this entry's term, on the boot clock.
     pub confirmed_ms: Arc<AtomicU64>,
-    /// How this entry's own link to the coordinator is.
+    /// State of this entry's own link to the coordinator.
     pub link: watch::Receiver<LinkState>,
-    /// The configuration in force at this entry.
+    /// Active configuration of this entry.
     pub configuration: Arc<ActiveConfiguration>,
-    /// Who coordinates.
+    /// The current coordinator as far as this entry knows.
     pub known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
-    /// What this entry has promised.
+    /// This entry's promises to coordinators.
     pub promises: Arc<LocalPromises>,
 }
 
 impl PeerListener {
-    /// Accepts links for as long as the process runs.
+    /// Accepts links until the process exits.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let mut next_link_id = 1;
         loop {
@@ -98,7 +99,7 @@
         };
         if let Some(response) = response {
             let _ = tx.send(response);
-            // The link must not close before the answer has left.
+            // The peer closes the link after it has read the response. Closing earlier could lose it.
             let _ = tokio::time::timeout(HELLO_TIMEOUT, rx.next()).await;
             return;
         }
@@ -117,10 +118,7 @@
     }
 
     fn probe_response(&self) -> ToPeer {
-        let coordinator = self
-            .known_coordinator
-            .borrow()
-            .map(|known_coordinator| (known_coordinator.address, known_coordinator.fence));
+        let coordinator = self.known_coordinator.borrow().map(|known| (known.address, known.fence));
         ToPeer::ProbeResponse { coordinator_responds: self.coordinator_responds(), coordinator }
     }
 
@@ -134,7 +132,7 @@
         }
     }
 
-    /// Passes messages on until the link or the coordinator's term ends.
+    /// Forwards messages to the driver until the link or the term ends. Pings are answered here.
     async fn forward_messages(
         &self,
         link: &Link,
@@ -170,9 +168,9 @@
                     continue;
                 }
                 (
-                    FromPeer::EntryMessage(FromEntry::Request { ticket, request: ask }),
+                    FromPeer::EntryMessage(FromEntry::Request { ticket, request }),
                     Peer::Entry { link, .. },
-                ) => Input::Request { link: *link, ticket, ask },
+                ) => Input::Request { link: *link, ticket, request },
                 (FromPeer::AgentMessage(message), Peer::Agent { node, .. }) => {
                     agent_input(node, message)
                 }
@@ -188,7 +186,8 @@
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns whether the coordinator answers this entry, or is this entry.
+    /// Returns whether the coordinator answers this entry. If this entry coordinates itself, returns
+    /// whether the store confirms its term.
     fn coordinator_responds(&self) -> bool {
         if self.inputs.borrow().is_some() {
             return self.store_silent_ms() < STORE_UNREACHABLE_MS;
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries, and what they know of the coordinator.
+//! Registry of the other entries, and requests to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use super::super::{FromPeer, ToPeer, peer_link};
 use super::{ENTRY_PREFIX, KnownCoordinator};
 
-/// Longest time a probe of another entry may take.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of one request to another entry, including the connect.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The other entries, as the store last named them.
+/// The other entries that are registered in the store, as last read.
 #[derive(Debug)]
 pub struct Peers {
     node: Name,
     address: SocketAddr,
     others: ArcSwap<Vec<RegisteredEntry>>,
-    /// Revision of this entry's own key; 0 while it is not listed.
+    /// Revision of this entry's own key; 0 while it is not registered.
     own_revision: AtomicU64,
-    /// Whether this entry is asked to stop, and lists itself no more.
+    /// Whether this entry was asked to stop, and no longer registers itself.
     is_stopping: AtomicBool,
 }
 
-/// Another entry as the store names it.
+/// An entry that is registered in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegisteredEntry {
-    /// Its name.
+    /// Name of the entry.
     pub node: Name,
-    /// Where it is reached.
+    /// Address on which the entry accepts links.
     pub address: SocketAddr,
-    /// Revision of its key.
+    /// Revision of the entry's key in the store.
     pub revision: u64,
 }
 
@@ -46,7 +46,7 @@
         Some(Self { node, address, revision: item.revision })
     }
 
-    /// Returns the key under which the store names it.
+    /// Returns the entry's key in the store.
     pub fn key(&self) -> String {
         key(&self.node)
     }
@@ -56,23 +56,23 @@
     format!("{ENTRY_PREFIX}{node}")
 }
 
-/// Pause between two readings of the list: entries come and go within minutes, and the first
-/// readings find only some of those that started together.
+/// Pause between two reads of the registry. Entries join and leave within minutes, and the first
+/// reads find only some of the entries that start at the same time.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
-/// Longest time one reading may take.
+/// Timeout of one call to the store.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What another entry said.
+/// Another entry's response to a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeResult {
-    /// Whether the coordinator answers it.
+    /// Whether the coordinator answers that entry.
     pub coordinator_responds: bool,
-    /// Whom it knows to coordinate.
+    /// The current coordinator as far as that entry knows.
     pub known_coordinator: Option<KnownCoordinator>,
 }
 
 impl Peers {
-    /// Returns the peers of an entry that has not read the store yet.
+    /// Returns an empty registry for the entry `node` at `address`.
     pub fn new(node: Name, address: SocketAddr) -> Self {
         Self {
             node,
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Lets the other entries find this one.
+    /// Registers this entry in the store, so that the other entries find it.
     ///
     /// # Errors
     ///
-    /// Fails if the store does not confirm it.
+    /// Fails if the store does not confirm the write.
     pub async fn register(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
         let transaction = Transaction {
             write: vec![(key(&self.node), self.address.to_string().into())],
@@ -98,7 +98,8 @@
         Ok(())
     }
 
-    /// Takes this entry off the list for good, unless another process of the same name has listed itself.
+    /// Removes this entry from the registry and keeps it from registering again. A registration by
+    /// another process of the same name stays.
     pub async fn deregister(&self, store: &Store, timeout: Duration) {
         self.is_stopping.store(true, Ordering::Relaxed);
         let key = key(&self.node);
@@ -108,12 +109,12 @@
             ..Transaction::default()
         };
         if let Err(error) = store.commit(&transaction, timeout).await {
-            spdlog::warn!("event=leave_failed why=\"{error}\"");
+            spdlog::warn!("event=deregister_failed why=\"{error}\"");
         }
     }
 
-    /// Keeps the list of the other entries for as long as the process runs. Without the store the
-    /// entries known before stay known, as that is when they are needed.
+    /// Reads the registry periodically until the process exits. While the store does not answer, the
+    /// entries read last are kept, as they are needed most at that time.
     pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
             match self.refresh(&store, READ_TIMEOUT).await {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Reads who the other entries are; returns whether this one is listed as well. Those that are lost stay
-    /// listed for a while, and do not answer.
+    /// Reads the registry; returns whether this entry is registered as well. Lost entries stay
+    /// registered for a while, and do not answer.
     async fn refresh(&self, store: &Store, timeout: Duration) -> Result<bool, StoreError> {
         let items = store.list(ENTRY_PREFIX, timeout).await?;
         let (own, others): (Vec<_>, Vec<_>) = items
@@ -137,13 +138,13 @@
         Ok(!own.is_empty())
     }
 
-    /// Lists this entry again that a coordinator took for gone.
+    /// Registers this entry again after a coordinator has removed it as lost.
     async fn register_again(&self, store: &Store) {
         if self.is_stopping.load(Ordering::Relaxed) {
             return;
         }
         let result = self.register(store, READ_TIMEOUT).await;
-        spdlog::warn!("event=listed_again ok={}", result.is_ok());
+        spdlog::warn!("event=registered_again ok={}", result.is_ok());
     }
 
     /// Returns the other entries.
@@ -151,7 +152,7 @@
         self.others.load_full()
     }
 
-    /// Asks all other entries but one what they know of the coordinator.
+    /// Probes all other entries except `excluded` in parallel, and returns the responses that arrive.
     pub async fn probe(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
         let mut probes = JoinSet::new();
         for RegisteredEntry { node, address, .. } in self.others.load().iter() {
@@ -166,7 +167,7 @@
         results
     }
 
-    /// Returns where another entry is reached.
+    /// Returns the address of another entry.
     pub fn address(&self, node: &Name) -> Option<SocketAddr> {
         let others = self.others.load();
         others
@@ -175,25 +176,25 @@
             .map(|registered| registered.address)
     }
 
-    /// Returns how many other entries are known, but for one.
+    /// Returns the number of other entries, not counting `excluded`.
     pub fn count(&self, excluded: &Name) -> usize {
         self.others.load().iter().filter(|registered| registered.node != *excluded).count()
     }
 
-    /// Asks the other entries for a coordinator with a higher token than `fence`.
+    /// Asks the other entries for a coordinator with a higher fencing token than `fence`.
     ///
-    /// An entry that the store turns away learns of no takeover by itself. Its callers would wait
-    /// for a coordinator that has a successor, while every other entry serves.
+    /// An entry that cannot read the store would not notice a takeover otherwise. Its callers would
+    /// wait for the old coordinator while all other entries serve.
     pub async fn successor(&self, fence: u64) -> Option<KnownCoordinator> {
         let results = self.probe(None).await;
         let successors = results.into_iter().filter_map(|result| result.known_coordinator);
         successors
-            .filter(|known_coordinator| known_coordinator.fence > fence)
-            .max_by_key(|known_coordinator| known_coordinator.fence)
+            .filter(|coordinator| coordinator.fence > fence)
+            .max_by_key(|coordinator| coordinator.fence)
     }
 }
 
-/// Asks an entry what it knows of the coordinator.
+/// Probes one entry; `None` if it does not answer.
 pub async fn probe(address: SocketAddr) -> Option<ProbeResult> {
     match request(address, FromPeer::Probe).await? {
         ToPeer::ProbeResponse { coordinator_responds, coordinator } => {
@@ -205,12 +206,13 @@
     }
 }
 
-/// Sends one message to an entry over a connection of its own, and returns the answer.
+/// Sends one message to an entry over a new connection, and returns the response if one arrives in
+/// time.
 pub async fn request(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
     let exchange = async {
         let (tx, mut rx) = peer_link::dial::<FromPeer, ToPeer>(address).await.ok()?;
         tx.send(message).ok()?;
         rx.next().await.map(|response| response.head)
     };
-    tokio::time::timeout(PROBE_TIMEOUT, exchange).await.ok().flatten()
+    tokio::time::timeout(REQUEST_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/geraniumpost/src/batch/coordination/process_pause.rs
+++ b/crates/geraniumpost/src/batch/coordination/process_pause.rs
@@ -1,29 +1,30 @@
 use geraniumpost_batch::ToAgent;
 use geraniumpost_schema::Name;
 
-/// Pause between two rounds of decisions after which the process must have stood still, in milliseconds.
+/// Gap between two rounds of decisions from which on the process counts as paused, in milliseconds.
 const MIN_PAUSE_MS: u64 = 1_500;
 
-/// Holds orders back after the process stood still, until the store has confirmed the term since.
+/// Holds orders back after the process was paused, until the store has confirmed the term.
 ///
-/// A process that was frozen finds its inputs, its clock and its timers as if nothing had happened, and
-/// repeats what was not answered. It may have a successor, which has decided otherwise, and an agent that
-/// the successor does not reach would obey.
+/// A process that was frozen resumes with its inputs and timers as they were, and repeats unanswered
+/// orders. It may have a successor that has decided otherwise, and an agent that the successor does
+/// not reach would still carry the orders out.
 #[derive(Debug)]
 pub struct ProcessPause {
     last_round_ms: u64,
-    /// When the process was found to have stood still.
+    /// When the last pause was detected, until the store has confirmed the term after it.
     resumed_ms: Option<u64>,
     held: Vec<(Name, ToAgent)>,
 }
 
 impl ProcessPause {
-    /// Returns the state of a process that runs at a time on the boot clock.
+    /// Returns the state of a process that runs at `now_ms` on the boot clock.
     pub const fn new(now_ms: u64) -> Self {
         Self { last_round_ms: now_ms, resumed_ms: None, held: Vec::new() }
     }
 
-    /// Takes note of a round of decisions. Returns for how long the process stood still before it, if it did.
+    /// Records the begin of a round of decisions. Returns the length of the pause before it in
+    /// milliseconds, if the process was paused.
     pub fn begin_round(&mut self, now_ms: u64) -> Option<u64> {
         let gap_ms = now_ms.saturating_sub(self.last_round_ms);
         self.last_round_ms = now_ms;
@@ -34,7 +35,8 @@
         was_paused.then_some(gap_ms)
     }
 
-    /// Takes note that the store has confirmed the term when asked at a time. Returns the messages to send.
+    /// Records that the store has confirmed the term in response to a call sent at `requested_ms`.
+    /// Returns the orders to send now; none if the call was sent before the pause was detected.
     pub fn term_confirmed(&mut self, requested_ms: u64) -> Vec<(Name, ToAgent)> {
         if self.resumed_ms.is_none_or(|resumed_ms| requested_ms < resumed_ms) {
             return Vec::new();
@@ -43,7 +45,8 @@
         std::mem::take(&mut self.held)
     }
 
-    /// Returns the message unless it has to wait: the answers to beats say themselves what they rest on.
+    /// Returns the message, or holds it back if it is an order and a confirmation is missing. Responses
+    /// to heartbeats are not held, as agents check them by their age and fencing token.
     pub fn hold_if_unconfirmed(
         &mut self,
         agent: Name,
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -6,57 +6,60 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// What earlier versions leave out at the end of their records, as it is encoded empty: the voters, and an
-/// [`PredecessorLeases`] before them.
+/// Encodings of the empty fields that earlier versions omit at the end of a record: the voters, and
+/// the [`PredecessorLeases`] before them.
 const OMITTED_TAILS: [&[u8]; 3] = [&[], &[0], &[0, 0, 0]];
 
-/// What lies under the coordinator's key.
+/// The value under the coordinator's key in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorRecord {
     /// The entry that coordinates.
     pub node: Name,
-    /// Where it is reached.
+    /// Address on which the coordinator accepts links.
     pub address: SocketAddr,
-    /// Random number of its process.
+    /// Random number that identifies the coordinator's process.
     pub incarnation: u64,
-    /// Grows with each term.
+    /// Number of the term, also the fencing token. It grows with each term.
     pub term: u64,
-    /// Counts rewrites within a term, each of which bars all earlier writes.
+    /// Number of rewrites within the term. Each changes the key's revision, so that earlier writes,
+    /// which require the old one, can no longer be applied.
     pub barrier: u64,
-    /// Whether it has stepped down, so that the next one need not look for it first.
+    /// Whether the coordinator has stepped down, so that a successor can take over at once.
     pub stepped_down: bool,
-    /// Whose leases may last for how long, counted from the writing of this record.
+    /// Leases that earlier coordinators may have extended, with remaining times counted from the
+    /// writing of this record.
     pub predecessor_leases: PredecessorLeases,
-    /// The voters of this term, and of those of the silent coordinators that the inheritance names.
+    /// Voters by term: of this term, and of the terms of the silent coordinators in
+    /// `predecessor_leases`.
     pub voters: BTreeMap<u64, Voters>,
 }
 
 impl CoordinatorRecord {
-    /// Returns the bytes for the store.
+    /// Encodes the record for the store.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a record has no unsized parts")
+        postcard::to_stdvec(self).expect("every field can be encoded")
     }
 
-    /// Reads the store's bytes.
+    /// Decodes a record of this version or an earlier one.
     ///
     /// # Errors
     ///
-    /// Fails on bytes of another layout.
+    /// Fails if the bytes match neither layout.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let decode = |omitted: &&[u8]| postcard::from_bytes(&[bytes, omitted].concat());
         let mut attempts = OMITTED_TAILS.iter().map(decode);
         attempts.find(Result::is_ok).unwrap_or_else(|| postcard::from_bytes(bytes))
     }
 
-    /// Returns the voters of a term.
+    /// Returns the voters of a term; none if the record does not name any.
     pub fn voters_of(&self, term: u64) -> Voters {
         self.voters.get(&term).cloned().unwrap_or_default()
     }
 
-    /// Forgets the voters of terms that are over: nobody waits for them any more.
+    /// Removes the voters of ended terms, for which no successor waits any longer.
     pub fn prune_voters(&mut self) {
         let silent = |term: &u64| self.predecessor_leases.silent.values().any(|s| s.term == *term);
-        let own = self.term;
-        self.voters.retain(|term, _| *term == own || silent(term));
+        let own_term = self.term;
+        self.voters.retain(|term, _| *term == own_term || silent(term));
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -1,4 +1,4 @@
-//! A successor asks entries to support its silent predecessor no more.
+//! Requests to the voters of a silent coordinator to release their promises to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,34 +15,34 @@
 use super::local_promises::LocalPromises;
 use super::peers::{Peers, request};
 
-/// Pause between two rounds of questions.
+/// Pause between two rounds of requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// A coordinator that fell silent, and who decides when it has ended.
+/// The term of a silent coordinator, with the voters whose releases end it.
 #[derive(Debug)]
 pub struct SilentTerm {
-    /// Where it was.
+    /// Address of the silent coordinator.
     pub address: SocketAddr,
-    /// Its term.
+    /// Number of the term.
     pub term: u64,
-    /// Whose support it needs.
+    /// Entries whose support the coordinator needs to extend leases.
     pub voters: Voters,
 }
 
-/// Who asks, and whom.
+/// Requests releases on behalf of a successor.
 #[derive(Debug, Clone)]
 pub struct ReleaseRequester {
-    /// The term of the successor.
+    /// Term of the successor.
     pub term: u64,
-    /// When the store had given it the term, on the boot clock.
+    /// When the successor's term began, on the boot clock.
     pub term_began_ms: u64,
-    /// The promises of its own process.
+    /// Promises of the successor's own process, which may be a voter as well.
     pub promises: Arc<LocalPromises>,
     /// The other entries.
     pub peers: Arc<Peers>,
 }
 
-/// The answer of an entry.
+/// The release that one entry has granted.
 struct GrantedRelease {
     node: Name,
     incarnation: u64,
@@ -50,8 +50,8 @@
 }
 
 impl ReleaseRequester {
-    /// Asks until enough voters of a silent coordinator support it no more, and says when its last extension
-    /// of a lease can have been.
+    /// Repeats the requests until enough voters have released their promises, and reports until when
+    /// the silent coordinator may have extended leases. Does nothing for a term without voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
         if releases.unanswered().next().is_none() {
@@ -62,7 +62,7 @@
         releases.record(local_node, incarnation, remaining_ms, BootClock.now_ms());
         while !inputs.is_closed() {
             if let Some(released_ms) = releases.support_end_ms() {
-                // The store may have confirmed it until the moment of the takeover.
+                // The store may have confirmed the silent coordinator's term until the takeover.
                 let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_MS);
                 spdlog::info!(
                     "event=predecessor_released term={} entries={} until_in_ms={}",
@@ -71,19 +71,19 @@
                     until_ms.saturating_sub(BootClock.now_ms())
                 );
                 let address = silent.address;
-                // A term that ended meanwhile needs no word of it.
+                // Sending fails only if the successor's own term has ended.
                 let _ = inputs.send(Input::PredecessorExtendsUntil { address, until_ms }).await;
                 return;
             }
-            self.request_missing(&mut releases).await;
+            self.request_unanswered(&mut releases).await;
             if releases.support_end_ms().is_none() {
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// Asks those that have not answered, all at once.
-    async fn request_missing(&self, releases: &mut Releases) {
+    /// Sends requests to all voters that have not answered, in parallel.
+    async fn request_unanswered(&self, releases: &mut Releases) {
         let mut requests = JoinSet::new();
         for node in releases.unanswered().cloned().collect::<Vec<_>>() {
             if let Some(address) = self.peers.address(&node) {
@@ -101,7 +101,8 @@
     }
 }
 
-/// Asks one entry. The answer of another one that has taken its address says nothing of it.
+/// Requests the release of one entry. A response by another entry that now uses its address does not
+/// count.
 async fn request_release(node: Name, address: SocketAddr, term: u64) -> Option<GrantedRelease> {
     match request(address, FromPeer::Release { term }).await? {
         ToPeer::ReleaseResponse { node: responder, incarnation, remaining_ms }
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -1,4 +1,4 @@
-//! One term of coordinating, from taking over to its end.
+//! One term of a coordinator, from the takeover to its end.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,44 +26,43 @@
 use super::{INTERFERENCE_KEY, JOB_PREFIX};
 use crate::metrics::Metrics;
 
-/// Messages that may wait for the coordinator.
+/// Capacity of the queues of inputs and of requests to the admission service.
 const INPUT_QUEUE: usize = 4_096;
-/// Batches that may wait for the writer; the coordinator gathers no more than it lets be under way.
+/// Capacity of the writer's queue, in batches. The coordinator never has more of them under way.
 const WRITE_QUEUE: usize = 8;
-/// Time from one attempt to read records to the next, until one is answered.
+/// Interval between attempts to read records, until one is answered.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Longest time in which nothing of a page of records arrives that has begun.
+/// Longest gap between parts of a response whose body is arriving.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time that one question to the admission service may take; it needs some milliseconds for
-/// each minion named.
+/// Timeout of one request to the admission service, which needs some milliseconds for each minion
+/// named.
 const ADMISSION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two looks for a successor, or at a predecessor.
+/// Pause between two checks for a successor, or of a silent predecessor.
 const SUCCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause after the store failed.
+/// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// A term that was just taken.
+/// A term that has just begun.
 pub struct Term {
     pub store: Arc<Store>,
     pub record: CoordinatorRecord,
     /// Revision of the coordinator's key.
     pub revision: u64,
-    /// How long minions hold their tasks, in milliseconds.
+    /// Duration of leases on tasks, in milliseconds.
     pub lease_ms: u64,
-    /// When the store was asked for the term, on the boot clock.
+    /// When the takeover was sent to the store, on the boot clock.
     pub requested_ms: u64,
-    /// When the term was taken.
+    /// When the store's confirmation of the takeover was received.
     pub began: Now,
-    /// What earlier coordinators left behind, as it held then.
+    /// Leases that earlier coordinators may have extended, as of the takeover.
     pub predecessor_leases: PredecessorLeases,
     pub confirmed_ms: Arc<AtomicU64>,
-    /// The other entries, which may know of a successor.
+    /// Registry of the other entries, which may know of a successor.
     pub peers: Arc<Peers>,
-    /// What this entry has promised to coordinators.
+    /// This entry's promises to coordinators.
     pub promises: Arc<LocalPromises>,
-    /// The service that approves minions for steps, if there is one.
-    pub admission: Option<SocketAddr>,
-    /// Counters and histograms.
+    /// Address of the service that approves minions for steps, if configured.
+    pub admission_address: Option<SocketAddr>,
     pub metrics: Arc<Metrics>,
 }
 
@@ -72,7 +71,7 @@
     pub async fn run(self, peer_listener: &watch::Sender<Inputs>, stop: watch::Receiver<bool>) {
         let (tx, mut rx) = mpsc::channel(INPUT_QUEUE);
         self.confirmed_ms.store(BootClock.now_ms(), Ordering::Relaxed);
-        // Links are taken at once; their messages wait until the records are read.
+        // Links are accepted at once; their messages wait until the records are read.
         let voters = self.record.voters_of(self.record.term);
         let support =
             Arc::new(TermSupport::new(self.record.node.clone(), self.record.term, voters));
@@ -100,7 +99,7 @@
             .with_records(records, now);
         let (writes_tx, mut writes) = mpsc::channel(WRITE_QUEUE);
         let (approval_requests_tx, approval_requests) = mpsc::channel(INPUT_QUEUE);
-        if let Some(address) = self.admission {
+        if let Some(address) = self.admission_address {
             tokio::spawn(serve_approval_requests(
                 Admission::new(address),
                 approval_requests,
@@ -144,7 +143,8 @@
             end = writer.run(&mut writes, stop) => end,
             () = successor_found => Err(TermLost),
         };
-        // The key says that it is vacant before the links close: who looks then sees it at once.
+        // The key records the end of the term before the links close, so that candidates that lose
+        // their links find it there.
         match ended {
             Ok(()) => writer.step_down().await,
             Err(error) => spdlog::warn!("event=term_lost why=\"{error}\""),
@@ -155,8 +155,8 @@
         self.metrics.lease_supporters(0);
     }
 
-    /// Begins to ask silent coordinators for a word, and entries for theirs. The answers wait until the
-    /// records are read.
+    /// Starts to query silent coordinators, and to request releases from their voters. The results wait
+    /// in the input queue until the records are read.
     fn query_silent_coordinators(&self, inputs: &mpsc::Sender<Input>) {
         let requester = ReleaseRequester {
             term: self.record.term,
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Reads what a predecessor had learnt. Without it the coordinator learns anew.
+    /// Reads the interference that earlier coordinators have learned. On failure the coordinator learns
+    /// it again.
     async fn read_interference(&self) -> InterferenceSnapshot {
         let response = async {
             self.store
@@ -185,7 +186,7 @@
             Ok(GetResponse { item: Some(item), .. }) => item,
             Ok(GetResponse { item: None, .. }) => return InterferenceSnapshot::default(),
             Err(error) => {
-                spdlog::warn!("event=read_failed what=knowledge why=\"{error}\"");
+                spdlog::warn!("event=read_failed what=interference why=\"{error}\"");
                 return InterferenceSnapshot::default();
             }
         };
@@ -195,7 +196,7 @@
         })
     }
 
-    /// Reads all records, unless the process is asked to stop meanwhile.
+    /// Reads all job records; `None` if the process is asked to stop first.
     async fn read_records(
         &self,
         mut stop: watch::Receiver<bool>,
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Reads page after page. One that fails is read again, and not those before it: nobody else changes
-    /// records in this term, and a list that began anew with each failure might never end.
+    /// Reads the records page by page. Only a failed page is read again, as nobody else changes records
+    /// in this term, and a restart from the first page with each failure might never complete.
     async fn read_all_pages(&self) -> Vec<(JobId, JobRecord)> {
         let mut records = Vec::new();
         let mut last_key = None;
@@ -242,16 +243,16 @@
     }
 }
 
-/// Puts questions to the admission service, one at a time, as it answers them.
+/// Sends requests to the admission service, one at a time, and passes the responses to the driver.
 async fn serve_approval_requests(
-    admission: Admission,
+    admission_address: Admission,
     mut approval_requests: mpsc::Receiver<ApprovalRequest>,
     inputs: mpsc::Sender<Input>,
 ) {
     while let Some((step, minions)) = approval_requests.recv().await {
-        let response = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
+        let response = admission_address.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
         if let Err(why) = &response {
-            spdlog::warn!("event=approval_unanswered step={step} why=\"{why}\"");
+            spdlog::warn!("event=approval_failed step={step} why=\"{why}\"");
         }
         if inputs.send(Input::ApprovalResponse((step, minions), response.ok())).await.is_err() {
             return;
@@ -259,7 +260,7 @@
     }
 }
 
-/// Waits until another entry knows a successor, while the store is silent.
+/// Waits until the store is silent and another entry knows a successor.
 async fn successor_found(peers: Arc<Peers>, confirmed_ms: Arc<AtomicU64>, fence: u64) {
     loop {
         tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
@@ -270,15 +271,16 @@
     }
 }
 
-/// Asks a coordinator that fell silent until it knows of a later term than its own, which has then ended.
+/// Probes a silent coordinator until it knows a later term than its own, and reports that its term has
+/// ended.
 ///
-/// It need not know the present one: an entry whose link to the coordinator is well reads the key no more, also
-/// if that entry has begun another term meanwhile.
+/// The later term may be any: an entry with a working link to a coordinator does not read the key, and
+/// may not know the newest term.
 async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
         let known_coordinator = probe(address).await.and_then(|result| result.known_coordinator);
         if known_coordinator.is_some_and(|known_coordinator| known_coordinator.fence > term) {
-            // A term that ended meanwhile needs no word of it.
+            // Sending fails only if the successor's own term has ended.
             let _ = inputs.send(Input::PredecessorEnded(address)).await;
             return;
         }
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -6,18 +6,18 @@
 
 use super::super::BootClock;
 
-/// The support of one term, shared by the links that hear promises, the decisions that rest on them, and
-/// the writer that names the voters in the key.
+/// The support of one term by other entries. Shared by the links, which receive promises, the driver,
+/// which extends leases by them, and the writer, which records the voters in the coordinator's key.
 #[derive(Debug)]
 pub struct TermSupport {
-    /// The entry that coordinates; its own support goes without saying.
+    /// The entry that coordinates. It supports itself and is not counted.
     local_node: Name,
     term: u64,
     support: Mutex<Support>,
 }
 
 impl TermSupport {
-    /// Returns the support of a term that begins now, whose key names these voters.
+    /// Returns the support of a term that begins now, with the voters that its key names.
     pub fn new(local_node: Name, term: u64, voters: Voters) -> Self {
         Self { local_node, term, support: Mutex::new(Support::new(voters, BootClock.now_ms())) }
     }
@@ -26,45 +26,47 @@
         self.support.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the present time, to be sent with a pong.
+    /// Returns the present time in this term, to be sent with a pong.
     pub fn pong_time(&self) -> TermTime {
         TermTime { term: self.term, steady_ms: BootClock.now_ms() }
     }
 
-    /// Takes note that an entry sends the time of a pong back, and with it a promise.
+    /// Records that an entry has echoed the time of a pong, which promises its support. Echoes of other
+    /// terms are ignored.
     pub fn record_promise(&self, node: &Name, incarnation: u64, sent: TermTime) {
         if sent.term == self.term && *node != self.local_node {
             self.lock().record_promise(node, incarnation, sent.steady_ms);
         }
     }
 
-    /// Takes note that an entry is about to stop.
+    /// Records that an entry is about to stop, and should no longer be a voter.
     pub fn mark_stopping(&self, node: &Name) {
         self.lock().mark_stopping(node);
     }
 
-    /// Returns for how long an entry has not answered, if it ever did in this term.
+    /// Returns for how long an entry has been silent; `None` if it has not answered in this term.
     pub fn silent_ms(&self, node: &Name) -> Option<u64> {
         self.lock().silent_ms(node, BootClock.now_ms())
     }
 
-    /// Returns until when a majority supports the term, on the boot clock, and how many other entries do now.
+    /// Returns until when a majority supports the term, on the boot clock, and the number of other
+    /// entries that support it now.
     pub fn current(&self) -> (u64, usize) {
         let support = self.lock();
         (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
 
-    /// Returns the voters that the key should name, if it names others.
+    /// Returns the voters that the key should name, if they differ from those that it names.
     pub fn voters_to_write(&self) -> Option<Voters> {
         self.lock().voters_to_write(BootClock.now_ms())
     }
 
-    /// Takes note that the key is about to name other voters.
+    /// Records that the key is about to be written with other voters.
     pub fn begin_voter_change(&self, voters: Voters) {
         self.lock().begin_voter_change(voters, BootClock.now_ms());
     }
 
-    /// Takes note that the key names them.
+    /// Records that the key was written with these voters.
     pub fn complete_voter_change(&self) {
         self.lock().complete_voter_change();
     }
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the coordinator's records, each batch only while this entry coordinates.
+//! Writes the coordinator's records to the store, each batch only while this entry coordinates.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -22,10 +22,10 @@
 use super::{COORDINATOR_KEY, INTERFERENCE_KEY, JOB_PREFIX};
 use crate::metrics::Metrics;
 
-/// Pause after the store refused a call.
+/// Pause after a failed call to the store.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Time without a confirmed write after which the coordinator's key is read, so that a lost term
-/// is noticed while nothing is written.
+/// Interval at which the coordinator's key is read while no write is under way, so that the loss of
+/// the term is noticed without writes.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
 /// The term is lost: another entry holds the coordinator's key.
@@ -33,7 +33,7 @@
 #[display("another entry coordinates")]
 pub struct TermLost;
 
-/// The writer of one term.
+/// Writes batches during one term.
 pub struct Writer {
     pub store: Arc<Store>,
     pub record: CoordinatorRecord,
@@ -42,12 +42,12 @@
     pub inputs: mpsc::Sender<Input>,
     pub confirmed_ms: Arc<AtomicU64>,
     pub timeout: AdaptiveTimeout,
-    /// What a successor has to know of leases.
+    /// Leases that a successor has to wait for, as reported by the driver.
     pub successor_leases: Arc<SuccessorLeases>,
     pub support: Arc<TermSupport>,
-    /// The other entries as the store names them.
+    /// Registry of the other entries.
     pub peers: Arc<Peers>,
-    /// When the term was taken, on the boot clock.
+    /// When the term began, on the boot clock.
     pub term_began_ms: u64,
     pub metrics: Arc<Metrics>,
 }
@@ -56,7 +56,7 @@
 struct FinishedWrite {
     batch: WriteBatch,
     result: Result<u64, CommitError>,
-    /// When it began, on the boot clock.
+    /// When the call to the store was sent, on the boot clock.
     requested_ms: u64,
     elapsed: Duration,
 }
@@ -85,8 +85,8 @@
                 self.fence_earlier_writes().await?;
                 (indeterminate, key_outdated) = (false, false);
             }
-            // A stopping coordinator leaves what it has not begun to write to its successor, which
-            // finds all of it in the minions' lists: the sooner it goes, the shorter the gap.
+            // A stopping coordinator drops the batches that it has not begun to write. Its successor
+            // finds their contents in the minions' lists, and an early handover shortens the gap.
             if stopping && in_flight.is_empty() && !indeterminate {
                 return Ok(());
             }
@@ -119,9 +119,9 @@
     fn write(&self, batch: WriteBatch) -> impl Future<Output = FinishedWrite> + Send + use<> {
         let key = |id| format!("{JOB_PREFIX}{id}");
         let interference =
-            batch.interference.iter().map(|k| (INTERFERENCE_KEY.to_owned(), k.clone()));
+            batch.interference.iter().map(|value| (INTERFERENCE_KEY.to_owned(), value.clone()));
         let records = batch.put.iter().map(|(id, record)| (key(id), record.clone()));
-        let put = Transaction {
+        let transaction = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: records.chain(interference).collect(),
             remove: batch.remove.iter().map(key).collect(),
@@ -130,13 +130,13 @@
         let timeout = self.timeout.get();
         async move {
             let requested_ms = BootClock.now_ms();
-            let began = tokio::time::Instant::now();
-            let result = store.commit(&put, timeout).await;
-            FinishedWrite { batch, result, requested_ms, elapsed: began.elapsed() }
+            let started_at = tokio::time::Instant::now();
+            let result = store.commit(&transaction, timeout).await;
+            FinishedWrite { batch, result, requested_ms, elapsed: started_at.elapsed() }
         }
     }
 
-    /// Takes the result of a write; returns whether it may still be carried out.
+    /// Handles the result of a write; returns whether the store may still apply it later.
     async fn handle_result(
         &mut self,
         finished: FinishedWrite,
