--- a/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -1,4 +1,4 @@
-//! Finding the coordinator.
+//! Lookup of the current coordinator in the store.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,54 +10,55 @@
 use super::super::coordination::{COORDINATOR_KEY, CoordinatorRecord, KnownCoordinator};
 use super::state::State;
 
-/// Longest time a reading may take.
+/// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause between two readings while there is no link.
-const SEARCHING: Duration = Duration::from_millis(200);
-/// Silence of the coordinator after which a successor is looked for, in milliseconds: one missing
-/// answer. A VM without power sends no reset, and entries take over after 0.9 s of silence; agents
-/// that only then began to doubt would leave their minions without orders for another second.
+/// Pause between two reads while there is no link, or the coordinator is silent.
+const SEARCH_PAUSE: Duration = Duration::from_millis(200);
+/// Silence of the coordinator after which the store is read for a successor, in milliseconds: one
+/// missing response. A VM without power sends no reset, and entries take over after 0.9 s of silence.
+/// An agent that waits as long would leave its minion without orders for another second.
 const SILENCE_MS: u64 = 700;
-/// Pause between two looks at whether there is a link.
-const LINKED: Duration = Duration::from_millis(100);
-/// Pause between two readings while the coordinator misses the store and may have a successor.
-const DOUBTING: Duration = Duration::from_millis(600);
+/// Pause between two checks of the link.
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between two reads while the linked coordinator may have a successor.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Reads who coordinates whenever there is no link, or the linked one may have been replaced.
+/// Reads the coordinator's key while there is no link, or the linked coordinator may have a successor,
+/// and publishes the current coordinator.
 ///
-/// While the link works the store need not be asked, so that a fleet costs it nothing.
-pub async fn find(
+/// While the link works the store is not read, so that a large fleet puts no load on it.
+pub async fn follow_coordinator(
     store: Arc<Store>,
     state: Arc<State>,
-    known: watch::Sender<Option<KnownCoordinator>>,
+    known_coordinator: watch::Sender<Option<KnownCoordinator>>,
 ) {
-    let mut lost = false;
+    let mut store_unreachable = false;
     loop {
-        let linked = state.results().is_some();
+        let linked = state.reported_results().is_some();
         let silent = state.silent_ms() > SILENCE_MS;
-        let doubts = state.coordinator_misses_store.load(Ordering::Relaxed);
-        if linked && !doubts && !silent {
-            tokio::time::sleep(LINKED).await;
+        let may_be_replaced = state.coordinator_may_be_replaced.load(Ordering::Relaxed);
+        if linked && !may_be_replaced && !silent {
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             continue;
         }
         match store.get(COORDINATOR_KEY, READ_TIMEOUT).await {
             Ok(Some(item)) => {
-                lost = false;
+                store_unreachable = false;
                 if let Ok(record) = CoordinatorRecord::decode(&item.value)
                     && !record.stepped_down
                 {
                     KnownCoordinator { address: record.address, fence: record.term }
-                        .publish(&known);
+                        .publish(&known_coordinator);
                 }
             }
-            Ok(None) => lost = false,
+            Ok(None) => store_unreachable = false,
             Err(error) => {
-                if !lost {
+                if !store_unreachable {
                     spdlog::warn!("event=dependency_lost dependency=store why=\"{error}\"");
                 }
-                lost = true;
+                store_unreachable = true;
             }
         }
-        tokio::time::sleep(if linked && !silent { DOUBTING } else { SEARCHING }).await;
+        tokio::time::sleep(if linked && !silent { RECHECK_INTERVAL } else { SEARCH_PAUSE }).await;
     }
 }
--- a/crates/geraniumpost/src/batch/agent/heartbeats.rs
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The minion's heartbeats.
+//! Handles the minion's heartbeats and its deregistration.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,33 +14,33 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::super::http_server::{Answer, empty};
+use super::super::http_server::{HttpResponse, empty};
 use super::state::State;
 
-/// Time from a minion's farewell until it is looked whether it has ended. By its protocol it ends as soon
-/// as the farewell is answered; this is for a slow machine.
-const FAREWELL: Duration = Duration::from_millis(300);
-/// Time that the minion is given to answer that look, if it is there all the same.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(600);
-/// Largest heartbeat in bytes.
-const LARGEST: usize = 64 * 1024;
+/// Pause after a minion has deregistered before each check whether it has terminated. By its protocol
+/// it terminates as soon as the deregistration is answered; the pause allows for a slow machine.
+const TERMINATION_CHECK_PAUSE: Duration = Duration::from_millis(300);
+/// Timeout of the poll that checks whether the minion still runs.
+const POLL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Largest accepted body of a heartbeat, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
-/// Answers one heartbeat.
-pub async fn answer(req: Request<Incoming>, state: Arc<State>) -> Answer {
+/// Handles one request of a minion.
+pub async fn respond(req: Request<Incoming>, state: Arc<State>) -> HttpResponse {
     let Some(id) = heartbeat_minion_id(req.uri().path()).map(str::to_owned) else {
         return empty(StatusCode::NOT_FOUND);
     };
     if req.method() == DEREGISTER_METHOD {
-        spdlog::info!("event=minion_leaves minion={id}");
+        spdlog::info!("event=minion_deregisters minion={id}");
         let id = id.into();
-        state.leaves(&id);
-        tokio::spawn(ended_soon(id, state));
+        state.record_leaving(&id);
+        tokio::spawn(await_termination(id, state));
         return acknowledged();
     }
     if req.method() != Method::PUT {
         return empty(StatusCode::METHOD_NOT_ALLOWED);
     }
-    let body = match Limited::new(req.into_body(), LARGEST).collect().await {
+    let body = match Limited::new(req.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             spdlog::warn!("event=heartbeat_unusable minion={id} why=\"{error}\"");
@@ -49,7 +49,7 @@
     };
     match decode_heartbeat(&id, &body) {
         Ok(info) => {
-            state.heard(info);
+            state.record_heartbeat(info);
             acknowledged()
         }
         Err(error) => {
@@ -59,30 +59,30 @@
     }
 }
 
-/// Takes a minion that said its farewell for ended after a moment, if it answers no more.
+/// Waits until a minion that has deregistered no longer answers, and records that it has terminated.
 ///
-/// Its tasks end with it. Were they only taken for ended once their lease has lapsed, their users
-/// would wait for seconds more, or for as long as the store is away. But a minion whose farewell was
-/// answered late, as this process stood still, took that for no answer and goes on for some seconds. Its
-/// tasks would begin elsewhere while they run.
-async fn ended_soon(id: Name, state: Arc<State>) {
-    let mut lingers = false;
+/// Its tasks end with it. If they only counted as ended at the expiry of their lease, they would start
+/// elsewhere seconds later, or not before the end of a store outage. A minion whose deregistration was
+/// answered late, because this process was paused, treats that as unanswered and runs on for some
+/// seconds. Without the check its tasks would start elsewhere while they still run.
+async fn await_termination(id: Name, state: Arc<State>) {
+    let mut still_running = false;
     loop {
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(TERMINATION_CHECK_PAUSE).await;
         let fence = state.fence.load(Ordering::SeqCst);
-        let look = state.minion.poll(&id, fence, 0, None, Duration::ZERO, LOOK_TIMEOUT);
-        if !matches!(look.await, MinionReply::Ok(_) | MinionReply::Superseded) {
+        let poll = state.minion.poll(&id, fence, 0, None, Duration::ZERO, POLL_TIMEOUT);
+        if !matches!(poll.await, MinionReply::Ok(_) | MinionReply::Superseded) {
             break;
         }
-        if !std::mem::replace(&mut lingers, true) {
-            spdlog::info!("event=minion_lingers minion={id}");
+        if !std::mem::replace(&mut still_running, true) {
+            spdlog::info!("event=minion_still_running minion={id}");
         }
     }
-    state.left(&id);
+    state.record_terminated(&id);
 }
 
-fn acknowledged() -> Answer {
-    let mut answer = Answer::new(Full::new(Bytes::from_static(b"{}")));
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+fn acknowledged() -> HttpResponse {
+    let mut response = HttpResponse::new(Full::new(Bytes::from_static(b"{}")));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -1,4 +1,4 @@
-//! The link to the coordinator.
+//! The agent's link to the coordinator.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,76 +13,81 @@
 use super::orders;
 use super::state::State;
 
-/// Pause between two beats: a lease of several seconds survives the loss of many.
-const BEAT: Duration = Duration::from_millis(500);
-/// Silence after which the link is opened anew, in milliseconds: three missing answers.
+/// Interval of heartbeats. A lease of several seconds survives the loss of many.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Silence after which the link is reopened, in milliseconds: three missing responses.
 const SILENCE_MS: u64 = 1_700;
-/// Pause after a link failed.
-const PAUSE: Duration = Duration::from_millis(80);
-/// How long ago the minion must have answered for its lease to be extended, in milliseconds. Calls
-/// to a minion that does not answer may still be carried out, and each could extend it.
-const ANSWERED_MS: u64 = 1_600;
+/// Pause after a link has failed.
+const RETRY_PAUSE: Duration = Duration::from_millis(80);
+/// Age of the minion's last response up to which its lease is extended, in milliseconds. Calls to a
+/// minion that does not answer may still reach it, and each could extend its lease.
+const MAX_MINION_SILENCE_MS: u64 = 1_600;
 
-/// Keeps a link to whoever is known to coordinate.
-pub async fn keep(state: Arc<State>, mut known: watch::Receiver<Option<KnownCoordinator>>) {
+/// Keeps a link to the known coordinator open.
+pub async fn maintain(
+    state: Arc<State>,
+    mut known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
+) {
     loop {
-        let found = *known.borrow_and_update();
-        let Some(found) = found else {
-            if known.changed().await.is_err() {
+        let coordinator = *known_coordinator.borrow_and_update();
+        let Some(coordinator) = coordinator else {
+            if known_coordinator.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        match peer_link::dial::<FromPeer, ToPeer>(found.address).await {
+        match peer_link::dial::<FromPeer, ToPeer>(coordinator.address).await {
             Ok((tx, rx)) => {
-                converse(&state, tx, rx, &mut known).await;
+                serve_link(&state, tx, rx, &mut known_coordinator).await;
                 state.set_link(None);
             }
-            Err(error) => spdlog::debug!("event=link_failed to={} why=\"{error}\"", found.address),
+            Err(error) => {
+                spdlog::debug!("event=link_failed to={} why=\"{error}\"", coordinator.address)
+            }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-async fn converse(
+async fn serve_link(
     state: &Arc<State>,
     tx: LinkSender<FromPeer>,
     mut rx: LinkReceiver<ToPeer>,
-    known: &mut watch::Receiver<Option<KnownCoordinator>>,
+    known_coordinator: &mut watch::Receiver<Option<KnownCoordinator>>,
 ) {
     if tx.send(FromPeer::AgentHello { node: state.node.clone() }).is_err() {
         return;
     }
-    state.heard_ms.store(BootClock.now_ms(), Ordering::Relaxed);
+    state.coordinator_heard_ms.store(BootClock.now_ms(), Ordering::Relaxed);
     let mut linked = false;
-    let mut beats = tokio::time::interval(BEAT);
+    let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
     loop {
         tokio::select! {
             message = rx.next() => {
                 let Some(message) = message else { return };
-                state.heard_ms.store(BootClock.now_ms(), Ordering::Relaxed);
+                state.coordinator_heard_ms.store(BootClock.now_ms(), Ordering::Relaxed);
                 let ToPeer::Agent(message) = message.head else { return };
                 if !linked {
                     linked = true;
                     spdlog::info!("event=dependency_regained dependency=coordinator");
                     state.set_link(Some(tx.clone()));
                 }
-                take(state, message);
+                handle(state, message);
             }
-            _ = beats.tick() => {
+            _ = heartbeats.tick() => {
                 if state.silent_ms() > SILENCE_MS {
                     spdlog::warn!("event=dependency_lost dependency=coordinator why=silent");
                     return;
                 }
-                if !beat(state, &tx) {
+                if !send_heartbeat(state, &tx) {
                     return;
                 }
             }
-            () = state.beat_now.notified() => if !beat(state, &tx) {
+            () = state.heartbeat_now.notified() => if !send_heartbeat(state, &tx) {
                 return;
             },
-            changed = known.changed() => {
-                if changed.is_err() || known.borrow_and_update().is_some() {
+            changed = known_coordinator.changed() => {
+                if changed.is_err() || known_coordinator.borrow_and_update().is_some() {
                     return;
                 }
             }
@@ -90,23 +95,23 @@
     }
 }
 
-/// Asks for the lease to be extended; false if the link is gone.
-fn beat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
-    let minion_ok = state.answers_within(ANSWERED_MS);
-    let beat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
-    tx.send(FromPeer::AgentMessage(beat)).is_ok()
+/// Sends a heartbeat, which requests an extension of the lease; returns false if the link has closed.
+fn send_heartbeat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
+    let minion_ok = state.answers_within(MAX_MINION_SILENCE_MS);
+    let heartbeat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
+    tx.send(FromPeer::AgentMessage(heartbeat)).is_ok()
 }
 
-fn take(state: &Arc<State>, message: ToAgent) {
+fn handle(state: &Arc<State>, message: ToAgent) {
     match message {
         ToAgent::Lease { sent_at_ms, lease_ms, fence, store_ok } => {
-            state.coordinator_misses_store.store(!store_ok, Ordering::Relaxed);
-            state.lease(sent_at_ms, lease_ms, fence);
+            state.coordinator_may_be_replaced.store(!store_ok, Ordering::Relaxed);
+            state.extend_lease(sent_at_ms, lease_ms, fence);
         }
         ToAgent::Order(order) => {
-            tokio::spawn(orders::carry_out(Arc::clone(state), order));
+            tokio::spawn(orders::execute(Arc::clone(state), order));
         }
         ToAgent::Acknowledge { minion, up_to } => state.acknowledge(&minion, up_to),
-        ToAgent::DepartureRecorded { minion } => state.departure_settled(&minion),
+        ToAgent::DepartureRecorded { minion } => state.departure_recorded(&minion),
     }
 }
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent: hears the minion's heartbeats, keeps its lease, and passes orders and ends on.
+//! The agent: receives the minion's heartbeats, extends its lease, forwards orders to it, and reports
+//! the ends of its tasks.
 
 mod coordinator_lookup;
 mod heartbeats;
@@ -17,17 +18,17 @@
 use super::http_server;
 use state::State;
 
-/// Time given to heartbeats whose requests have arrived when the process is asked to stop; they take a
-/// millisecond.
-const LAST_HEARTBEATS: Duration = Duration::from_millis(300);
-/// Kept free before the process would be killed, in milliseconds, for the end of the process itself.
-const BEFORE_KILL_MS: u64 = 1_000;
-/// Pause between two looks at whether all departures are settled.
-const SETTLING: Duration = Duration::from_millis(20);
+/// Time in which heartbeats that have already arrived are answered when the process is asked to stop.
+/// Each takes about a millisecond.
+const HEARTBEAT_DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Part of the grace period that is kept free for the exit of the process, in milliseconds.
+const EXIT_MARGIN_MS: u64 = 1_000;
+/// Pause between two checks whether all departures are recorded.
+const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves until the process is asked to stop. It keeps nothing that must last: the minion goes on
-/// under its lease, and the next process finds all in the minion's own lists. Only of a minion that has
-/// left nothing is found any more, so the process stays until a coordinator has recorded that.
+/// Serves until the process is asked to stop. The agent persists nothing: the minion keeps running
+/// under its lease, and the next agent process reads the minion's own lists. Only the departure of a
+/// minion cannot be read again, so the process waits until a coordinator has recorded it.
 ///
 /// # Errors
 ///
@@ -42,20 +43,25 @@
     let store = Arc::new(Store::new(settings.store_address));
     let state = Arc::new(State::new(settings.node.clone(), Minion::new(minion)));
     let listener = http_server::bind(heartbeats).await?;
-    let (known_tx, known) = watch::channel(None);
-    tokio::spawn(coordinator_lookup::find(store, Arc::clone(&state), known_tx));
-    tokio::spawn(link::keep(Arc::clone(&state), known));
-    tokio::spawn(polling::look_always(Arc::clone(&state)));
-    let on_beat = Arc::clone(&state);
+    let (known_coordinator_tx, known_coordinator) = watch::channel(None);
+    tokio::spawn(coordinator_lookup::follow_coordinator(
+        store,
+        Arc::clone(&state),
+        known_coordinator_tx,
+    ));
+    tokio::spawn(link::maintain(Arc::clone(&state), known_coordinator));
+    tokio::spawn(polling::poll_continuously(Arc::clone(&state)));
+    let heartbeat_state = Arc::clone(&state);
     let serving = tokio::spawn(http_server::serve(listener, stop.clone(), move |req| {
         metrics.heartbeat("minion");
-        heartbeats::answer(req, Arc::clone(&on_beat))
+        heartbeats::respond(req, Arc::clone(&heartbeat_state))
     }));
     crate::stop_signal::stopped(&mut stop.clone()).await;
-    let _ = tokio::time::timeout(LAST_HEARTBEATS, serving).await;
-    let patience = Duration::from_millis(settings.bounds.grace_ms.saturating_sub(BEFORE_KILL_MS));
-    if tokio::time::timeout(patience, settled(&state)).await.is_err() {
-        spdlog::warn!("event=departures_untold node={}", settings.node);
+    let _ = tokio::time::timeout(HEARTBEAT_DRAIN_TIMEOUT, serving).await;
+    let departure_timeout =
+        Duration::from_millis(settings.bounds.grace_ms.saturating_sub(EXIT_MARGIN_MS));
+    if tokio::time::timeout(departure_timeout, await_departures_recorded(&state)).await.is_err() {
+        spdlog::warn!("event=departures_unreported node={}", settings.node);
     }
     spdlog::info!("event=stop role=job-agent node={}", settings.node);
     spdlog::default_logger().flush();
@@ -63,8 +69,8 @@
 }
 
 /// Waits until a coordinator has recorded every departure.
-async fn settled(state: &State) {
-    while !state.departures_settled() {
-        tokio::time::sleep(SETTLING).await;
+async fn await_departures_recorded(state: &State) {
+    while !state.departures_recorded() {
+        tokio::time::sleep(DEPARTURE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to the minion.
+//! Forwards orders to the minion.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,43 +8,43 @@
 
 use super::state::State;
 
-/// Longest time an order may take; a minion answers in about a millisecond, a busy agent needs
-/// some tens.
-const TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of one order. A minion answers in about a millisecond; a busy agent takes some tens.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What an order is given under.
+/// Fencing token and lease under which an order is forwarded.
 ///
-/// It is read as the order comes, before anything else that the link brings. Were it read later, by the
-/// task that passes the order on, an order that the coordinator gave before it took the minion's work for
-/// ended could leave under the lease that it granted afterwards, and the work would run twice.
+/// They are read when the order arrives, before any later message of the link is handled. If the task
+/// that forwards the order read them later, an order that was sent before the coordinator assumed the
+/// minion's work to have ended could use the lease granted afterwards, and the work would run twice.
 #[derive(Debug, Clone, Copy)]
-struct Terms {
+struct OrderContext {
     fence: u64,
-    /// End of the lease on the minion's clock, if it lies ahead.
-    hold_until: Option<u64>,
+    /// End of the lease on the minion's clock; `None` if it has expired.
+    lease_end: Option<u64>,
     draining: bool,
 }
 
-impl Terms {
+impl OrderContext {
     fn read(state: &State, order: &Order) -> Self {
         Self {
             fence: state.fence.load(Ordering::SeqCst),
-            hold_until: state.hold_until(),
-            draining: state.present().is_some_and(|p| p.id == order.minion && p.draining),
+            lease_end: state.lease_end(),
+            draining: state.current_minion().is_some_and(|p| p.id == order.minion && p.draining),
         }
     }
 }
 
-/// Passes one order on, and tells the coordinator what became of it.
-pub fn carry_out(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
-    let terms = Terms::read(&state, &order);
+/// Forwards one order, and reports its outcome to the coordinator. The context is read at once, not when
+/// the returned future runs.
+pub fn execute(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
+    let context = OrderContext::read(&state, &order);
     async move {
-        let outcome = pass_on(&state, &order, terms).await;
-        tell(&state, order, outcome);
+        let outcome = forward(&state, &order, context).await;
+        report(&state, order, outcome);
     }
 }
 
-fn tell(state: &State, order: Order, outcome: OrderOutcome) {
+fn report(state: &State, order: Order, outcome: OrderOutcome) {
     if outcome != OrderOutcome::Done {
         spdlog::info!(
             "decision=order_failed task={} run={} verb={} minion={} why=\"{outcome}\"",
@@ -55,7 +55,7 @@
         );
     }
     if outcome == OrderOutcome::MinionTerminated {
-        state.gone(&order.minion);
+        state.record_replaced(&order.minion);
     }
     state.send_result(OrderResult {
         minion: order.minion,
@@ -67,20 +67,21 @@
     });
 }
 
-async fn pass_on(state: &State, order: &Order, terms: Terms) -> OrderOutcome {
-    let starts = OrderVerb::from(&order.kind) == OrderVerb::Start;
-    if starts && terms.draining {
+async fn forward(state: &State, order: &Order, context: OrderContext) -> OrderOutcome {
+    let is_start = OrderVerb::from(&order.kind) == OrderVerb::Start;
+    if is_start && context.draining {
         return OrderOutcome::NotSent;
     }
-    let hold_until = match terms.hold_until {
-        Some(hold_until) => hold_until,
-        // Whatever began now would be taken for ended while it runs.
-        None if starts => return OrderOutcome::NotSent,
+    let lease_end = match context.lease_end {
+        Some(lease_end) => lease_end,
+        // A task that starts without a lease would count as ended while it runs.
+        None if is_start => return OrderOutcome::NotSent,
         None => 0,
     };
-    let outcome = state.minion.order(order, terms.fence, hold_until, TIMEOUT).await;
-    // The order of an earlier coordinator was overtaken by a look for the present one. That one would take
-    // itself for replaced, and end its term; but nothing was done, which is all that there is to tell.
-    let overtaken = terms.fence < state.fence.load(Ordering::SeqCst);
-    if outcome == OrderOutcome::Superseded && overtaken { OrderOutcome::NotSent } else { outcome }
+    let outcome = state.minion.order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
+    // A poll for the present coordinator has overtaken this order of an earlier one. Reported as
+    // `Superseded`, it would make the present coordinator end its term; the order had no effect, so
+    // `NotSent` is reported.
+    let is_outdated = context.fence < state.fence.load(Ordering::SeqCst);
+    if outcome == OrderOutcome::Superseded && is_outdated { OrderOutcome::NotSent } else { outcome }
 }
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -1,4 +1,4 @@
-//! Reading the minion's lists, which also keeps its lease.
+//! Polls the minion's lists of running and ended tasks, which also extends its lease.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,80 +11,88 @@
 use super::super::BootClock;
 use super::state::State;
 
-/// How long the minion waits for a new end before it answers.
-const WAIT: Duration = Duration::from_millis(400);
-/// Time given to an answer on top of that.
-const TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause between two looks while ends wait for their acknowledgement, which takes about 10 ms.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(150);
-/// Pause after the minion did not answer.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How often a look is passed on whole, in milliseconds; progress and tails move that slowly.
-const WHOLE_EVERY_MS: u64 = 400;
+/// Longest time for which the minion waits for a new end before it responds.
+const POLL_WAIT: Duration = Duration::from_millis(400);
+/// Timeout of a poll in addition to that wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Longest pause between two polls while ends await their acknowledgement, which takes about 10 ms.
+const ACKNOWLEDGEMENT_PAUSE: Duration = Duration::from_millis(150);
+/// Pause after a failed poll.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which polls are reported in full, in milliseconds. Progress and tail latencies change
+/// slowly enough.
+const FULL_REPORT_INTERVAL_MS: u64 = 400;
 
-/// Looks for as long as the process runs.
-pub async fn look_always(state: Arc<State>) {
-    let mut passed_ms = 0;
-    let mut quiet = false;
+/// Polls until the process exits.
+pub async fn poll_continuously(state: Arc<State>) {
+    let mut last_full_report_ms = 0;
+    let mut has_unacknowledged = false;
     loop {
         let fence = state.fence.load(Ordering::SeqCst);
         let candidates = state.candidates();
         if fence == 0 || candidates.is_empty() {
-            let _ = tokio::time::timeout(PAUSE, state.wake.notified()).await;
+            let _ = tokio::time::timeout(RETRY_PAUSE, state.wake.notified()).await;
             continue;
         }
         for id in candidates {
-            let unproved = state.present().is_none_or(|present| present.id != id);
-            let wait = if unproved || quiet { Duration::ZERO } else { WAIT };
-            let before = state.results();
-            let (forget, _) = if unproved { (0, 0) } else { state.ends() };
-            let hold_until = if unproved { None } else { state.hold_until() };
-            let reply = state.minion.poll(&id, fence, forget, hold_until, wait, TIMEOUT).await;
+            let unconfirmed = state.current_minion().is_none_or(|current| current.id != id);
+            let wait = if unconfirmed || has_unacknowledged { Duration::ZERO } else { POLL_WAIT };
+            let reported_before = state.reported_results();
+            let (acknowledged, _) = if unconfirmed { (0, 0) } else { state.end_sequences() };
+            let lease_end = if unconfirmed { None } else { state.lease_end() };
+            let reply = state
+                .minion
+                .poll(&id, fence, acknowledged, lease_end, wait, RESPONSE_TIMEOUT)
+                .await;
             match reply {
-                MinionReply::Ok(view) => {
-                    state.answered(&id, view.clock_ms, BootClock.now_ms());
-                    quiet = pass_on(&state, &id, view, before, &mut passed_ms);
+                MinionReply::Ok(lists) => {
+                    state.record_answer(&id, lists.clock_ms, BootClock.now_ms());
+                    has_unacknowledged =
+                        report(&state, &id, lists, reported_before, &mut last_full_report_ms);
                 }
                 other => {
-                    failed(&state, &id, &other);
-                    tokio::time::sleep(PAUSE).await;
+                    handle_failure(&state, &id, &other);
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
-        if quiet {
-            // The minion would answer at once, as it lists ends that were passed on already.
-            let _ = tokio::time::timeout(UNACKNOWLEDGED, state.wake.notified()).await;
-            let (forget, passed_on) = state.ends();
-            quiet = forget < passed_on;
+        if has_unacknowledged {
+            // The minion would respond at once, because it lists ends that are already reported.
+            let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.wake.notified()).await;
+            let (acknowledged, reported) = state.end_sequences();
+            has_unacknowledged = acknowledged < reported;
         }
     }
 }
 
-/// Passes a look on; returns whether ends in it wait for their acknowledgement.
-fn pass_on(
+/// Reports a poll to the coordinator; returns whether it lists ends that await their acknowledgement.
+fn report(
     state: &State,
     id: &Name,
-    view: TaskLists,
-    before: Option<u64>,
-    passed_ms: &mut u64,
+    lists: TaskLists,
+    reported_before: Option<u64>,
+    last_full_report_ms: &mut u64,
 ) -> bool {
-    let (_, passed_on) = state.ends();
-    let waiting = !view.ended.is_empty();
-    let last = view.ended.last().map(|end| end.sequence);
-    let Some(orders_reported_before) = before.filter(|_| state.results().is_some()) else {
-        return waiting;
+    let (_, reported) = state.end_sequences();
+    let has_ends = !lists.ended.is_empty();
+    let last_sequence = lists.ended.last().map(|end| end.sequence);
+    let Some(orders_reported_before) =
+        reported_before.filter(|_| state.reported_results().is_some())
+    else {
+        return has_ends;
     };
-    let ended: Vec<_> = view.ended.into_iter().filter(|end| end.sequence > passed_on).collect();
+    let ended: Vec<_> = lists.ended.into_iter().filter(|end| end.sequence > reported).collect();
     let now_ms = BootClock.now_ms();
-    let whole = state.pass_on(last, now_ms >= *passed_ms + WHOLE_EVERY_MS);
-    if whole {
-        *passed_ms = now_ms;
+    let is_full = state
+        .record_reported(last_sequence, now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS);
+    if is_full {
+        *last_full_report_ms = now_ms;
     } else if ended.is_empty() {
-        return waiting;
+        return has_ends;
     }
-    let running = whole.then_some(view.running);
+    let running = is_full.then_some(lists.running);
     let minion = id.clone();
-    let more_ends = view.more_ends;
+    let more_ends = lists.more_ends;
     state.send(FromAgent::PollResult(PollResult {
         minion,
         running,
@@ -92,21 +100,21 @@
         more_ends,
         orders_reported_before,
     }));
-    waiting
+    has_ends
 }
 
-fn failed(state: &State, id: &Name, reply: &MinionReply<TaskLists>) {
+fn handle_failure(state: &State, id: &Name, reply: &MinionReply<TaskLists>) {
     match reply {
-        MinionReply::IncarnationMismatch => state.gone(id),
+        MinionReply::IncarnationMismatch => state.record_replaced(id),
         MinionReply::Superseded => {
-            // The coordinator that this agent obeys has a successor; the link to it is of no use.
+            // The linked coordinator has a successor.
             spdlog::warn!("event=coordinator_superseded minion={id}");
-            state.coordinator_misses_store.store(true, Ordering::Relaxed);
+            state.coordinator_may_be_replaced.store(true, Ordering::Relaxed);
         }
         MinionReply::Refused(why)
         | MinionReply::Unreachable(why)
         | MinionReply::Unanswered(why) => {
-            spdlog::debug!("event=look_failed minion={id} why=\"{why}\"");
+            spdlog::debug!("event=poll_failed minion={id} why=\"{why}\"");
         }
         MinionReply::Ok(_) => {}
     }
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -26,7 +26,7 @@
 
 /// Timeout of one call to the store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failed call to the store, and between two checks of the link.
+/// Pause after a failed call to the store, and between two checks of the coordinator.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Upper bound of the random delay before a takeover, in milliseconds. It keeps candidates from
 /// competing for the key.
@@ -37,7 +37,7 @@
 const ISOLATED_TAKEOVER_MS: u64 = 3_000;
 /// Upper bound of the duration of leases, in milliseconds.
 const MAX_LEASE_MS: u64 = 5_000;
-/// Difference between the longest lease that minions accept and the duration in use, in milliseconds.
+/// Margin by which leases stay below the longest one that minions accept, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 500;
 
 /// Competes for the coordinator's key on behalf of one entry.
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -152,7 +152,7 @@
                     FromPeer::EntryMessage(FromEntry::Ping { configuration, supports, stopping }),
                     _,
                 ) => {
-                    self.configuration.heard(configuration);
+                    self.configuration.observe(configuration);
                     if let (Some(sent), Peer::Entry { node, .. }) = (supports, peer) {
                         support.record_promise(node, *incarnation, sent);
                         if stopping {
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -245,12 +245,12 @@
 
 /// Sends requests to the admission service, one at a time, and passes the responses to the driver.
 async fn serve_approval_requests(
-    admission_address: Admission,
+    admission: Admission,
     mut approval_requests: mpsc::Receiver<ApprovalRequest>,
     inputs: mpsc::Sender<Input>,
 ) {
     while let Some((step, minions)) = approval_requests.recv().await {
-        let response = admission_address.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
+        let response = admission.request_approval(step, &minions, ADMISSION_TIMEOUT).await;
         if let Err(why) = &response {
             spdlog::warn!("event=approval_failed step={step} why=\"{why}\"");
         }
@@ -274,12 +274,12 @@
 /// Probes a silent coordinator until it knows a later term than its own, and reports that its term has
 /// ended.
 ///
-/// The later term may be any: an entry with a working link to a coordinator does not read the key, and
-/// may not know the newest term.
+/// Any later term will do. An entry with a working link to a coordinator does not read the key, even
+/// if that coordinator has begun another term since, and may not know the newest one.
 async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
         let known_coordinator = probe(address).await.and_then(|result| result.known_coordinator);
-        if known_coordinator.is_some_and(|known_coordinator| known_coordinator.fence > term) {
+        if known_coordinator.is_some_and(|coordinator| coordinator.fence > term) {
             // Sending fails only if the successor's own term has ended.
             let _ = inputs.send(Input::PredecessorEnded(address)).await;
             return;
--- a/crates/geraniumpost/src/batch/entry/active_configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 
 /// Stands for no version that is newer than the one in force.
-const NOT_BEHIND: u64 = u64::MAX;
+const NEVER: u64 = u64::MAX;
 
 /// The configuration in force, and what is known of newer ones.
 #[derive(Debug)]
@@ -34,8 +34,8 @@
             routes: ArcSwapOption::empty(),
             confirmed_ms,
             newer: Mutex::default(),
-            behind_since_ms: AtomicU64::new(NOT_BEHIND),
-            unread_since_ms: AtomicU64::new(NOT_BEHIND),
+            behind_since_ms: AtomicU64::new(NEVER),
+            unread_since_ms: AtomicU64::new(NEVER),
             metrics,
         }
     }
@@ -68,17 +68,17 @@
     }
 
     /// Notes that the store has a change that still has to be read.
-    pub fn unread(&self) {
+    pub fn mark_unread(&self) {
         self.unread_since_ms.fetch_min(BootClock.now_ms(), Ordering::Relaxed);
     }
 
     /// Notes that another process has a version.
-    pub fn heard(&self, version: u64) {
-        let known = self.newest();
-        if version <= known {
+    pub fn observe(&self, version: u64) {
+        let newest = self.newest();
+        if version <= newest {
             return;
         }
-        self.note(|newer| newer.observed(version, BootClock.now_ms()));
+        self.update_newer(|newer| newer.observed(version, BootClock.now_ms()));
         spdlog::info!(
             "event=configuration_heard version={version} in_force={} age_ms={}",
             self.version(),
@@ -86,28 +86,28 @@
         );
     }
 
-    fn note(&self, change: impl FnOnce(&mut NewerVersions)) {
+    fn update_newer(&self, change: impl FnOnce(&mut NewerVersions)) {
         let mut newer = self.newer.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut newer);
-        let since_ms = newer.behind_since_ms().unwrap_or(NOT_BEHIND);
+        let since_ms = newer.behind_since_ms().unwrap_or(NEVER);
         self.behind_since_ms.store(since_ms, Ordering::Relaxed);
     }
 
     /// Notes that the store had nothing newer than what is in force when it was asked.
-    pub fn confirm(&self, asked_ms: u64) {
-        self.confirmed_ms.fetch_max(asked_ms, Ordering::Relaxed);
-        self.unread_since_ms.store(NOT_BEHIND, Ordering::Relaxed);
+    pub fn record_confirmed(&self, requested_ms: u64) {
+        self.confirmed_ms.fetch_max(requested_ms, Ordering::Relaxed);
+        self.unread_since_ms.store(NEVER, Ordering::Relaxed);
         self.metrics.config_age(Duration::from_millis(self.age_ms()));
     }
 
     /// Notes that a reading failed, for the `attempt`th time in a row.
-    pub fn failed(&self, attempt: u32, asked_ms: u64, why: &str) {
+    pub fn record_failure(&self, attempt: u32, requested_ms: u64, why: &str) {
         let age_ms = self.age_ms();
         self.metrics.config_read("failed", 0);
         self.metrics.config_age(Duration::from_millis(age_ms));
         // An outage of minutes takes a dozen lines.
         if attempt.is_power_of_two() {
-            let took_ms = BootClock.now_ms().saturating_sub(asked_ms);
+            let took_ms = BootClock.now_ms().saturating_sub(requested_ms);
             spdlog::warn!(
                 "event=configuration_unread attempt={attempt} version={} age_ms={age_ms} \
                  took_ms={took_ms} why=\"{why}\"",
@@ -117,7 +117,7 @@
     }
 
     /// Puts a configuration in force if it is newer than the one that is.
-    pub fn adopt(&self, value: &[u8], asked_ms: u64) {
+    pub fn adopt(&self, value: &[u8], requested_ms: u64) {
         let bytes = value.len();
         let routes = match decode_routes(value) {
             Ok(routes) => routes,
@@ -127,23 +127,23 @@
                 return;
             }
         };
-        let before = self.version();
-        if routes.version <= before {
+        let previous_version = self.version();
+        if routes.version <= previous_version {
             self.metrics.config_read("known", bytes);
             return;
         }
         self.metrics.config_read("adopted", bytes);
         self.metrics.config_revision(routes.version);
         spdlog::info!(
-            "event=configuration version={} before={before} queues={} bytes={bytes} \
+            "event=configuration version={} before={previous_version} queues={} bytes={bytes} \
              took_ms={} age_ms={}",
             routes.version,
             routes.len(),
-            BootClock.now_ms().saturating_sub(asked_ms),
+            BootClock.now_ms().saturating_sub(requested_ms),
             self.age_ms()
         );
         let version = routes.version;
         self.routes.store(Some(Arc::new(routes)));
-        self.note(|newer| newer.adopted(version));
+        self.update_newer(|newer| newer.adopted(version));
     }
 }
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -4,45 +4,45 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use geraniumpost_batch::{CallerRequest, CallerResponse as Told, JobId};
+use geraniumpost_batch::{CallerRequest, CallerResponse, JobId};
 use geraniumpost_platform::{DEADLINE_HEADER, Route, decode_job, encode_pending, encode_state};
 use http::header::{CONTENT_TYPE, HOST, RETRY_AFTER};
 use http::{HeaderValue, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::super::http_server::{Answer, empty};
+use super::super::http_server::{HttpResponse, empty};
 use super::Shared;
 use super::relay::NoAnswer;
 
 /// How long a caller waits that does not say so.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
 /// Part of a caller's deadline that is left for the way back, in milliseconds.
-const WAY_BACK_MS: u64 = 150;
+const RESPONSE_MARGIN_MS: u64 = 150;
 /// How long a request that cannot be sent is held: a takeover takes about this long, and a caller
 /// told to come back would lose more.
-const UNSENT: Duration = Duration::from_millis(1_200);
+const MAX_UNSENT_WAIT: Duration = Duration::from_millis(1_200);
 /// Shortest time that such a request is held: a link may open at any moment.
-const LEAST_UNSENT: Duration = Duration::from_millis(60);
+const MIN_UNSENT_WAIT: Duration = Duration::from_millis(60);
 /// Seconds after which a refused caller should come back.
 const RETRY_AFTER_S: u64 = 1;
 
 /// Answers one request.
-pub async fn answer(req: Request<Incoming>, shared: Arc<Shared>) -> Answer {
+pub async fn respond(req: Request<Incoming>, shared: Arc<Shared>) -> HttpResponse {
     let stopping = *shared.stop.borrow();
     let began = tokio::time::Instant::now();
     let method = req.method().clone();
-    let mut answer = handle(req, &shared).await;
-    shared.metrics.outcome(method.as_str(), answer.status().as_u16(), began.elapsed());
+    let mut response = handle(req, &shared).await;
+    shared.metrics.outcome(method.as_str(), response.status().as_u16(), began.elapsed());
     if stopping {
         // The next request of this caller reaches an entry that stays.
-        answer.headers_mut().insert("connection", HeaderValue::from_static("close"));
+        response.headers_mut().insert("connection", HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-async fn handle(req: Request<Incoming>, shared: &Shared) -> Answer {
-    let Some(routes) = shared.in_force.routes() else {
+async fn handle(req: Request<Incoming>, shared: &Shared) -> HttpResponse {
+    let Some(routes) = shared.configuration.routes() else {
         return refuse("no configuration yet");
     };
     if shared.is_behind() {
@@ -73,10 +73,10 @@
     shared: &Shared,
     job: JobId,
     route: &Route,
-    largest: usize,
+    max_body_bytes: usize,
     deadline: Duration,
-) -> Answer {
-    let body = match Limited::new(req.into_body(), largest).collect().await {
+) -> HttpResponse {
+    let body = match Limited::new(req.into_body(), max_body_bytes).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             spdlog::info!("decision=refuse job={job} why=\"body: {error}\"");
@@ -94,21 +94,21 @@
 }
 
 /// Has the coordinator answer, and translates what it says.
-async fn relay(shared: &Shared, ask: CallerRequest, deadline: Duration) -> Answer {
+async fn relay(shared: &Shared, request: CallerRequest, deadline: Duration) -> HttpResponse {
     // While the coordinator has been silent for long, holding callers would only cost them time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
-    let unsent = UNSENT.saturating_sub(silent).max(LEAST_UNSENT);
-    match shared.relay.ask(ask, unsent, deadline).await {
-        Ok(Told::Accepted | Told::Cancelled) => empty(StatusCode::OK),
-        Ok(Told::State(state)) => json(encode_state(state)),
-        Ok(Told::Pending(count)) => json(encode_pending(count)),
-        Ok(Told::Unknown) => empty(StatusCode::GONE),
-        Ok(Told::Invalid) => empty(StatusCode::BAD_REQUEST),
-        Ok(Told::Refused { retry_after_ms }) => {
-            let mut answer = empty(StatusCode::TOO_MANY_REQUESTS);
+    let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
+    match shared.relay.request(request, unsent_wait, deadline).await {
+        Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty(StatusCode::OK),
+        Ok(CallerResponse::State(state)) => json(encode_state(state)),
+        Ok(CallerResponse::Pending(count)) => json(encode_pending(count)),
+        Ok(CallerResponse::Unknown) => empty(StatusCode::GONE),
+        Ok(CallerResponse::Invalid) => empty(StatusCode::BAD_REQUEST),
+        Ok(CallerResponse::Refused { retry_after_ms }) => {
+            let mut response = empty(StatusCode::TOO_MANY_REQUESTS);
             let seconds = retry_after_ms.div_ceil(1_000);
-            answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
-            answer
+            response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
+            response
         }
         Err(NoAnswer::NotSent) => refuse("no coordinator"),
         Err(NoAnswer::Unknown) => {
@@ -119,21 +119,21 @@
 }
 
 /// Says that the request has not run and will not.
-fn refuse(why: &str) -> Answer {
+fn refuse(why: &str) -> HttpResponse {
     spdlog::info!("decision=refuse why=\"{why}\" retry_after_s={RETRY_AFTER_S}");
-    let mut answer = empty(StatusCode::SERVICE_UNAVAILABLE);
-    answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S));
-    answer
+    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S));
+    response
 }
 
-fn json(body: String) -> Answer {
-    let mut answer = Answer::new(Full::new(Bytes::from(body)));
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+fn json(body: String) -> HttpResponse {
+    let mut response = HttpResponse::new(Full::new(Bytes::from(body)));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
 
 fn deadline(req: &Request<Incoming>) -> Duration {
-    let stated = req.headers().get(DEADLINE_HEADER).and_then(|value| value.to_str().ok());
-    let ms = stated.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEADLINE_MS);
-    Duration::from_millis(ms.saturating_sub(WAY_BACK_MS).max(1))
+    let header = req.headers().get(DEADLINE_HEADER).and_then(|value| value.to_str().ok());
+    let ms = header.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEADLINE_MS);
+    Duration::from_millis(ms.saturating_sub(RESPONSE_MARGIN_MS).max(1))
 }
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -11,24 +11,24 @@
 use super::{ActiveConfiguration, Shared};
 
 /// How long a watch waits. A connection that has gone silent is noticed after it.
-const WATCH: Duration = Duration::from_secs(1);
+const WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Time from one attempt to read to the next, until one is answered.
-const READ_SPACING: Duration = Duration::from_millis(800);
+const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(800);
 /// Time from one attempt to watch to the next; an answer may take as long as a reading beyond the wait.
-const WATCH_SPACING: Duration = Duration::from_millis(1_700);
+const WATCH_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_700);
 /// Longest time in which nothing of an answer arrives that has begun.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after an answer that could not be used.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// For how long another entry may have a newer version before the watch is taken to have passed over it, in
 /// milliseconds.
-const PASSED_OVER_MS: u64 = 600;
+const MISSED_CHANGE_MS: u64 = 600;
 /// Length of an answer of a watch in bytes, above which the newest version is read instead.
-const LONG: usize = 64 * 1024;
+const MAX_WATCH_BYTES: usize = 64 * 1024;
 
 /// Follows the configuration for as long as the process runs.
 pub async fn follow(store: Arc<Store>, shared: Arc<Shared>) {
-    let mut follower = Follower { store: &store, in_force: &shared.in_force, failed: 0 };
+    let mut follower = Follower { store: &store, configuration: &shared.configuration, failed: 0 };
     loop {
         let revision = follower.read().await;
         follower.watch(revision).await;
@@ -37,7 +37,7 @@
 
 struct Follower<'a> {
     store: &'a Store,
-    in_force: &'a ActiveConfiguration,
+    configuration: &'a ActiveConfiguration,
     /// Attempts in a row that failed.
     failed: u32,
 }
@@ -46,18 +46,18 @@
     /// Reads the newest version, and returns the revision from which changes are to be watched.
     async fn read(&mut self) -> u64 {
         loop {
-            let Ok((asked_ms, reading)) = self.begin_read().await else { continue };
-            match reading.receive(SILENCE).await {
+            let Ok((requested_ms, response)) = self.begin_read().await else { continue };
+            match response.receive(BODY_IDLE_TIMEOUT).await {
                 Ok(found) => {
                     if let Some(item) = found.item {
-                        self.in_force.adopt(&item.value, asked_ms);
+                        self.configuration.adopt(&item.value, requested_ms);
                     }
-                    self.succeeded(asked_ms);
+                    self.succeeded(requested_ms);
                     return found.revision;
                 }
-                Err(error) => self.failed(asked_ms, &error),
+                Err(error) => self.failed(requested_ms, &error),
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
@@ -73,46 +73,47 @@
             if self.failed > 0 {
                 return;
             }
-            let Ok((asked_ms, reading)) = begun else {
-                return tokio::time::sleep(PAUSE).await;
+            let Ok((requested_ms, response)) = begun else {
+                return tokio::time::sleep(RETRY_PAUSE).await;
             };
-            if reading.content_length().is_some_and(|bytes| bytes > LONG) {
-                return self.in_force.unread();
+            if response.content_length().is_some_and(|bytes| bytes > MAX_WATCH_BYTES) {
+                return self.configuration.mark_unread();
             }
-            match reading.receive(SILENCE).await {
-                Ok(watched) => revision = revision.max(self.take(watched, asked_ms)),
+            match response.receive(BODY_IDLE_TIMEOUT).await {
+                Ok(response) => revision = revision.max(self.apply(response, requested_ms)),
                 Err(error) => {
-                    self.failed(asked_ms, &error);
-                    return tokio::time::sleep(PAUSE).await;
+                    self.failed(requested_ms, &error);
+                    return tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
-            if self.in_force.behind_ms() > PASSED_OVER_MS {
+            if self.configuration.behind_ms() > MISSED_CHANGE_MS {
                 return;
             }
         }
     }
 
     /// Takes what a watch told, and returns the revision from which to go on.
-    fn take(&mut self, watched: WatchResponse, asked_ms: u64) -> u64 {
-        for change in watched.changes {
+    fn apply(&mut self, response: WatchResponse, requested_ms: u64) -> u64 {
+        for change in response.changes {
             if let Change::Written(item) = change
                 && item.key == CONFIGURATION_KEY
             {
-                self.in_force.adopt(&item.value, asked_ms);
+                self.configuration.adopt(&item.value, requested_ms);
             }
         }
-        self.succeeded(asked_ms);
-        watched.revision
+        self.succeeded(requested_ms);
+        response.revision
     }
 
     async fn begin_read(&mut self) -> Result<(u64, PendingResponse<'a, GetResponse>), StoreError> {
         let store = self.store;
         let attempt = |timeout| async move {
-            let asked_ms = BootClock.now_ms();
-            Ok((asked_ms, store.begin_get(CONFIGURATION_KEY, timeout).await?))
+            let requested_ms = BootClock.now_ms();
+            Ok((requested_ms, store.begin_get(CONFIGURATION_KEY, timeout).await?))
         };
-        let began_ms = BootClock.now_ms();
-        hedged_read(store, READ_SPACING, attempt, |error| self.failed(began_ms, error)).await
+        let started_ms = BootClock.now_ms();
+        hedged_read(store, READ_ATTEMPT_INTERVAL, attempt, |error| self.failed(started_ms, error))
+            .await
     }
 
     async fn begin_watch(
@@ -121,27 +122,28 @@
     ) -> Result<(u64, PendingResponse<'a, WatchResponse>), StoreError> {
         let store = self.store;
         let attempt = |timeout| async move {
-            let asked_ms = BootClock.now_ms();
-            let watch = store.begin_watch(CONFIGURATION_KEY, revision, WATCH, timeout);
-            Ok((asked_ms, watch.await?))
+            let requested_ms = BootClock.now_ms();
+            let watch = store.begin_watch(CONFIGURATION_KEY, revision, WATCH_WAIT, timeout);
+            Ok((requested_ms, watch.await?))
         };
-        let began_ms = BootClock.now_ms();
-        hedged_read(store, WATCH_SPACING, attempt, |error| self.failed(began_ms, error)).await
+        let started_ms = BootClock.now_ms();
+        hedged_read(store, WATCH_ATTEMPT_INTERVAL, attempt, |error| self.failed(started_ms, error))
+            .await
     }
 
-    fn failed(&mut self, asked_ms: u64, error: &StoreError) {
+    fn failed(&mut self, requested_ms: u64, error: &StoreError) {
         self.failed += 1;
         if self.failed == 1 {
             spdlog::warn!("event=dependency_lost dependency=store why=\"{error}\"");
         }
-        self.in_force.failed(self.failed, asked_ms, &error.to_string());
+        self.configuration.record_failure(self.failed, requested_ms, &error.to_string());
     }
 
-    fn succeeded(&mut self, asked_ms: u64) {
+    fn succeeded(&mut self, requested_ms: u64) {
         if self.failed > 0 {
             spdlog::info!("event=dependency_regained dependency=store failed={}", self.failed);
             self.failed = 0;
         }
-        self.in_force.confirm(asked_ms);
+        self.configuration.record_confirmed(requested_ms);
     }
 }
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 /// Most versions that are kept apart; of more, only the newest is kept up to date.
-const MOST: usize = 64;
+const MAX_TRACKED: usize = 64;
 
 /// Versions of the configuration that others have and this process has not, and when it heard of them.
 ///
@@ -22,31 +22,31 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct NewerVersions {
-    own: u64,
-    heard: BTreeMap<u64, u64>,
+    active: u64,
+    pending: BTreeMap<u64, u64>,
 }
 
 impl NewerVersions {
     /// Notes a version that another process has.
     pub fn observed(&mut self, version: u64, now_ms: u64) {
-        if version <= self.own || self.newest() >= version {
+        if version <= self.active || self.newest() >= version {
             return;
         }
-        if self.heard.len() >= MOST {
-            self.heard.pop_last();
+        if self.pending.len() >= MAX_TRACKED {
+            self.pending.pop_last();
         }
-        self.heard.insert(version, now_ms);
+        self.pending.insert(version, now_ms);
     }
 
     /// Notes the version that is in force in this process.
     pub fn adopted(&mut self, version: u64) {
-        self.own = self.own.max(version);
-        self.heard = self.heard.split_off(&(self.own + 1));
+        self.active = self.active.max(version);
+        self.pending = self.pending.split_off(&(self.active + 1));
     }
 
     /// Returns the newest version that anybody has.
     pub fn newest(&self) -> u64 {
-        self.heard.last_key_value().map_or(self.own, |(version, _)| *version)
+        self.pending.last_key_value().map_or(self.active, |(version, _)| *version)
     }
 
     /// Returns since when a version is known that is newer than the one in force.
@@ -54,6 +54,6 @@
     /// It is that of the oldest such version: of a series, each version that comes into force takes
     /// its own time.
     pub fn behind_since_ms(&self) -> Option<u64> {
-        self.heard.values().min().copied()
+        self.pending.values().min().copied()
     }
 }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -16,13 +16,13 @@
 use super::ActiveConfiguration;
 
 /// Pause between two pings. A coordinator that is gone is noticed by three missing answers.
-const PING: Duration = Duration::from_millis(250);
+const PING_INTERVAL: Duration = Duration::from_millis(250);
 /// Silence up to which requests are sent on a link, in milliseconds: one answer may be late.
-const TRUSTED_MS: u64 = 550;
+const MAX_TRUSTED_SILENCE_MS: u64 = 550;
 /// Pause after a link failed.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Requests that may wait for the relay; more are refused.
-const QUEUE: usize = 1_024;
+const REQUEST_QUEUE: usize = 1_024;
 
 /// How the link to the coordinator is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -41,35 +41,35 @@
 
 /// A caller's request on its way.
 #[derive(Debug)]
-struct Waiting {
-    ask: CallerRequest,
-    answer: oneshot::Sender<CallerResponse>,
+struct PendingRequest {
+    request: CallerRequest,
+    response: oneshot::Sender<CallerResponse>,
     /// Copies of the request that left.
     sent: Arc<AtomicU64>,
     /// Copies of it that the coordinator refused.
-    refused: u64,
+    refused_copies: u64,
 }
 
-impl Waiting {
+impl PendingRequest {
     /// Returns whether an answer to one copy settles the request.
     ///
     /// A copy is sent again on the next link, and on one that was silent for a while. A refusal speaks for
     /// one copy: another may be read later, when there is room, and be accepted. Its caller would have
     /// been told that the job does not run, and it would run all the same. What is not settled in time is
     /// told as unknown.
-    fn is_settled_by(&mut self, answer: CallerResponse) -> bool {
-        if !matches!(answer, CallerResponse::Refused { .. }) {
+    fn is_settled_by(&mut self, response: CallerResponse) -> bool {
+        if !matches!(response, CallerResponse::Refused { .. }) {
             return true;
         }
-        self.refused += 1;
-        self.refused >= self.sent.load(Ordering::SeqCst)
+        self.refused_copies += 1;
+        self.refused_copies >= self.sent.load(Ordering::SeqCst)
     }
 }
 
 /// Handle of the relay.
 #[derive(Debug)]
 pub struct Relay {
-    tx: mpsc::Sender<Waiting>,
+    tx: mpsc::Sender<PendingRequest>,
     state: watch::Receiver<LinkState>,
     heard_ms: Arc<AtomicU64>,
 }
@@ -90,21 +90,21 @@
     /// coordinator has heard of. Pings also carry this entry's promise to support the coordinator.
     pub fn start(
         promises: Arc<LocalPromises>,
-        known: watch::Receiver<Option<KnownCoordinator>>,
-        in_force: Arc<ActiveConfiguration>,
+        known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
+        configuration: Arc<ActiveConfiguration>,
     ) -> Self {
-        let (tx, rx) = mpsc::channel(QUEUE);
+        let (tx, rx) = mpsc::channel(REQUEST_QUEUE);
         let (state_tx, state) = watch::channel(LinkState::default());
         let heard_ms = Arc::new(AtomicU64::new(0));
-        let task = Task {
+        let task = RelayTask {
             promises,
-            heard: None,
-            known,
-            in_force,
+            last_pong: None,
+            known_coordinator,
+            configuration,
             rx,
             state: state_tx,
             heard_ms: Arc::clone(&heard_ms),
-            waiting: HashMap::new(),
+            pending: HashMap::new(),
             next_ticket: 1,
         };
         tokio::spawn(task.run());
@@ -128,80 +128,90 @@
     ///
     /// Tells whether the request certainly had no effect. One that could not be sent is given up
     /// after `unsent` already, one that was sent only after `all`.
-    pub async fn ask(
+    pub async fn request(
         &self,
-        ask: CallerRequest,
-        unsent: Duration,
-        all: Duration,
+        request: CallerRequest,
+        unsent_timeout: Duration,
+        timeout: Duration,
     ) -> Result<CallerResponse, NoAnswer> {
         let sent = Arc::new(AtomicU64::new(0));
-        let (answer_tx, mut answer) = oneshot::channel();
-        let waiting = Waiting { ask, answer: answer_tx, sent: Arc::clone(&sent), refused: 0 };
-        self.tx.try_send(waiting).map_err(|_| NoAnswer::NotSent)?;
-        let began = Instant::now();
-        if let Ok(answered) = tokio::time::timeout_at(began + unsent.min(all), &mut answer).await {
+        let (answer_tx, mut response) = oneshot::channel();
+        let pending = PendingRequest {
+            request,
+            response: answer_tx,
+            sent: Arc::clone(&sent),
+            refused_copies: 0,
+        };
+        self.tx.try_send(pending).map_err(|_| NoAnswer::NotSent)?;
+        let started_at = Instant::now();
+        if let Ok(answered) =
+            tokio::time::timeout_at(started_at + unsent_timeout.min(timeout), &mut response).await
+        {
             return answered.map_err(|_| NoAnswer::Unknown);
         }
         if sent.load(Ordering::SeqCst) > 0
-            && let Ok(answered) = tokio::time::timeout_at(began + all, &mut answer).await
+            && let Ok(answered) = tokio::time::timeout_at(started_at + timeout, &mut response).await
         {
             return answered.map_err(|_| NoAnswer::Unknown);
         }
         // The relay marks a request before it looks whether the asker is still there, and the asker
         // leaves before it looks for the mark. So an unmarked request has not left and never will.
-        answer.close();
-        if let Ok(answered) = answer.try_recv() {
+        response.close();
+        if let Ok(answered) = response.try_recv() {
             return Ok(answered);
         }
         Err(if sent.load(Ordering::SeqCst) == 0 { NoAnswer::NotSent } else { NoAnswer::Unknown })
     }
 }
 
-struct Task {
+struct RelayTask {
     promises: Arc<LocalPromises>,
     /// When the coordinator sent its last pong, and when that was heard, on the boot clock.
-    heard: Option<(TermTime, u64)>,
-    known: watch::Receiver<Option<KnownCoordinator>>,
-    in_force: Arc<ActiveConfiguration>,
-    rx: mpsc::Receiver<Waiting>,
+    last_pong: Option<(TermTime, u64)>,
+    known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
+    configuration: Arc<ActiveConfiguration>,
+    rx: mpsc::Receiver<PendingRequest>,
     state: watch::Sender<LinkState>,
     heard_ms: Arc<AtomicU64>,
-    waiting: HashMap<u64, Waiting>,
+    pending: HashMap<u64, PendingRequest>,
     next_ticket: u64,
 }
 
 type Tx = LinkSender<FromPeer>;
 type Rx = LinkReceiver<ToPeer>;
 
-impl Task {
+impl RelayTask {
     async fn run(mut self) {
         loop {
-            let known = *self.known.borrow_and_update();
-            let Some(known) = known else {
+            let known_coordinator = *self.known_coordinator.borrow_and_update();
+            let Some(known_coordinator) = known_coordinator else {
                 tokio::select! {
-                    changed = self.known.changed() => if changed.is_err() { return },
-                    waiting = self.rx.recv() => match waiting {
-                        Some(waiting) => self.keep(waiting, None),
+                    changed = self.known_coordinator.changed() => if changed.is_err() { return },
+                    pending = self.rx.recv() => match pending {
+                        Some(pending) => self.enqueue(pending, None),
                         None => return,
                     },
                 }
                 continue;
             };
-            self.aim(known.address);
-            match peer_link::dial::<FromPeer, ToPeer>(known.address).await {
-                Ok((tx, rx)) => self.relay(tx, rx).await,
+            self.set_coordinator(known_coordinator.address);
+            match peer_link::dial::<FromPeer, ToPeer>(known_coordinator.address).await {
+                Ok((tx, rx)) => self.serve_link(tx, rx).await,
                 Err(error) => {
-                    spdlog::debug!("event=link_failed to={} why=\"{error}\"", known.address);
+                    spdlog::debug!(
+                        "event=link_failed to={} why=\"{error}\"",
+                        known_coordinator.address
+                    );
                     self.state.send_modify(|state| state.failed_connects += 1);
                 }
             }
-            self.waiting.retain(|_, waiting| !waiting.answer.is_closed());
-            tokio::time::sleep(PAUSE).await;
+            self.pending.retain(|_, pending| !pending.response.is_closed());
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Starts the account of a coordinator's silence anew when it is another one.
-    fn aim(&self, address: SocketAddr) {
+    fn set_coordinator(&self, address: SocketAddr) {
         self.state.send_if_modified(|state| {
             let other = state.address != Some(address);
             if other {
@@ -213,38 +223,38 @@
         });
     }
 
-    async fn relay(&mut self, tx: Tx, mut rx: Rx) {
+    async fn serve_link(&mut self, tx: Tx, mut rx: Rx) {
         let (node, incarnation) = (self.promises.node().clone(), self.promises.incarnation());
         if tx.send(FromPeer::EntryHello { node, incarnation }).is_err() {
             return;
         }
-        self.send_again(&tx);
-        let mut pings = tokio::time::interval(PING);
+        self.resend(&tx);
+        let mut pings = tokio::time::interval(PING_INTERVAL);
         loop {
             tokio::select! {
                 message = rx.next() => {
                     let Some(message) = message else { return };
-                    let was_trusted = self.silent_ms() < TRUSTED_MS;
-                    if !self.take(message.head) {
+                    let was_trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
+                    if !self.handle(message.head) {
                         return;
                     }
-                    if !was_trusted && self.silent_ms() < TRUSTED_MS {
-                        self.send_again(&tx);
+                    if !was_trusted && self.silent_ms() < MAX_TRUSTED_SILENCE_MS {
+                        self.resend(&tx);
                     }
                 }
-                waiting = self.rx.recv() => {
-                    let Some(waiting) = waiting else { return };
+                pending = self.rx.recv() => {
+                    let Some(pending) = pending else { return };
                     // What is sent into a silent link may arrive much later, and its caller could
                     // not be told any more that it has not run.
-                    let trusted = self.silent_ms() < TRUSTED_MS;
-                    self.keep(waiting, trusted.then_some(&tx));
+                    let trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
+                    self.enqueue(pending, trusted.then_some(&tx));
                 }
                 _ = pings.tick() => {
                     if tx.send(FromPeer::EntryMessage(self.ping())).is_err() || self.is_silent() {
                         return;
                     }
                 }
-                _ = self.known.changed() => return,
+                _ = self.known_coordinator.changed() => return,
             }
         }
     }
@@ -252,27 +262,27 @@
     fn ping(&self) -> FromEntry {
         let promise = |(sent, heard_ms)| self.promises.support(sent, heard_ms);
         FromEntry::Ping {
-            configuration: self.in_force.version(),
-            supports: self.heard.and_then(promise),
+            configuration: self.configuration.version(),
+            supports: self.last_pong.and_then(promise),
             stopping: self.promises.is_stopping(),
         }
     }
 
     /// Returns whether the link has been silent for so long that a new one should be tried.
     fn is_silent(&self) -> bool {
-        self.silent_ms() > 4 * PING.as_millis() as u64
+        self.silent_ms() > 4 * PING_INTERVAL.as_millis() as u64
     }
 
     fn silent_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
-    fn take(&mut self, message: ToPeer) -> bool {
+    fn handle(&mut self, message: ToPeer) -> bool {
         let now_ms = BootClock.now_ms();
         match message {
             ToPeer::Entry(ToEntry::Pong { store_ok, configuration, sent }) => {
-                self.heard = Some((sent, now_ms));
-                self.in_force.heard(configuration);
+                self.last_pong = Some((sent, now_ms));
+                self.configuration.observe(configuration);
                 self.heard_ms.store(now_ms, Ordering::Relaxed);
                 self.state.send_modify(|state| {
                     state.last_heard_ms = now_ms;
@@ -285,13 +295,13 @@
                     };
                 });
             }
-            ToPeer::Entry(ToEntry::Response { ticket, response: answer }) => {
-                let Some(waiting) = self.waiting.get_mut(&ticket) else { return true };
-                if waiting.is_settled_by(answer)
-                    && let Some(waiting) = self.waiting.remove(&ticket)
+            ToPeer::Entry(ToEntry::Response { ticket, response: response }) => {
+                let Some(pending) = self.pending.get_mut(&ticket) else { return true };
+                if pending.is_settled_by(response)
+                    && let Some(pending) = self.pending.remove(&ticket)
                 {
                     // A caller that has left needs no answer.
-                    let _ = waiting.answer.send(answer);
+                    let _ = pending.response.send(response);
                 }
             }
             ToPeer::NotCoordinating => {
@@ -304,29 +314,31 @@
     }
 
     /// Keeps a request until it is answered, and sends it if there is a link.
-    fn keep(&mut self, waiting: Waiting, tx: Option<&Tx>) {
+    fn enqueue(&mut self, pending: PendingRequest, tx: Option<&Tx>) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         if let Some(tx) = tx {
-            send(tx, ticket, &waiting);
+            send(tx, ticket, &pending);
         }
-        self.waiting.insert(ticket, waiting);
+        self.pending.insert(ticket, pending);
     }
 
-    fn send_again(&mut self, tx: &Tx) {
-        self.waiting.retain(|_, waiting| !waiting.answer.is_closed());
-        for (ticket, waiting) in &self.waiting {
-            send(tx, *ticket, waiting);
+    fn resend(&mut self, tx: &Tx) {
+        self.pending.retain(|_, pending| !pending.response.is_closed());
+        for (ticket, pending) in &self.pending {
+            send(tx, *ticket, pending);
         }
     }
 }
 
-fn send(tx: &Tx, ticket: u64, waiting: &Waiting) {
-    waiting.sent.fetch_add(1, Ordering::SeqCst);
-    if waiting.answer.is_closed() {
+fn send(tx: &Tx, ticket: u64, pending: &PendingRequest) {
+    pending.sent.fetch_add(1, Ordering::SeqCst);
+    if pending.response.is_closed() {
         return;
     }
     // A closed link is noticed by its reader, and the request is sent again on the next one.
-    let _ = tx
-        .send(FromPeer::EntryMessage(FromEntry::Request { ticket, request: waiting.ask.clone() }));
+    let _ = tx.send(FromPeer::EntryMessage(FromEntry::Request {
+        ticket,
+        request: pending.request.clone(),
+    }));
 }
--- a/crates/geraniumpost/src/batch/hedged_read.rs
+++ b/crates/geraniumpost/src/batch/hedged_read.rs
@@ -10,7 +10,7 @@
 /// answered.
 pub const MAX_CONCURRENT_ATTEMPTS: u32 = 3;
 /// Pause after an attempt that failed at once.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Repeats a reading until the answer of one attempt begins.
 ///
@@ -25,31 +25,31 @@
 /// Fails only if the history that is asked for is gone.
 pub async fn hedged_read<T, F>(
     store: &Store,
-    spacing: Duration,
+    interval: Duration,
     attempt: impl Fn(Duration) -> F,
-    mut failed: impl FnMut(&StoreError),
+    mut on_failure: impl FnMut(&StoreError),
 ) -> Result<T, StoreError>
 where
     F: Future<Output = Result<T, StoreError>>,
 {
-    let mut under_way = FuturesUnordered::new();
-    let mut next = Instant::now();
+    let mut in_flight = FuturesUnordered::new();
+    let mut next_attempt = Instant::now();
     loop {
         tokio::select! {
-            () = tokio::time::sleep_until(next), if under_way.len() < MAX_CONCURRENT_ATTEMPTS as usize => {
-                if !under_way.is_empty() {
+            () = tokio::time::sleep_until(next_attempt), if in_flight.len() < MAX_CONCURRENT_ATTEMPTS as usize => {
+                if !in_flight.is_empty() {
                     store.close_idle();
                 }
-                under_way.push(attempt(spacing * MAX_CONCURRENT_ATTEMPTS));
-                next = Instant::now() + spacing;
+                in_flight.push(attempt(interval * MAX_CONCURRENT_ATTEMPTS));
+                next_attempt = Instant::now() + interval;
             }
-            Some(answer) = under_way.next() => match answer {
-                Ok(answer) => return Ok(answer),
+            Some(result) = in_flight.next() => match result {
+                Ok(result) => return Ok(result),
                 Err(StoreError::Compacted) => return Err(StoreError::Compacted),
                 Err(error) => {
-                    failed(&error);
-                    if under_way.is_empty() {
-                        next = next.min(Instant::now() + PAUSE);
+                    on_failure(&error);
+                    if in_flight.is_empty() {
+                        next_attempt = next_attempt.min(Instant::now() + RETRY_PAUSE);
                     }
                 }
             },
--- a/crates/geraniumpost/src/batch/http_server.rs
+++ b/crates/geraniumpost/src/batch/http_server.rs
@@ -18,10 +18,10 @@
 use tokio::sync::watch;
 
 /// A whole answer.
-pub type Answer = Response<Full<Bytes>>;
+pub type HttpResponse = Response<Full<Bytes>>;
 
 /// Time in which the head of a request must arrive.
-const HEAD_TIME: Duration = Duration::from_secs(5);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after an accept failed, as when all descriptors are in use.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -38,7 +38,7 @@
 pub async fn serve<H, F>(listener: TcpListener, mut stop: watch::Receiver<bool>, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
     loop {
@@ -58,12 +58,12 @@
         let _ = stream.set_nodelay(true);
         let handle = handle.clone();
         let service = service_fn(move |req| {
-            let answer = handle(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handle(req);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIME)
+            .header_read_timeout(HEADER_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
@@ -77,8 +77,8 @@
 }
 
 /// Returns an answer without a body.
-pub fn empty(status: StatusCode) -> Answer {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = status;
-    answer
+pub fn empty(status: StatusCode) -> HttpResponse {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
 }
