--- a/crates/geraniumpost/src/batch/entry/active_configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -9,25 +9,26 @@
 use super::NewerVersions;
 use crate::metrics::Metrics;
 
-/// Stands for no version that is newer than the one in force.
+/// Time that stands for "not outdated".
 const NEVER: u64 = u64::MAX;
 
-/// The configuration in force, and what is known of newer ones.
+/// The active configuration, and what is known of newer versions.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
     routes: ArcSwapOption<Routes>,
-    /// When the call was sent that last showed the newest version, on the boot clock.
+    /// When the last successful call for the newest version was sent, on the boot clock.
     confirmed_ms: AtomicU64,
     newer: Mutex<NewerVersions>,
-    /// Since when another process is known to have a newer version, on the boot clock, or [`NOT_BEHIND`].
+    /// Since when another process is known to have a newer version, on the boot clock, or [`NEVER`].
     behind_since_ms: AtomicU64,
-    /// Since when the store is known to have a change that was not read yet, likewise.
+    /// Since when the store is known to have a change that was not read yet, on the boot clock, or
+    /// [`NEVER`].
     unread_since_ms: AtomicU64,
     metrics: Arc<Metrics>,
 }
 
 impl ActiveConfiguration {
-    /// Returns that of an entry which has read none yet.
+    /// Returns the state of an entry that has not read a configuration yet.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         let confirmed_ms = AtomicU64::new(BootClock.now_ms());
         Self {
@@ -40,39 +41,40 @@
         }
     }
 
-    /// Returns the configuration in force; none before the first was read.
+    /// Returns the active configuration; `None` before the first one is read.
     pub fn routes(&self) -> Option<Arc<Routes>> {
         self.routes.load_full()
     }
 
-    /// Returns its version; 0 if there is none.
+    /// Returns the version of the active configuration; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.routes.load().as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// Returns how long ago the version in force was known to be the newest, in milliseconds.
+    /// Returns the time since the active version was last confirmed as the newest, in milliseconds.
     pub fn age_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns the newest version that this process or one that it hears of has.
+    /// Returns the newest version that this process has or has heard of.
     pub fn newest(&self) -> u64 {
         self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest()
     }
 
-    /// Returns for how long a newer version than the one in force has been known, in milliseconds.
+    /// Returns for how long a version newer than the active one has been known, in milliseconds; 0 if
+    /// none is known.
     pub fn behind_ms(&self) -> u64 {
         let behind_since_ms = self.behind_since_ms.load(Ordering::Relaxed);
         let since_ms = behind_since_ms.min(self.unread_since_ms.load(Ordering::Relaxed));
         BootClock.now_ms().saturating_sub(since_ms)
     }
 
-    /// Notes that the store has a change that still has to be read.
+    /// Records that the store has a change that still has to be read.
     pub fn mark_unread(&self) {
         self.unread_since_ms.fetch_min(BootClock.now_ms(), Ordering::Relaxed);
     }
 
-    /// Notes that another process has a version.
+    /// Records that another process has a version.
     pub fn observe(&self, version: u64) {
         let newest = self.newest();
         if version <= newest {
@@ -80,7 +82,7 @@
         }
         self.update_newer(|newer| newer.observed(version, BootClock.now_ms()));
         spdlog::info!(
-            "event=configuration_heard version={version} in_force={} age_ms={}",
+            "event=configuration_heard version={version} active={} age_ms={}",
             self.version(),
             self.age_ms()
         );
@@ -93,19 +95,19 @@
         self.behind_since_ms.store(since_ms, Ordering::Relaxed);
     }
 
-    /// Notes that the store had nothing newer than what is in force when it was asked.
+    /// Records that the store had no newer version when a call was sent to it at `requested_ms`.
     pub fn record_confirmed(&self, requested_ms: u64) {
         self.confirmed_ms.fetch_max(requested_ms, Ordering::Relaxed);
         self.unread_since_ms.store(NEVER, Ordering::Relaxed);
         self.metrics.config_age(Duration::from_millis(self.age_ms()));
     }
 
-    /// Notes that a reading failed, for the `attempt`th time in a row.
+    /// Records that a read failed for the `attempt`th time in a row.
     pub fn record_failure(&self, attempt: u32, requested_ms: u64, why: &str) {
         let age_ms = self.age_ms();
         self.metrics.config_read("failed", 0);
         self.metrics.config_age(Duration::from_millis(age_ms));
-        // An outage of minutes takes a dozen lines.
+        // Logs only powers of two, so that an outage of minutes takes a dozen lines.
         if attempt.is_power_of_two() {
             let took_ms = BootClock.now_ms().saturating_sub(requested_ms);
             spdlog::warn!(
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
+    /// Activates a configuration if it is newer than the active one. `requested_ms` is when the call that
+    /// returned it was sent, on the boot clock.
     pub fn adopt(&self, value: &[u8], requested_ms: u64) {
         let bytes = value.len();
         let routes = match decode_routes(value) {
@@ -135,7 +138,7 @@
         self.metrics.config_read("adopted", bytes);
         self.metrics.config_revision(routes.version);
         spdlog::info!(
-            "event=configuration version={} before={previous_version} queues={} bytes={bytes} \
+            "event=configuration_activated version={} previous={previous_version} queues={} bytes={bytes} \
              took_ms={} age_ms={}",
             routes.version,
             routes.len(),
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests.
+//! Handles callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 
 use super::super::http_server::{HttpResponse, empty};
 use super::Shared;
-use super::relay::NoAnswer;
+use super::relay::NoResponse;
 
-/// How long a caller waits that does not say so.
+/// Deadline of requests that state none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
-/// Part of a caller's deadline that is left for the way back, in milliseconds.
+/// Part of a caller's deadline that is reserved for sending the response, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 150;
-/// How long a request that cannot be sent is held: a takeover takes about this long, and a caller
-/// told to come back would lose more.
+/// Longest time for which a request that cannot be sent is held. A takeover takes about as long, and a
+/// caller that has to retry would lose more.
 const MAX_UNSENT_WAIT: Duration = Duration::from_millis(1_200);
-/// Shortest time that such a request is held: a link may open at any moment.
+/// Shortest time for which such a request is held, as a link may open at any moment.
 const MIN_UNSENT_WAIT: Duration = Duration::from_millis(60);
-/// Seconds after which a refused caller should come back.
+/// Value of the `Retry-After` header for refused requests, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Answers one request.
+/// Responds to one request.
 pub async fn respond(req: Request<Incoming>, shared: Arc<Shared>) -> HttpResponse {
     let stopping = *shared.stop.borrow();
-    let began = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     let method = req.method().clone();
     let mut response = handle(req, &shared).await;
-    shared.metrics.outcome(method.as_str(), response.status().as_u16(), began.elapsed());
+    shared.metrics.outcome(method.as_str(), response.status().as_u16(), started_at.elapsed());
     if stopping {
-        // The next request of this caller reaches an entry that stays.
+        // Closing the connection directs the caller's next request to another entry.
         response.headers_mut().insert("connection", HeaderValue::from_static("close"));
     }
     response
@@ -43,10 +43,10 @@
 
 async fn handle(req: Request<Incoming>, shared: &Shared) -> HttpResponse {
     let Some(routes) = shared.configuration.routes() else {
-        return refuse("no configuration yet");
+        return refuse("no configuration was read yet");
     };
     if shared.is_behind() {
-        return refuse("the configuration in force may be old");
+        return refuse("the active configuration may be outdated");
     }
     let host = req.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let Some(route) = routes.find(host, req.uri().path()) else {
@@ -93,9 +93,10 @@
     relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, deadline).await
 }
 
-/// Has the coordinator answer, and translates what it says.
+/// Relays a request to the coordinator, and translates the response.
 async fn relay(shared: &Shared, request: CallerRequest, deadline: Duration) -> HttpResponse {
-    // While the coordinator has been silent for long, holding callers would only cost them time.
+    // If the coordinator has been silent for long already, holding the request longer would only cost
+    // the caller time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
     match shared.relay.request(request, unsent_wait, deadline).await {
@@ -110,15 +111,15 @@
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
             response
         }
-        Err(NoAnswer::NotSent) => refuse("no coordinator"),
-        Err(NoAnswer::Unknown) => {
+        Err(NoResponse::NotSent) => refuse("no coordinator"),
+        Err(NoResponse::Unknown) => {
             spdlog::warn!("decision=give_up why=\"coordinator did not answer\"");
             empty(StatusCode::GATEWAY_TIMEOUT)
         }
     }
 }
 
-/// Says that the request has not run and will not.
+/// Responds that the request had no effect and will have none.
 fn refuse(why: &str) -> HttpResponse {
     spdlog::info!("decision=refuse why=\"{why}\" retry_after_s={RETRY_AFTER_S}");
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -1,4 +1,4 @@
-//! Following the operators' configuration.
+//! Follows the operators' configuration in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,25 +10,26 @@
 use super::super::{BootClock, hedged_read};
 use super::{ActiveConfiguration, Shared};
 
-/// How long a watch waits. A connection that has gone silent is noticed after it.
+/// Time for which the store holds a watch open. A silent connection is noticed after it.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
-/// Time from one attempt to read to the next, until one is answered.
+/// Interval between attempts to read, until one is answered.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(800);
-/// Time from one attempt to watch to the next; an answer may take as long as a reading beyond the wait.
+/// Interval between attempts to watch. Beyond the wait, a response may take as long as that of a read.
 const WATCH_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_700);
-/// Longest time in which nothing of an answer arrives that has begun.
+/// Longest gap between parts of a response whose body is arriving.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after an answer that could not be used.
+/// Pause after a failed read or watch.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// For how long another entry may have a newer version before the watch is taken to have passed over it, in
-/// milliseconds.
+/// Time for which another entry may have a newer version before the watch counts as having missed it,
+/// in milliseconds.
 const MISSED_CHANGE_MS: u64 = 600;
-/// Length of an answer of a watch in bytes, above which the newest version is read instead.
+/// Length of a watch response in bytes above which the newest version is read instead.
 const MAX_WATCH_BYTES: usize = 64 * 1024;
 
-/// Follows the configuration for as long as the process runs.
+/// Follows the configuration until the process exits.
 pub async fn follow(store: Arc<Store>, shared: Arc<Shared>) {
-    let mut follower = Follower { store: &store, configuration: &shared.configuration, failed: 0 };
+    let mut follower =
+        Follower { store: &store, configuration: &shared.configuration, failed_attempts: 0 };
     loop {
         let revision = follower.read().await;
         follower.watch(revision).await;
@@ -38,42 +39,42 @@
 struct Follower<'a> {
     store: &'a Store,
     configuration: &'a ActiveConfiguration,
-    /// Attempts in a row that failed.
-    failed: u32,
+    /// Number of attempts in a row that failed.
+    failed_attempts: u32,
 }
 
 impl<'a> Follower<'a> {
-    /// Reads the newest version, and returns the revision from which changes are to be watched.
+    /// Reads the newest version; returns the revision from which changes have to be watched.
     async fn read(&mut self) -> u64 {
         loop {
             let Ok((requested_ms, response)) = self.begin_read().await else { continue };
             match response.receive(BODY_IDLE_TIMEOUT).await {
-                Ok(found) => {
-                    if let Some(item) = found.item {
+                Ok(response) => {
+                    if let Some(item) = response.item {
                         self.configuration.adopt(&item.value, requested_ms);
                     }
-                    self.succeeded(requested_ms);
-                    return found.revision;
+                    self.record_success(requested_ms);
+                    return response.revision;
                 }
-                Err(error) => self.failed(requested_ms, &error),
+                Err(error) => self.record_failure(requested_ms, &error),
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Watches from a revision on until the newest version has to be read: the history is gone, a watch
-    /// failed and may have passed over something before, another entry has had a newer version for
-    /// a while, or what has changed is long.
+    /// Watches from a revision on until the newest version has to be read: the history was compacted, a
+    /// watch failed and may have missed changes, another entry has had a newer version for a while, or
+    /// the response is long.
     ///
-    /// A watch tells each version in full, also those that are superseded. While a series of long ones is
-    /// transferred, more are written, and each answer would be longer than the one before.
+    /// A watch returns every version in full, including superseded ones. While a series of long versions
+    /// is transferred more are written, and each response would be longer than the one before.
     async fn watch(&mut self, mut revision: u64) {
         loop {
-            let begun = self.begin_watch(revision).await;
-            if self.failed > 0 {
+            let watch = self.begin_watch(revision).await;
+            if self.failed_attempts > 0 {
                 return;
             }
-            let Ok((requested_ms, response)) = begun else {
+            let Ok((requested_ms, response)) = watch else {
                 return tokio::time::sleep(RETRY_PAUSE).await;
             };
             if response.content_length().is_some_and(|bytes| bytes > MAX_WATCH_BYTES) {
@@ -82,7 +83,7 @@
             match response.receive(BODY_IDLE_TIMEOUT).await {
                 Ok(response) => revision = revision.max(self.apply(response, requested_ms)),
                 Err(error) => {
-                    self.failed(requested_ms, &error);
+                    self.record_failure(requested_ms, &error);
                     return tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes what a watch told, and returns the revision from which to go on.
+    /// Applies the changes of a watch; returns the revision from which to continue.
     fn apply(&mut self, response: WatchResponse, requested_ms: u64) -> u64 {
         for change in response.changes {
             if let Change::Written(item) = change
@@ -101,7 +102,7 @@
                 self.configuration.adopt(&item.value, requested_ms);
             }
         }
-        self.succeeded(requested_ms);
+        self.record_success(requested_ms);
         response.revision
     }
 
@@ -112,8 +113,10 @@
             Ok((requested_ms, store.begin_get(CONFIGURATION_KEY, timeout).await?))
         };
         let started_ms = BootClock.now_ms();
-        hedged_read(store, READ_ATTEMPT_INTERVAL, attempt, |error| self.failed(started_ms, error))
-            .await
+        hedged_read(store, READ_ATTEMPT_INTERVAL, attempt, |error| {
+            self.record_failure(started_ms, error)
+        })
+        .await
     }
 
     async fn begin_watch(
@@ -127,22 +130,27 @@
             Ok((requested_ms, watch.await?))
         };
         let started_ms = BootClock.now_ms();
-        hedged_read(store, WATCH_ATTEMPT_INTERVAL, attempt, |error| self.failed(started_ms, error))
-            .await
+        hedged_read(store, WATCH_ATTEMPT_INTERVAL, attempt, |error| {
+            self.record_failure(started_ms, error)
+        })
+        .await
     }
 
-    fn failed(&mut self, requested_ms: u64, error: &StoreError) {
-        self.failed += 1;
-        if self.failed == 1 {
+    fn record_failure(&mut self, requested_ms: u64, error: &StoreError) {
+        self.failed_attempts += 1;
+        if self.failed_attempts == 1 {
             spdlog::warn!("event=dependency_lost dependency=store why=\"{error}\"");
         }
-        self.configuration.record_failure(self.failed, requested_ms, &error.to_string());
+        self.configuration.record_failure(self.failed_attempts, requested_ms, &error.to_string());
     }
 
-    fn succeeded(&mut self, requested_ms: u64) {
-        if self.failed > 0 {
-            spdlog::info!("event=dependency_regained dependency=store failed={}", self.failed);
-            self.failed = 0;
+    fn record_success(&mut self, requested_ms: u64) {
+        if self.failed_attempts > 0 {
+            spdlog::info!(
+                "event=dependency_regained dependency=store failed={}",
+                self.failed_attempts
+            );
+            self.failed_attempts = 0;
         }
         self.configuration.record_confirmed(requested_ms);
     }
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: callers' requests, readiness, and a candidate for coordinating.
+//! The entry: serves callers' requests and readiness checks, and is a candidate for coordinating.
 
 mod active_configuration;
 mod caller_requests;
@@ -22,38 +22,38 @@
 
 pub use active_configuration::ActiveConfiguration;
 pub use newer_versions::NewerVersions;
-pub use relay::{LinkState, NoAnswer, Relay};
+pub use relay::{LinkState, NoResponse, Relay};
 
-/// Time for which a stopping entry still takes connections: the balancer asks once a second, and
-/// turns away from an entry after two misses.
+/// Time for which a stopping entry still accepts connections. The balancer checks readiness once a
+/// second, and removes an entry after two failed checks.
 const DRAIN_TIME: Duration = Duration::from_millis(2_800);
-/// Longest time that taking this entry off the list may take.
+/// Timeout of removing this entry from the registry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Part of the grace period that is kept for requests under way, in milliseconds.
+/// Part of the grace period that is kept free after the wait for requests under way, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_200;
 
-/// How long after its acknowledgement a version may be heard of, in milliseconds: two pings of other
-/// entries and of this one, and the time that the fastest of them takes to read it.
+/// Longest time from the acknowledgement of a version until this entry hears of it, in milliseconds:
+/// the time that the fastest entry takes to read it, its ping and this entry's ping.
 const VERSION_PROPAGATION_MS: u64 = 750;
 
-/// What the entry's tasks share.
+/// State that the entry's tasks share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The configuration in force.
+    /// The active configuration.
     pub configuration: Arc<ActiveConfiguration>,
-    /// Time in which an acknowledged configuration has to be in force, in milliseconds.
+    /// Time in which an acknowledged configuration has to become active, in milliseconds.
     pub config_apply_ms: u64,
-    /// Relays requests to the coordinator.
+    /// Relay of requests to the coordinator.
     pub relay: Relay,
-    /// Counters and histograms.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Whether the process was asked to stop.
+    /// Turns true when the process is asked to stop.
     pub stop: watch::Receiver<bool>,
 }
 
 impl Shared {
-    /// Returns whether answers by the configuration in force may be wrong: a newer one has to be in force by
-    /// now, or neither the store nor the coordinator, which would tell of one, has been heard for as long.
+    /// Returns whether the active configuration may be outdated: a newer one should be active by now, or
+    /// neither the store nor the coordinator, which report newer versions, has answered for as long.
     pub fn is_behind(&self) -> bool {
         let unconfirmed_ms = self.configuration.age_ms().min(self.relay.silent_ms());
         let max_behind_ms = self.config_apply_ms.saturating_sub(VERSION_PROPAGATION_MS);
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -1,11 +1,12 @@
 use std::collections::BTreeMap;
 
-/// Most versions that are kept apart; of more, only the newest is kept up to date.
+/// Number of versions that are tracked separately. Beyond it, each new version replaces the newest one.
 const MAX_TRACKED: usize = 64;
 
-/// Versions of the configuration that others have and this process has not, and when it heard of them.
+/// Versions of the configuration that other processes have and this one does not, with the times at
+/// which it heard of them.
 ///
-/// Time is in milliseconds of any one clock.
+/// Times are in milliseconds; all have to be of the same clock.
 ///
 /// # Example
 ///
@@ -27,7 +28,7 @@
 }
 
 impl NewerVersions {
-    /// Notes a version that another process has.
+    /// Records a version that another process has.
     pub fn observed(&mut self, version: u64, now_ms: u64) {
         if version <= self.active || self.newest() >= version {
             return;
@@ -38,21 +39,21 @@
         self.pending.insert(version, now_ms);
     }
 
-    /// Notes the version that is in force in this process.
+    /// Records the version that is active in this process.
     pub fn adopted(&mut self, version: u64) {
         self.active = self.active.max(version);
         self.pending = self.pending.split_off(&(self.active + 1));
     }
 
-    /// Returns the newest version that anybody has.
+    /// Returns the newest version that this process has or has heard of.
     pub fn newest(&self) -> u64 {
         self.pending.last_key_value().map_or(self.active, |(version, _)| *version)
     }
 
-    /// Returns since when a version is known that is newer than the one in force.
+    /// Returns since when a version newer than the active one is known, or `None`.
     ///
-    /// It is that of the oldest such version: of a series, each version that comes into force takes
-    /// its own time.
+    /// It is the time of the version that was heard of first among those not active yet. In a series of
+    /// versions each is measured separately.
     pub fn behind_since_ms(&self) -> Option<u64> {
         self.pending.values().min().copied()
     }
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -5,11 +5,12 @@
 use super::super::http_server::{HttpResponse, empty};
 use super::Shared;
 
-/// How long the coordinator may be silent before callers are better served elsewhere, in
-/// milliseconds. The balancer waits for two misses a second apart, longer than a takeover takes.
+/// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer removes an
+/// entry after two failed checks a second apart, which is longer than a takeover takes.
 const SILENCE_MS: u64 = 1_000;
 
-/// Answers the balancer: ready with the newest configuration and a coordinator, until asked to stop.
+/// Responds to the balancer's check. The entry is ready if its configuration is up to date, the
+/// coordinator answers, and the process was not asked to stop.
 pub fn respond(req: &Request<Incoming>, shared: &Shared) -> HttpResponse {
     if req.uri().path() != READY_PATH {
         return empty(StatusCode::NOT_FOUND);
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying callers' requests to the coordinator.
+//! Relays callers' requests to the coordinator.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,48 +15,49 @@
 use super::super::{BootClock, FromPeer, ToPeer, peer_link};
 use super::ActiveConfiguration;
 
-/// Pause between two pings. A coordinator that is gone is noticed by three missing answers.
+/// Interval of pings. A coordinator counts as lost after three missing pongs.
 const PING_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence up to which requests are sent on a link, in milliseconds: one answer may be late.
+/// Silence up to which new requests are sent over a link, in milliseconds: one pong may be late.
 const MAX_TRUSTED_SILENCE_MS: u64 = 550;
-/// Pause after a link failed.
+/// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Requests that may wait for the relay; more are refused.
+/// Capacity of the queue of requests; more are refused.
 const REQUEST_QUEUE: usize = 1_024;
 
-/// How the link to the coordinator is.
+/// State of this entry's link to the coordinator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// The coordinator that the rest is about.
+    /// Address of the coordinator that the other fields describe.
     pub address: Option<SocketAddr>,
-    /// When it answered last, or when the first link to it was tried, on the boot clock.
+    /// When the coordinator last sent a pong, or when the first connect to it was tried, on the boot
+    /// clock.
     pub last_heard_ms: u64,
-    /// Links in a row that could not be opened.
+    /// Connects in a row that failed.
     pub failed_connects: u32,
-    /// Whether it has answered that it does not coordinate.
+    /// Whether the process at the address has responded that it does not coordinate.
     pub not_coordinating: bool,
-    /// Since when the coordinator has not reached the store, on the boot clock.
+    /// Since when the coordinator has reported that it does not reach the store, on the boot clock.
     pub store_unreachable_since_ms: Option<u64>,
 }
 
-/// A caller's request on its way.
+/// A caller's request that has no response yet.
 #[derive(Debug)]
 struct PendingRequest {
     request: CallerRequest,
     response: oneshot::Sender<CallerResponse>,
-    /// Copies of the request that left.
+    /// Number of copies of the request that were sent.
     sent: Arc<AtomicU64>,
-    /// Copies of it that the coordinator refused.
+    /// Number of copies that the coordinator has refused.
     refused_copies: u64,
 }
 
 impl PendingRequest {
-    /// Returns whether an answer to one copy settles the request.
+    /// Returns whether the response to one copy settles the request.
     ///
-    /// A copy is sent again on the next link, and on one that was silent for a while. A refusal speaks for
-    /// one copy: another may be read later, when there is room, and be accepted. Its caller would have
-    /// been told that the job does not run, and it would run all the same. What is not settled in time is
-    /// told as unknown.
+    /// Another copy is sent over each new link, and over a link that was silent for a while. A refusal
+    /// applies to one copy only: the coordinator may read another one later, when it has capacity, and
+    /// accept it. The job would run although its caller was told that it does not. A request that is
+    /// not settled in time is reported as [`NoResponse::Unknown`].
     fn is_settled_by(&mut self, response: CallerResponse) -> bool {
         if !matches!(response, CallerResponse::Refused { .. }) {
             return true;
@@ -74,20 +75,20 @@
     heard_ms: Arc<AtomicU64>,
 }
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoAnswer {
-    /// It never left this process.
+pub enum NoResponse {
+    /// It was not sent, and has no effect.
     NotSent,
-    /// It may have reached a coordinator.
+    /// It was sent, and a coordinator may have handled it.
     Unknown,
 }
 
 impl Relay {
-    /// Starts relaying to whoever is known to coordinate.
+    /// Starts a task that relays requests to the known coordinator.
     ///
-    /// Pings carry the version of the configuration in force, and answers the newest one that the
-    /// coordinator has heard of. Pings also carry this entry's promise to support the coordinator.
+    /// Pings carry the version of the active configuration and this entry's promise to support the
+    /// coordinator. Pongs carry the newest version that the coordinator has heard of.
     pub fn start(
         promises: Arc<LocalPromises>,
         known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
@@ -121,52 +122,57 @@
         BootClock.now_ms().saturating_sub(self.heard_ms.load(Ordering::Relaxed))
     }
 
-    /// Asks the coordinator; across a takeover the request is sent again to the next one, as all
-    /// requests are idempotent.
+    /// Sends a request to the coordinator and waits for the response. After a takeover the request is
+    /// sent again to the successor, as all requests are idempotent.
     ///
     /// # Errors
     ///
-    /// Tells whether the request certainly had no effect. One that could not be sent is given up
-    /// after `unsent` already, one that was sent only after `all`.
+    /// Fails if no response arrives: after `unsent_timeout` if the request could not be sent, otherwise
+    /// after `timeout`. The error says whether the request may have had an effect.
     pub async fn request(
         &self,
         request: CallerRequest,
         unsent_timeout: Duration,
         timeout: Duration,
-    ) -> Result<CallerResponse, NoAnswer> {
+    ) -> Result<CallerResponse, NoResponse> {
         let sent = Arc::new(AtomicU64::new(0));
-        let (answer_tx, mut response) = oneshot::channel();
+        let (response_tx, mut response) = oneshot::channel();
         let pending = PendingRequest {
             request,
-            response: answer_tx,
+            response: response_tx,
             sent: Arc::clone(&sent),
             refused_copies: 0,
         };
-        self.tx.try_send(pending).map_err(|_| NoAnswer::NotSent)?;
+        self.tx.try_send(pending).map_err(|_| NoResponse::NotSent)?;
         let started_at = Instant::now();
-        if let Ok(answered) =
+        if let Ok(result) =
             tokio::time::timeout_at(started_at + unsent_timeout.min(timeout), &mut response).await
         {
-            return answered.map_err(|_| NoAnswer::Unknown);
+            return result.map_err(|_| NoResponse::Unknown);
         }
         if sent.load(Ordering::SeqCst) > 0
-            && let Ok(answered) = tokio::time::timeout_at(started_at + timeout, &mut response).await
+            && let Ok(result) = tokio::time::timeout_at(started_at + timeout, &mut response).await
         {
-            return answered.map_err(|_| NoAnswer::Unknown);
+            return result.map_err(|_| NoResponse::Unknown);
         }
-        // The relay marks a request before it looks whether the asker is still there, and the asker
-        // leaves before it looks for the mark. So an unmarked request has not left and never will.
+        // The relay counts a copy before it checks whether this receiver is closed, and this function
+        // closes the receiver before it reads the count. So a request with no copies was not sent and
+        // never will be.
         response.close();
-        if let Ok(answered) = response.try_recv() {
-            return Ok(answered);
+        if let Ok(result) = response.try_recv() {
+            return Ok(result);
         }
-        Err(if sent.load(Ordering::SeqCst) == 0 { NoAnswer::NotSent } else { NoAnswer::Unknown })
+        Err(if sent.load(Ordering::SeqCst) == 0 {
+            NoResponse::NotSent
+        } else {
+            NoResponse::Unknown
+        })
     }
 }
 
 struct RelayTask {
     promises: Arc<LocalPromises>,
-    /// When the coordinator sent its last pong, and when that was heard, on the boot clock.
+    /// When the coordinator sent its last pong, on its clock, and when that arrived, on the boot clock.
     last_pong: Option<(TermTime, u64)>,
     known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
     configuration: Arc<ActiveConfiguration>,
@@ -210,16 +216,16 @@
         }
     }
 
-    /// Starts the account of a coordinator's silence anew when it is another one.
+    /// Resets the state of the link if the coordinator's address has changed.
     fn set_coordinator(&self, address: SocketAddr) {
         self.state.send_if_modified(|state| {
-            let other = state.address != Some(address);
-            if other {
+            let is_other = state.address != Some(address);
+            if is_other {
                 let last_heard_ms = BootClock.now_ms();
                 *state =
                     LinkState { address: Some(address), last_heard_ms, ..LinkState::default() };
             }
-            other
+            is_other
         });
     }
 
@@ -244,8 +250,8 @@
                 }
                 pending = self.rx.recv() => {
                     let Some(pending) = pending else { return };
-                    // What is sent into a silent link may arrive much later, and its caller could
-                    // not be told any more that it has not run.
+                    // A request that is sent over a silent link may arrive much later. Its caller could
+                    // no longer be told that it had no effect.
                     let trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
                     self.enqueue(pending, trusted.then_some(&tx));
                 }
@@ -268,7 +274,7 @@
         }
     }
 
-    /// Returns whether the link has been silent for so long that a new one should be tried.
+    /// Returns whether the link has been silent for four ping intervals and should be replaced.
     fn is_silent(&self) -> bool {
         self.silent_ms() > 4 * PING_INTERVAL.as_millis() as u64
     }
@@ -277,6 +283,7 @@
         BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
+    /// Handles a message; returns false if the link is of no further use.
     fn handle(&mut self, message: ToPeer) -> bool {
         let now_ms = BootClock.now_ms();
         match message {
@@ -295,12 +302,12 @@
                     };
                 });
             }
-            ToPeer::Entry(ToEntry::Response { ticket, response: response }) => {
+            ToPeer::Entry(ToEntry::Response { ticket, response }) => {
                 let Some(pending) = self.pending.get_mut(&ticket) else { return true };
                 if pending.is_settled_by(response)
                     && let Some(pending) = self.pending.remove(&ticket)
                 {
-                    // A caller that has left needs no answer.
+                    // Sending fails only if the caller no longer waits.
                     let _ = pending.response.send(response);
                 }
             }
@@ -313,7 +320,7 @@
         true
     }
 
-    /// Keeps a request until it is answered, and sends it if there is a link.
+    /// Keeps a request until it is settled, and sends it if a link is given.
     fn enqueue(&mut self, pending: PendingRequest, tx: Option<&Tx>) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
@@ -336,7 +343,7 @@
     if pending.response.is_closed() {
         return;
     }
-    // A closed link is noticed by its reader, and the request is sent again on the next one.
+    // The reader notices a closed link, and the request is sent again over the next one.
     let _ = tx.send(FromPeer::EntryMessage(FromEntry::Request {
         ticket,
         request: pending.request.clone(),
--- a/crates/geraniumpost/src/batch/hedged_read.rs
+++ b/crates/geraniumpost/src/batch/hedged_read.rs
@@ -6,23 +6,22 @@
 use geraniumpost_platform::{Store, StoreError};
 use tokio::time::Instant;
 
-/// Attempts that may be under way at a time. Each gets this many times the time between two of them to be
-/// answered.
+/// Attempts that may be under way at the same time. Each has this many intervals to be answered.
 pub const MAX_CONCURRENT_ATTEMPTS: u32 = 3;
-/// Pause after an attempt that failed at once.
+/// Pause before the next attempt if all others have failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Repeats a reading until the answer of one attempt begins.
+/// Repeats a read until one attempt succeeds; another attempt starts every `interval`.
 ///
-/// An attempt is not given up when the next one begins beside it: a connection that has gone silent never
-/// answers, but one over a busy link does, later than usual, and giving it up would only add to what the
-/// link carries. An attempt beside another uses a new connection, as those that are idle may have gone
-/// silent as well. `attempt` gets the longest time for which it may wait for an answer, and `failed` is told
-/// of each one that got none.
+/// An attempt is not cancelled when the next one starts. A silent connection never answers, but a busy
+/// link answers late, and cancelling would only add to its load. An attempt that starts beside another
+/// one uses a new connection, because idle connections may have become silent as well. `attempt` gets
+/// the time for which it may wait for a response; `on_failure` is called with the error of each failed
+/// attempt.
 ///
 /// # Errors
 ///
-/// Fails only if the history that is asked for is gone.
+/// Fails only if the requested history was compacted.
 pub async fn hedged_read<T, F>(
     store: &Store,
     interval: Duration,
--- a/crates/geraniumpost/src/batch/http_server.rs
+++ b/crates/geraniumpost/src/batch/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that callers, the balancer and minions reach.
+//! HTTP server for callers, the balancer and minions.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,24 +17,24 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A whole answer.
+/// A response with its whole body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Time in which the head of a request must arrive.
+/// Time in which the headers of a request must arrive.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after an accept failed, as when all descriptors are in use.
+/// Pause after a failed accept, for example when all file descriptors are in use.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Binds an address.
+/// Binds a listening socket.
 ///
 /// # Errors
 ///
-/// Fails if the address is taken.
+/// Fails if the address is in use.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).await.wrap_err_with(|| format!("binding {address}"))
 }
 
-/// Serves requests until `stop` turns true, and then until those under way are answered.
+/// Serves requests until `stop` turns true and the requests under way are answered.
 pub async fn serve<H, F>(listener: TcpListener, mut stop: watch::Receiver<bool>, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -54,7 +54,7 @@
                 continue;
             }
         };
-        // Without it small answers wait for the other side's acknowledgement.
+        // Without it small responses wait for the peer's acknowledgement.
         let _ = stream.set_nodelay(true);
         let handle = handle.clone();
         let service = service_fn(move |req| {
@@ -76,7 +76,7 @@
     graceful.shutdown().await;
 }
 
-/// Returns an answer without a body.
+/// Returns a response without a body.
 pub fn empty(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
--- a/crates/geraniumpost/src/batch/mod.rs
+++ b/crates/geraniumpost/src/batch/mod.rs
@@ -1,7 +1,7 @@
-//! Jobs of many steps on a shared store: the entry that callers reach, and the agent beside each
+//! Jobs of many steps on a shared store: the entry that serves callers, and the agent beside each
 //! minion.
 //!
-//! Each entry can coordinate; one does, and holds the coordinator's key in the store. See
+//! Every entry can coordinate. The one that does holds the coordinator's key in the store. See
 //! `docs/design/0601-jobs-on-a-shared-store.md`.
 
 pub mod agent;
@@ -20,7 +20,7 @@
 use eyre::Result;
 use geraniumpost_platform::load_settings;
 
-/// Runs `geraniumpost job-entry` until it is told to stop.
+/// Runs `geraniumpost job-entry` until the process is asked to stop.
 ///
 /// # Errors
 ///
@@ -31,7 +31,7 @@
     crate::runtime::start_small()?.block_on(entry::serve(settings))
 }
 
-/// Runs `geraniumpost job-agent` until it is told to stop.
+/// Runs `geraniumpost job-agent` until the process is asked to stop.
 ///
 /// # Errors
 ///
@@ -42,10 +42,10 @@
     crate::runtime::start_small()?.block_on(agent::serve(settings))
 }
 
-/// Port on which both roles serve their metrics under `/metrics`; it is the usual one of exporters.
+/// Port on which both roles serve `/metrics`, the usual one of exporters.
 const METRICS_PORT: u16 = 9_464;
 
-/// Starts to serve metrics. A taken port costs the metrics and nothing else.
+/// Starts to serve metrics. If the port is in use, the process runs without metrics.
 ///
 /// # Errors
 ///
--- a/crates/geraniumpost/src/batch/peer_link.rs
+++ b/crates/geraniumpost/src/batch/peer_link.rs
@@ -1,4 +1,4 @@
-//! Links between the system's own processes.
+//! Links between agents and entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time a connection between two VMs may take; the way there and back takes about 1 ms, and
-/// a small VM may be busy for some tens of them.
+/// Timeout of a connect between two VMs. A round trip takes about 1 ms, and a small VM may be busy for
+/// some tens of milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Opens a link to another process.
@@ -25,14 +25,14 @@
     I: DeserializeOwned + Send + 'static,
 {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    Ok(open(stream.wrap_err("no answer")??)?)
+    Ok(open(stream.wrap_err("connect timed out")??)?)
 }
 
-/// Makes a link of a connection.
+/// Opens a link over an existing connection.
 ///
 /// # Errors
 ///
-/// Fails if the connection is gone already.
+/// Fails if the connection is already closed.
 pub fn open<O, I>(stream: TcpStream) -> std::io::Result<(LinkSender<O>, LinkReceiver<I>)>
 where
     O: Serialize + Send + Sync + 'static,
--- a/crates/geraniumpost/src/batch/peer_message.rs
+++ b/crates/geraniumpost/src/batch/peer_message.rs
@@ -4,57 +4,57 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// What a process sends on a link that it opened to an entry.
+/// Messages of a process on a link that it has opened to an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromPeer {
-    /// The first message: an entry that relays callers' requests.
+    /// First message of an entry that relays callers' requests.
     EntryHello {
-        /// Its name.
+        /// Name of the entry.
         node: Name,
-        /// Random number of its process.
+        /// Random number that identifies the entry's process.
         incarnation: u64,
     },
-    /// The first message: an agent.
+    /// First message of an agent.
     AgentHello {
-        /// Its name.
+        /// Name of the agent.
         node: Name,
     },
-    /// The first and only message: does the coordinator answer you?
+    /// Only message of an entry that asks whether the coordinator answers the receiver.
     Probe,
-    /// The first and only message, from a coordinator: support no coordinator of an earlier term any more.
+    /// Only message of a coordinator that requests the release of all promises to earlier terms.
     Release {
-        /// Its term.
+        /// Term of the requesting coordinator.
         term: u64,
     },
-    /// From an agent.
+    /// Later messages of an agent.
     AgentMessage(FromAgent),
-    /// From an entry.
+    /// Later messages of an entry.
     EntryMessage(FromEntry),
 }
 
-/// What an entry answers on a link.
+/// Messages of an entry on a link that another process has opened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToPeer {
     /// This entry does not coordinate; the link ends.
     NotCoordinating,
-    /// The answer to a probe.
+    /// Response to [`FromPeer::Probe`].
     ProbeResponse {
-        /// Whether the coordinator has answered lately.
+        /// Whether the coordinator has answered the entry recently.
         coordinator_responds: bool,
-        /// Who coordinates as far as this entry knows: the address, and the fencing token.
+        /// Address and fencing token of the current coordinator as far as the entry knows.
         coordinator: Option<(SocketAddr, u64)>,
     },
-    /// The answer to a request for release, which is granted.
+    /// Response to [`FromPeer::Release`]. The release is always granted.
     ReleaseResponse {
-        /// The entry that answers.
+        /// Name of the entry that responds.
         node: Name,
-        /// Random number of its process.
+        /// Random number that identifies the entry's process.
         incarnation: u64,
-        /// For how many milliseconds earlier coordinators may still count on it.
+        /// Milliseconds for which earlier coordinators may still rely on promises of the entry.
         remaining_ms: u64,
     },
-    /// To an agent.
+    /// Message of the coordinator to an agent.
     Agent(ToAgent),
-    /// To an entry.
+    /// Message of the coordinator to an entry.
     Entry(ToEntry),
 }
--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -1,4 +1,4 @@
-//! What a coordinator's key holds.
+//! Encoding of the coordinator's record.
 
 use std::collections::BTreeMap;
 
@@ -23,9 +23,9 @@
     [("entry-2".into(), 22), ("entry-3".into(), 33)].into_iter().collect()
 }
 
-/// What a coordinator leaves behind is read by its successor as it was written.
+/// A successor reads the leases that its predecessor wrote.
 #[test]
-fn inheritance_is_read_as_it_was_written() {
+fn predecessor_leases_round_trip() {
     let mut record = record();
     let silent = SilentCoordinator { term: 6, remaining_ms: 13_400 };
     record.predecessor_leases.silent.insert(([10, 0, 0, 2], 7160).into(), silent);
@@ -33,37 +33,38 @@
     assert_eq!(CoordinatorRecord::decode(&record.encode()), Ok(record));
 }
 
-/// During a rolling upgrade the coordinator may be of a version that leaves nothing behind. Were its key
-/// unreadable, its successor would take the term of a coordinator that is alive.
+/// During a rolling upgrade the coordinator may be of a version that writes no predecessor leases. If its
+/// record could not be decoded, another entry would take over although that coordinator is alive.
 #[test]
-fn record_without_inheritance_is_read() {
+fn record_without_predecessor_leases_is_decoded() {
     let bytes = record().encode();
     let earlier = &bytes[..bytes.len() - 3];
     assert_eq!(CoordinatorRecord::decode(earlier), Ok(record()));
 }
 
-/// The same with a version that leaves something behind, but names no voters.
+/// The same with a version that writes predecessor leases but no voters.
 #[test]
-fn record_without_voters_is_read() {
+fn record_without_voters_is_decoded() {
     let mut record = record();
     record.predecessor_leases.unreached.insert("agent-3".into(), 800);
     let bytes = record.encode();
     assert_eq!(CoordinatorRecord::decode(&bytes[..bytes.len() - 1]), Ok(record));
 }
 
-/// Voters are read as they were written: a successor that counted others than its predecessor might take that
-/// one's leases for ended while it extends them.
+/// A successor that counted other voters than its predecessor might assume that the predecessor's leases
+/// have ended while it still extends them.
 #[test]
-fn voters_are_read_as_they_were_written() {
+fn voters_round_trip() {
     let mut record = record();
     record.voters.insert(7, voters());
     let read = CoordinatorRecord::decode(&record.encode()).expect("this version wrote it");
     assert_eq!((read.voters_of(7), read.voters_of(6)), (voters(), Voters::default()));
 }
 
-/// Only the voters of the own term and of silent coordinators are kept: the key would grow with each term.
+/// Only the voters of the own term and of silent coordinators are kept. Otherwise the record would grow
+/// with each term.
 #[test]
-fn voters_of_ended_terms_are_forgotten() {
+fn voters_of_ended_terms_are_pruned() {
     let mut record = record();
     record
         .predecessor_leases
@@ -76,8 +77,8 @@
     assert_eq!(record.voters.into_keys().collect::<Vec<_>>(), [5, 7]);
 }
 
-/// Bytes of another layout name no coordinator.
+/// Bytes of another layout are rejected.
 #[test]
-fn other_bytes_are_no_record() {
+fn bytes_of_another_layout_are_rejected() {
     assert!(CoordinatorRecord::decode(&[1]).is_err());
 }
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -1,4 +1,4 @@
-//! Readings of the store that are repeated until one is answered.
+//! Reads of the store that start further attempts until one is answered.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const SPACING: Duration = Duration::from_millis(50);
+const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns a client of a store that these tests do not call.
+/// Returns a client of a store that the test does not call.
 fn store() -> Store {
     Store::new(([127, 0, 0, 1], 9).into())
 }
@@ -22,134 +22,142 @@
     StoreError::Failed("refused".to_owned())
 }
 
-/// Guards against an attempt that is given up as the next one begins: over a busy link each answer is
-/// late, and none would ever be taken.
+/// Guards against cancelling an attempt when the next one starts: over a busy link every response is
+/// late, and none would be used.
 #[tokio::test]
-async fn late_answer_of_an_earlier_attempt_is_taken() {
-    let number = Cell::new(0);
+async fn late_response_to_an_earlier_attempt_is_used() {
+    let attempts = Cell::new(0);
     let attempt = |_| {
-        number.set(number.get() + 1);
-        let mine = number.get();
+        attempts.set(attempts.get() + 1);
+        let attempt_number = attempts.get();
         async move {
-            tokio::time::sleep(SPACING * 2 + SPACING / 2).await;
-            Ok(mine)
+            tokio::time::sleep(INTERVAL * 2 + INTERVAL / 2).await;
+            Ok(attempt_number)
         }
     };
-    let answer = hedged_read(&store(), SPACING, attempt, |_| panic!("no attempt fails")).await;
-    assert_eq!((answer, number.get()), (Ok(1), 3));
+    let result = hedged_read(&store(), INTERVAL, attempt, |_| panic!("no attempt fails")).await;
+    assert_eq!((result, attempts.get()), (Ok(1), 3));
 }
 
-/// Guards against a connection that has gone silent: it must not keep others from being tried.
+/// Guards against a silent connection that keeps other connections from being tried.
 #[tokio::test]
-async fn attempt_beside_a_silent_one_is_answered() {
-    let number = Cell::new(0);
+async fn second_attempt_succeeds_while_the_first_is_silent() {
+    let attempts = Cell::new(0);
     let attempt = |_| {
-        number.set(number.get() + 1);
-        let mine = number.get();
+        attempts.set(attempts.get() + 1);
+        let attempt_number = attempts.get();
         async move {
-            if mine == 1 {
+            if attempt_number == 1 {
                 std::future::pending::<()>().await;
             }
-            Ok(mine)
+            Ok(attempt_number)
         }
     };
-    let began = Instant::now();
-    let answer = hedged_read(&store(), SPACING, attempt, |_| panic!("no attempt fails")).await;
-    assert_eq!(answer, Ok(2));
-    assert!(began.elapsed() < SPACING * 2, "{:?}", began.elapsed());
+    let started_at = Instant::now();
+    let result = hedged_read(&store(), INTERVAL, attempt, |_| panic!("no attempt fails")).await;
+    assert_eq!(result, Ok(2));
+    assert!(started_at.elapsed() < INTERVAL * 2, "{:?}", started_at.elapsed());
 }
 
 #[tokio::test]
-async fn no_more_attempts_than_allowed_are_under_way() {
-    let (under_way, most) = (Cell::new(0), Cell::new(0));
-    let failed = RefCell::new(0);
+async fn number_of_concurrent_attempts_is_limited() {
+    let (in_flight, max_in_flight) = (Cell::new(0), Cell::new(0));
+    let failures = RefCell::new(0);
     let attempt = |timeout| {
-        under_way.set(under_way.get() + 1);
-        most.set(most.get().max(under_way.get()));
-        let under_way = &under_way;
+        in_flight.set(in_flight.get() + 1);
+        max_in_flight.set(max_in_flight.get().max(in_flight.get()));
+        let in_flight = &in_flight;
         async move {
             tokio::time::sleep(timeout).await;
-            under_way.set(under_way.get() - 1);
+            in_flight.set(in_flight.get() - 1);
             Err::<(), _>(failure())
         }
     };
     let store = store();
-    let reading = hedged_read(&store, SPACING, attempt, |_| *failed.borrow_mut() += 1);
-    let ended = tokio::time::timeout(SPACING * MAX_CONCURRENT_ATTEMPTS * 4, reading).await;
-    assert!(ended.is_err(), "it goes on");
-    assert!(*failed.borrow() >= 6, "{} failed", failed.borrow());
-    assert_eq!(most.get(), MAX_CONCURRENT_ATTEMPTS);
+    let read = hedged_read(&store, INTERVAL, attempt, |_| *failures.borrow_mut() += 1);
+    let ended = tokio::time::timeout(INTERVAL * MAX_CONCURRENT_ATTEMPTS * 4, read).await;
+    assert!(ended.is_err(), "the read must still be running");
+    assert!(*failures.borrow() >= 6, "{} failed", failures.borrow());
+    assert_eq!(max_in_flight.get(), MAX_CONCURRENT_ATTEMPTS);
 }
 
 #[tokio::test]
 async fn refused_attempts_are_repeated_after_a_pause() {
-    let number = Cell::new(0);
+    let attempts = Cell::new(0);
     let attempt = |_| {
-        number.set(number.get() + 1);
-        let mine = number.get();
-        async move { if mine < 3 { Err(failure()) } else { Ok(mine) } }
+        attempts.set(attempts.get() + 1);
+        let attempt_number = attempts.get();
+        async move { if attempt_number < 3 { Err(failure()) } else { Ok(attempt_number) } }
     };
-    let began = Instant::now();
-    let failed = Cell::new(0);
-    let answer =
-        hedged_read(&store(), Duration::from_secs(20), attempt, |_| failed.set(failed.get() + 1))
-            .await;
-    assert_eq!((answer, failed.get()), (Ok(3), 2));
-    assert!(began.elapsed() >= Duration::from_millis(300), "{:?}", began.elapsed());
-    assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
+    let started_at = Instant::now();
+    let failures = Cell::new(0);
+    let result = hedged_read(&store(), Duration::from_secs(20), attempt, |_| {
+        failures.set(failures.get() + 1)
+    })
+    .await;
+    assert_eq!((result, failures.get()), (Ok(3), 2));
+    assert!(started_at.elapsed() >= Duration::from_millis(300), "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
 }
 
 #[tokio::test]
-async fn lost_history_is_told_at_once() {
+async fn compacted_history_is_reported_at_once() {
     let attempt = |_| async { Err::<(), _>(StoreError::Compacted) };
-    let answer = hedged_read(&store(), SPACING, attempt, |_| panic!("it is no failure")).await;
-    assert_eq!(answer, Err(StoreError::Compacted));
+    let result = hedged_read(&store(), INTERVAL, attempt, |_| {
+        panic!("a compacted history is not a failed attempt")
+    })
+    .await;
+    assert_eq!(result, Err(StoreError::Compacted));
 }
 
-/// Answers each request on a connection as if there were no such key, while `answers` holds.
-async fn serve(mut stream: TcpStream, answers: Arc<AtomicBool>) {
+/// Answers each request on a connection with 404 while `responding` is true, and never again after.
+async fn serve(mut stream: TcpStream, responding: Arc<AtomicBool>) {
     let mut buf = [0; 4096];
     while let Ok(1..) = stream.read(&mut buf).await {
-        if !answers.load(Ordering::SeqCst) {
+        if !responding.load(Ordering::SeqCst) {
             return std::future::pending().await;
         }
-        let answer = b"HTTP/1.1 404 Not Found\r\ncontent-length: 2\r\n\r\n{}";
-        if stream.write_all(answer).await.is_err() {
+        let response = b"HTTP/1.1 404 Not Found\r\ncontent-length: 2\r\n\r\n{}";
+        if stream.write_all(response).await.is_err() {
             return;
         }
     }
 }
 
-/// Starts a store of which the first two connections answer only while the flag holds.
-async fn two_connections_that_fall_silent() -> (SocketAddr, Arc<AtomicBool>) {
+/// Starts a store whose first two connections respond only while the returned flag is true.
+async fn start_store() -> (SocketAddr, Arc<AtomicBool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let first_two = Arc::new(AtomicBool::new(true));
-    let answers = Arc::clone(&first_two);
+    let first_two_respond = Arc::new(AtomicBool::new(true));
+    let responding = Arc::clone(&first_two_respond);
     tokio::spawn(async move {
-        for number in 0.. {
+        for connection in 0.. {
             let (stream, _) = listener.accept().await.unwrap();
             let always = Arc::new(AtomicBool::new(true));
-            tokio::spawn(serve(stream, if number < 2 { Arc::clone(&answers) } else { always }));
+            tokio::spawn(serve(
+                stream,
+                if connection < 2 { Arc::clone(&responding) } else { always },
+            ));
         }
     });
-    (address, first_two)
+    (address, first_two_respond)
 }
 
-/// Guards against connections that all fell silent at once: each that is idle would cost one more attempt
-/// its time, although a new connection works.
+/// Guards against idle connections that have all become silent at once: each would cost another attempt,
+/// although a new connection works.
 #[tokio::test]
-async fn second_attempt_uses_no_connection_that_was_idle() {
-    let (address, answers) = two_connections_that_fall_silent().await;
+async fn second_attempt_uses_a_new_connection() {
+    let (address, responding) = start_store().await;
     let store = Store::new(address);
-    let long = Duration::from_secs(20);
+    let long_timeout = Duration::from_secs(20);
     let store = &store;
-    let get = |timeout| async move { store.begin_get("a", timeout).await?.receive(long).await };
-    let (one, other) = tokio::join!(get(long), get(long));
+    let get =
+        |timeout| async move { store.begin_get("a", timeout).await?.receive(long_timeout).await };
+    let (one, other) = tokio::join!(get(long_timeout), get(long_timeout));
     assert!(one.is_ok() && other.is_ok());
-    answers.store(false, Ordering::SeqCst);
-    let began = Instant::now();
-    let answer = hedged_read(store, SPACING, get, |_| panic!("no attempt fails")).await;
-    assert!(answer.is_ok());
-    assert!(began.elapsed() < SPACING * 2, "{:?}", began.elapsed());
+    responding.store(false, Ordering::SeqCst);
+    let started_at = Instant::now();
+    let result = hedged_read(store, INTERVAL, get, |_| panic!("no attempt fails")).await;
+    assert!(result.is_ok());
+    assert!(started_at.elapsed() < INTERVAL * 2, "{:?}", started_at.elapsed());
 }
--- a/crates/geraniumpost/tests/process_pause.rs
+++ b/crates/geraniumpost/tests/process_pause.rs
@@ -1,4 +1,4 @@
-//! Orders of a coordinator that stood still.
+//! Orders of a coordinator whose process was paused.
 
 use geraniumpost::batch::coordination::ProcessPause;
 use geraniumpost_batch::{Order, OrderKind, ToAgent};
@@ -12,19 +12,20 @@
     ("agent-1".into(), ToAgent::Order(order))
 }
 
-/// Returns a coordinator that was frozen for seven seconds, until 8,000 ms.
-fn thawed() -> ProcessPause {
+/// Returns the state of a process that was paused for seven seconds, until 8,000 ms.
+fn resumed() -> ProcessPause {
     let mut pause = ProcessPause::new(900);
     assert_eq!(pause.begin_round(1_000), None);
     assert_eq!(pause.begin_round(8_000), Some(7_000));
     pause
 }
 
-/// A frozen coordinator wakes up beside its successor. Its orders wait until the store has been asked since,
-/// in their order; the store's answer to an earlier question says nothing.
+/// A paused coordinator may resume beside its successor. Its orders are held, in their sequence, until the
+/// store has confirmed the term in response to a call sent after the pause. Responses to earlier calls do
+/// not count.
 #[test]
-fn orders_wait_until_the_store_is_asked_again() {
-    let mut pause = thawed();
+fn orders_wait_until_the_store_confirms_the_term_again() {
+    let mut pause = resumed();
     for run in [1, 2] {
         let (agent, message) = order(run);
         assert_eq!(pause.hold_if_unconfirmed(agent, message), None);
@@ -35,16 +36,16 @@
     assert_eq!(pause.hold_if_unconfirmed(agent, message), Some(order(3)));
 }
 
-/// The answers to beats do not wait: they say what they rest on, and agents judge by their age.
+/// Responses to heartbeats are not held, as agents check them by their age and fencing token.
 #[test]
-fn answers_to_beats_do_not_wait() {
-    let mut pause = thawed();
+fn responses_to_heartbeats_do_not_wait() {
+    let mut pause = resumed();
     assert_eq!(pause.hold_if_unconfirmed("agent-1".into(), LEASE), Some(("agent-1".into(), LEASE)));
 }
 
-/// Rounds a moment apart hold nothing back.
+/// No order is held while rounds follow each other within the limit.
 #[test]
-fn working_coordinator_holds_nothing_back() {
+fn running_coordinator_holds_no_order() {
     let mut pause = ProcessPause::new(900);
     assert_eq!(pause.begin_round(2_300), None);
     let (agent, message) = order(1);
