--- a/crates/geraniumpost-batch/src/coordinator/asking.rs
+++ b/crates/geraniumpost-batch/src/coordinator/asking.rs
@@ -29,7 +29,7 @@
     }
 
     fn reply(&mut self, ticket: u64, answer: CallerResponse) {
-        self.effects.push(Effect::Reply { ticket, answer });
+        self.effects.push(Effect::Reply { ticket, response: answer });
     }
 
     fn submit(&mut self, ticket: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -64,7 +64,7 @@
     fn release(&mut self, deferred: Deferred, now: Now) {
         match deferred {
             Deferred::Reply(ticket, answer) => {
-                self.effects.push(Effect::Reply { ticket, answer });
+                self.effects.push(Effect::Reply { ticket, response: answer });
             }
             Deferred::Start(task, run) => self.start_committed(task, run, now),
         }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -12,7 +12,7 @@
         /// The request's ticket.
         ticket: u64,
         /// The answer.
-        answer: CallerResponse,
+        response: CallerResponse,
     },
     /// Send a message to an agent.
     Send {
--- a/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/world/effects.rs
@@ -22,8 +22,8 @@
         match effect {
             Effect::Write(batch) if self.writes_pass => self.write(batch),
             Effect::Write(batch) => self.writes.push(batch),
-            Effect::Reply { ticket, answer } => {
-                self.answers.insert(ticket, answer);
+            Effect::Reply { ticket, response } => {
+                self.answers.insert(ticket, response);
             }
             Effect::Send { message: ToAgent::Order(order), .. } => self.orders.push(order),
             Effect::Send { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -251,11 +251,11 @@
                     spdlog::debug!("event=writer_ended");
                 }
             }
-            Effect::Reply { ticket, answer } => {
+            Effect::Reply { ticket, response } => {
                 let Some((link, ticket)) = self.pending_replies.remove(&ticket) else { return };
                 if let Some(tx) = self.entries.get(&link) {
                     // An entry whose link has closed sends its request again on the next one.
-                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response: answer }));
+                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response }));
                 }
             }
             Effect::Send { agent, message } => {
