--- a/crates/geraniumpost/src/batch/agent/heartbeats.rs
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -31,7 +31,7 @@
         return empty(StatusCode::NOT_FOUND);
     };
     if req.method() == DEREGISTER_METHOD {
-        spdlog::info!("event=minion_deregisters minion={id}");
+        spdlog::info!("event=minion_deregistered minion={id}");
         let id = id.into();
         state.record_leaving(&id);
         tokio::spawn(await_termination(id, state));
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -42,7 +42,7 @@
                 state.set_link(None);
             }
             Err(error) => {
-                spdlog::debug!("event=link_failed to={} why=\"{error}\"", coordinator.address)
+                spdlog::debug!("event=link_failed to={} why=\"{error}\"", coordinator.address);
             }
         }
         tokio::time::sleep(RETRY_PAUSE).await;
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -116,10 +116,10 @@
 
     /// Records that an incarnation has answered, with the time on its own clock. An unconfirmed
     /// incarnation becomes the current one.
-    pub fn record_answer(&self, id: &Name, clock_ms: u64, heard_ms: u64) {
+    pub fn record_answer(&self, id: &Name, clock_ms: u64, received_ms: u64) {
         let mut inner = self.lock();
-        inner.clock = Some((clock_ms, heard_ms));
-        inner.minion_answered_ms = heard_ms;
+        inner.clock = Some((clock_ms, received_ms));
+        inner.minion_answered_ms = received_ms;
         let Some(info) = inner.unconfirmed.remove(id) else { return };
         spdlog::info!("event=minion_confirmed minion={id}");
         inner.current = Some(info.clone());
@@ -181,7 +181,7 @@
     /// response does not extend it beyond the end that the coordinator assumes.
     pub fn extend_lease(&self, sent_at_ms: u64, duration_ms: u64, fence: u64) {
         if self.fence.fetch_max(fence, Ordering::SeqCst) < fence {
-            spdlog::info!("event=coordinator_obeyed fence={fence}");
+            spdlog::info!("event=coordinator_accepted fence={fence}");
             self.wake.notify_waiters();
         }
         if fence == self.fence.load(Ordering::SeqCst) && duration_ms > 0 {
@@ -191,12 +191,12 @@
 
     /// Returns the end of the lease on the minion's clock, or `None` if it has expired.
     pub fn lease_end(&self) -> Option<u64> {
-        let (clock_ms, heard_ms) = self.lock().clock?;
+        let (clock_ms, received_ms) = self.lock().clock?;
         let lease_end_ms = self.lease_end_ms.load(Ordering::SeqCst);
         if lease_end_ms <= BootClock.now_ms() {
             return None;
         }
-        let remaining_ms = lease_end_ms.saturating_sub(heard_ms);
+        let remaining_ms = lease_end_ms.saturating_sub(received_ms);
         // A slow clock takes longer for the same number of milliseconds.
         Some(clock_ms + remaining_ms * SLOW_CLOCK_PERCENT / 100)
     }
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -223,7 +223,7 @@
                 self.coordinator.handle_request(own_ticket, request, now);
             }
             Input::AgentMessage(node, message) => {
-                self.coordinator.handle_agent_message(&node, message, now)
+                self.coordinator.handle_agent_message(&node, message, now);
             }
             Input::BatchWritten(batch) => self.coordinator.batch_written(batch, now),
             Input::ApprovalResponse((step, requested_minions), response) => {
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -47,11 +47,11 @@
         self.promises.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Promises support to the coordinator that sent a pong at `sent`, which arrived at `heard_ms` on the
+    /// Promises support to the coordinator that sent a pong at `sent`, which arrived at `received_ms` on the
     /// boot clock. Returns the time to echo in the next ping, or `None` if a successor has requested the
     /// release of earlier terms.
-    pub fn support(&self, sent: TermTime, heard_ms: u64) -> Option<TermTime> {
-        self.lock().promise(sent.term, heard_ms).then_some(sent)
+    pub fn promise_support(&self, sent: TermTime, received_ms: u64) -> Option<TermTime> {
+        self.lock().promise(sent.term, received_ms).then_some(sent)
     }
 
     /// Withdraws support from all coordinators before `term`. Returns for how many milliseconds they may
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -114,7 +114,7 @@
         };
         let started_ms = BootClock.now_ms();
         hedged_read(store, READ_ATTEMPT_INTERVAL, attempt, |error| {
-            self.record_failure(started_ms, error)
+            self.record_failure(started_ms, error);
         })
         .await
     }
@@ -131,7 +131,7 @@
         };
         let started_ms = BootClock.now_ms();
         hedged_read(store, WATCH_ATTEMPT_INTERVAL, attempt, |error| {
-            self.record_failure(started_ms, error)
+            self.record_failure(started_ms, error);
         })
         .await
     }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -72,7 +72,7 @@
 pub struct Relay {
     tx: mpsc::Sender<PendingRequest>,
     state: watch::Receiver<LinkState>,
-    heard_ms: Arc<AtomicU64>,
+    last_pong_ms: Arc<AtomicU64>,
 }
 
 /// Why a request has no response.
@@ -96,7 +96,7 @@
     ) -> Self {
         let (tx, rx) = mpsc::channel(REQUEST_QUEUE);
         let (state_tx, state) = watch::channel(LinkState::default());
-        let heard_ms = Arc::new(AtomicU64::new(0));
+        let last_pong_ms = Arc::new(AtomicU64::new(0));
         let task = RelayTask {
             promises,
             last_pong: None,
@@ -104,12 +104,12 @@
             configuration,
             rx,
             state: state_tx,
-            heard_ms: Arc::clone(&heard_ms),
+            last_pong_ms: Arc::clone(&last_pong_ms),
             pending: HashMap::new(),
             next_ticket: 1,
         };
         tokio::spawn(task.run());
-        Self { tx, state, heard_ms }
+        Self { tx, state, last_pong_ms }
     }
 
     /// Returns the state of the link to the coordinator.
@@ -119,7 +119,7 @@
 
     /// Returns for how long the coordinator has been silent, in milliseconds.
     pub fn silent_ms(&self) -> u64 {
-        BootClock.now_ms().saturating_sub(self.heard_ms.load(Ordering::Relaxed))
+        BootClock.now_ms().saturating_sub(self.last_pong_ms.load(Ordering::Relaxed))
     }
 
     /// Sends a request to the coordinator and waits for the response. After a takeover the request is
@@ -178,7 +178,7 @@
     configuration: Arc<ActiveConfiguration>,
     rx: mpsc::Receiver<PendingRequest>,
     state: watch::Sender<LinkState>,
-    heard_ms: Arc<AtomicU64>,
+    last_pong_ms: Arc<AtomicU64>,
     pending: HashMap<u64, PendingRequest>,
     next_ticket: u64,
 }
@@ -266,7 +266,7 @@
     }
 
     fn ping(&self) -> FromEntry {
-        let promise = |(sent, heard_ms)| self.promises.support(sent, heard_ms);
+        let promise = |(sent, received_ms)| self.promises.promise_support(sent, received_ms);
         FromEntry::Ping {
             configuration: self.configuration.version(),
             supports: self.last_pong.and_then(promise),
@@ -290,7 +290,7 @@
             ToPeer::Entry(ToEntry::Pong { store_ok, configuration, sent }) => {
                 self.last_pong = Some((sent, now_ms));
                 self.configuration.observe(configuration);
-                self.heard_ms.store(now_ms, Ordering::Relaxed);
+                self.last_pong_ms.store(now_ms, Ordering::Relaxed);
                 self.state.send_modify(|state| {
                     state.last_heard_ms = now_ms;
                     state.failed_connects = 0;
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -92,7 +92,7 @@
     let started_at = Instant::now();
     let failures = Cell::new(0);
     let result = hedged_read(&store(), Duration::from_secs(20), attempt, |_| {
-        failures.set(failures.get() + 1)
+        failures.set(failures.get() + 1);
     })
     .await;
     assert_eq!((result, failures.get()), (Ok(3), 2));
