--- a/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -15,16 +15,16 @@
 /// Pause between two reads while there is no link, or the coordinator is silent.
 const SEARCH_PAUSE: Duration = Duration::from_millis(200);
 /// Silence of the coordinator after which the store is read for a successor, in milliseconds: one
-/// missing response. A VM without power sends no reset, and entries take over after 0.9 s of silence.
-/// An agent that waits as long would leave its minion without orders for another second.
+/// missing response. A VM without power sends no reset, and entries take over after 0.9 s of
+/// silence. An agent that waits as long would leave its minion without orders for another second.
 const SILENCE_MS: u64 = 700;
 /// Pause between two checks of the link.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two reads while the linked coordinator may have a successor.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Reads the coordinator's key while there is no link, or the linked coordinator may have a successor,
-/// and publishes the current coordinator.
+/// Reads the coordinator's key while there is no link, or the linked coordinator may have a
+/// successor, and publishes the current coordinator.
 ///
 /// While the link works the store is not read, so that a large fleet puts no load on it.
 pub async fn follow_coordinator(
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Sends a heartbeat, which requests an extension of the lease; returns false if the link has closed.
+/// Sends a heartbeat, which requests an extension of the lease; returns false if the link has
+/// closed.
 fn send_heartbeat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
     let minion_ok = state.answers_within(MAX_MINION_SILENCE_MS);
     let heartbeat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent: receives the minion's heartbeats, extends its lease, forwards orders to it, and reports
-//! the ends of its tasks.
+//! The agent: receives the minion's heartbeats, extends its lease, forwards orders to it, and
+//! reports the ends of its tasks.
 
 mod coordinator_lookup;
 mod heartbeats;
@@ -18,8 +18,8 @@
 use super::http_server;
 use state::State;
 
-/// Time in which heartbeats that have already arrived are answered when the process is asked to stop.
-/// Each takes about a millisecond.
+/// Time in which heartbeats that have already arrived are answered when the process is asked to
+/// stop. Each takes about a millisecond.
 const HEARTBEAT_DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Part of the grace period that is kept free for the exit of the process, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_000;
@@ -27,8 +27,8 @@
 const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves until the process is asked to stop. The agent persists nothing: the minion keeps running
-/// under its lease, and the next agent process reads the minion's own lists. Only the departure of a
-/// minion cannot be read again, so the process waits until a coordinator has recorded it.
+/// under its lease, and the next agent process reads the minion's own lists. Only the departure of
+/// a minion cannot be read again, so the process waits until a coordinator has recorded it.
 ///
 /// # Errors
 ///
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -13,9 +13,10 @@
 
 /// Fencing token and lease under which an order is forwarded.
 ///
-/// They are read when the order arrives, before any later message of the link is handled. If the task
-/// that forwards the order read them later, an order that was sent before the coordinator assumed the
-/// minion's work to have ended could use the lease granted afterwards, and the work would run twice.
+/// They are read when the order arrives, before any later message of the link is handled. If the
+/// task that forwards the order read them later, an order that was sent before the coordinator
+/// assumed the minion's work to have ended could use the lease granted afterwards, and the work
+/// would run twice.
 #[derive(Debug, Clone, Copy)]
 struct OrderContext {
     fence: u64,
@@ -34,8 +35,8 @@
     }
 }
 
-/// Forwards one order, and reports its outcome to the coordinator. The context is read at once, not when
-/// the returned future runs.
+/// Forwards one order, and reports its outcome to the coordinator. The context is read at once, not
+/// when the returned future runs.
 pub fn execute(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
     let context = OrderContext::read(&state, &order);
     async move {
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -19,8 +19,8 @@
 const ACKNOWLEDGEMENT_PAUSE: Duration = Duration::from_millis(150);
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Interval at which polls are reported in full, in milliseconds. Progress and tail latencies change
-/// slowly enough.
+/// Interval at which polls are reported in full, in milliseconds. Progress and tail latencies
+/// change slowly enough.
 const FULL_REPORT_INTERVAL_MS: u64 = 400;
 
 /// Polls until the process exits.
@@ -65,7 +65,8 @@
     }
 }
 
-/// Reports a poll to the coordinator; returns whether it lists ends that await their acknowledgement.
+/// Reports a poll to the coordinator; returns whether it lists ends that await their
+/// acknowledgement.
 fn report(
     state: &State,
     id: &Name,
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -22,13 +22,14 @@
     pub minion: Minion,
     /// The coordinator's fencing token; 0 before the first lease.
     pub fence: AtomicU64,
-    /// Notified when ends are acknowledged, a new incarnation is heard of, the link changes or a new
-    /// coordinator grants a lease.
+    /// Notified when ends are acknowledged, a new incarnation is heard of, the link changes or a
+    /// new coordinator grants a lease.
     pub wake: Notify,
-    /// Notified when a heartbeat should be sent at once: without a lease a new incarnation gets no work.
+    /// Notified when a heartbeat should be sent at once: without a lease a new incarnation gets no
+    /// work.
     pub heartbeat_now: Notify,
-    /// Whether the linked coordinator may have a successor: it reports that it does not reach the store,
-    /// or the minion has rejected its fencing token.
+    /// Whether the linked coordinator may have a successor: it reports that it does not reach the
+    /// store, or the minion has rejected its fencing token.
     pub coordinator_may_be_replaced: std::sync::atomic::AtomicBool,
     /// When the coordinator last sent a message over the current link, on the boot clock.
     pub coordinator_heard_ms: AtomicU64,
@@ -78,8 +79,9 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat. An incarnation becomes the current one only when it answers a call, because
-    /// a delayed heartbeat of an earlier incarnation may arrive after the first one of the next.
+    /// Records a heartbeat. An incarnation becomes the current one only when it answers a call,
+    /// because a delayed heartbeat of an earlier incarnation may arrive after the first one of the
+    /// next.
     pub fn record_heartbeat(&self, info: MinionInfo) {
         let mut inner = self.lock();
         let changed = match &inner.current {
@@ -177,8 +179,8 @@
         inner.current.is_some() && BootClock.now_ms().saturating_sub(inner.minion_answered_ms) < ms
     }
 
-    /// Extends the lease. It counts from the sending of the heartbeat that is answered, so that a late
-    /// response does not extend it beyond the end that the coordinator assumes.
+    /// Extends the lease. It counts from the sending of the heartbeat that is answered, so that a
+    /// late response does not extend it beyond the end that the coordinator assumes.
     pub fn extend_lease(&self, sent_at_ms: u64, duration_ms: u64, fence: u64) {
         if self.fence.fetch_max(fence, Ordering::SeqCst) < fence {
             spdlog::info!("event=coordinator_accepted fence={fence}");
@@ -201,7 +203,8 @@
         Some(clock_ms + remaining_ms * SLOW_CLOCK_PERCENT / 100)
     }
 
-    /// Records that the ends up to a sequence number are committed, so that the minion may forget them.
+    /// Records that the ends up to a sequence number are committed, so that the minion may forget
+    /// them.
     pub fn acknowledge(&self, minion: &Name, up_to: u64) {
         let mut inner = self.lock();
         if inner.current.as_ref().is_some_and(|current| current.id == *minion) {
@@ -217,8 +220,8 @@
         (inner.acknowledged, inner.reported)
     }
 
-    /// Records that the ends up to a sequence number are reported; returns whether this poll is to be
-    /// reported in full.
+    /// Records that the ends up to a sequence number are reported; returns whether this poll is to
+    /// be reported in full.
     pub fn record_reported(&self, last_sequence: Option<u64>, full_report: bool) -> bool {
         let mut inner = self.lock();
         if let Some(last_sequence) = last_sequence {
@@ -256,7 +259,8 @@
         inner.link.as_ref().map(|_| inner.reported_results)
     }
 
-    /// Sends a message to the coordinator if there is a link. The next link reports the state again.
+    /// Sends a message to the coordinator if there is a link. The next link reports the state
+    /// again.
     pub fn send(&self, message: FromAgent) {
         send_on_link(&self.lock(), message);
     }
@@ -275,7 +279,8 @@
     inner.link.as_ref().is_some_and(|link| link.send(FromPeer::AgentMessage(message)).is_ok())
 }
 
-/// Records the departure of an incarnation until it is confirmed, and reports it to the coordinator.
+/// Records the departure of an incarnation until it is confirmed, and reports it to the
+/// coordinator.
 fn report_departure(inner: &mut Inner, id: &Name) {
     if inner.current.as_ref().is_some_and(|current| current.id == *id) {
         inner.current = None;
--- a/crates/geraniumpost/src/batch/boot_clock.rs
+++ b/crates/geraniumpost/src/batch/boot_clock.rs
@@ -5,8 +5,8 @@
 
 /// The clock that keeps running while the VM is suspended.
 ///
-/// On a clock that stops during a suspension a lease would still seem valid afterwards, although the
-/// coordinator has assigned the work to other minions since. The work would be done twice.
+/// On a clock that stops during a suspension a lease would still seem valid afterwards, although
+/// the coordinator has assigned the work to other minions since. The work would be done twice.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
 
--- a/crates/geraniumpost/src/batch/coordination/adaptive_timeout.rs
+++ b/crates/geraniumpost/src/batch/coordination/adaptive_timeout.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
-/// Shortest timeout, in milliseconds. The store usually takes 4 ms; the rest covers pauses of a small
-/// VM whose processor time is used up.
+/// Shortest timeout, in milliseconds. The store usually takes 4 ms; the rest covers pauses of a
+/// small VM whose processor time is used up.
 const MIN_TIMEOUT_MS: u64 = 250;
 /// Longest timeout, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 2_000;
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -32,8 +32,8 @@
 /// competing for the key.
 const MAX_STAGGER_MS: u64 = 120;
 /// Silence of the coordinator after which an entry that reaches no other entry takes over, in
-/// milliseconds. The wait is long because the entry itself may be partitioned, and would then replace
-/// a coordinator that still serves the agents.
+/// milliseconds. The wait is long because the entry itself may be partitioned, and would then
+/// replace a coordinator that still serves the agents.
 const ISOLATED_TAKEOVER_MS: u64 = 3_000;
 /// Upper bound of the duration of leases, in milliseconds.
 const MAX_LEASE_MS: u64 = 5_000;
@@ -162,7 +162,8 @@
             return;
         }
         if record.node == self.node {
-            // The record is from an earlier process on this VM, or from an earlier term of this one.
+            // The record is from an earlier process on this VM, or from an earlier term of this
+            // one.
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
@@ -172,8 +173,8 @@
         if loss == CoordinatorLoss::Ended
             && observations.ended_revision.replace(revision) != Some(revision)
         {
-            // The coordinator is about to record that it stepped down, or has a successor already. A
-            // takeover at this revision would fail, so the key is read again first.
+            // The coordinator is about to record that it stepped down, or has a successor already.
+            // A takeover at this revision would fail, so the key is read again first.
             return;
         }
         if self.may_take_over(&record, loss, observations).await {
@@ -214,11 +215,12 @@
         }
     }
 
-    /// Returns whether this entry may take over. Asks the other entries whether the coordinator still
-    /// answers them.
+    /// Returns whether this entry may take over. Asks the other entries whether the coordinator
+    /// still answers them.
     ///
     /// A partitioned entry loses the coordinator while all others still reach it. If it took over,
-    /// the agents would be bound to a coordinator that none of them can reach, and no job would start.
+    /// the agents would be bound to a coordinator that none of them can reach, and no job would
+    /// start.
     async fn may_take_over(
         &self,
         record: &CoordinatorRecord,
@@ -228,8 +230,8 @@
         let link = *self.link.borrow();
         let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
         if loss == CoordinatorLoss::Silent && link.failed_connects == 0 && silent_ms < SILENCE_MS {
-            // The coordinator reports that it does not reach the store. The store may be unavailable
-            // to all entries, so this entry checks that it can read the store itself.
+            // The coordinator reports that it does not reach the store. The store may be
+            // unavailable to all entries, so this entry checks that it can read the store itself.
             let is_readable = self.store.get(COORDINATOR_KEY, STORE_CALL_TIMEOUT).await.is_ok();
             observations.record_read(is_readable);
             return link.store_unreachable_since_ms.is_some() && is_readable;
@@ -271,8 +273,8 @@
         let term_revision = match self.store.commit(&transaction, STORE_CALL_TIMEOUT).await {
             Ok(revision) => revision,
             Err(CommitError::NotApplied(_)) => return tokio::time::sleep(RETRY_PAUSE).await,
-            // The next read shows who holds the key. If an unanswered commit was applied, the key names
-            // this process, and is taken over again.
+            // The next read shows who holds the key. If an unanswered commit was applied, the key
+            // names this process, and is taken over again.
             Err(CommitError::Conflict(_) | CommitError::Indeterminate(_)) => return,
         };
         let term = Term {
@@ -291,7 +293,8 @@
         };
         let fence = term.record.term;
         spdlog::info!(
-            "event=take_over fence={fence} revision={term_revision} after={loss:?} silent={:?} unreached={:?}",
+            "event=take_over fence={fence} revision={term_revision} after={loss:?} silent={:?} \
+             unreached={:?}",
             term.predecessor_leases.silent,
             term.predecessor_leases.unreached
         );
@@ -301,15 +304,16 @@
         self.known_coordinator.send_replace(None);
     }
 
-    /// Returns the record of the next term, and the leases that earlier coordinators may have extended.
+    /// Returns the record of the next term, and the leases that earlier coordinators may have
+    /// extended.
     fn next_term(
         &self,
         previous: Option<CoordinatorRecord>,
         item: Option<&KeyValue>,
         loss: CoordinatorLoss,
     ) -> (CoordinatorRecord, PredecessorLeases) {
-        // The store's revisions only grow, also when keys are removed, so the term grows even if the
-        // previous record is lost.
+        // The store's revisions only grow, also when keys are removed, so the term grows even if
+        // the previous record is lost.
         let revision = item.map_or(0, |item| item.revision);
         let term = previous.as_ref().map_or(0, |previous| previous.term).max(revision) + 1;
         // The voters of the previous term: no entry has answered in the new one yet.
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -14,14 +14,15 @@
 use super::record::CoordinatorRecord;
 use super::writer::{RETRY_PAUSE, TermLost, Writer};
 
-/// Difference between the recorded and the actual remaining time of a silent coordinator's leases from
-/// which on the key is rewritten, in milliseconds. No batch is written during a rewrite; with this
-/// value about five rewrites are needed until the leases have expired.
+/// Difference between the recorded and the actual remaining time of a silent coordinator's leases
+/// from which on the key is rewritten, in milliseconds. No batch is written during a rewrite; with
+/// this value about five rewrites are needed until the leases have expired.
 const MAX_OVERSTATEMENT_MS: u64 = 2_500;
 
 impl Writer {
-    /// Returns whether the key records much more time for the leases of silent coordinators than they
-    /// have left. A successor waits for the recorded time from the moment at which it reads the key.
+    /// Returns whether the key records much more time for the leases of silent coordinators than
+    /// they have left. A successor waits for the recorded time from the moment at which it reads
+    /// the key.
     pub(super) fn overstates_leases(&self) -> bool {
         let recorded = &self.record.predecessor_leases.silent;
         if recorded.is_empty() {
@@ -36,8 +37,8 @@
         recorded.iter().any(overstated)
     }
 
-    /// Returns whether the key should name other voters and the store answers. The change is not urgent
-    /// enough to be retried while the store does not answer.
+    /// Returns whether the key should name other voters and the store answers. The change is not
+    /// urgent enough to be retried while the store does not answer.
     pub(super) fn voter_change_is_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         let store_responds = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
@@ -46,10 +47,10 @@
 
     /// Rewrites the coordinator's key, so that no earlier write can be applied any longer.
     ///
-    /// The store may apply an unanswered write seconds later, after a newer write of the same record,
-    /// and would restore the old value: after the loss of all processes an ended task would seem to
-    /// run. Every write requires the revision of the coordinator's key, so changing it invalidates
-    /// all earlier ones.
+    /// The store may apply an unanswered write seconds later, after a newer write of the same
+    /// record, and would restore the old value: after the loss of all processes an ended task would
+    /// seem to run. Every write requires the revision of the coordinator's key, so changing it
+    /// invalidates all earlier ones.
     ///
     /// The same rewrite changes the voters if that is due; each attempt names the same ones.
     pub(super) async fn fence_earlier_writes(&mut self) -> Result<(), TermLost> {
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Reads the coordinator's key; returns whether an earlier attempt of this writer has changed its
-    /// revision.
+    /// Reads the coordinator's key; returns whether an earlier attempt of this writer has changed
+    /// its revision.
     async fn read_revision(&mut self) -> Result<bool, TermLost> {
         loop {
             let requested_ms = BootClock.now_ms();
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Reads the coordinator's key to check that the term is not lost. A failed read changes nothing.
+    /// Reads the coordinator's key to check that the term is not lost. A failed read changes
+    /// nothing.
     pub(super) async fn confirm(&mut self) -> Result<(), TermLost> {
         let requested_ms = BootClock.now_ms();
         let started_at = tokio::time::Instant::now();
@@ -136,8 +138,9 @@
         Ok(())
     }
 
-    /// Removes an entry from the registry that has been silent for [`ENTRY_EXPIRY_MS`], so that others
-    /// no longer send requests to it. Removes at most one entry per call, as this is not urgent.
+    /// Removes an entry from the registry that has been silent for [`ENTRY_EXPIRY_MS`], so that
+    /// others no longer send requests to it. Removes at most one entry per call, as this is not
+    /// urgent.
     pub(super) async fn deregister_lost_entry(&self) {
         let term_ms = BootClock.now_ms().saturating_sub(self.term_began_ms);
         let lost = |registered: &&RegisteredEntry| {
@@ -167,8 +170,8 @@
         if is_own_term { Ok(item.revision) } else { Err(TermLost) }
     }
 
-    /// Records and reports to the driver that the store has confirmed the term in response to a call
-    /// sent at `requested_ms`.
+    /// Records and reports to the driver that the store has confirmed the term in response to a
+    /// call sent at `requested_ms`.
     pub(super) async fn report_confirmed(&self, requested_ms: u64) {
         let received_ms = BootClock.now_ms();
         self.confirmed_ms.store(received_ms, Ordering::Relaxed);
@@ -176,8 +179,8 @@
         let _ = self.inputs.send(Input::TermConfirmed { requested_ms, received_ms }).await;
     }
 
-    /// Records in the key that the coordinator has stepped down, so that a successor takes over at once
-    /// and waits only for the leases that the key names.
+    /// Records in the key that the coordinator has stepped down, so that a successor takes over at
+    /// once and waits only for the leases that the key names.
     pub async fn step_down(&mut self) {
         self.record.stepped_down = true;
         self.record.predecessor_leases = self.successor_leases.at(BootClock.now_ms());
--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -25,10 +25,10 @@
 
 /// Returns how the coordinator was lost, or `None` if it still counts as working.
 ///
-/// `readable_since_ms` is when the store answered this entry again after an outage, and `now_ms` the
-/// present time, both on the boot clock. After an outage that affected all entries the coordinator
-/// may reach the store slightly later than this entry. A takeover at that moment would interrupt all
-/// work for a second without need.
+/// `readable_since_ms` is when the store answered this entry again after an outage, and `now_ms`
+/// the present time, both on the boot clock. After an outage that affected all entries the
+/// coordinator may reach the store slightly later than this entry. A takeover at that moment would
+/// interrupt all work for a second without need.
 pub fn detect_loss(
     link: &LinkState,
     readable_since_ms: Option<u64>,
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -200,7 +200,8 @@
                 self.entries.insert(link, tx);
             }
             Input::LinkOpened(Peer::Agent { node, link }, tx) => {
-                // A new link replaces the old one, even if messages are still under way on that one.
+                // A new link replaces the old one, even if messages are still under way on that
+                // one.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
                     self.coordinator.agent_disconnected(&node, now);
                 }
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -8,7 +8,7 @@
 use super::super::BootClock;
 
 /// The promises of this process to support coordinators. Shared by the relay, which makes them, and
-/// by the peer listener and the candidate, which release them.
+/// by the peer listener and the release requester, which release them.
 #[derive(Debug)]
 pub struct LocalPromises {
     node: Name,
@@ -47,15 +47,15 @@
         self.promises.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Promises support to the coordinator that sent a pong at `sent`, which arrived at `received_ms` on the
-    /// boot clock. Returns the time to echo in the next ping, or `None` if a successor has requested the
-    /// release of earlier terms.
+    /// Promises support to the coordinator that sent a pong at `sent`, which arrived at
+    /// `received_ms` on the boot clock. Returns the time to echo in the next ping, or `None` if a
+    /// successor has requested the release of earlier terms.
     pub fn promise_support(&self, sent: TermTime, received_ms: u64) -> Option<TermTime> {
         self.lock().promise(sent.term, received_ms).then_some(sent)
     }
 
-    /// Withdraws support from all coordinators before `term`. Returns for how many milliseconds they may
-    /// still rely on earlier promises of this entry.
+    /// Withdraws support from all coordinators before `term`. Returns for how many milliseconds
+    /// they may still rely on earlier promises of this entry.
     pub fn release(&self, term: u64) -> u64 {
         self.lock().release(term, BootClock.now_ms())
     }
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -99,7 +99,8 @@
         };
         if let Some(response) = response {
             let _ = tx.send(response);
-            // The peer closes the link after it has read the response. Closing earlier could lose it.
+            // The peer closes the link after it has read the response. Closing earlier could lose
+            // it.
             let _ = tokio::time::timeout(HELLO_TIMEOUT, rx.next()).await;
             return;
         }
@@ -186,8 +187,8 @@
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns whether the coordinator answers this entry. If this entry coordinates itself, returns
-    /// whether the store confirms its term.
+    /// Returns whether the coordinator answers this entry. If this entry coordinates itself,
+    /// returns whether the store confirms its term.
     fn coordinator_responds(&self) -> bool {
         if self.inputs.borrow().is_some() {
             return self.store_silent_ms() < STORE_UNREACHABLE_MS;
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Reads the registry periodically until the process exits. While the store does not answer, the
-    /// entries read last are kept, as they are needed most at that time.
+    /// Reads the registry periodically until the process exits. While the store does not answer,
+    /// the entries read last are kept, as they are needed most at that time.
     pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
             match self.refresh(&store, READ_TIMEOUT).await {
@@ -152,7 +152,8 @@
         self.others.load_full()
     }
 
-    /// Probes all other entries except `excluded` in parallel, and returns the responses that arrive.
+    /// Probes all other entries except `excluded` in parallel, and returns the responses that
+    /// arrive.
     pub async fn probe(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
         let mut probes = JoinSet::new();
         for RegisteredEntry { node, address, .. } in self.others.load().iter() {
--- a/crates/geraniumpost/src/batch/coordination/process_pause.rs
+++ b/crates/geraniumpost/src/batch/coordination/process_pause.rs
@@ -6,9 +6,9 @@
 
 /// Holds orders back after the process was paused, until the store has confirmed the term.
 ///
-/// A process that was frozen resumes with its inputs and timers as they were, and repeats unanswered
-/// orders. It may have a successor that has decided otherwise, and an agent that the successor does
-/// not reach would still carry the orders out.
+/// A process that was frozen resumes with its inputs and timers as they were, and repeats
+/// unanswered orders. It may have a successor that has decided otherwise, and an agent that the
+/// successor does not reach would still carry the orders out.
 #[derive(Debug)]
 pub struct ProcessPause {
     last_round_ms: u64,
@@ -45,8 +45,8 @@
         std::mem::take(&mut self.held)
     }
 
-    /// Returns the message, or holds it back if it is an order and a confirmation is missing. Responses
-    /// to heartbeats are not held, as agents check them by their age and fencing token.
+    /// Returns the message, or holds it back if it is an order and a confirmation is missing.
+    /// Responses to heartbeats are not held, as agents check them by their age and fencing token.
     pub fn hold_if_unconfirmed(
         &mut self,
         agent: Name,
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -50,8 +50,9 @@
 }
 
 impl ReleaseRequester {
-    /// Repeats the requests until enough voters have released their promises, and reports until when
-    /// the silent coordinator may have extended leases. Does nothing for a term without voters.
+    /// Repeats the requests until enough voters have released their promises, and reports until
+    /// when the silent coordinator may have extended leases. Does nothing for a term without
+    /// voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
         if releases.unanswered().next().is_none() {
@@ -101,8 +102,8 @@
     }
 }
 
-/// Requests the release of one entry. A response by another entry that now uses its address does not
-/// count.
+/// Requests the release of one entry. A response by another entry that now uses its address does
+/// not count.
 async fn request_release(node: Name, address: SocketAddr, term: u64) -> Option<GrantedRelease> {
     match request(address, FromPeer::Release { term }).await? {
         ToPeer::ReleaseResponse { node: responder, incarnation, remaining_ms }
--- a/crates/geraniumpost/src/batch/coordination/successor_leases.rs
+++ b/crates/geraniumpost/src/batch/coordination/successor_leases.rs
@@ -3,8 +3,8 @@
 
 /// Leases that a successor has to wait for, as the driver last reported them.
 ///
-/// The driver writes and the writer reads. The driver ends before the writer writes the coordinator's
-/// key for the last time, so the last report is kept here.
+/// The driver writes and the writer reads. The driver ends before the writer writes the
+/// coordinator's key for the last time, so the last report is kept here.
 #[derive(Debug)]
 pub struct SuccessorLeases(ArcSwap<Snapshot>);
 
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -155,8 +155,8 @@
         self.metrics.lease_supporters(0);
     }
 
-    /// Starts to query silent coordinators, and to request releases from their voters. The results wait
-    /// in the input queue until the records are read.
+    /// Starts to query silent coordinators, and to request releases from their voters. The results
+    /// wait in the input queue until the records are read.
     fn query_silent_coordinators(&self, inputs: &mpsc::Sender<Input>) {
         let requester = ReleaseRequester {
             term: self.record.term,
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Reads the interference that earlier coordinators have learned. On failure the coordinator learns
-    /// it again.
+    /// Reads the interference that earlier coordinators have learned. On failure the coordinator
+    /// learns it again.
     async fn read_interference(&self) -> InterferenceSnapshot {
         let response = async {
             self.store
@@ -207,8 +207,9 @@
         }
     }
 
-    /// Reads the records page by page. Only a failed page is read again, as nobody else changes records
-    /// in this term, and a restart from the first page with each failure might never complete.
+    /// Reads the records page by page. Only a failed page is read again, as nobody else changes
+    /// records in this term, and a restart from the first page with each failure might never
+    /// complete.
     async fn read_all_pages(&self) -> Vec<(JobId, JobRecord)> {
         let mut records = Vec::new();
         let mut last_key = None;
@@ -271,11 +272,11 @@
     }
 }
 
-/// Probes a silent coordinator until it knows a later term than its own, and reports that its term has
-/// ended.
+/// Probes a silent coordinator until it knows a later term than its own, and reports that its term
+/// has ended.
 ///
-/// Any later term will do. An entry with a working link to a coordinator does not read the key, even
-/// if that coordinator has begun another term since, and may not know the newest one.
+/// Any later term will do. An entry with a working link to a coordinator does not read the key,
+/// even if that coordinator has begun another term since, and may not know the newest one.
 async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
         let known_coordinator = probe(address).await.and_then(|result| result.known_coordinator);
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -6,8 +6,9 @@
 
 use super::super::BootClock;
 
-/// The support of one term by other entries. Shared by the links, which receive promises, the driver,
-/// which extends leases by them, and the writer, which records the voters in the coordinator's key.
+/// The support of one term by other entries. Shared by the links, which receive promises, the
+/// driver, which extends leases by them, and the writer, which records the voters in the
+/// coordinator's key.
 #[derive(Debug)]
 pub struct TermSupport {
     /// The entry that coordinates. It supports itself and is not counted.
@@ -31,8 +32,8 @@
         TermTime { term: self.term, steady_ms: BootClock.now_ms() }
     }
 
-    /// Records that an entry has echoed the time of a pong, which promises its support. Echoes of other
-    /// terms are ignored.
+    /// Records that an entry has echoed the time of a pong, which promises its support. Echoes of
+    /// other terms are ignored.
     pub fn record_promise(&self, node: &Name, incarnation: u64, sent: TermTime) {
         if sent.term == self.term && *node != self.local_node {
             self.lock().record_promise(node, incarnation, sent.steady_ms);
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -85,8 +85,9 @@
                 self.fence_earlier_writes().await?;
                 (indeterminate, key_outdated) = (false, false);
             }
-            // A stopping coordinator drops the batches that it has not begun to write. Its successor
-            // finds their contents in the minions' lists, and an early handover shortens the gap.
+            // A stopping coordinator drops the batches that it has not begun to write. Its
+            // successor finds their contents in the minions' lists, and an early handover shortens
+            // the gap.
             if stopping && in_flight.is_empty() && !indeterminate {
                 return Ok(());
             }
--- a/crates/geraniumpost/src/batch/entry/active_configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -19,7 +19,8 @@
     /// When the last successful call for the newest version was sent, on the boot clock.
     confirmed_ms: AtomicU64,
     newer: Mutex<NewerVersions>,
-    /// Since when another process is known to have a newer version, on the boot clock, or [`NEVER`].
+    /// Since when another process is known to have a newer version, on the boot clock, or
+    /// [`NEVER`].
     behind_since_ms: AtomicU64,
     /// Since when the store is known to have a change that was not read yet, on the boot clock, or
     /// [`NEVER`].
@@ -61,8 +62,8 @@
         self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest()
     }
 
-    /// Returns for how long a version newer than the active one has been known, in milliseconds; 0 if
-    /// none is known.
+    /// Returns for how long a version newer than the active one has been known, in milliseconds; 0
+    /// if none is known.
     pub fn behind_ms(&self) -> u64 {
         let behind_since_ms = self.behind_since_ms.load(Ordering::Relaxed);
         let since_ms = behind_since_ms.min(self.unread_since_ms.load(Ordering::Relaxed));
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Activates a configuration if it is newer than the active one. `requested_ms` is when the call that
-    /// returned it was sent, on the boot clock.
+    /// Activates a configuration if it is newer than the active one. `requested_ms` is when the
+    /// call that returned it was sent, on the boot clock.
     pub fn adopt(&self, value: &[u8], requested_ms: u64) {
         let bytes = value.len();
         let routes = match decode_routes(value) {
@@ -138,8 +139,8 @@
         self.metrics.config_read("adopted", bytes);
         self.metrics.config_revision(routes.version);
         spdlog::info!(
-            "event=configuration_activated version={} previous={previous_version} queues={} bytes={bytes} \
-             took_ms={} age_ms={}",
+            "event=configuration_activated version={} previous={previous_version} queues={} \
+             bytes={bytes} took_ms={} age_ms={}",
             routes.version,
             routes.len(),
             BootClock.now_ms().saturating_sub(requested_ms),
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -19,8 +19,8 @@
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
 /// Part of a caller's deadline that is reserved for sending the response, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 150;
-/// Longest time for which a request that cannot be sent is held. A takeover takes about as long, and a
-/// caller that has to retry would lose more.
+/// Longest time for which a request that cannot be sent is held. A takeover takes about as long,
+/// and a caller that has to retry would lose more.
 const MAX_UNSENT_WAIT: Duration = Duration::from_millis(1_200);
 /// Shortest time for which such a request is held, as a link may open at any moment.
 const MIN_UNSENT_WAIT: Duration = Duration::from_millis(60);
@@ -95,8 +95,8 @@
 
 /// Relays a request to the coordinator, and translates the response.
 async fn relay(shared: &Shared, request: CallerRequest, deadline: Duration) -> HttpResponse {
-    // If the coordinator has been silent for long already, holding the request longer would only cost
-    // the caller time.
+    // If the coordinator has been silent for long already, holding the request longer would only
+    // cost the caller time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
     match shared.relay.request(request, unsent_wait, deadline).await {
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -14,14 +14,15 @@
 const WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Interval between attempts to read, until one is answered.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval between attempts to watch. Beyond the wait, a response may take as long as that of a read.
+/// Interval between attempts to watch. Beyond the wait, a response may take as long as that of a
+/// read.
 const WATCH_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_700);
 /// Longest gap between parts of a response whose body is arriving.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a failed read or watch.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Time for which another entry may have a newer version before the watch counts as having missed it,
-/// in milliseconds.
+/// Time for which another entry may have a newer version before the watch counts as having missed
+/// it, in milliseconds.
 const MISSED_CHANGE_MS: u64 = 600;
 /// Length of a watch response in bytes above which the newest version is read instead.
 const MAX_WATCH_BYTES: usize = 64 * 1024;
@@ -62,12 +63,13 @@
         }
     }
 
-    /// Watches from a revision on until the newest version has to be read: the history was compacted, a
-    /// watch failed and may have missed changes, another entry has had a newer version for a while, or
-    /// the response is long.
+    /// Watches from a revision on until the newest version has to be read: the history was
+    /// compacted, a watch failed and may have missed changes, another entry has had a newer version
+    /// for a while, or the response is long.
     ///
-    /// A watch returns every version in full, including superseded ones. While a series of long versions
-    /// is transferred more are written, and each response would be longer than the one before.
+    /// A watch returns every version in full, including superseded ones. While a series of long
+    /// versions is transferred more are written, and each response would be longer than the one
+    /// before.
     async fn watch(&mut self, mut revision: u64) {
         loop {
             let watch = self.begin_watch(revision).await;
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -29,11 +29,12 @@
 const DRAIN_TIME: Duration = Duration::from_millis(2_800);
 /// Timeout of removing this entry from the registry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Part of the grace period that is kept free after the wait for requests under way, in milliseconds.
+/// Part of the grace period that is kept free after the wait for requests under way, in
+/// milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_200;
 
-/// Longest time from the acknowledgement of a version until this entry hears of it, in milliseconds:
-/// the time that the fastest entry takes to read it, its ping and this entry's ping.
+/// Longest time from the acknowledgement of a version until this entry hears of it, in
+/// milliseconds: the time that the fastest entry takes to read it, its ping and this entry's ping.
 const VERSION_PROPAGATION_MS: u64 = 750;
 
 /// State that the entry's tasks share.
@@ -52,8 +53,9 @@
 }
 
 impl Shared {
-    /// Returns whether the active configuration may be outdated: a newer one should be active by now, or
-    /// neither the store nor the coordinator, which report newer versions, has answered for as long.
+    /// Returns whether the active configuration may be outdated: a newer one should be active by
+    /// now, or neither the store nor the coordinator, which report newer versions, has answered for
+    /// as long.
     pub fn is_behind(&self) -> bool {
         let unconfirmed_ms = self.configuration.age_ms().min(self.relay.silent_ms());
         let max_behind_ms = self.config_apply_ms.saturating_sub(VERSION_PROPAGATION_MS);
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -1,6 +1,7 @@
 use std::collections::BTreeMap;
 
-/// Number of versions that are tracked separately. Beyond it, each new version replaces the newest one.
+/// Number of versions that are tracked separately. Beyond it, each new version replaces the newest
+/// one.
 const MAX_TRACKED: usize = 64;
 
 /// Versions of the configuration that other processes have and this one does not, with the times at
@@ -52,8 +53,8 @@
 
     /// Returns since when a version newer than the active one is known, or `None`.
     ///
-    /// It is the time of the version that was heard of first among those not active yet. In a series of
-    /// versions each is measured separately.
+    /// It is the time of the version that was heard of first among those not active yet. In a
+    /// series of versions each is measured separately.
     pub fn behind_since_ms(&self) -> Option<u64> {
         self.pending.values().min().copied()
     }
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -5,8 +5,8 @@
 use super::super::http_server::{HttpResponse, empty};
 use super::Shared;
 
-/// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer removes an
-/// entry after two failed checks a second apart, which is longer than a takeover takes.
+/// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer
+/// removes an entry after two failed checks a second apart, which is longer than a takeover takes.
 const SILENCE_MS: u64 = 1_000;
 
 /// Responds to the balancer's check. The entry is ready if its configuration is up to date, the
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -29,8 +29,8 @@
 pub struct LinkState {
     /// Address of the coordinator that the other fields describe.
     pub address: Option<SocketAddr>,
-    /// When the coordinator last sent a pong, or when the first connect to it was tried, on the boot
-    /// clock.
+    /// When the coordinator last sent a pong, or when the first connect to it was tried, on the
+    /// boot clock.
     pub last_heard_ms: u64,
     /// Connects in a row that failed.
     pub failed_connects: u32,
@@ -54,10 +54,10 @@
 impl PendingRequest {
     /// Returns whether the response to one copy settles the request.
     ///
-    /// Another copy is sent over each new link, and over a link that was silent for a while. A refusal
-    /// applies to one copy only: the coordinator may read another one later, when it has capacity, and
-    /// accept it. The job would run although its caller was told that it does not. A request that is
-    /// not settled in time is reported as [`NoResponse::Unknown`].
+    /// Another copy is sent over each new link, and over a link that was silent for a while. A
+    /// refusal applies to one copy only: the coordinator may read another one later, when it has
+    /// capacity, and accept it. The job would run although its caller was told that it does not. A
+    /// request that is not settled in time is reported as [`NoResponse::Unknown`].
     fn is_settled_by(&mut self, response: CallerResponse) -> bool {
         if !matches!(response, CallerResponse::Refused { .. }) {
             return true;
@@ -122,13 +122,13 @@
         BootClock.now_ms().saturating_sub(self.last_pong_ms.load(Ordering::Relaxed))
     }
 
-    /// Sends a request to the coordinator and waits for the response. After a takeover the request is
-    /// sent again to the successor, as all requests are idempotent.
+    /// Sends a request to the coordinator and waits for the response. After a takeover the request
+    /// is sent again to the successor, as all requests are idempotent.
     ///
     /// # Errors
     ///
-    /// Fails if no response arrives: after `unsent_timeout` if the request could not be sent, otherwise
-    /// after `timeout`. The error says whether the request may have had an effect.
+    /// Fails if no response arrives: after `unsent_timeout` if the request could not be sent,
+    /// otherwise after `timeout`. The error says whether the request may have had an effect.
     pub async fn request(
         &self,
         request: CallerRequest,
@@ -155,9 +155,9 @@
         {
             return result.map_err(|_| NoResponse::Unknown);
         }
-        // The relay counts a copy before it checks whether this receiver is closed, and this function
-        // closes the receiver before it reads the count. So a request with no copies was not sent and
-        // never will be.
+        // The relay counts a copy before it checks whether this receiver is closed, and this
+        // function closes the receiver before it reads the count. So a request with no copies was
+        // not sent and never will be.
         response.close();
         if let Ok(result) = response.try_recv() {
             return Ok(result);
@@ -172,7 +172,8 @@
 
 struct RelayTask {
     promises: Arc<LocalPromises>,
-    /// When the coordinator sent its last pong, on its clock, and when that arrived, on the boot clock.
+    /// When the coordinator sent its last pong, on its clock, and when that arrived, on the boot
+    /// clock.
     last_pong: Option<(TermTime, u64)>,
     known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
     configuration: Arc<ActiveConfiguration>,
@@ -250,8 +251,8 @@
                 }
                 pending = self.rx.recv() => {
                     let Some(pending) = pending else { return };
-                    // A request that is sent over a silent link may arrive much later. Its caller could
-                    // no longer be told that it had no effect.
+                    // A request that is sent over a silent link may arrive much later. Its caller
+                    // could no longer be told that it had no effect.
                     let trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
                     self.enqueue(pending, trusted.then_some(&tx));
                 }
--- a/crates/geraniumpost/src/batch/hedged_read.rs
+++ b/crates/geraniumpost/src/batch/hedged_read.rs
@@ -13,11 +13,11 @@
 
 /// Repeats a read until one attempt succeeds; another attempt starts every `interval`.
 ///
-/// An attempt is not cancelled when the next one starts. A silent connection never answers, but a busy
-/// link answers late, and cancelling would only add to its load. An attempt that starts beside another
-/// one uses a new connection, because idle connections may have become silent as well. `attempt` gets
-/// the time for which it may wait for a response; `on_failure` is called with the error of each failed
-/// attempt.
+/// An attempt is not cancelled when the next one starts. A silent connection never answers, but a
+/// busy link answers late, and cancelling would only add to its load. An attempt that starts beside
+/// another one uses a new connection, because idle connections may have become silent as well.
+/// `attempt` gets the time for which it may wait for a response; `on_failure` is called with the
+/// error of each failed attempt.
 ///
 /// # Errors
 ///
@@ -35,7 +35,9 @@
     let mut next_attempt = Instant::now();
     loop {
         tokio::select! {
-            () = tokio::time::sleep_until(next_attempt), if in_flight.len() < MAX_CONCURRENT_ATTEMPTS as usize => {
+            () = tokio::time::sleep_until(next_attempt),
+                if in_flight.len() < MAX_CONCURRENT_ATTEMPTS as usize =>
+            {
                 if !in_flight.is_empty() {
                     store.close_idle();
                 }
--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -33,8 +33,9 @@
     assert_eq!(CoordinatorRecord::decode(&record.encode()), Ok(record));
 }
 
-/// During a rolling upgrade the coordinator may be of a version that writes no predecessor leases. If its
-/// record could not be decoded, another entry would take over although that coordinator is alive.
+/// During a rolling upgrade the coordinator may be of a version that writes no predecessor leases.
+/// If its record could not be decoded, another entry would take over although that coordinator is
+/// alive.
 #[test]
 fn record_without_predecessor_leases_is_decoded() {
     let bytes = record().encode();
@@ -51,8 +52,8 @@
     assert_eq!(CoordinatorRecord::decode(&bytes[..bytes.len() - 1]), Ok(record));
 }
 
-/// A successor that counted other voters than its predecessor might assume that the predecessor's leases
-/// have ended while it still extends them.
+/// A successor that counted other voters than its predecessor might assume that the predecessor's
+/// leases have ended while it still extends them.
 #[test]
 fn voters_round_trip() {
     let mut record = record();
@@ -61,8 +62,8 @@
     assert_eq!((read.voters_of(7), read.voters_of(6)), (voters(), Voters::default()));
 }
 
-/// Only the voters of the own term and of silent coordinators are kept. Otherwise the record would grow
-/// with each term.
+/// Only the voters of the own term and of silent coordinators are kept. Otherwise the record would
+/// grow with each term.
 #[test]
 fn voters_of_ended_terms_are_pruned() {
     let mut record = record();
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -22,8 +22,8 @@
     StoreError::Failed("refused".to_owned())
 }
 
-/// Guards against cancelling an attempt when the next one starts: over a busy link every response is
-/// late, and none would be used.
+/// Guards against cancelling an attempt when the next one starts: over a busy link every response
+/// is late, and none would be used.
 #[tokio::test]
 async fn late_response_to_an_earlier_attempt_is_used() {
     let attempts = Cell::new(0);
@@ -143,8 +143,8 @@
     (address, first_two_respond)
 }
 
-/// Guards against idle connections that have all become silent at once: each would cost another attempt,
-/// although a new connection works.
+/// Guards against idle connections that have all become silent at once: each would cost another
+/// attempt, although a new connection works.
 #[tokio::test]
 async fn second_attempt_uses_a_new_connection() {
     let (address, responding) = start_store().await;
--- a/crates/geraniumpost/tests/process_pause.rs
+++ b/crates/geraniumpost/tests/process_pause.rs
@@ -20,9 +20,9 @@
     pause
 }
 
-/// A paused coordinator may resume beside its successor. Its orders are held, in their sequence, until the
-/// store has confirmed the term in response to a call sent after the pause. Responses to earlier calls do
-/// not count.
+/// A paused coordinator may resume beside its successor. Its orders are held, in their sequence,
+/// until the store has confirmed the term in response to a call sent after the pause. Responses to
+/// earlier calls do not count.
 #[test]
 fn orders_wait_until_the_store_confirms_the_term_again() {
     let mut pause = resumed();
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -102,9 +102,9 @@
         .expect("no panic")
 }
 
-/// A link is lost after a job was sent over it, and the coordinator refuses the second copy because it
-/// holds too many jobs. It may read the first copy later and accept it, so the caller must not be told
-/// that the job was refused.
+/// A link is lost after a job was sent over it, and the coordinator refuses the second copy because
+/// it holds too many jobs. It may read the first copy later and accept it, so the caller must not
+/// be told that the job was refused.
 #[tokio::test]
 async fn refusal_of_one_copy_is_not_reported_while_another_may_be_accepted() {
     let (_listener, link, ticket, response_task) = send_job_twice().await;
