--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -7,7 +7,7 @@
 use crate::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// Shortest pause between two lines on what leases rest on, in milliseconds.
-const INTERFERENCE_WRITE_INTERVAL_MS: u64 = 1_000;
+const LEASE_BASIS_LOG_INTERVAL_MS: u64 = 1_000;
 
 /// The support of other entries, as last heard.
 #[derive(Debug, Default)]
@@ -60,7 +60,7 @@
         let due = match self.supported.told {
             None => true,
             Some((told, at_ms)) => {
-                told != basis && now.steady_ms >= at_ms + INTERFERENCE_WRITE_INTERVAL_MS
+                told != basis && now.steady_ms >= at_ms + LEASE_BASIS_LOG_INTERVAL_MS
             }
         };
         if !due {
