--- /dev/null
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -0,0 +1,91 @@
+//! Handles the minion's heartbeats and its deregistration.
+
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use bytes::Bytes;
+use geraniumpost_platform::{
+    DEREGISTER_METHOD, MinionReply, decode_heartbeat, heartbeat_minion_id,
+};
+use geraniumpost_schema::Name;
+use http::header::CONTENT_TYPE;
+use http::{HeaderValue, Method, Request, StatusCode};
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
+
+use super::super::http_server::{HttpResponse, empty};
+use super::state::State;
+
+/// Pause after a minion has deregistered before each check whether it has terminated. By its
+/// protocol it terminates as soon as the deregistration is answered; the pause allows for a slow
+/// machine.
+const TERMINATION_CHECK_PAUSE: Duration = Duration::from_millis(300);
+/// Timeout of the poll that checks whether the minion still runs.
+const POLL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Largest accepted body of a heartbeat, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
+
+/// Handles one request of a minion.
+pub async fn respond(req: Request<Incoming>, state: Arc<State>) -> HttpResponse {
+    let Some(id) = heartbeat_minion_id(req.uri().path()).map(str::to_owned) else {
+        return empty(StatusCode::NOT_FOUND);
+    };
+    if req.method() == DEREGISTER_METHOD {
+        spdlog::info!("event=minion_deregistered minion={id}");
+        let id = id.into();
+        state.record_leaving(&id);
+        tokio::spawn(await_termination(id, state));
+        return acknowledged();
+    }
+    if req.method() != Method::PUT {
+        return empty(StatusCode::METHOD_NOT_ALLOWED);
+    }
+    let body = match Limited::new(req.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
+        Ok(body) => body.to_bytes(),
+        Err(error) => {
+            spdlog::warn!("event=heartbeat_unusable minion={id} why=\"{error}\"");
+            return empty(StatusCode::BAD_REQUEST);
+        }
+    };
+    match decode_heartbeat(&id, &body) {
+        Ok(info) => {
+            state.record_heartbeat(info);
+            acknowledged()
+        }
+        Err(error) => {
+            spdlog::warn!("event=heartbeat_unusable minion={id} why=\"{error}\"");
+            empty(StatusCode::BAD_REQUEST)
+        }
+    }
+}
+
+/// Waits until a minion that has deregistered no longer answers, and records that it has
+/// terminated.
+///
+/// Its tasks end with it. If they only counted as ended at the expiry of their lease, they would
+/// start elsewhere seconds later, or not before the end of a store outage. A minion whose
+/// deregistration was answered late, because this process was paused, treats that as unanswered and
+/// runs on for some seconds. Without the check its tasks would start elsewhere while they still
+/// run.
+async fn await_termination(id: Name, state: Arc<State>) {
+    let mut still_running = false;
+    loop {
+        tokio::time::sleep(TERMINATION_CHECK_PAUSE).await;
+        let fence = state.fence.load(Ordering::SeqCst);
+        let poll = state.minion.poll(&id, fence, 0, None, Duration::ZERO, POLL_TIMEOUT);
+        if !matches!(poll.await, MinionReply::Ok(_) | MinionReply::Superseded) {
+            break;
+        }
+        if !std::mem::replace(&mut still_running, true) {
+            spdlog::info!("event=minion_still_running minion={id}");
+        }
+    }
+    state.record_terminated(&id);
+}
+
+fn acknowledged() -> HttpResponse {
+    let mut response = HttpResponse::new(Full::new(Bytes::from_static(b"{}")));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+}
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the coordinator's decisions: messages in, effects out.
+//! Feeds messages into the coordinator's state machine and carries out its effects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,148 +15,149 @@
 use tokio::sync::mpsc;
 
 use super::super::{BootClock, ToPeer};
-use super::left::Left;
-use super::standstill::Standstill;
+use super::process_pause::ProcessPause;
+use super::successor_leases::SuccessorLeases;
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
-/// Pause between two ticks: timeouts are hundreds of milliseconds.
-const TICK: Duration = Duration::from_millis(100);
-/// Messages taken in before decisions are made on all of them.
-const TOGETHER: usize = 64;
+/// Interval of the coordinator's timer ticks. The timeouts that they check are hundreds of
+/// milliseconds.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Inputs that are handled in one round, before the coordinator decides on all of them.
+const MAX_INPUTS_PER_ROUND: usize = 64;
 
 /// A process at the other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Peer {
     /// An entry.
     Entry {
-        /// Its name.
+        /// Name of the entry.
         node: Name,
-        /// The link.
+        /// Number of the link in this process.
         link: u64,
     },
     /// An agent.
     Agent {
-        /// Its name.
+        /// Name of the agent.
         node: Name,
-        /// The link.
+        /// Number of the link in this process.
         link: u64,
     },
 }
 
-/// What reaches the driver.
+/// Inputs of the driver.
 #[derive(Debug)]
 pub enum Input {
     /// A link has opened.
-    Opened(Peer, LinkSender<ToPeer>),
+    LinkOpened(Peer, LinkSender<ToPeer>),
     /// A link has closed.
-    Closed(Peer),
-    /// An entry asks for a caller.
-    Ask {
-        /// The entry's link.
+    LinkClosed(Peer),
+    /// An entry relays a caller's request.
+    Request {
+        /// Link of the entry.
         link: u64,
-        /// Its ticket.
+        /// Number by which the entry matches the response to its request.
         ticket: u64,
-        /// What it asks.
-        ask: CallerRequest,
+        /// The caller's request.
+        request: CallerRequest,
     },
-    /// An agent says something.
-    Agent(Name, FromAgent),
-    /// A batch is written.
-    Written(u64),
-    /// The admission service has answered on a step, or not.
-    Approved(Question, Option<ApprovedMinions>),
+    /// An agent has sent a message.
+    AgentMessage(Name, FromAgent),
+    /// The store has committed the batch of this number.
+    BatchWritten(u64),
+    /// The admission service has responded, or `None` if it did not.
+    ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
     /// The store has confirmed that this entry coordinates.
-    Confirmed {
-        /// When it was asked, on the boot clock.
-        asked_ms: u64,
-        /// When its answer was read, on the boot clock.
-        heard_ms: u64,
+    TermConfirmed {
+        /// When the call to the store was sent, on the boot clock.
+        requested_ms: u64,
+        /// When the store's response was received, on the boot clock.
+        received_ms: u64,
     },
-    /// The term of a coordinator that was silent at this address has ended.
+    /// The term of the silent coordinator at this address has ended.
     PredecessorEnded(SocketAddr),
-    /// A coordinator that was silent extends no lease after a time.
+    /// A silent coordinator cannot extend any lease after `until_ms`.
     PredecessorExtendsUntil {
-        /// Where it was.
+        /// Address of the silent coordinator.
         address: SocketAddr,
-        /// That time, on the boot clock.
+        /// End of its last possible extension, on the boot clock.
         until_ms: u64,
     },
 }
 
-/// A question for the admission service: which of these minions may run the step?
-pub type Question = (TaskId, Vec<Name>);
+/// A request to the admission service: which of these minions may run the step?
+pub type ApprovalRequest = (TaskId, Vec<Name>);
 
 /// Why a coordinator's term ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TermEnd {
-    /// A minion has obeyed a newer coordinator.
+    /// A minion has rejected this coordinator's fencing token in favor of a newer one.
     Superseded,
     /// All inputs have closed.
     Closed,
 }
 
-/// The driver of one term.
+/// Drives the coordinator during one term.
 pub struct Driver {
     coordinator: Coordinator,
     metrics: Arc<Metrics>,
     writes: mpsc::Sender<WriteBatch>,
-    questions: mpsc::Sender<Question>,
+    approval_requests: mpsc::Sender<ApprovalRequest>,
     entries: HashMap<u64, LinkSender<ToPeer>>,
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
-    /// Who is owed an answer: the entry's link, and its ticket.
-    owed: HashMap<u64, (u64, u64)>,
+    /// Link and ticket of the entry that waits for each response, by the driver's own ticket.
+    pending_replies: HashMap<u64, (u64, u64)>,
     next_ticket: u64,
-    /// What a successor has to know of leases.
-    left: Arc<Left>,
+    /// Leases that a successor has to wait for, for the writer.
+    successor_leases: Arc<SuccessorLeases>,
     support: Arc<TermSupport>,
-    standstill: Standstill,
+    process_pause: ProcessPause,
 }
 
 impl Driver {
-    /// Returns a driver that hands records to `writes`, and questions for the admission service to
-    /// `questions`.
+    /// Returns a driver that sends records to `writes`, and requests to the admission service to
+    /// `approval_requests`.
     pub fn new(
         coordinator: Coordinator,
         writes: mpsc::Sender<WriteBatch>,
-        questions: mpsc::Sender<Question>,
-        left: Arc<Left>,
+        approval_requests: mpsc::Sender<ApprovalRequest>,
+        successor_leases: Arc<SuccessorLeases>,
         support: Arc<TermSupport>,
         metrics: Arc<Metrics>,
     ) -> Self {
         Self {
-            left,
+            successor_leases,
             support,
-            standstill: Standstill::new(BootClock.now_ms()),
+            process_pause: ProcessPause::new(BootClock.now_ms()),
             metrics,
             coordinator,
             writes,
-            questions,
+            approval_requests,
             entries: HashMap::new(),
             agents: HashMap::new(),
-            owed: HashMap::new(),
+            pending_replies: HashMap::new(),
             next_ticket: 1,
         }
     }
 
-    /// Decides until the term ends.
+    /// Handles inputs until the term ends.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) -> TermEnd {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut batch = Vec::with_capacity(TOGETHER);
+        let mut batch = Vec::with_capacity(MAX_INPUTS_PER_ROUND);
         loop {
             tokio::select! {
-                count = inputs.recv_many(&mut batch, TOGETHER) => if count == 0 {
+                count = inputs.recv_many(&mut batch, MAX_INPUTS_PER_ROUND) => if count == 0 {
                     return TermEnd::Closed;
                 },
                 _ = ticks.tick() => self.tick(),
             }
             self.begin_round();
             for input in batch.drain(..) {
-                self.take(input);
+                self.handle(input);
             }
             let effects = self.coordinator.take_effects(BootClock.now());
-            self.note_left();
+            self.update_successor_leases();
             for effect in effects {
                 if effect == Effect::Superseded {
                     return TermEnd::Superseded;
@@ -166,20 +167,20 @@
         }
     }
 
-    /// Takes note of what holds at this moment, before anything is decided.
+    /// Updates the support by other entries and checks for a process pause, before any decision.
     fn begin_round(&mut self) {
-        let (until_ms, supporters) = self.support.present();
+        let (until_ms, supporters) = self.support.current();
         self.coordinator.set_supported_until(until_ms, supporters);
-        if let Some(gap_ms) = self.standstill.round(BootClock.now_ms()) {
-            spdlog::warn!("event=stood_still gap_ms={gap_ms}");
+        if let Some(gap_ms) = self.process_pause.begin_round(BootClock.now_ms()) {
+            spdlog::warn!("event=process_paused gap_ms={gap_ms}");
         }
     }
 
-    /// Tells the writer what a successor has to know of leases, before what was decided leaves.
-    fn note_left(&mut self) {
+    /// Reports changed leases to the writer before the effects of this round are carried out.
+    fn update_successor_leases(&mut self) {
         if self.coordinator.take_leases_for_successor_changed() {
             let now = BootClock.now();
-            self.left.set(self.coordinator.leases_for_successor(now), now.steady_ms);
+            self.successor_leases.set(self.coordinator.leases_for_successor(now), now.steady_ms);
         }
     }
 
@@ -187,51 +188,53 @@
         let now = BootClock.now();
         self.coordinator.tick(now);
         let LongestWait { persistent_ms, other_ms } = self.coordinator.longest_wait(now);
-        let [standing, others] = [persistent_ms, other_ms].map(Duration::from_millis);
-        self.metrics.longest_wait(standing, others);
-        self.metrics.lease_supporters(self.support.present().1 as u64);
+        let [persistent, other] = [persistent_ms, other_ms].map(Duration::from_millis);
+        self.metrics.longest_wait(persistent, other);
+        self.metrics.lease_supporters(self.support.current().1 as u64);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = BootClock.now();
         match input {
-            Input::Opened(Peer::Entry { link, .. }, tx) => {
+            Input::LinkOpened(Peer::Entry { link, .. }, tx) => {
                 self.entries.insert(link, tx);
             }
-            Input::Opened(Peer::Agent { node, link }, tx) => {
-                // A link that replaces another one is a new beginning, whatever the old one still
-                // carries.
+            Input::LinkOpened(Peer::Agent { node, link }, tx) => {
+                // A new link replaces the old one, even if messages are still under way on that
+                // one.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
                     self.coordinator.agent_disconnected(&node, now);
                 }
                 let hello = FromAgent::Hello { agent: node.clone() };
                 self.coordinator.handle_agent_message(&node, hello, now);
             }
-            Input::Closed(Peer::Entry { link, .. }) => {
+            Input::LinkClosed(Peer::Entry { link, .. }) => {
                 self.entries.remove(&link);
             }
-            Input::Closed(Peer::Agent { node, link }) => {
-                if self.agents.get(&node).is_some_and(|(present, _)| *present == link) {
+            Input::LinkClosed(Peer::Agent { node, link }) => {
+                if self.agents.get(&node).is_some_and(|(current, _)| *current == link) {
                     self.agents.remove(&node);
                     self.coordinator.agent_disconnected(&node, now);
                 }
             }
-            Input::Ask { link, ticket, ask } => {
-                let own = self.next_ticket;
+            Input::Request { link, ticket, request } => {
+                let own_ticket = self.next_ticket;
                 self.next_ticket += 1;
-                self.owed.insert(own, (link, ticket));
-                self.coordinator.handle_request(own, ask, now);
+                self.pending_replies.insert(own_ticket, (link, ticket));
+                self.coordinator.handle_request(own_ticket, request, now);
             }
-            Input::Agent(node, said) => self.coordinator.handle_agent_message(&node, said, now),
-            Input::Written(batch) => self.coordinator.batch_written(batch, now),
-            Input::Approved((step, asked), answer) => {
-                let answer = answer.map(|answer| (answer.tickets, answer.valid_ms));
-                self.coordinator.handle_approval(step, &asked, answer, now);
+            Input::AgentMessage(node, message) => {
+                self.coordinator.handle_agent_message(&node, message, now);
             }
-            Input::Confirmed { asked_ms, heard_ms } => {
-                self.coordinator.store_confirmed(asked_ms, heard_ms);
-                for (agent, message) in self.standstill.confirmed(asked_ms) {
-                    self.tell(&agent, message);
+            Input::BatchWritten(batch) => self.coordinator.batch_written(batch, now),
+            Input::ApprovalResponse((step, requested_minions), response) => {
+                let response = response.map(|response| (response.tickets, response.valid_ms));
+                self.coordinator.handle_approval(step, &requested_minions, response, now);
+            }
+            Input::TermConfirmed { requested_ms, received_ms } => {
+                self.coordinator.store_confirmed(requested_ms, received_ms);
+                for (agent, message) in self.process_pause.term_confirmed(requested_ms) {
+                    self.send_to_agent(&agent, message);
                 }
             }
             Input::PredecessorEnded(address) => self.coordinator.predecessor_ended(address, now),
@@ -244,26 +247,28 @@
     async fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Write(batch) => {
-                // The writer has room for every batch that may be under way at once.
+                // The writer's queue holds as many batches as may be under way at once.
                 if self.writes.send(batch).await.is_err() {
                     spdlog::debug!("event=writer_ended");
                 }
             }
             Effect::Reply { ticket, response } => {
-                let Some((link, ticket)) = self.owed.remove(&ticket) else { return };
+                let Some((link, ticket)) = self.pending_replies.remove(&ticket) else { return };
                 if let Some(tx) = self.entries.get(&link) {
-                    // An entry whose link is gone asks again on the next one.
+                    // An entry whose link has closed sends its request again on the next one.
                     let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response }));
                 }
             }
             Effect::Send { agent, message } => {
-                if let Some((agent, message)) = self.standstill.pass(agent, message) {
-                    self.tell(&agent, message);
+                if let Some((agent, message)) =
+                    self.process_pause.hold_if_unconfirmed(agent, message)
+                {
+                    self.send_to_agent(&agent, message);
                 }
             }
             Effect::RequestApproval { step, minions } => {
-                // Without a service the step waits; the configuration names none that exists.
-                if self.questions.send((step, minions)).await.is_err() {
+                // Without an admission service in the settings the step keeps waiting.
+                if self.approval_requests.send((step, minions)).await.is_err() {
                     spdlog::warn!("event=no_admission_service step={step}");
                 }
             }
@@ -272,15 +277,15 @@
         }
     }
 
-    fn tell(&self, agent: &Name, message: ToAgent) {
-        self.count(&message);
+    fn send_to_agent(&self, agent: &Name, message: ToAgent) {
+        self.count_order(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
-            // An order that is lost with its link is given again on the next one.
+            // An order that is lost with its link is repeated on the next one.
             let _ = tx.send(ToPeer::Agent(message));
         }
     }
 
-    fn count(&self, message: &ToAgent) {
+    fn count_order(&self, message: &ToAgent) {
         let ToAgent::Order(order) = message else { return };
         match order.kind {
             OrderKind::Start { .. } => self.metrics.placement("steps"),
--- a/crates/geraniumpost/src/batch/coordination/mod.rs
+++ b/crates/geraniumpost/src/batch/coordination/mod.rs
@@ -1,36 +1,35 @@
-//! Who coordinates, and the coordinator's own process.
+//! Election of the coordinator, and the coordinator itself.
 
+mod adaptive_timeout;
 mod candidate;
-mod doorway;
+mod coordinator_key;
+mod coordinator_loss;
 mod driver;
-mod key;
-mod known;
-mod left;
-mod loss;
-mod own_promises;
+mod known_coordinator;
+mod local_promises;
+mod peer_listener;
 mod peers;
+mod process_pause;
 mod record;
-mod releases;
-mod standstill;
+mod release_requester;
+mod successor_leases;
 mod term;
 mod term_support;
-mod timeout;
 mod writer;
 
 pub use candidate::Candidate;
-pub use known::Known;
-pub use loss::{CoordinatorLoss, detect_loss};
-pub use own_promises::OwnPromises;
+pub use coordinator_loss::{CoordinatorLoss, detect_loss};
+pub use known_coordinator::KnownCoordinator;
+pub use local_promises::LocalPromises;
 pub use peers::Peers;
+pub use process_pause::ProcessPause;
 pub use record::CoordinatorRecord;
-pub use standstill::Standstill;
 
-/// Key of the record that names the coordinator.
+/// Store key of the [`CoordinatorRecord`].
 pub const COORDINATOR_KEY: &str = "geraniumpost/coordinator";
-/// Prefix of the keys by which entries find each other.
+/// Prefix of the store keys under which entries register their addresses.
 pub const ENTRY_PREFIX: &str = "geraniumpost/entry/";
-/// Prefix of the keys of jobs.
+/// Prefix of the store keys of job records.
 pub const JOB_PREFIX: &str = "geraniumpost/job/";
-
-/// Key of what coordinators have learnt of images.
-pub const KNOWLEDGE_KEY: &str = "geraniumpost/interference";
+/// Store key of the learned interference between images.
+pub const INTERFERENCE_KEY: &str = "geraniumpost/interference";
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries, and what they know of the coordinator.
+//! Registry of the other entries, and requests to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,42 +11,42 @@
 use tokio::task::JoinSet;
 
 use super::super::{FromPeer, ToPeer, peer_link};
-use super::{ENTRY_PREFIX, Known};
+use super::{ENTRY_PREFIX, KnownCoordinator};
 
-/// Longest time a probe of another entry may take.
-const PROBE: Duration = Duration::from_millis(300);
+/// Timeout of one request to another entry, including the connect.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The other entries, as the store last named them.
+/// The other entries that are registered in the store, as last read.
 #[derive(Debug)]
 pub struct Peers {
     node: Name,
     address: SocketAddr,
-    others: ArcSwap<Vec<Listed>>,
-    /// Revision of this entry's own key; 0 while it is not listed.
+    others: ArcSwap<Vec<RegisteredEntry>>,
+    /// Revision of this entry's own key; 0 while it is not registered.
     own_revision: AtomicU64,
-    /// Whether this entry is asked to stop, and lists itself no more.
-    leaves: AtomicBool,
+    /// Whether this entry was asked to stop, and no longer registers itself.
+    is_stopping: AtomicBool,
 }
 
-/// Another entry as the store names it.
+/// An entry that is registered in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
-    /// Its name.
+pub struct RegisteredEntry {
+    /// Name of the entry.
     pub node: Name,
-    /// Where it is reached.
+    /// Address on which the entry accepts links.
     pub address: SocketAddr,
-    /// Revision of its key.
+    /// Revision of the entry's key in the store.
     pub revision: u64,
 }
 
-impl Listed {
-    fn read(item: &KeyValue) -> Option<Self> {
+impl RegisteredEntry {
+    fn decode(item: &KeyValue) -> Option<Self> {
         let node = Name::from(item.key.strip_prefix(ENTRY_PREFIX)?);
         let address = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
         Some(Self { node, address, revision: item.revision })
     }
 
-    /// Returns the key under which the store names it.
+    /// Returns the entry's key in the store.
     pub fn key(&self) -> String {
         key(&self.node)
     }
@@ -56,153 +56,164 @@
     format!("{ENTRY_PREFIX}{node}")
 }
 
-/// Pause between two readings of the list: entries come and go within minutes, and the first
-/// readings find only some of those that started together.
-const REFRESH: Duration = Duration::from_secs(4);
-/// Longest time one reading may take.
+/// Pause between two reads of the registry. Entries join and leave within minutes, and the first
+/// reads find only some of the entries that start at the same time.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
+/// Timeout of one call to the store.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What another entry said.
+/// Another entry's response to a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Probed {
-    /// Whether the coordinator answers it.
-    pub answered: bool,
-    /// Whom it knows to coordinate.
-    pub known: Option<Known>,
+pub struct ProbeResult {
+    /// Whether the coordinator answers that entry.
+    pub coordinator_responds: bool,
+    /// The current coordinator as far as that entry knows.
+    pub known_coordinator: Option<KnownCoordinator>,
 }
 
 impl Peers {
-    /// Returns the peers of an entry that has not read the store yet.
+    /// Returns an empty registry for the entry `node` at `address`.
     pub fn new(node: Name, address: SocketAddr) -> Self {
         Self {
             node,
             address,
             others: ArcSwap::default(),
             own_revision: AtomicU64::new(0),
-            leaves: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
         }
     }
 
-    /// Lets the other entries find this one.
+    /// Registers this entry in the store, so that the other entries find it.
     ///
     /// # Errors
     ///
-    /// Fails if the store does not confirm it.
-    pub async fn announce(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
-        let put = Transaction {
+    /// Fails if the store does not confirm the write.
+    pub async fn register(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
+        let transaction = Transaction {
             write: vec![(key(&self.node), self.address.to_string().into())],
             ..Transaction::default()
         };
-        let revision = store.commit(&put, timeout).await?;
+        let revision = store.commit(&transaction, timeout).await?;
         self.own_revision.store(revision, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Takes this entry off the list for good, unless another process of the same name has listed itself.
-    pub async fn leave(&self, store: &Store, timeout: Duration) {
-        self.leaves.store(true, Ordering::Relaxed);
+    /// Removes this entry from the registry and keeps it from registering again. A registration by
+    /// another process of the same name stays.
+    pub async fn deregister(&self, store: &Store, timeout: Duration) {
+        self.is_stopping.store(true, Ordering::Relaxed);
         let key = key(&self.node);
-        let put = Transaction {
+        let transaction = Transaction {
             expect: vec![(key.clone(), self.own_revision.load(Ordering::Relaxed))],
             remove: vec![key],
             ..Transaction::default()
         };
-        if let Err(error) = store.commit(&put, timeout).await {
-            spdlog::warn!("event=leave_failed why=\"{error}\"");
+        if let Err(error) = store.commit(&transaction, timeout).await {
+            spdlog::warn!("event=deregister_failed why=\"{error}\"");
         }
     }
 
-    /// Keeps the list of the other entries for as long as the process runs. Without the store the
-    /// entries known before stay known, as that is when they are needed.
-    pub async fn follow(self: Arc<Self>, store: Arc<Store>) {
+    /// Reads the registry periodically until the process exits. While the store does not answer,
+    /// the entries read last are kept, as they are needed most at that time.
+    pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
             match self.refresh(&store, READ_TIMEOUT).await {
                 Ok(true) => {}
-                Ok(false) => self.list_again(&store).await,
+                Ok(false) => self.register_again(&store).await,
                 Err(error) => spdlog::debug!("event=read_failed what=entries why=\"{error}\""),
             }
-            tokio::time::sleep(REFRESH).await;
+            tokio::time::sleep(REFRESH_INTERVAL).await;
         }
     }
 
-    /// Reads who the other entries are; returns whether this one is listed as well. Those that are lost stay
-    /// listed for a while, and do not answer.
+    /// Reads the registry; returns whether this entry is registered as well. Lost entries stay
+    /// registered for a while, and do not answer.
     async fn refresh(&self, store: &Store, timeout: Duration) -> Result<bool, StoreError> {
         let items = store.list(ENTRY_PREFIX, timeout).await?;
-        let (own, others): (Vec<_>, Vec<_>) =
-            items.iter().filter_map(Listed::read).partition(|listed| listed.node == self.node);
+        let (own, others): (Vec<_>, Vec<_>) = items
+            .iter()
+            .filter_map(RegisteredEntry::decode)
+            .partition(|registered| registered.node == self.node);
         self.others.store(Arc::new(others));
         Ok(!own.is_empty())
     }
 
-    /// Lists this entry again that a coordinator took for gone.
-    async fn list_again(&self, store: &Store) {
-        if self.leaves.load(Ordering::Relaxed) {
+    /// Registers this entry again after a coordinator has removed it as lost.
+    async fn register_again(&self, store: &Store) {
+        if self.is_stopping.load(Ordering::Relaxed) {
             return;
         }
-        let result = self.announce(store, READ_TIMEOUT).await;
-        spdlog::warn!("event=listed_again ok={}", result.is_ok());
+        let result = self.register(store, READ_TIMEOUT).await;
+        spdlog::warn!("event=registered_again ok={}", result.is_ok());
     }
 
     /// Returns the other entries.
-    pub fn listed(&self) -> Arc<Vec<Listed>> {
+    pub fn registered(&self) -> Arc<Vec<RegisteredEntry>> {
         self.others.load_full()
     }
 
-    /// Asks all other entries but one what they know of the coordinator.
-    pub async fn probe(&self, except: Option<&Name>) -> Vec<Probed> {
+    /// Probes all other entries except `excluded` in parallel, and returns the responses that
+    /// arrive.
+    pub async fn probe(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
         let mut probes = JoinSet::new();
-        for Listed { node, address, .. } in self.others.load().iter() {
-            if Some(node) != except {
+        for RegisteredEntry { node, address, .. } in self.others.load().iter() {
+            if Some(node) != excluded {
                 probes.spawn(probe(*address));
             }
         }
-        let mut answers = Vec::new();
-        while let Some(answer) = probes.join_next().await {
-            answers.extend(answer.ok().flatten());
+        let mut results = Vec::new();
+        while let Some(response) = probes.join_next().await {
+            results.extend(response.ok().flatten());
         }
-        answers
+        results
     }
 
-    /// Returns where another entry is reached.
+    /// Returns the address of another entry.
     pub fn address(&self, node: &Name) -> Option<SocketAddr> {
         let others = self.others.load();
-        others.iter().find(|listed| listed.node == *node).map(|listed| listed.address)
+        others
+            .iter()
+            .find(|registered| registered.node == *node)
+            .map(|registered| registered.address)
     }
 
-    /// Returns how many other entries are known, but for one.
-    pub fn count(&self, except: &Name) -> usize {
-        self.others.load().iter().filter(|listed| listed.node != *except).count()
+    /// Returns the number of other entries, not counting `excluded`.
+    pub fn count(&self, excluded: &Name) -> usize {
+        self.others.load().iter().filter(|registered| registered.node != *excluded).count()
     }
 
-    /// Asks the other entries for a coordinator with a higher token than `fence`.
+    /// Asks the other entries for a coordinator with a higher fencing token than `fence`.
     ///
-    /// An entry that the store turns away learns of no takeover by itself. Its callers would wait
-    /// for a coordinator that has a successor, while every other entry serves.
-    pub async fn successor(&self, fence: u64) -> Option<Known> {
-        let answers = self.probe(None).await;
-        let newer = answers.into_iter().filter_map(|probed| probed.known);
-        newer.filter(|known| known.fence > fence).max_by_key(|known| known.fence)
+    /// An entry that cannot read the store would not notice a takeover otherwise. Its callers would
+    /// wait for the old coordinator while all other entries serve.
+    pub async fn successor(&self, fence: u64) -> Option<KnownCoordinator> {
+        let results = self.probe(None).await;
+        let successors = results.into_iter().filter_map(|result| result.known_coordinator);
+        successors
+            .filter(|coordinator| coordinator.fence > fence)
+            .max_by_key(|coordinator| coordinator.fence)
     }
 }
 
-/// Asks an entry what it knows of the coordinator.
-pub async fn probe(address: SocketAddr) -> Option<Probed> {
-    match ask(address, FromPeer::Probe).await? {
-        ToPeer::ProbeResponse { coordinator_answers, coordinator } => {
-            let known = coordinator.map(|(address, fence)| Known { address, fence });
-            Some(Probed { answered: coordinator_answers, known })
+/// Probes one entry; `None` if it does not answer.
+pub async fn probe(address: SocketAddr) -> Option<ProbeResult> {
+    match request(address, FromPeer::Probe).await? {
+        ToPeer::ProbeResponse { coordinator_responds, coordinator } => {
+            let known_coordinator =
+                coordinator.map(|(address, fence)| KnownCoordinator { address, fence });
+            Some(ProbeResult { coordinator_responds, known_coordinator })
         }
         _ => None,
     }
 }
 
-/// Sends one message to an entry over a connection of its own, and returns the answer.
-pub async fn ask(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
-    let asking = async {
+/// Sends one message to an entry over a new connection, and returns the response if one arrives in
+/// time.
+pub async fn request(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
+    let exchange = async {
         let (tx, mut rx) = peer_link::dial::<FromPeer, ToPeer>(address).await.ok()?;
         tx.send(message).ok()?;
-        rx.next().await.map(|answer| answer.head)
+        rx.next().await.map(|response| response.head)
     };
-    tokio::time::timeout(PROBE, asking).await.ok().flatten()
+    tokio::time::timeout(REQUEST_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/geraniumpost/src/batch/entry/in_force.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -9,105 +9,108 @@
 use super::NewerVersions;
 use crate::metrics::Metrics;
 
-/// Stands for no version that is newer than the one in force.
-const NOT_BEHIND: u64 = u64::MAX;
+/// Time that stands for "not outdated".
+const NEVER: u64 = u64::MAX;
 
-/// The configuration in force, and what is known of newer ones.
+/// The active configuration, and what is known of newer versions.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     routes: ArcSwapOption<Routes>,
-    /// When the call was sent that last showed the newest version, on the boot clock.
+    /// When the last successful call for the newest version was sent, on the boot clock.
     confirmed_ms: AtomicU64,
     newer: Mutex<NewerVersions>,
-    /// Since when another process is known to have a newer version, on the boot clock, or [`NOT_BEHIND`].
+    /// Since when another process is known to have a newer version, on the boot clock, or
+    /// [`NEVER`].
     behind_since_ms: AtomicU64,
-    /// Since when the store is known to have a change that was not read yet, likewise.
+    /// Since when the store is known to have a change that was not read yet, on the boot clock, or
+    /// [`NEVER`].
     unread_since_ms: AtomicU64,
     metrics: Arc<Metrics>,
 }
 
-impl InForce {
-    /// Returns that of an entry which has read none yet.
+impl ActiveConfiguration {
+    /// Returns the state of an entry that has not read a configuration yet.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         let confirmed_ms = AtomicU64::new(BootClock.now_ms());
         Self {
             routes: ArcSwapOption::empty(),
             confirmed_ms,
             newer: Mutex::default(),
-            behind_since_ms: AtomicU64::new(NOT_BEHIND),
-            unread_since_ms: AtomicU64::new(NOT_BEHIND),
+            behind_since_ms: AtomicU64::new(NEVER),
+            unread_since_ms: AtomicU64::new(NEVER),
             metrics,
         }
     }
 
-    /// Returns the configuration in force; none before the first was read.
+    /// Returns the active configuration; `None` before the first one is read.
     pub fn routes(&self) -> Option<Arc<Routes>> {
         self.routes.load_full()
     }
 
-    /// Returns its version; 0 if there is none.
+    /// Returns the version of the active configuration; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.routes.load().as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// Returns how long ago the version in force was known to be the newest, in milliseconds.
+    /// Returns the time since the active version was last confirmed as the newest, in milliseconds.
     pub fn age_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns the newest version that this process or one that it hears of has.
+    /// Returns the newest version that this process has or has heard of.
     pub fn newest(&self) -> u64 {
         self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest()
     }
 
-    /// Returns for how long a newer version than the one in force has been known, in milliseconds.
+    /// Returns for how long a version newer than the active one has been known, in milliseconds; 0
+    /// if none is known.
     pub fn behind_ms(&self) -> u64 {
         let behind_since_ms = self.behind_since_ms.load(Ordering::Relaxed);
         let since_ms = behind_since_ms.min(self.unread_since_ms.load(Ordering::Relaxed));
         BootClock.now_ms().saturating_sub(since_ms)
     }
 
-    /// Notes that the store has a change that still has to be read.
-    pub fn unread(&self) {
+    /// Records that the store has a change that still has to be read.
+    pub fn mark_unread(&self) {
         self.unread_since_ms.fetch_min(BootClock.now_ms(), Ordering::Relaxed);
     }
 
-    /// Notes that another process has a version.
-    pub fn heard(&self, version: u64) {
-        let known = self.newest();
-        if version <= known {
+    /// Records that another process has a version.
+    pub fn observe(&self, version: u64) {
+        let newest = self.newest();
+        if version <= newest {
             return;
         }
-        self.note(|newer| newer.observed(version, BootClock.now_ms()));
+        self.update_newer(|newer| newer.observed(version, BootClock.now_ms()));
         spdlog::info!(
-            "event=configuration_heard version={version} in_force={} age_ms={}",
+            "event=configuration_heard version={version} active={} age_ms={}",
             self.version(),
             self.age_ms()
         );
     }
 
-    fn note(&self, change: impl FnOnce(&mut NewerVersions)) {
+    fn update_newer(&self, change: impl FnOnce(&mut NewerVersions)) {
         let mut newer = self.newer.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut newer);
-        let since_ms = newer.behind_since_ms().unwrap_or(NOT_BEHIND);
+        let since_ms = newer.behind_since_ms().unwrap_or(NEVER);
         self.behind_since_ms.store(since_ms, Ordering::Relaxed);
     }
 
-    /// Notes that the store had nothing newer than what is in force when it was asked.
-    pub fn confirm(&self, asked_ms: u64) {
-        self.confirmed_ms.fetch_max(asked_ms, Ordering::Relaxed);
-        self.unread_since_ms.store(NOT_BEHIND, Ordering::Relaxed);
+    /// Records that the store had no newer version when a call was sent to it at `requested_ms`.
+    pub fn record_confirmed(&self, requested_ms: u64) {
+        self.confirmed_ms.fetch_max(requested_ms, Ordering::Relaxed);
+        self.unread_since_ms.store(NEVER, Ordering::Relaxed);
         self.metrics.config_age(Duration::from_millis(self.age_ms()));
     }
 
-    /// Notes that a reading failed, for the `attempt`th time in a row.
-    pub fn failed(&self, attempt: u32, asked_ms: u64, why: &str) {
+    /// Records that a read failed for the `attempt`th time in a row.
+    pub fn record_failure(&self, attempt: u32, requested_ms: u64, why: &str) {
         let age_ms = self.age_ms();
         self.metrics.config_read("failed", 0);
         self.metrics.config_age(Duration::from_millis(age_ms));
-        // An outage of minutes takes a dozen lines.
+        // Logs only powers of two, so that an outage of minutes takes a dozen lines.
         if attempt.is_power_of_two() {
-            let took_ms = BootClock.now_ms().saturating_sub(asked_ms);
+            let took_ms = BootClock.now_ms().saturating_sub(requested_ms);
             spdlog::warn!(
                 "event=configuration_unread attempt={attempt} version={} age_ms={age_ms} \
                  took_ms={took_ms} why=\"{why}\"",
@@ -116,8 +119,9 @@
         }
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
-    pub fn adopt(&self, value: &[u8], asked_ms: u64) {
+    /// Activates a configuration if it is newer than the active one. `requested_ms` is when the
+    /// call that returned it was sent, on the boot clock.
+    pub fn adopt(&self, value: &[u8], requested_ms: u64) {
         let bytes = value.len();
         let routes = match decode_routes(value) {
             Ok(routes) => routes,
@@ -127,23 +131,23 @@
                 return;
             }
         };
-        let before = self.version();
-        if routes.version <= before {
+        let previous_version = self.version();
+        if routes.version <= previous_version {
             self.metrics.config_read("known", bytes);
             return;
         }
         self.metrics.config_read("adopted", bytes);
         self.metrics.config_revision(routes.version);
         spdlog::info!(
-            "event=configuration version={} before={before} queues={} bytes={bytes} \
-             took_ms={} age_ms={}",
+            "event=configuration_activated version={} previous={previous_version} queues={} \
+             bytes={bytes} took_ms={} age_ms={}",
             routes.version,
             routes.len(),
-            BootClock.now_ms().saturating_sub(asked_ms),
+            BootClock.now_ms().saturating_sub(requested_ms),
             self.age_ms()
         );
         let version = routes.version;
         self.routes.store(Some(Arc::new(routes)));
-        self.note(|newer| newer.adopted(version));
+        self.update_newer(|newer| newer.adopted(version));
     }
 }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying callers' requests to the coordinator.
+//! Relays callers' requests to the coordinator.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,104 +11,105 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use super::super::coordination::{Known, OwnPromises};
+use super::super::coordination::{KnownCoordinator, LocalPromises};
 use super::super::{BootClock, FromPeer, ToPeer, peer_link};
-use super::InForce;
+use super::ActiveConfiguration;
 
-/// Pause between two pings. A coordinator that is gone is noticed by three missing answers.
-const PING: Duration = Duration::from_millis(250);
-/// Silence up to which requests are sent on a link, in milliseconds: one answer may be late.
-const TRUSTED_MS: u64 = 550;
-/// Pause after a link failed.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Requests that may wait for the relay; more are refused.
-const QUEUE: usize = 1_024;
+/// Interval of pings. A coordinator counts as lost after three missing pongs.
+const PING_INTERVAL: Duration = Duration::from_millis(250);
+/// Silence up to which new requests are sent over a link, in milliseconds: one pong may be late.
+const MAX_TRUSTED_SILENCE_MS: u64 = 550;
+/// Pause after a link has failed.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Capacity of the queue of requests; more are refused.
+const REQUEST_QUEUE: usize = 1_024;
 
-/// How the link to the coordinator is.
+/// State of this entry's link to the coordinator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// The coordinator that the rest is about.
+    /// Address of the coordinator that the other fields describe.
     pub address: Option<SocketAddr>,
-    /// When it answered last, or when the first link to it was tried, on the boot clock.
+    /// When the coordinator last sent a pong, or when the first connect to it was tried, on the
+    /// boot clock.
     pub last_heard_ms: u64,
-    /// Links in a row that could not be opened.
+    /// Connects in a row that failed.
     pub failed_connects: u32,
-    /// Whether it has answered that it does not coordinate.
+    /// Whether the process at the address has responded that it does not coordinate.
     pub not_coordinating: bool,
-    /// Since when the coordinator has not reached the store, on the boot clock.
+    /// Since when the coordinator has reported that it does not reach the store, on the boot clock.
     pub store_unreachable_since_ms: Option<u64>,
 }
 
-/// A caller's request on its way.
+/// A caller's request that has no response yet.
 #[derive(Debug)]
-struct Waiting {
-    ask: CallerRequest,
-    answer: oneshot::Sender<CallerResponse>,
-    /// Copies of the request that left.
+struct PendingRequest {
+    request: CallerRequest,
+    response: oneshot::Sender<CallerResponse>,
+    /// Number of copies of the request that were sent.
     sent: Arc<AtomicU64>,
-    /// Copies of it that the coordinator refused.
-    refused: u64,
+    /// Number of copies that the coordinator has refused.
+    refused_copies: u64,
 }
 
-impl Waiting {
-    /// Returns whether an answer to one copy settles the request.
+impl PendingRequest {
+    /// Returns whether the response to one copy settles the request.
     ///
-    /// A copy is sent again on the next link, and on one that was silent for a while. A refusal speaks for
-    /// one copy: another may be read later, when there is room, and be accepted. Its caller would have
-    /// been told that the job does not run, and it would run all the same. What is not settled in time is
-    /// told as unknown.
-    fn is_settled_by(&mut self, answer: CallerResponse) -> bool {
-        if !matches!(answer, CallerResponse::Refused { .. }) {
+    /// Another copy is sent over each new link, and over a link that was silent for a while. A
+    /// refusal applies to one copy only: the coordinator may read another one later, when it has
+    /// capacity, and accept it. The job would run although its caller was told that it does not. A
+    /// request that is not settled in time is reported as [`NoResponse::Unknown`].
+    fn is_settled_by(&mut self, response: CallerResponse) -> bool {
+        if !matches!(response, CallerResponse::Refused { .. }) {
             return true;
         }
-        self.refused += 1;
-        self.refused >= self.sent.load(Ordering::SeqCst)
+        self.refused_copies += 1;
+        self.refused_copies >= self.sent.load(Ordering::SeqCst)
     }
 }
 
 /// Handle of the relay.
 #[derive(Debug)]
 pub struct Relay {
-    tx: mpsc::Sender<Waiting>,
+    tx: mpsc::Sender<PendingRequest>,
     state: watch::Receiver<LinkState>,
-    heard_ms: Arc<AtomicU64>,
+    last_pong_ms: Arc<AtomicU64>,
 }
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoAnswer {
-    /// It never left this process.
+pub enum NoResponse {
+    /// It was not sent, and has no effect.
     NotSent,
-    /// It may have reached a coordinator.
+    /// It was sent, and a coordinator may have handled it.
     Unknown,
 }
 
 impl Relay {
-    /// Starts relaying to whoever is known to coordinate.
+    /// Starts a task that relays requests to the known coordinator.
     ///
-    /// Pings carry the version of the configuration in force, and answers the newest one that the
-    /// coordinator has heard of. Pings also carry this entry's promise to support the coordinator.
+    /// Pings carry the version of the active configuration and this entry's promise to support the
+    /// coordinator. Pongs carry the newest version that the coordinator has heard of.
     pub fn start(
-        promises: Arc<OwnPromises>,
-        known: watch::Receiver<Option<Known>>,
-        in_force: Arc<InForce>,
+        promises: Arc<LocalPromises>,
+        known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
+        configuration: Arc<ActiveConfiguration>,
     ) -> Self {
-        let (tx, rx) = mpsc::channel(QUEUE);
+        let (tx, rx) = mpsc::channel(REQUEST_QUEUE);
         let (state_tx, state) = watch::channel(LinkState::default());
-        let heard_ms = Arc::new(AtomicU64::new(0));
-        let task = Task {
+        let last_pong_ms = Arc::new(AtomicU64::new(0));
+        let task = RelayTask {
             promises,
-            heard: None,
-            known,
-            in_force,
+            last_pong: None,
+            known_coordinator,
+            configuration,
             rx,
             state: state_tx,
-            heard_ms: Arc::clone(&heard_ms),
-            waiting: HashMap::new(),
+            last_pong_ms: Arc::clone(&last_pong_ms),
+            pending: HashMap::new(),
             next_ticket: 1,
         };
         tokio::spawn(task.run());
-        Self { tx, state, heard_ms }
+        Self { tx, state, last_pong_ms }
     }
 
     /// Returns the state of the link to the coordinator.
@@ -118,162 +119,179 @@
 
     /// Returns for how long the coordinator has been silent, in milliseconds.
     pub fn silent_ms(&self) -> u64 {
-        BootClock.now_ms().saturating_sub(self.heard_ms.load(Ordering::Relaxed))
+        BootClock.now_ms().saturating_sub(self.last_pong_ms.load(Ordering::Relaxed))
     }
 
-    /// Asks the coordinator; across a takeover the request is sent again to the next one, as all
-    /// requests are idempotent.
+    /// Sends a request to the coordinator and waits for the response. After a takeover the request
+    /// is sent again to the successor, as all requests are idempotent.
     ///
     /// # Errors
     ///
-    /// Tells whether the request certainly had no effect. One that could not be sent is given up
-    /// after `unsent` already, one that was sent only after `all`.
-    pub async fn ask(
+    /// Fails if no response arrives: after `unsent_timeout` if the request could not be sent,
+    /// otherwise after `timeout`. The error says whether the request may have had an effect.
+    pub async fn request(
         &self,
-        ask: CallerRequest,
-        unsent: Duration,
-        all: Duration,
-    ) -> Result<CallerResponse, NoAnswer> {
+        request: CallerRequest,
+        unsent_timeout: Duration,
+        timeout: Duration,
+    ) -> Result<CallerResponse, NoResponse> {
         let sent = Arc::new(AtomicU64::new(0));
-        let (answer_tx, mut answer) = oneshot::channel();
-        let waiting = Waiting { ask, answer: answer_tx, sent: Arc::clone(&sent), refused: 0 };
-        self.tx.try_send(waiting).map_err(|_| NoAnswer::NotSent)?;
-        let began = Instant::now();
-        if let Ok(answered) = tokio::time::timeout_at(began + unsent.min(all), &mut answer).await {
-            return answered.map_err(|_| NoAnswer::Unknown);
+        let (response_tx, mut response) = oneshot::channel();
+        let pending = PendingRequest {
+            request,
+            response: response_tx,
+            sent: Arc::clone(&sent),
+            refused_copies: 0,
+        };
+        self.tx.try_send(pending).map_err(|_| NoResponse::NotSent)?;
+        let started_at = Instant::now();
+        if let Ok(result) =
+            tokio::time::timeout_at(started_at + unsent_timeout.min(timeout), &mut response).await
+        {
+            return result.map_err(|_| NoResponse::Unknown);
         }
         if sent.load(Ordering::SeqCst) > 0
-            && let Ok(answered) = tokio::time::timeout_at(began + all, &mut answer).await
+            && let Ok(result) = tokio::time::timeout_at(started_at + timeout, &mut response).await
         {
-            return answered.map_err(|_| NoAnswer::Unknown);
+            return result.map_err(|_| NoResponse::Unknown);
         }
-        // The relay marks a request before it looks whether the asker is still there, and the asker
-        // leaves before it looks for the mark. So an unmarked request has not left and never will.
-        answer.close();
-        if let Ok(answered) = answer.try_recv() {
-            return Ok(answered);
+        // The relay counts a copy before it checks whether this receiver is closed, and this
+        // function closes the receiver before it reads the count. So a request with no copies was
+        // not sent and never will be.
+        response.close();
+        if let Ok(result) = response.try_recv() {
+            return Ok(result);
         }
-        Err(if sent.load(Ordering::SeqCst) == 0 { NoAnswer::NotSent } else { NoAnswer::Unknown })
+        Err(if sent.load(Ordering::SeqCst) == 0 {
+            NoResponse::NotSent
+        } else {
+            NoResponse::Unknown
+        })
     }
 }
 
-struct Task {
-    promises: Arc<OwnPromises>,
-    /// When the coordinator sent its last pong, and when that was heard, on the boot clock.
-    heard: Option<(TermTime, u64)>,
-    known: watch::Receiver<Option<Known>>,
-    in_force: Arc<InForce>,
-    rx: mpsc::Receiver<Waiting>,
+struct RelayTask {
+    promises: Arc<LocalPromises>,
+    /// When the coordinator sent its last pong, on its clock, and when that arrived, on the boot
+    /// clock.
+    last_pong: Option<(TermTime, u64)>,
+    known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
+    configuration: Arc<ActiveConfiguration>,
+    rx: mpsc::Receiver<PendingRequest>,
     state: watch::Sender<LinkState>,
-    heard_ms: Arc<AtomicU64>,
-    waiting: HashMap<u64, Waiting>,
+    last_pong_ms: Arc<AtomicU64>,
+    pending: HashMap<u64, PendingRequest>,
     next_ticket: u64,
 }
 
 type Tx = LinkSender<FromPeer>;
 type Rx = LinkReceiver<ToPeer>;
 
-impl Task {
+impl RelayTask {
     async fn run(mut self) {
         loop {
-            let known = *self.known.borrow_and_update();
-            let Some(known) = known else {
+            let known_coordinator = *self.known_coordinator.borrow_and_update();
+            let Some(known_coordinator) = known_coordinator else {
                 tokio::select! {
-                    changed = self.known.changed() => if changed.is_err() { return },
-                    waiting = self.rx.recv() => match waiting {
-                        Some(waiting) => self.keep(waiting, None),
+                    changed = self.known_coordinator.changed() => if changed.is_err() { return },
+                    pending = self.rx.recv() => match pending {
+                        Some(pending) => self.enqueue(pending, None),
                         None => return,
                     },
                 }
                 continue;
             };
-            self.aim(known.address);
-            match peer_link::dial::<FromPeer, ToPeer>(known.address).await {
-                Ok((tx, rx)) => self.relay(tx, rx).await,
+            self.set_coordinator(known_coordinator.address);
+            match peer_link::dial::<FromPeer, ToPeer>(known_coordinator.address).await {
+                Ok((tx, rx)) => self.serve_link(tx, rx).await,
                 Err(error) => {
-                    spdlog::debug!("event=link_failed to={} why=\"{error}\"", known.address);
+                    spdlog::debug!(
+                        "event=link_failed to={} why=\"{error}\"",
+                        known_coordinator.address
+                    );
                     self.state.send_modify(|state| state.failed_connects += 1);
                 }
             }
-            self.waiting.retain(|_, waiting| !waiting.answer.is_closed());
-            tokio::time::sleep(PAUSE).await;
+            self.pending.retain(|_, pending| !pending.response.is_closed());
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Starts the account of a coordinator's silence anew when it is another one.
-    fn aim(&self, address: SocketAddr) {
+    /// Resets the state of the link if the coordinator's address has changed.
+    fn set_coordinator(&self, address: SocketAddr) {
         self.state.send_if_modified(|state| {
-            let other = state.address != Some(address);
-            if other {
+            let is_other = state.address != Some(address);
+            if is_other {
                 let last_heard_ms = BootClock.now_ms();
                 *state =
                     LinkState { address: Some(address), last_heard_ms, ..LinkState::default() };
             }
-            other
+            is_other
         });
     }
 
-    async fn relay(&mut self, tx: Tx, mut rx: Rx) {
+    async fn serve_link(&mut self, tx: Tx, mut rx: Rx) {
         let (node, incarnation) = (self.promises.node().clone(), self.promises.incarnation());
         if tx.send(FromPeer::EntryHello { node, incarnation }).is_err() {
             return;
         }
-        self.send_again(&tx);
-        let mut pings = tokio::time::interval(PING);
+        self.resend(&tx);
+        let mut pings = tokio::time::interval(PING_INTERVAL);
         loop {
             tokio::select! {
                 message = rx.next() => {
                     let Some(message) = message else { return };
-                    let was_trusted = self.silent_ms() < TRUSTED_MS;
-                    if !self.take(message.head) {
+                    let was_trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
+                    if !self.handle(message.head) {
                         return;
                     }
-                    if !was_trusted && self.silent_ms() < TRUSTED_MS {
-                        self.send_again(&tx);
+                    if !was_trusted && self.silent_ms() < MAX_TRUSTED_SILENCE_MS {
+                        self.resend(&tx);
                     }
                 }
-                waiting = self.rx.recv() => {
-                    let Some(waiting) = waiting else { return };
-                    // What is sent into a silent link may arrive much later, and its caller could
-                    // not be told any more that it has not run.
-                    let trusted = self.silent_ms() < TRUSTED_MS;
-                    self.keep(waiting, trusted.then_some(&tx));
+                pending = self.rx.recv() => {
+                    let Some(pending) = pending else { return };
+                    // A request that is sent over a silent link may arrive much later. Its caller
+                    // could no longer be told that it had no effect.
+                    let trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
+                    self.enqueue(pending, trusted.then_some(&tx));
                 }
                 _ = pings.tick() => {
                     if tx.send(FromPeer::EntryMessage(self.ping())).is_err() || self.is_silent() {
                         return;
                     }
                 }
-                _ = self.known.changed() => return,
+                _ = self.known_coordinator.changed() => return,
             }
         }
     }
 
     fn ping(&self) -> FromEntry {
-        let promise = |(sent, heard_ms)| self.promises.support(sent, heard_ms);
+        let promise = |(sent, received_ms)| self.promises.promise_support(sent, received_ms);
         FromEntry::Ping {
-            configuration: self.in_force.version(),
-            supports: self.heard.and_then(promise),
-            stopping: self.promises.leaves(),
+            configuration: self.configuration.version(),
+            supports: self.last_pong.and_then(promise),
+            stopping: self.promises.is_stopping(),
         }
     }
 
-    /// Returns whether the link has been silent for so long that a new one should be tried.
+    /// Returns whether the link has been silent for four ping intervals and should be replaced.
     fn is_silent(&self) -> bool {
-        self.silent_ms() > 4 * PING.as_millis() as u64
+        self.silent_ms() > 4 * PING_INTERVAL.as_millis() as u64
     }
 
     fn silent_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
-    fn take(&mut self, message: ToPeer) -> bool {
+    /// Handles a message; returns false if the link is of no further use.
+    fn handle(&mut self, message: ToPeer) -> bool {
         let now_ms = BootClock.now_ms();
         match message {
             ToPeer::Entry(ToEntry::Pong { store_ok, configuration, sent }) => {
-                self.heard = Some((sent, now_ms));
-                self.in_force.heard(configuration);
-                self.heard_ms.store(now_ms, Ordering::Relaxed);
+                self.last_pong = Some((sent, now_ms));
+                self.configuration.observe(configuration);
+                self.last_pong_ms.store(now_ms, Ordering::Relaxed);
                 self.state.send_modify(|state| {
                     state.last_heard_ms = now_ms;
                     state.failed_connects = 0;
@@ -285,13 +303,13 @@
                     };
                 });
             }
-            ToPeer::Entry(ToEntry::Response { ticket, response: answer }) => {
-                let Some(waiting) = self.waiting.get_mut(&ticket) else { return true };
-                if waiting.is_settled_by(answer)
-                    && let Some(waiting) = self.waiting.remove(&ticket)
+            ToPeer::Entry(ToEntry::Response { ticket, response }) => {
+                let Some(pending) = self.pending.get_mut(&ticket) else { return true };
+                if pending.is_settled_by(response)
+                    && let Some(pending) = self.pending.remove(&ticket)
                 {
-                    // A caller that has left needs no answer.
-                    let _ = waiting.answer.send(answer);
+                    // Sending fails only if the caller no longer waits.
+                    let _ = pending.response.send(response);
                 }
             }
             ToPeer::NotCoordinating => {
@@ -303,30 +321,32 @@
         true
     }
 
-    /// Keeps a request until it is answered, and sends it if there is a link.
-    fn keep(&mut self, waiting: Waiting, tx: Option<&Tx>) {
+    /// Keeps a request until it is settled, and sends it if a link is given.
+    fn enqueue(&mut self, pending: PendingRequest, tx: Option<&Tx>) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         if let Some(tx) = tx {
-            send(tx, ticket, &waiting);
+            send(tx, ticket, &pending);
         }
-        self.waiting.insert(ticket, waiting);
+        self.pending.insert(ticket, pending);
     }
 
-    fn send_again(&mut self, tx: &Tx) {
-        self.waiting.retain(|_, waiting| !waiting.answer.is_closed());
-        for (ticket, waiting) in &self.waiting {
-            send(tx, *ticket, waiting);
+    fn resend(&mut self, tx: &Tx) {
+        self.pending.retain(|_, pending| !pending.response.is_closed());
+        for (ticket, pending) in &self.pending {
+            send(tx, *ticket, pending);
         }
     }
 }
 
-fn send(tx: &Tx, ticket: u64, waiting: &Waiting) {
-    waiting.sent.fetch_add(1, Ordering::SeqCst);
-    if waiting.answer.is_closed() {
+fn send(tx: &Tx, ticket: u64, pending: &PendingRequest) {
+    pending.sent.fetch_add(1, Ordering::SeqCst);
+    if pending.response.is_closed() {
         return;
     }
-    // A closed link is noticed by its reader, and the request is sent again on the next one.
-    let _ = tx
-        .send(FromPeer::EntryMessage(FromEntry::Request { ticket, request: waiting.ask.clone() }));
+    // The reader notices a closed link, and the request is sent again over the next one.
+    let _ = tx.send(FromPeer::EntryMessage(FromEntry::Request {
+        ticket,
+        request: pending.request.clone(),
+    }));
 }
--- /dev/null
+++ b/crates/geraniumpost/tests/process_pause.rs
@@ -0,0 +1,53 @@
+//! Orders of a coordinator whose process was paused.
+
+use geraniumpost::batch::coordination::ProcessPause;
+use geraniumpost_batch::{Order, OrderKind, ToAgent};
+use geraniumpost_schema::Name;
+
+const LEASE: ToAgent = ToAgent::Lease { sent_at_ms: 1, lease_ms: 5_000, fence: 1, store_ok: true };
+
+fn order(run: u32) -> (Name, ToAgent) {
+    let task = "0000000000000001.0.0.0".parse().expect("a task's name");
+    let order = Order { minion: "m1".into(), task, run, kind: OrderKind::Stop };
+    ("agent-1".into(), ToAgent::Order(order))
+}
+
+/// Returns the state of a process that was paused for seven seconds, until 8,000 ms.
+fn resumed() -> ProcessPause {
+    let mut pause = ProcessPause::new(900);
+    assert_eq!(pause.begin_round(1_000), None);
+    assert_eq!(pause.begin_round(8_000), Some(7_000));
+    pause
+}
+
+/// A paused coordinator may resume beside its successor. Its orders are held, in their sequence,
+/// until the store has confirmed the term in response to a call sent after the pause. Responses to
+/// earlier calls do not count.
+#[test]
+fn orders_wait_until_the_store_confirms_the_term_again() {
+    let mut pause = resumed();
+    for run in [1, 2] {
+        let (agent, message) = order(run);
+        assert_eq!(pause.hold_if_unconfirmed(agent, message), None);
+    }
+    assert_eq!(pause.term_confirmed(7_999), []);
+    assert_eq!(pause.term_confirmed(8_010), [order(1), order(2)]);
+    let (agent, message) = order(3);
+    assert_eq!(pause.hold_if_unconfirmed(agent, message), Some(order(3)));
+}
+
+/// Responses to heartbeats are not held, as agents check them by their age and fencing token.
+#[test]
+fn responses_to_heartbeats_do_not_wait() {
+    let mut pause = resumed();
+    assert_eq!(pause.hold_if_unconfirmed("agent-1".into(), LEASE), Some(("agent-1".into(), LEASE)));
+}
+
+/// No order is held while rounds follow each other within the limit.
+#[test]
+fn running_coordinator_holds_no_order() {
+    let mut pause = ProcessPause::new(900);
+    assert_eq!(pause.begin_round(2_300), None);
+    let (agent, message) = order(1);
+    assert_eq!(pause.hold_if_unconfirmed(agent, message), Some(order(1)));
+}
