--- a/crates/geraniumpost-core/src/requests/admission.rs
+++ b/crates/geraniumpost-core/src/requests/admission.rs
@@ -1,22 +1,23 @@
 use geraniumpost_schema::RequestId;
 
-/// What the [`super::AttemptLedger`] says to an attempt that arrives.
+/// Decision of the [`super::AttemptLedger`] on an arriving attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission<A> {
-    /// Offer it to the queue; it is on record as waiting.
+    /// The attempt is recorded as waiting and is to be offered to the queue.
     Queue,
-    /// Another attempt with the same key waits or runs; its answer is this one's, too, and
-    /// [`super::AttemptLedger::finish`] will name this attempt.
+    /// The attempt with this id has the same key and waits or runs. Its answer also answers this
+    /// attempt, whose id [`super::AttemptLedger::finish`] will return.
     Join(RequestId),
-    /// Another attempt with the same key ran, and this is its answer.
+    /// An attempt with the same key has run with this answer.
     Replay(A),
-    /// Another attempt with the same key ran, and its answer is not kept any more.
+    /// An attempt with the same key has run, and its answer is no longer kept.
     AnswerLost,
-    /// The attempt is on record already; its answer goes its way, and nothing is to be done.
+    /// The attempt is already recorded and is answered through its first copy. No action is needed.
     Duplicate,
-    /// A question barred the attempt before it arrived, or its key: it does not run here.
+    /// A query barred the attempt or its key before the attempt arrived. It does not run on this
+    /// agent.
     Barred,
-    /// So many attempts came since that this one, or another with its key, may have run and been
-    /// forgotten: it does not run.
+    /// The attempt, or another with its key, may have run and been dropped from the ledger. It does
+    /// not run.
     Forgotten,
 }
--- a/crates/geraniumpost-core/src/requests/agent_view.rs
+++ b/crates/geraniumpost-core/src/requests/agent_view.rs
@@ -4,7 +4,7 @@
 
 use super::{AgentGauge, Location};
 
-/// One incarnation of an agent as a [`super::Snapshot`] shows it.
+/// One incarnation of an agent, as contained in a [`super::Snapshot`].
 ///
 /// # Example
 ///
@@ -50,21 +50,21 @@
         self
     }
 
-    /// Sets where the agent runs.
+    /// Sets the location of the agent.
     #[must_use]
     pub fn at_location(mut self, location: Location) -> Self {
         self.location = location;
         self
     }
 
-    /// Sets the requests that the minion runs at once.
+    /// Sets the number of requests that the minion runs concurrently.
     #[must_use]
     pub const fn slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets whether the agent accepts new work.
+    /// Sets whether the agent accepts new work or is draining.
     #[must_use]
     pub const fn state(mut self, state: AgentState) -> Self {
         self.state = state;
@@ -78,7 +78,7 @@
         self
     }
 
-    /// Sets the shared counters, so that they survive a new snapshot.
+    /// Sets the shared counters, so that a new snapshot keeps their values.
     #[must_use]
     pub fn gauge(mut self, gauge: Arc<AgentGauge>) -> Self {
         self.gauge = gauge;
@@ -90,7 +90,7 @@
         &self.name
     }
 
-    /// Random number that the agent drew at its start.
+    /// Random number that the agent drew when it started.
     pub const fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -100,22 +100,22 @@
         &self.service
     }
 
-    /// Where the agent runs.
+    /// Location of the agent.
     pub const fn location(&self) -> &Location {
         &self.location
     }
 
-    /// TCP address of the agent as IP:port.
+    /// TCP address of the agent, as IP:port.
     pub const fn address(&self) -> &Name {
         &self.address
     }
 
-    /// Requests that the minion runs at once, at least 1.
+    /// Number of requests that the minion runs concurrently, at least 1.
     pub fn slot_count(&self) -> u32 {
         self.slots.max(1)
     }
 
-    /// Whether the agent announced that it leaves.
+    /// Whether the agent has announced that it is shutting down.
     pub fn is_draining(&self) -> bool {
         self.state == AgentState::Draining
     }
@@ -130,22 +130,22 @@
         &self.gauge
     }
 
-    /// Whether ordinary requests may go to the agent.
+    /// Whether ordinary requests may be sent to the agent.
     pub fn is_routable(&self) -> bool {
         self.connected && !self.is_draining() && !self.gauge.is_ejected()
     }
 }
 
 impl From<&Heartbeat> for AgentView {
-    fn from(beat: &Heartbeat) -> Self {
-        let place = Location::new(beat.region.clone(), beat.domain.clone());
-        let mut view = Self::new(beat.agent.clone(), beat.incarnation)
-            .service(beat.service.clone())
-            .at_location(place)
-            .slots(beat.slots)
-            .state(beat.state)
+    fn from(heartbeat: &Heartbeat) -> Self {
+        let location = Location::new(heartbeat.region.clone(), heartbeat.domain.clone());
+        let mut view = Self::new(heartbeat.agent.clone(), heartbeat.incarnation)
+            .service(heartbeat.service.clone())
+            .at_location(location)
+            .slots(heartbeat.slots)
+            .state(heartbeat.state)
             .connected(false);
-        view.address = beat.address.clone();
+        view.address = heartbeat.address.clone();
         view
     }
 }
--- a/crates/geraniumpost-core/src/requests/ask_reply.rs
+++ b/crates/geraniumpost-core/src/requests/ask_reply.rs
@@ -1,26 +1,26 @@
 use geraniumpost_schema::{AskVerdict, RequestId};
 
-/// What an agent knows of an attempt it is asked about.
+/// What an agent knows about an attempt for which it received a query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AskReply<A> {
-    /// It has not started and never will: the question barred it. The shell takes it out of the
-    /// queue and refuses the attempts in `joined`, which waited for its answer.
+    /// The attempt has not started and never will, because the query barred it. The agent removes
+    /// it from the queue and refuses the attempts in `joined`, which waited for its answer.
     NeverStarted {
         /// Attempts with the same key, to be answered as not run.
         joined: Vec<RequestId>,
     },
-    /// It runs; its answer will come.
+    /// The attempt is running, and its answer will follow.
     Running,
-    /// It ran, and this is its answer.
+    /// The attempt has run with this answer.
     Finished(A),
-    /// It ran, and its answer is not kept any more.
+    /// The attempt has run, and its answer is no longer kept.
     AnswerLost,
-    /// The agent cannot know: it was restarted since, or it has forgotten.
+    /// The agent cannot know, because it has restarted or has dropped the record.
     Unknown,
 }
 
 impl<A> AskReply<A> {
-    /// Returns the reply's verdict on the wire; a lost answer leaves the outcome unknown.
+    /// Returns the verdict sent to the entry. A lost answer leaves the outcome unknown.
     pub const fn verdict(&self) -> AskVerdict {
         match self {
             Self::NeverStarted { .. } => AskVerdict::NeverStarted,
--- a/crates/geraniumpost-core/src/requests/attempt_event.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_event.rs
@@ -1,32 +1,32 @@
 use geraniumpost_schema::{AskVerdict, Outcome};
 
-/// What an entry learns about the attempt under way.
+/// Event that an entry observes for the current attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// Routing found no agent.
+    /// Routing found no agent that accepts the request.
     NoAgent,
     /// The link failed before a byte of the request was written.
     NeverSent,
-    /// The agent's final word.
+    /// The agent reported the outcome of the attempt.
     Outcome {
-        /// What became of the attempt.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// When to come back, 0 if unknown.
+        /// Advised delay before a retry, 0 if unknown.
         retry_after_ms: u64,
     },
     /// The link was lost after a byte of the request was written.
     LinkLost,
     /// The link does not answer pings.
     LinkUnresponsive,
-    /// The agent's answer to a question.
+    /// The agent answered a query about the attempt.
     Verdict(AskVerdict),
-    /// The question could not be put or was not answered in time.
+    /// A query about the attempt could not be sent or was not answered in time.
     AskFailed,
-    /// The agent was restarted since the attempt was sent.
+    /// The agent has restarted since the attempt was sent.
     AgentRestarted,
-    /// The request's deadline has passed at the entry.
+    /// The deadline of the request has passed at the entry.
     DeadlinePassed {
-        /// Whether a byte of the present attempt may have been written to a link.
+        /// Whether a byte of the current attempt may have been written to a link.
         sent: bool,
     },
 }
--- a/crates/geraniumpost-core/src/requests/attempt_ledger.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_ledger.rs
@@ -4,28 +4,28 @@
 
 use super::attempt_record::{AttemptRecord, AttemptState};
 use super::key_index::KeyIndex;
-use super::key_standing::KeyStanding;
+use super::key_status::KeyStatus;
 use super::sequence_floors::SequenceFloors;
 use super::{Admission, AskReply, LedgerLimits};
 use crate::Millis;
 
-/// An answer that is still kept.
+/// A finished attempt whose answer is still kept.
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct KeptAnswer {
     id: RequestId,
     bytes: usize,
     since: Millis,
 }
 
-/// An agent's record of what ran and what did not: the one authority on it.
+/// Ledger in which an agent records which attempts have run. It is the only authority on that.
 ///
-/// A link can be lost after a request was written to it, and then only the agent knows whether the
-/// request ran. An entry asks over another link. The question itself bars an attempt that has not
-/// started, so that "never started" stays true when the request's bytes arrive later after all.
-/// The record is gone when the agent restarts, hence a question names the incarnation it was sent
-/// to, and any other incarnation answers "unknown".
+/// If a link fails after a request was written to it, only the agent knows whether the request has
+/// run. The entry then sends a query over another link. The query itself bars an attempt that has
+/// not started, so that "never started" remains true if the bytes of the request arrive later. A
+/// restart of the agent loses the record. A query therefore names the incarnation that the attempt
+/// was sent to, and any other incarnation answers "unknown".
 ///
-/// `A` is a kept answer, cheap to clone. See `docs/design/0104-at-most-once.md`.
+/// `A` is a kept answer and must be cheap to clone. See `docs/design/0104-at-most-once.md`.
 ///
 /// # Example
 ///
@@ -47,50 +47,51 @@
     limits: LedgerLimits,
     records: HashMap<RequestId, AttemptRecord<A>>,
     ended: VecDeque<RequestId>,
-    kept: VecDeque<Kept>,
-    kept_bytes: usize,
+    answers: VecDeque<KeptAnswer>,
+    answer_bytes: usize,
     keys: KeyIndex,
     floors: SequenceFloors,
 }
 
 impl<A: Clone> AttemptLedger<A> {
-    /// Returns the empty record of an agent that drew `incarnation` at its start.
+    /// Returns an empty ledger for the agent's `incarnation`.
     pub fn new(incarnation: u64, limits: LedgerLimits) -> Self {
         Self {
             incarnation,
             limits,
             records: HashMap::new(),
             ended: VecDeque::new(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
-            keys: KeyIndex::new(limits.keys, limits.faded_keys),
+            answers: VecDeque::new(),
+            answer_bytes: 0,
+            keys: KeyIndex::new(limits.keys, limits.expired_keys),
             floors: SequenceFloors::default(),
         }
     }
 
-    /// Takes in an attempt that arrives; `key` is empty if the caller gave none.
+    /// Records an arriving attempt and decides whether it runs. `key` is empty if the caller sent
+    /// none.
     pub fn admit(&mut self, id: RequestId, key: &Name, now: Millis) -> Admission<A> {
         self.expire_answers(now);
         if let Some(record) = self.records.get(&id) {
             let barred = matches!(record.state, AttemptState::Barred);
             return if barred { Admission::Barred } else { Admission::Duplicate };
         }
-        if self.floors.may_have_known(id) {
+        if self.floors.may_be_dropped(id) {
             return Admission::Forgotten;
         }
         if !key.is_empty() {
-            match self.keys.standing(key) {
-                KeyStanding::First(first) => return self.join(id, first),
-                KeyStanding::Faded => return self.doubt(id),
-                KeyStanding::New | KeyStanding::Forgotten => {}
+            match self.keys.status(key) {
+                KeyStatus::First(first) => return self.join(id, first),
+                KeyStatus::Expired => return self.record_unknown_repeat(id),
+                KeyStatus::New | KeyStatus::PossiblyForgotten => {}
             }
         }
         self.records.insert(id, AttemptRecord::new(AttemptState::Queued));
-        self.enter_key(key, id);
+        self.index_key(key, id);
         Admission::Queue
     }
 
-    /// Marks an attempt as running. If it returns false, the attempt must not run: a question
+    /// Marks an attempt as running. Returns false if the attempt must not run because a query
     /// barred it while it waited.
     #[must_use]
     pub fn start(&mut self, id: RequestId) -> bool {
@@ -103,11 +104,11 @@
         }
     }
 
-    /// Takes in that a waiting attempt was refused or cancelled: it never runs, and neither does any
-    /// other with its key here. Returns the attempts that joined it, to be refused like it.
+    /// Records that a waiting attempt was refused or cancelled. It never runs, and no other attempt
+    /// with its key runs on this agent. Returns the attempts that joined it, to be refused as well.
     ///
-    /// The key stays barred because the entry now moves the key's claim to another agent; a repeat
-    /// that another entry sent here under the old claim would otherwise run a second time.
+    /// The key remains barred because the entry now moves the claim on the key to another agent. A
+    /// repeat that another entry sent here under the old claim would otherwise run a second time.
     #[must_use]
     pub fn mark_not_run(&mut self, id: RequestId) -> Vec<RequestId> {
         match self.records.get(&id) {
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Takes in that a running attempt left the minion with `answer` of `bytes`, good or bad.
-    /// Returns the attempts that joined it, which get the same answer.
+    /// Records that a running attempt ended at the minion with `answer` of `bytes` bytes, whether
+    /// it succeeded or failed. Returns the attempts that joined it and get the same answer.
     pub fn finish(
         &mut self,
         id: RequestId,
@@ -131,35 +132,36 @@
         }
         record.state = AttemptState::Finished(Some(answer));
         let joined = std::mem::take(&mut record.joined);
-        self.kept.push_back(Kept { id, bytes, since: now });
-        self.kept_bytes += bytes;
-        self.end(id, &joined);
+        self.answers.push_back(KeptAnswer { id, bytes, since: now });
+        self.answer_bytes += bytes;
+        self.record_ended(id, &joined);
         self.expire_answers(now);
         joined
     }
 
-    /// Answers a question about an attempt that was sent to `incarnation`, and bars the attempt if
-    /// it has not started. A `NeverStarted` one must also be taken out of the queue.
+    /// Answers a query about an attempt that was sent to `incarnation`, and bars the attempt if it
+    /// has not started. After [`AskReply::NeverStarted`] the attempt must also be removed from the
+    /// queue.
     #[must_use]
     pub fn ask(&mut self, id: RequestId, incarnation: u64, now: Millis) -> AskReply<A> {
         self.expire_answers(now);
         if incarnation != self.incarnation {
             return AskReply::Unknown;
         }
-        let Some(record) = self.records.get(&id) else { return self.ask_unseen(id) };
+        let Some(record) = self.records.get(&id) else { return self.bar_unseen_attempt(id) };
         match &record.state {
             AttemptState::Queued => AskReply::NeverStarted { joined: self.bar(id) },
             AttemptState::Barred => AskReply::NeverStarted { joined: Vec::new() },
-            AttemptState::Joined(first) => self.reply_of(*first),
-            _ => self.reply_of(id),
+            AttemptState::Joined(first) => self.reply_about(*first),
+            _ => self.reply_about(id),
         }
     }
 
-    /// Answers a repeat, known as `id`, of the request with `key` that was sent to `incarnation`.
+    /// Answers a query by `id`, a repeat of the request with `key` that was sent to `incarnation`.
     ///
-    /// Of one that waits or runs, the repeat gets the answer when it comes. A key not on record is
-    /// barred, so that after `NeverStarted` the claim may be moved to another agent although the
-    /// first request may still be on its way here.
+    /// If the first request waits or runs, the repeat gets its answer when it ends. A key that is
+    /// not recorded is barred, so that after [`AskReply::NeverStarted`] the claim may be moved to
+    /// another agent even though the first request may still arrive here.
     #[must_use]
     pub fn ask_key(
         &mut self,
@@ -172,10 +174,10 @@
         if incarnation != self.incarnation {
             return AskReply::Unknown;
         }
-        let first = match self.keys.standing(key) {
-            KeyStanding::First(first) => first,
-            KeyStanding::New => return self.bar_unseen_key(id, key),
-            KeyStanding::Faded | KeyStanding::Forgotten => return AskReply::Unknown,
+        let first = match self.keys.status(key) {
+            KeyStatus::First(first) => first,
+            KeyStatus::New => return self.bar_unseen_key(id, key),
+            KeyStatus::Expired | KeyStatus::PossiblyForgotten => return AskReply::Unknown,
         };
         match self.join(id, first) {
             Admission::Join(_) => AskReply::Running,
@@ -186,31 +188,32 @@
         }
     }
 
-    /// Drops answers that are too old. [`Self::admit`] and the questions do so, too; a call now and
-    /// then frees the memory of an agent that gets no requests.
+    /// Drops answers that exceed the limits on age, number or size. [`Self::admit`] and the queries
+    /// do so as well; periodic calls free the memory of an agent that gets no requests.
     pub fn expire_answers(&mut self, now: Millis) {
-        while let Some(&Kept { id, bytes, since }) = self.kept.front() {
-            let within = self.kept.len() <= self.limits.answers
-                && self.kept_bytes <= self.limits.answer_bytes
+        while let Some(&KeptAnswer { id, bytes, since }) = self.answers.front() {
+            let within_limits = self.answers.len() <= self.limits.answers
+                && self.answer_bytes <= self.limits.answer_bytes
                 && now.since(since) <= self.limits.answer_ms;
-            if within {
+            if within_limits {
                 return;
             }
-            self.kept.pop_front();
-            self.kept_bytes -= bytes;
+            self.answers.pop_front();
+            self.answer_bytes -= bytes;
             if let Some(record) = self.records.get_mut(&id) {
                 record.state = AttemptState::Finished(None);
             }
         }
     }
 
-    /// Attempts on record, answers kept, their bytes, and keys on record.
+    /// Returns the numbers of recorded attempts, kept answers, bytes of kept answers, and recorded
+    /// keys.
     pub fn sizes(&self) -> [usize; 4] {
-        [self.records.len(), self.kept.len(), self.kept_bytes, self.keys.len()]
+        [self.records.len(), self.answers.len(), self.answer_bytes, self.keys.len()]
     }
 
     fn join(&mut self, id: RequestId, first: RequestId) -> Admission<A> {
-        let reply = self.reply_of(first);
+        let reply = self.reply_about(first);
         let (admission, active) = match reply {
             AskReply::Running => (Admission::Join(first), true),
             AskReply::Finished(answer) => (Admission::Replay(answer), false),
@@ -225,34 +228,34 @@
         self.records.insert(id, record);
         match self.records.get_mut(&first) {
             Some(record) if active => record.joined.push(id),
-            _ => self.end(id, &[]),
+            _ => self.record_ended(id, &[]),
         }
         admission
     }
 
-    /// Enters an attempt whose key came before and is no longer on record.
-    fn doubt(&mut self, id: RequestId) -> Admission<A> {
-        self.records.insert(id, AttemptRecord::new(AttemptState::Doubtful));
-        self.end(id, &[]);
+    /// Records an attempt whose key has been used and is no longer recorded with its attempt.
+    fn record_unknown_repeat(&mut self, id: RequestId) -> Admission<A> {
+        self.records.insert(id, AttemptRecord::new(AttemptState::UnknownRepeat));
+        self.record_ended(id, &[]);
         Admission::Forgotten
     }
 
-    fn reply_of(&self, id: RequestId) -> AskReply<A> {
+    fn reply_about(&self, id: RequestId) -> AskReply<A> {
         match self.records.get(&id).map(|record| &record.state) {
             Some(AttemptState::Queued | AttemptState::Running) => AskReply::Running,
             Some(AttemptState::Finished(Some(answer))) => AskReply::Finished(answer.clone()),
             Some(AttemptState::Barred) => AskReply::NeverStarted { joined: Vec::new() },
             Some(AttemptState::Finished(None)) => AskReply::AnswerLost,
-            Some(AttemptState::Joined(_) | AttemptState::Doubtful) | None => AskReply::Unknown,
+            Some(AttemptState::Joined(_) | AttemptState::UnknownRepeat) | None => AskReply::Unknown,
         }
     }
 
-    fn ask_unseen(&mut self, id: RequestId) -> AskReply<A> {
-        if self.floors.may_have_known(id) {
+    fn bar_unseen_attempt(&mut self, id: RequestId) -> AskReply<A> {
+        if self.floors.may_be_dropped(id) {
             return AskReply::Unknown;
         }
         self.records.insert(id, AttemptRecord::new(AttemptState::Barred));
-        self.end(id, &[]);
+        self.record_ended(id, &[]);
         AskReply::NeverStarted { joined: Vec::new() }
     }
 
@@ -262,12 +265,12 @@
         }
         let record = AttemptRecord::new(AttemptState::Barred);
         self.records.insert(id, record);
-        self.enter_key(key, id);
-        self.end(id, &[]);
+        self.index_key(key, id);
+        self.record_ended(id, &[]);
         AskReply::NeverStarted { joined: Vec::new() }
     }
 
-    fn enter_key(&mut self, key: &Name, id: RequestId) {
+    fn index_key(&mut self, key: &Name, id: RequestId) {
         if key.is_empty() {
             return;
         }
@@ -280,18 +283,18 @@
         let Some(record) = self.records.get_mut(&id) else { return Vec::new() };
         record.state = AttemptState::Barred;
         let joined = std::mem::take(&mut record.joined);
-        self.end(id, &joined);
+        self.record_ended(id, &joined);
         joined
     }
 
-    /// Enters attempts that will not change any more, and forgets the oldest beyond the bound.
-    fn end(&mut self, id: RequestId, joined: &[RequestId]) {
+    /// Lists attempts that have reached their final state, and drops the oldest above the limit.
+    fn record_ended(&mut self, id: RequestId, joined: &[RequestId]) {
         self.ended.push_back(id);
         self.ended.extend(joined);
         while self.ended.len() > self.limits.records {
             let Some(oldest) = self.ended.pop_front() else { return };
             self.records.remove(&oldest);
-            self.floors.forget(oldest);
+            self.floors.record_dropped(oldest);
         }
     }
 }
--- a/crates/geraniumpost-core/src/requests/attempt_record.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_record.rs
@@ -1,23 +1,24 @@
 use geraniumpost_schema::RequestId;
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptState<A> {
-    /// It does not run and never will.
+    /// The attempt does not run and never will.
     Barred,
-    /// It waits for a slot.
+    /// The attempt waits for a slot.
     Queued,
-    /// It is on the minion.
+    /// The attempt is running on the minion.
     Running,
-    /// It left the minion; the answer may have been dropped since.
+    /// The attempt has ended; the answer is `None` once it is no longer kept.
     Finished(Option<A>),
-    /// It takes the answer of another attempt with the same key.
+    /// The attempt gets the answer of another attempt with the same key.
     Joined(RequestId),
-    /// It repeats one that may have run and is no longer on record, so it does not run.
-    Doubtful,
+    /// The key has been used by an attempt that may have run and is no longer recorded, so this
+    /// attempt does not run.
+    UnknownRepeat,
 }
 
-/// What an agent remembers of one attempt.
+/// Record of one attempt in the ledger.
 #[derive(Debug)]
 pub(super) struct AttemptRecord<A> {
     pub(super) state: AttemptState<A>,
@@ -29,7 +30,7 @@
         Self { state, joined: Vec::new() }
     }
 
-    /// Whether the attempt may still change.
+    /// Whether the attempt may still change its state.
     pub(super) const fn is_active(&self) -> bool {
         matches!(self.state, AttemptState::Queued | AttemptState::Running)
     }
--- a/crates/geraniumpost-core/src/requests/baseline_router.rs
+++ b/crates/geraniumpost-core/src/requests/baseline_router.rs
@@ -6,16 +6,18 @@
     AgentView, NoAgent, PeerLoad, Router, RoutingDecision, RoutingQuery, RoutingReason, ServiceView,
 };
 
-/// Policies that the [`Router`] is measured against in benches and tests; none is used in service.
+/// Simple policies that the [`Router`] is compared with in benchmarks and tests. None is used in
+/// production.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BaselineRouter {
-    /// Each agent in turn, whatever its load; the number is the next one's.
+    /// Each agent in turn, regardless of its load. The number counts the decisions.
     RoundRobin(usize),
-    /// The agent with the fewest requests by reports and own counters, by scanning all.
+    /// The agent with the fewest requests by its last report and this entry's own counter, found by
+    /// scanning all agents.
     LeastLoaded,
-    /// The agent with the fewest requests by its last report alone, by scanning all.
+    /// The agent with the fewest requests by its last report alone, found by scanning all agents.
     LeastReported,
-    /// At random, an agent with half the cost twice as often.
+    /// A random agent, with a probability inversely proportional to its cost.
     WeightedRandom,
 }
 
@@ -24,38 +26,38 @@
     ///
     /// # Errors
     ///
-    /// Returns why none can be chosen.
+    /// Returns the reason if no agent can be chosen.
     pub fn choose(
         &mut self,
         service: &ServiceView,
-        ask: &RoutingQuery<'_>,
+        query: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
     ) -> Result<RoutingDecision, NoAgent> {
-        let usable: Vec<&Arc<AgentView>> = usable(service, ask);
+        let usable: Vec<&Arc<AgentView>> = usable(service, query);
         if usable.is_empty() {
             return Err(NoAgent::NoneReady);
         }
         let agent = match self {
-            Self::RoundRobin(next) => in_turn(&usable, next),
-            Self::LeastLoaded => least(&usable, load),
-            Self::LeastReported => least(&usable, reported),
-            Self::WeightedRandom => weighted(&usable, ask, rng),
+            Self::RoundRobin(position) => round_robin(&usable, position),
+            Self::LeastLoaded => least_by(&usable, load),
+            Self::LeastReported => least_by(&usable, reported_load),
+            Self::WeightedRandom => weighted(&usable, query, rng),
         };
         Ok(RoutingDecision::of(agent, RoutingReason::Baseline))
     }
 }
 
-fn usable<'a>(service: &'a ServiceView, ask: &RoutingQuery<'_>) -> Vec<&'a Arc<AgentView>> {
+fn usable<'a>(service: &'a ServiceView, query: &RoutingQuery<'_>) -> Vec<&'a Arc<AgentView>> {
     let agents = service.agents().iter();
-    agents.filter(|agent| agent.is_routable() && !ask.tried.contains(agent.name())).collect()
+    agents.filter(|agent| agent.is_routable() && !query.tried.contains(agent.name())).collect()
 }
 
-fn in_turn<'a>(usable: &[&'a Arc<AgentView>], next: &mut usize) -> &'a Arc<AgentView> {
-    *next = next.wrapping_add(1);
-    usable[*next % usable.len()]
+fn round_robin<'a>(usable: &[&'a Arc<AgentView>], position: &mut usize) -> &'a Arc<AgentView> {
+    *position = position.wrapping_add(1);
+    usable[*position % usable.len()]
 }
 
-fn least<'a>(
+fn least_by<'a>(
     usable: &[&'a Arc<AgentView>],
     load: impl Fn(&AgentView) -> u32,
 ) -> &'a Arc<AgentView> {
@@ -66,24 +68,24 @@
     agent.counters().others_in_flight() + agent.counters().in_flight()
 }
 
-fn reported(agent: &AgentView) -> u32 {
+fn reported_load(agent: &AgentView) -> u32 {
     let load = agent.counters().load();
     load.in_flight + load.queued
 }
 
 fn weighted<'a>(
     usable: &[&'a Arc<AgentView>],
-    ask: &RoutingQuery<'_>,
+    query: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
 ) -> &'a Arc<AgentView> {
     let (router, peers) =
         (Router::default(), PeerLoad::from_agents(usable.iter().map(|agent| &***agent)));
-    let weight = |agent: &AgentView| 1.0 / (router.cost_us(agent, &peers, ask) + 1) as f64;
+    let weight = |agent: &AgentView| 1.0 / (router.cost_us(agent, &peers, query) + 1) as f64;
     let total: f64 = usable.iter().map(|agent| weight(agent)).sum();
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     let found = usable.iter().find(|agent| {
-        left -= weight(agent);
-        left <= 0.0
+        remaining -= weight(agent);
+        remaining <= 0.0
     });
     found.unwrap_or(&usable[0])
 }
--- a/crates/geraniumpost-core/src/requests/candidate.rs
+++ b/crates/geraniumpost-core/src/requests/candidate.rs
@@ -4,7 +4,7 @@
 
 use super::AgentView;
 
-/// An agent that a routing decision weighed.
+/// Agent compared in a routing decision.
 #[derive(Debug, Display, Clone)]
 #[display("{}:{cost_us}us", agent.name())]
 pub struct Candidate {
@@ -18,7 +18,7 @@
         &self.agent
     }
 
-    /// Expected cost of sending the request there, in microseconds of waiting.
+    /// Expected cost of sending the request to the agent, in microseconds of waiting.
     pub const fn cost_us(&self) -> u64 {
         self.cost_us
     }
--- a/crates/geraniumpost-core/src/requests/customer_limiter.rs
+++ b/crates/geraniumpost-core/src/requests/customer_limiter.rs
@@ -3,33 +3,33 @@
 
 use super::Permit;
 
-/// Bound on the requests that one customer has in flight at an entry.
+/// Limits the number of requests that one customer has in flight at an entry.
 #[derive(Debug)]
 pub struct CustomerLimiter {
     in_flight: AtomicU32,
-    most: AtomicU32,
+    max_in_flight: AtomicU32,
 }
 
 impl CustomerLimiter {
-    /// Returns a gate that lets `most` requests in at once.
-    pub const fn new(most: u32) -> Self {
-        Self { in_flight: AtomicU32::new(0), most: AtomicU32::new(most) }
+    /// Returns a limiter that admits `max_in_flight` concurrent requests.
+    pub const fn new(max_in_flight: u32) -> Self {
+        Self { in_flight: AtomicU32::new(0), max_in_flight: AtomicU32::new(max_in_flight) }
     }
 
-    /// Lets one request in until the permit is dropped, unless the bound is reached.
+    /// Admits one request until the permit is dropped. Returns `None` if the limit is reached.
     ///
-    /// Counts first and takes back on refusal, so that two requests can never both take the last
-    /// place.
+    /// The counter is incremented first and decremented on refusal, so that two requests can never
+    /// both take the last permit.
     pub fn try_acquire(self: &Arc<Self>) -> Option<Permit> {
         let before = self.in_flight.fetch_add(1, Relaxed);
-        if before >= self.most.load(Relaxed) {
+        if before >= self.max_in_flight.load(Relaxed) {
             self.release();
             return None;
         }
         Some(Permit::new(Arc::clone(self)))
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Relaxed)
     }
@@ -38,7 +38,7 @@
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
-    pub(super) fn set_most(&self, most: u32) {
-        self.most.store(most, Relaxed);
+    pub(super) fn set_max_in_flight(&self, max_in_flight: u32) {
+        self.max_in_flight.store(max_in_flight, Relaxed);
     }
 }
--- a/crates/geraniumpost-core/src/requests/ejection_change.rs
+++ b/crates/geraniumpost-core/src/requests/ejection_change.rs
@@ -2,25 +2,27 @@
 
 use crate::Millis;
 
-/// What an attempt's result changed about an agent's ejection; its `Display` is for the log.
+/// Change to the ejection of an agent caused by the result of an attempt. `Display` gives the text
+/// for the log.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionChange {
-    /// Nothing; no new snapshot is needed.
+    /// Nothing changed; no new snapshot is needed.
     #[display("unchanged")]
     None,
-    /// The agent gets no ordinary work any more.
+    /// The agent no longer gets ordinary requests.
     #[display("ejected probe_at={probe_at}ms ejections={ejections}")]
     Ejected {
-        /// When the agent is probed.
+        /// Time from which the agent may be probed.
         probe_at: Millis,
-        /// Ejections in a row, by which the pause grows.
+        /// Consecutive ejections, which determine the delay before the probe.
         ejections: u32,
     },
-    /// The agent passed its probe and gets ordinary work again.
+    /// A probe succeeded, and the agent gets ordinary requests again.
     #[display("restored")]
     Restored,
-    /// The agent should go, but too many of its service are gone already; said once until it
-    /// succeeds or goes.
+    /// The agent exceeds the failure limits but is not ejected, because too many agents of its
+    /// service are ejected already. Reported once until an attempt succeeds or the agent is
+    /// ejected.
     #[display("kept because too many agents are ejected")]
     Capped,
 }
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -5,26 +5,26 @@
 use super::{AgentView, EjectionChange, EjectionLimits, ServiceView};
 use crate::Millis;
 
-/// Failures of one incarnation of an agent.
+/// Counts of the attempts at one incarnation of an agent.
 #[derive(Debug, Clone, Copy, Default)]
-struct Record {
+struct AgentRecord {
     incarnation: u64,
-    streak: u32,
+    consecutive_failures: u32,
     failures: u64,
     total: u64,
-    window: Millis,
+    window_start: Millis,
     ejections: u32,
     probe_at: Millis,
     capped: bool,
 }
 
-/// Keeps work from minions that fail what they are given, and tries them again now and then.
+/// Ejects agents whose minions fail too many requests, and probes them from time to time.
 ///
-/// A minion that fails everything at once is always idle, so load balancing alone sends it most of
-/// the requests and the caller sees most of them fail. The ejector takes such an agent out after a
-/// few failures in a row or a high share of failures, lets one request probe it after a pause that
-/// doubles each time, and never takes out more than a share of a service: when all minions fail,
-/// the fault lies with the requests, and ejecting everyone would turn it into an outage.
+/// A minion that fails every request immediately is always idle, so load balancing alone would send
+/// it most of the requests. The ejector takes such an agent out of routing after several
+/// consecutive failures or a high share of failures, and lets one request probe it after a delay
+/// that doubles with each ejection. It never ejects more than a share of a service: if all minions
+/// fail, the requests are at fault, and ejecting all agents would cause an outage.
 ///
 /// # Example
 ///
@@ -44,19 +44,19 @@
 #[derive(Debug, Default)]
 pub struct Ejector {
     limits: EjectionLimits,
-    records: HashMap<Name, Record>,
+    records: HashMap<Name, AgentRecord>,
 }
 
 impl Ejector {
-    /// Returns an ejector with `limits` and no failures on record.
+    /// Returns an ejector with `limits` and no recorded failures.
     pub fn new(limits: EjectionLimits) -> Self {
         Self { limits, records: HashMap::new() }
     }
 
-    /// Takes in whether an attempt at `agent` succeeded.
+    /// Records whether an attempt at `agent` succeeded.
     ///
-    /// Call it when [`super::AgentGauge::record_result`] says so, and publish a new snapshot if the result
-    /// is `Ejected` or `Restored`.
+    /// To be called if [`super::AgentGauge::record_result`] returns true. A new snapshot must be
+    /// published if the result is `Ejected` or `Restored`.
     pub fn record(
         &mut self,
         service: &ServiceView,
@@ -67,82 +67,87 @@
         let limits = self.limits;
         let record = self.records.entry(agent.name().clone()).or_default();
         if record.incarnation != agent.incarnation() {
-            *record = Record { incarnation: agent.incarnation(), window: now, ..Record::default() };
+            *record = AgentRecord {
+                incarnation: agent.incarnation(),
+                window_start: now,
+                ..AgentRecord::default()
+            };
         }
         record.count(agent, success, now, &limits);
         let gauge = agent.counters();
         if success {
-            gauge.set_troubled(record.ejections > 0 || record.failures > 0);
-            return record.succeeded(agent, now);
+            gauge.set_has_failures(record.ejections > 0 || record.failures > 0);
+            return record.record_success(agent, now);
         }
         if gauge.is_ejected() {
-            return record.failed_again(agent, now, &limits);
+            return record.record_failure_while_ejected(agent, now, &limits);
         }
-        if !record.is_bad(&limits) {
+        if !record.exceeds_limits(&limits) {
             return EjectionChange::None;
         }
         let ejected = service.agents().iter().filter(|other| other.counters().is_ejected()).count();
-        if ejected >= limits.most(service.agents().len()) {
+        if ejected >= limits.max_ejected(service.agents().len()) {
             return record.capped();
         }
         record.eject(agent, now, &limits)
     }
 
-    /// Forgets the failures of an agent that is gone.
+    /// Removes the counts of a departed agent.
     pub fn forget(&mut self, agent: &str) {
         self.records.remove(agent);
     }
 }
 
-impl Record {
+impl AgentRecord {
     fn count(&mut self, agent: &AgentView, success: bool, now: Millis, limits: &EjectionLimits) {
-        if now.since(self.window) > limits.window_ms {
-            self.roll(agent, now, limits);
+        if now.since(self.window_start) > limits.window_ms {
+            self.decay(agent, now, limits);
         }
         self.total += u64::from(agent.counters().take_successes());
         if success {
             self.capped = false;
-            self.streak = 0;
+            self.consecutive_failures = 0;
         } else {
             self.total += 1;
             self.failures += 1;
-            self.streak += 1;
+            self.consecutive_failures += 1;
         }
     }
 
-    /// Halves the counts, and forgives one ejection for each window that an agent worked well.
+    /// Halves the counts for each window that has passed and, if no failures remain, reduces the
+    /// number of ejections by one per window.
     ///
-    /// Time spent ejected does not count as working well, or the pause would stop growing as soon
-    /// as it is longer than a window.
-    fn roll(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) {
-        let windows = now.since(self.window) / limits.window_ms.max(1);
+    /// Time spent ejected does not reduce the number, or the delay would stop growing once it
+    /// exceeds a window.
+    fn decay(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) {
+        let windows = now.since(self.window_start) / limits.window_ms.max(1);
         let halvings = windows.min(63) as u32;
         self.total >>= halvings;
         self.failures >>= halvings;
         if self.failures == 0 && !agent.counters().is_ejected() {
             self.ejections = self.ejections.saturating_sub(halvings);
         }
-        self.window = now;
+        self.window_start = now;
     }
 
-    const fn is_bad(&self, limits: &EjectionLimits) -> bool {
-        let by_ratio = self.total >= limits.ratio_least
+    const fn exceeds_limits(&self, limits: &EjectionLimits) -> bool {
+        let by_ratio = self.total >= limits.ratio_min_attempts
             && self.failures * 1000 >= limits.ratio_permille * self.total;
-        self.streak >= limits.consecutive || by_ratio
+        self.consecutive_failures >= limits.consecutive || by_ratio
     }
 
     fn eject(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) -> EjectionChange {
         self.ejections += 1;
         self.capped = false;
         (self.total, self.failures) = (0, 0);
-        let probe_at = now.plus(limits.pause_ms(self.ejections));
+        let probe_at = now.plus(limits.probe_delay_ms(self.ejections));
         self.probe_at = probe_at;
         agent.counters().eject(probe_at);
         EjectionChange::Ejected { probe_at, ejections: self.ejections }
     }
 
-    /// Says once that the agent should go: each further failure says the same, and when everything
-    /// fails there are as many of them as requests.
+    /// Reports [`EjectionChange::Capped`] once: if everything fails, each further report would be
+    /// logged for every request.
     const fn capped(&mut self) -> EjectionChange {
         if self.capped {
             return EjectionChange::None;
@@ -151,9 +156,10 @@
         EjectionChange::Capped
     }
 
-    /// A failure before the probe was due belongs to a request that was sent before the ejection;
-    /// counted, the requests in flight at that moment would double the pause again and again.
-    fn failed_again(
+    /// Ejects an agent again after a failed probe. Failures before the probe was due belong to
+    /// requests sent before the ejection; if they counted, the requests in flight at that moment
+    /// would double the delay repeatedly.
+    fn record_failure_while_ejected(
         &mut self,
         agent: &AgentView,
         now: Millis,
@@ -165,12 +171,12 @@
         self.eject(agent, now, limits)
     }
 
-    fn succeeded(&mut self, agent: &AgentView, now: Millis) -> EjectionChange {
+    fn record_success(&mut self, agent: &AgentView, now: Millis) -> EjectionChange {
         if !agent.counters().is_ejected() || now < self.probe_at {
             return EjectionChange::None;
         }
         agent.counters().restore();
-        self.window = now;
+        self.window_start = now;
         EjectionChange::Restored
     }
 }
--- a/crates/geraniumpost-core/src/requests/entry_limits.rs
+++ b/crates/geraniumpost-core/src/requests/entry_limits.rs
@@ -6,10 +6,10 @@
 use super::{CustomerLimiter, Permit};
 use crate::ResultCode;
 
-/// Bounds on what an entry carries for each customer.
+/// Limits on the requests in flight that an entry accepts for each customer.
 ///
-/// Without them one customer's burst would fill the entry's memory and connections before any
-/// agent's fair queue could tell the customers apart.
+/// Without these limits, a burst of one customer would exhaust the memory and connections of the
+/// entry before the fair queue of any agent could separate the customers.
 ///
 /// # Example
 ///
@@ -23,42 +23,43 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct EntryLimits {
-    gates: HashMap<Name, Arc<CustomerLimiter>>,
+    limiters: HashMap<Name, Arc<CustomerLimiter>>,
 }
 
 impl EntryLimits {
-    /// Returns the limits of a newer document, given as customers with their bounds.
+    /// Returns the limits for a newer configuration document, given as customers with their maximum
+    /// number of requests in flight.
     ///
-    /// The counters are kept, so that a change of configuration does not let a customer's requests
-    /// in a second time.
+    /// The counters are kept, so that a change of configuration does not admit requests beyond the
+    /// limit.
     #[must_use]
     pub fn updated(&self, customers: impl IntoIterator<Item = (Name, u32)>) -> Self {
-        let gate = |(name, most): (Name, u32)| {
-            let gate = self.gates.get(&name).map_or_else(
-                || Arc::new(CustomerLimiter::new(most)),
-                |g| {
-                    g.set_most(most);
-                    Arc::clone(g)
+        let limiter = |(name, max_in_flight): (Name, u32)| {
+            let limiter = self.limiters.get(&name).map_or_else(
+                || Arc::new(CustomerLimiter::new(max_in_flight)),
+                |limiter| {
+                    limiter.set_max_in_flight(max_in_flight);
+                    Arc::clone(limiter)
                 },
             );
-            (name, gate)
+            (name, limiter)
         };
-        Self { gates: customers.into_iter().map(gate).collect() }
+        Self { limiters: customers.into_iter().map(limiter).collect() }
     }
 
-    /// Lets a request of `customer` in until the permit is dropped.
+    /// Admits a request of `customer` until the permit is dropped.
     ///
     /// # Errors
     ///
-    /// Returns [`ResultCode::CustomerLimit`] if the customer has its most in flight and
-    /// [`ResultCode::BadToken`] if there is no such customer.
+    /// Returns [`ResultCode::CustomerLimit`] if the customer has its maximum number of requests in
+    /// flight, and [`ResultCode::BadToken`] if there is no such customer.
     pub fn try_acquire(&self, customer: &str) -> Result<Permit, ResultCode> {
-        let gate = self.gates.get(customer).ok_or(ResultCode::BadToken)?;
-        gate.try_acquire().ok_or(ResultCode::CustomerLimit)
+        let limiter = self.limiters.get(customer).ok_or(ResultCode::BadToken)?;
+        limiter.try_acquire().ok_or(ResultCode::CustomerLimit)
     }
 
-    /// Requests of `customer` in flight.
+    /// Number of requests of `customer` in flight.
     pub fn in_flight(&self, customer: &str) -> u32 {
-        self.gates.get(customer).map_or(0, |gate| gate.in_flight())
+        self.limiters.get(customer).map_or(0, |limiter| limiter.in_flight())
     }
 }
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -14,34 +14,38 @@
     struct FlowKey;
 }
 
-/// How long an idle customer's smoothed service time is remembered.
-const KEEP_IDLE_MS: u64 = 60_000;
+/// Time after which an idle customer and its smoothed service time are forgotten.
+const IDLE_CUSTOMER_TTL_MS: u64 = 60_000;
 
-/// Most slot time that a customer may be ahead of its share when it wakes, in rounds of all slots.
+/// Maximum slot time, in rounds of all slots, by which a customer that becomes active may be ahead
+/// of its share.
 const BURST_ROUNDS: u64 = 4;
 
-/// Fewest slots of which one is spared for customers under their share.
-const LEAST_TO_SPARE: usize = 4;
+/// Minimum number of slots at which one slot is reserved for customers below their share.
+const MIN_SLOTS_FOR_RESERVE: usize = 4;
 
-/// A request on the minion.
+/// A request that runs on the minion.
 #[derive(Debug, Clone, Copy)]
 struct Running {
     flow: FlowKey,
     charged: u64,
 }
 
-/// Gives the slots of one minion to customers by weight, and refuses at once what cannot be done.
+/// Assigns the slots of one minion to customers by weight, and immediately refuses requests that
+/// cannot be answered in time.
 ///
-/// Start-time fair queueing: each customer has a virtual time that grows by the slot time it used
-/// over its weight, and the customer furthest behind goes next. A customer that wakes starts a
-/// small allowance before the present virtual time, so it is served next but has saved nothing up.
-/// One slot stays free of customers over their share while others are active. Without this a burst of one
-/// customer fills the queue, and every other customer waits behind it.
+/// The queue uses start-time fair queueing. Each customer has a virtual time that grows by the slot
+/// time it has used divided by its weight, and the customer with the lowest virtual time is served
+/// next. A customer that becomes active starts a small allowance before the current virtual time,
+/// so it is served next but accumulates no credit while idle. One slot remains free of customers
+/// above their share while others are active. Otherwise a burst of one customer would fill the
+/// queue, and every other customer would wait behind it.
 ///
-/// What would miss its deadline by the smoothed service time is refused when it comes, so that the
-/// caller learns at once when to come back and slots are not spent on answers nobody waits for.
-/// A free slot always takes a request: otherwise a service time smoothed too high would refuse
-/// everything and never be corrected. See `docs/design/0103-fair-queue.md`.
+/// A request that would miss its deadline by the smoothed service time is refused on arrival. The
+/// caller then learns immediately when to retry, and no slots are spent on answers that nobody
+/// awaits. A free slot always accepts a request: otherwise a smoothed service time that is too high
+/// would cause every request to be refused and would never be corrected. See
+/// `docs/design/0103-fair-queue.md`.
 ///
 /// # Example
 ///
@@ -65,7 +69,7 @@
     running: HashMap<RequestId, Running>,
     order: BTreeSet<(u64, FlowKey)>,
     virtual_time: u64,
-    latest: u64,
+    max_virtual_time: u64,
     times: ServiceTimes,
     reserve: SlotReserve,
     draining: bool,
@@ -83,7 +87,7 @@
             running: HashMap::new(),
             order: BTreeSet::new(),
             virtual_time: 0,
-            latest: 0,
+            max_virtual_time: 0,
             times: ServiceTimes::default(),
             reserve: SlotReserve::new(),
             draining: false,
@@ -91,129 +95,130 @@
         }
     }
 
-    /// Changes the bounds; what runs or waits already stays.
+    /// Changes the limits. Requests that already run or wait are not affected.
     pub fn set_limits(&mut self, limits: QueueLimits) {
         self.limits = limits;
     }
 
-    /// Refuses all that comes from now on; what waits still runs.
+    /// Refuses all further requests. Waiting requests still run.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether nothing runs or waits, so that a leaving agent may end.
+    /// Whether no request runs or waits, so that a draining agent may exit.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests on the minion.
+    /// Number of requests running on the minion.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the load for heartbeats and answers.
+    /// Returns the load to report in heartbeats and answers.
     pub fn load(&self) -> Load {
         self.times.load(self.running.len(), self.waiting.len())
     }
 
-    /// Takes in a request. It waits if no action names it.
-    pub fn offer(&mut self, waiting: QueuedRequest<T>, now: Millis) -> Vec<QueueAction<T>> {
+    /// Accepts or refuses a request. The request waits if no returned action names it.
+    pub fn offer(&mut self, request: QueuedRequest<T>, now: Millis) -> Vec<QueueAction<T>> {
         if self.draining {
-            return vec![refuse(waiting, Refusal::Draining, 0)];
+            return vec![refuse(request, Refusal::Draining, 0)];
         }
-        if now >= waiting.deadline() {
-            return vec![refuse(waiting, Refusal::Deadline, 0)];
+        if now >= request.deadline() {
+            return vec![refuse(request, Refusal::Deadline, 0)];
         }
-        let flow = self.flow_of(&waiting, now);
-        if self.flows[flow].queue.is_empty() && self.may_take(flow) {
-            self.wake(flow);
-            return vec![self.run(flow, waiting)];
+        let flow = self.update_flow(&request, now);
+        if self.flows[flow].queue.is_empty() && self.may_start(flow) {
+            self.activate(flow);
+            return vec![self.start(flow, request)];
         }
         let wait_us = self.wait_us(flow);
-        if self.flows[flow].misses(waiting.deadline(), now.plus(wait_us / 1000)) {
-            return vec![refuse(waiting, Refusal::Deadline, wait_us)];
+        if self.flows[flow].misses_deadline(request.deadline(), now.plus(wait_us / 1000)) {
+            return vec![refuse(request, Refusal::Deadline, wait_us)];
         }
         let mut actions = Vec::new();
         if self.waiting.len() >= self.limits.queue {
             match self.displace(flow) {
                 Some(victim) => actions.push(refuse(victim, Refusal::Displaced, wait_us)),
-                None => return vec![refuse(waiting, Refusal::Overloaded, self.drain_us())],
+                None => return vec![refuse(request, Refusal::Overloaded, self.drain_us())],
             }
         }
-        self.enqueue(flow, waiting);
+        self.enqueue(flow, request);
         actions
     }
 
-    /// Takes in that a request left the minion after `took`, and fills the free slot.
+    /// Records that a request ended at the minion after `duration`, and fills the free slot.
     ///
-    /// `success` is false if the minion failed; its time then does not count as service time.
-    /// An id that does not run is ignored.
+    /// `success` is false if the minion failed, in which case the duration does not count as
+    /// service time. An id that is not running is ignored.
     pub fn finish(
         &mut self,
         id: RequestId,
-        took: Micros,
+        duration: Micros,
         success: bool,
         now: Millis,
     ) -> Vec<QueueAction<T>> {
         let Some(Running { flow, charged }) = self.running.remove(&id) else {
             return Vec::new();
         };
-        self.times.record(took, success);
-        self.reorder(flow, |flow| flow.settle(charged, took, success));
-        let actions = self.fill(now);
-        self.rest();
+        self.times.record(duration, success);
+        self.reorder(flow, |flow| flow.settle(charged, duration, success));
+        let actions = self.dispatch(now);
+        self.end_busy_period();
         actions
     }
 
-    /// Takes a waiting request out because its caller left; returns it if it was waiting.
+    /// Removes a waiting request whose caller disconnected, and returns it if it was waiting.
     pub fn cancel(&mut self, id: RequestId) -> Option<QueuedRequest<T>> {
         let flow = self.waiting.remove(&id)?;
         let queue = &mut self.flows[flow].queue;
-        let index = queue.iter().position(|waiting| waiting.id() == id)?;
-        let waiting = queue.remove(index);
-        self.unlist_if_empty(flow);
-        waiting
+        let index = queue.iter().position(|request| request.id() == id)?;
+        let request = queue.remove(index);
+        self.remove_from_order_if_empty(flow);
+        request
     }
 
-    /// Refuses waiting requests that can no longer meet their deadlines, gives slots back that were
-    /// kept for customers now idle, and forgets customers long idle. To be called every 10 to 50 ms.
+    /// Refuses waiting requests that can no longer meet their deadlines, releases slots reserved
+    /// for customers that are now idle, and forgets customers that have been idle for a minute. To
+    /// be called every 10 to 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<QueueAction<T>> {
         let wait_us = self.drain_us();
-        let late: Vec<RequestId> = self.late(now).collect();
-        let taken = late.into_iter().filter_map(|id| self.cancel(id));
-        let refused = taken.map(|waiting| refuse(waiting, Refusal::Deadline, wait_us));
+        let missing_deadline: Vec<RequestId> = self.missing_deadline(now).collect();
+        let removed = missing_deadline.into_iter().filter_map(|id| self.cancel(id));
+        let refused = removed.map(|request| refuse(request, Refusal::Deadline, wait_us));
         let mut actions: Vec<QueueAction<T>> = refused.collect();
         self.forget_idle(now);
-        self.measure(now);
-        actions.extend(self.fill(now));
+        self.measure_usage(now);
+        actions.extend(self.dispatch(now));
         actions
     }
 
-    /// Customers remembered, for tests of bounded memory.
+    /// Number of customers in memory, for tests of the memory bound.
     pub fn customers(&self) -> usize {
         self.flows.len()
     }
 
-    fn late(&self, now: Millis) -> impl Iterator<Item = RequestId> {
+    fn missing_deadline(&self, now: Millis) -> impl Iterator<Item = RequestId> {
         let all = self.flows.values().flat_map(|flow| flow.queue.iter().map(move |w| (flow, w)));
-        all.filter(move |(flow, w)| flow.misses(w.deadline(), now)).map(|(_, w)| w.id())
+        all.filter(move |(flow, w)| flow.misses_deadline(w.deadline(), now)).map(|(_, w)| w.id())
     }
 
-    fn flow_of(&mut self, waiting: &QueuedRequest<T>, now: Millis) -> FlowKey {
+    fn update_flow(&mut self, request: &QueuedRequest<T>, now: Millis) -> FlowKey {
         self.now = now;
-        let key = match self.by_customer.get(waiting.customer()) {
+        let key = match self.by_customer.get(request.customer()) {
             Some(&key) => key,
-            None => self.add_flow(waiting.customer().clone()),
+            None => self.add_flow(request.customer().clone()),
         };
         let flow = &mut self.flows[key];
-        flow.weight = waiting.share_weight();
-        flow.used_at = now;
-        self.reserve.note(flow.service.mean_us());
+        flow.weight = request.share_weight();
+        flow.last_request_at = now;
+        self.reserve.note_active_mean(flow.service.mean_us());
         key
     }
 
@@ -223,36 +228,37 @@
         key
     }
 
-    /// Brings a customer that had nothing waiting up to the present.
+    /// Moves the virtual time of a customer without waiting requests forward to the current one,
+    /// less an allowance.
     ///
-    /// How far it may be ahead grows with the slots it has used of late, up to the most at half of
-    /// all slots. A customer that comes out of nowhere gets nothing ahead: the first requests of a
-    /// burst would otherwise go before everybody else's for several service times.
-    fn wake(&mut self, key: FlowKey) {
+    /// The allowance grows with the slots that the customer has used recently, up to a maximum
+    /// reached at half of all slots. A customer without recent use gets none: otherwise the first
+    /// requests of a burst would precede those of every other customer for several service times.
+    fn activate(&mut self, key: FlowKey) {
         let mean_us = self.times.smoothed().mean_us();
-        let most_us = BURST_ROUNDS * self.slots().saturating_mul(mean_us);
-        let recent_us =
+        let max_allowance_us = BURST_ROUNDS * self.slots().saturating_mul(mean_us);
+        let recent_allowance_us =
             2 * BURST_ROUNDS * self.flows[key].busy_milli().saturating_mul(mean_us) / 1000;
-        self.flows[key].wake(self.virtual_time, recent_us.min(most_us));
+        self.flows[key].activate(self.virtual_time, recent_allowance_us.min(max_allowance_us));
     }
 
-    fn enqueue(&mut self, key: FlowKey, waiting: QueuedRequest<T>) {
-        self.waiting.insert(waiting.id(), key);
+    fn enqueue(&mut self, key: FlowKey, request: QueuedRequest<T>) {
+        self.waiting.insert(request.id(), key);
         if self.flows[key].queue.is_empty() {
-            self.wake(key);
+            self.activate(key);
             self.order.insert((self.flows[key].virtual_time, key));
         }
-        self.flows[key].queue.push_back(waiting);
+        self.flows[key].queue.push_back(request);
     }
 
-    fn run(&mut self, key: FlowKey, waiting: QueuedRequest<T>) -> QueueAction<T> {
+    fn start(&mut self, key: FlowKey, request: QueuedRequest<T>) -> QueueAction<T> {
         self.virtual_time = self.virtual_time.max(self.flows[key].virtual_time);
         let charged = self.reorder(key, Flow::charge);
-        self.running.insert(waiting.id(), Running { flow: key, charged });
-        QueueAction::Run(waiting)
+        self.running.insert(request.id(), Running { flow: key, charged });
+        QueueAction::Run(request)
     }
 
-    /// Changes a flow and puts it where it now belongs in the order.
+    /// Applies `change` to a flow and updates its position in the order.
     fn reorder<R>(&mut self, key: FlowKey, change: impl FnOnce(&mut Flow<T>) -> R) -> R {
         let flow = &mut self.flows[key];
         let listed = self.order.remove(&(flow.virtual_time, key));
@@ -260,58 +266,58 @@
         if listed {
             self.order.insert((flow.virtual_time, key));
         }
-        self.latest = self.latest.max(flow.virtual_time);
+        self.max_virtual_time = self.max_virtual_time.max(flow.virtual_time);
         result
     }
 
-    fn unlist_if_empty(&mut self, key: FlowKey) {
+    fn remove_from_order_if_empty(&mut self, key: FlowKey) {
         let flow = &self.flows[key];
         if flow.queue.is_empty() {
             self.order.remove(&(flow.virtual_time, key));
         }
     }
 
-    fn fill(&mut self, now: Millis) -> Vec<QueueAction<T>> {
+    fn dispatch(&mut self, now: Millis) -> Vec<QueueAction<T>> {
         self.now = now;
         let mut actions = Vec::new();
         loop {
-            let mut turn = self.order.iter().map(|&(_, key)| key);
-            let Some(key) = turn.find(|&key| self.may_take(key)) else { break };
-            let Some(waiting) = self.flows[key].queue.pop_front() else { break };
-            self.waiting.remove(&waiting.id());
-            self.unlist_if_empty(key);
-            if self.flows[key].misses(waiting.deadline(), now) {
-                actions.push(refuse(waiting, Refusal::Deadline, self.drain_us()));
+            let mut customers = self.order.iter().map(|&(_, key)| key);
+            let Some(key) = customers.find(|&key| self.may_start(key)) else { break };
+            let Some(request) = self.flows[key].queue.pop_front() else { break };
+            self.waiting.remove(&request.id());
+            self.remove_from_order_if_empty(key);
+            if self.flows[key].misses_deadline(request.deadline(), now) {
+                actions.push(refuse(request, Refusal::Deadline, self.drain_us()));
             } else {
-                actions.push(self.run(key, waiting));
+                actions.push(self.start(key, request));
             }
         }
         actions
     }
 
-    /// Ends a busy period: whoever comes next starts level with everyone else.
-    fn rest(&mut self) {
+    /// Ends a busy period, so that all customers start the next one with equal virtual times.
+    fn end_busy_period(&mut self) {
         if self.is_empty() {
-            self.virtual_time = self.latest;
+            self.virtual_time = self.max_virtual_time;
         }
     }
 
-    /// Takes the newest waiting request of the customer furthest over its share, if that customer
-    /// is further over than `comer` would be with one more.
-    fn displace(&mut self, comer: FlowKey) -> Option<QueuedRequest<T>> {
+    /// Removes the newest waiting request of the customer furthest above its share, if that
+    /// customer is further above it than `newcomer` would be with one more request.
+    fn displace(&mut self, newcomer: FlowKey) -> Option<QueuedRequest<T>> {
         let listed = self.order.iter().map(|&(_, key)| key);
-        let most = listed.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
-        if self.flows[most].occupancy(0) <= self.flows[comer].occupancy(1) {
+        let furthest_above = listed.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
+        if self.flows[furthest_above].occupancy(0) <= self.flows[newcomer].occupancy(1) {
             return None;
         }
-        let newest = self.flows[most].queue.back()?.id();
+        let newest = self.flows[furthest_above].queue.back()?.id();
         self.cancel(newest)
     }
 
-    /// Expected wait of one more request of `key` for a slot, in microseconds.
+    /// Expected time until one more request of `key` gets a slot, in microseconds.
     ///
-    /// The customer's own queue drains at its share among those who wait; and no queue takes longer
-    /// than all of them together.
+    /// The queue of the customer drains at its share among the waiting customers, and never takes
+    /// longer than all queues together.
     fn wait_us(&self, key: FlowKey) -> u64 {
         let flow = &self.flows[key];
         let others = self.order.iter().map(|&(_, key)| &self.flows[key]);
@@ -322,34 +328,36 @@
         by_share.min(self.drain_us())
     }
 
-    /// Expected time until everything that waits now has a slot, in microseconds.
+    /// Expected time until every waiting request has a slot, in microseconds.
     fn drain_us(&self) -> u64 {
         (self.waiting.len() as u64 + 1).saturating_mul(self.times.smoothed().mean_us())
             / self.slots()
     }
 
-    /// Whether a request of `key` may take a slot now.
-    fn may_take(&self, key: FlowKey) -> bool {
+    /// Whether a request of `key` may start now.
+    fn may_start(&self, key: FlowKey) -> bool {
         if self.running.len() >= self.limits.slots {
             return false;
         }
-        if self.is_last_for_others(key) {
+        if self.is_last_slot_reserved(key) {
             return false;
         }
         let is_long = |flow: &Flow<T>| self.reserve.is_long(flow.service.mean_us());
         if !is_long(&self.flows[key]) {
             return true;
         }
-        let held = self.flows.values().filter(|flow| is_long(flow)).map(|flow| flow.running).sum();
-        self.reserve.leaves_room(held, self.limits.slots)
+        let running_long =
+            self.flows.values().filter(|flow| is_long(flow)).map(|flow| flow.running).sum();
+        self.reserve.allows_long(running_long, self.limits.slots)
     }
 
-    /// Whether one slot is left, and `key` holds its share of slots while others are active.
+    /// Whether at most one slot is free and `key` already uses its share of the slots while others
+    /// are active.
     ///
-    /// Requests of one length that started together end together, so without a slot to spare a
-    /// quiet customer's request waits for up to a whole run of the others.
-    fn is_last_for_others(&self, key: FlowKey) -> bool {
-        if self.running.len() + 1 < self.limits.slots || self.limits.slots < LEAST_TO_SPARE {
+    /// Requests of equal length that start together also end together. Without a reserved slot, a
+    /// request of a customer with little load would wait for up to a full run of the others.
+    fn is_last_slot_reserved(&self, key: FlowKey) -> bool {
+        if self.running.len() + 1 < self.limits.slots || self.limits.slots < MIN_SLOTS_FOR_RESERVE {
             return false;
         }
         let active = self.flows.values().filter(|flow| flow.is_active(self.now));
@@ -360,9 +368,9 @@
         holds_share && flow.busy_milli() * weights >= share * 1000
     }
 
-    fn measure(&mut self, now: Millis) {
-        let Some(window_ms) = self.reserve.window(now) else { return };
-        self.flows.values_mut().for_each(|flow| flow.measure(window_ms));
+    fn measure_usage(&mut self, now: Millis) {
+        let Some(window_ms) = self.reserve.begin_window(now) else { return };
+        self.flows.values_mut().for_each(|flow| flow.measure_usage(window_ms));
         let uses: Vec<SlotUse> = self.flows.values().map(Flow::slot_use).collect();
         self.reserve.refresh(&uses, self.limits.slots, now);
     }
@@ -374,15 +382,15 @@
     fn forget_idle(&mut self, now: Millis) {
         let virtual_time = self.virtual_time;
         self.flows.retain(|_, flow| {
-            let owes = flow.virtual_time > virtual_time;
-            owes || !flow.is_idle() || now.since(flow.used_at) <= KEEP_IDLE_MS
+            let is_ahead = flow.virtual_time > virtual_time;
+            is_ahead || !flow.is_idle() || now.since(flow.last_request_at) <= IDLE_CUSTOMER_TTL_MS
         });
         let flows = &self.flows;
         self.by_customer.retain(|_, key| flows.contains_key(*key));
     }
 }
 
-fn refuse<T>(waiting: QueuedRequest<T>, refusal: Refusal, wait_us: u64) -> QueueAction<T> {
+fn refuse<T>(request: QueuedRequest<T>, refusal: Refusal, wait_us: u64) -> QueueAction<T> {
     let retry_after_ms = wait_us.div_ceil(1000).max(1);
-    QueueAction::Refuse { request: waiting, refusal, retry_after_ms }
+    QueueAction::Refuse { request, refusal, retry_after_ms }
 }
--- a/crates/geraniumpost-core/src/requests/in_flight_guard.rs
+++ b/crates/geraniumpost-core/src/requests/in_flight_guard.rs
@@ -2,7 +2,8 @@
 
 use super::AgentGauge;
 
-/// Counts one request at an agent for as long as it lives; see [`AgentGauge::begin_request`].
+/// Counts one request at an agent as in flight until it is dropped; see
+/// [`AgentGauge::begin_request`].
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<AgentGauge>);
 
--- a/crates/geraniumpost-core/src/requests/key_index.rs
+++ b/crates/geraniumpost-core/src/requests/key_index.rs
@@ -2,57 +2,57 @@
 
 use geraniumpost_schema::{Name, RequestId};
 
-use super::faded_keys::FadedKeys;
-use super::key_standing::KeyStanding;
+use super::expired_keys::ExpiredKeys;
+use super::key_status::KeyStatus;
 
-/// Which attempt runs, ran or was barred for an idempotency key.
+/// Index from idempotency keys to the attempts that run, have run or were barred for them.
 #[derive(Debug)]
 pub(super) struct KeyIndex {
-    most: usize,
-    first: HashMap<Name, RequestId>,
+    capacity: usize,
+    first_attempts: HashMap<Name, RequestId>,
     order: VecDeque<(Name, RequestId)>,
-    faded: FadedKeys,
+    expired: ExpiredKeys,
 }
 
 impl KeyIndex {
-    pub(super) fn new(most: usize, most_faded: usize) -> Self {
-        let faded = FadedKeys::new(most_faded);
-        Self { most, first: HashMap::new(), order: VecDeque::new(), faded }
+    pub(super) fn new(capacity: usize, expired_capacity: usize) -> Self {
+        let expired = ExpiredKeys::new(expired_capacity);
+        Self { capacity, first_attempts: HashMap::new(), order: VecDeque::new(), expired }
     }
 
-    /// Returns what is known of `key`.
-    pub(super) fn standing(&self, key: &Name) -> KeyStanding {
-        if let Some(&first) = self.first.get(key) {
-            return KeyStanding::First(first);
+    /// Returns what is known about `key`.
+    pub(super) fn status(&self, key: &Name) -> KeyStatus {
+        if let Some(&first) = self.first_attempts.get(key) {
+            return KeyStatus::First(first);
         }
-        if self.faded.contains(key) {
-            return KeyStanding::Faded;
+        if self.expired.contains(key) {
+            return KeyStatus::Expired;
         }
-        if self.faded.forgot() { KeyStanding::Forgotten } else { KeyStanding::New }
+        if self.expired.has_dropped() { KeyStatus::PossiblyForgotten } else { KeyStatus::New }
     }
 
-    /// Notes that `id` runs for `key`; the oldest key beyond the bound fades unless `is_active` says
-    /// that its attempt still waits or runs.
+    /// Records `id` as the attempt for `key`. The oldest key above the capacity expires, unless
+    /// `is_active` says that its attempt still waits or runs.
     pub(super) fn insert(
         &mut self,
         key: Name,
         id: RequestId,
         is_active: impl Fn(RequestId) -> bool,
     ) {
-        self.first.insert(key.clone(), id);
+        self.first_attempts.insert(key.clone(), id);
         self.order.push_back((key, id));
-        for _ in 0..self.order.len().saturating_sub(self.most) {
+        for _ in 0..self.order.len().saturating_sub(self.capacity) {
             let Some((key, id)) = self.order.pop_front() else { return };
             if is_active(id) {
                 self.order.push_back((key, id));
                 continue;
             }
-            self.first.remove(&key);
-            self.faded.insert(&key);
+            self.first_attempts.remove(&key);
+            self.expired.insert(&key);
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.first.len()
+        self.first_attempts.len()
     }
 }
--- a/crates/geraniumpost-core/src/requests/ledger_limits.rs
+++ b/crates/geraniumpost-core/src/requests/ledger_limits.rs
@@ -1,7 +1,7 @@
-/// Bounds of what an agent remembers of attempts.
+/// Limits on the attempts, answers and keys that an agent remembers.
 ///
-/// What is forgotten is never guessed: a question about it is answered "unknown", which the caller
-/// is told as such. So smaller bounds cost certainty, never a second run.
+/// The ledger never guesses about what it has dropped: a query about it is answered "unknown", and
+/// the caller is told so. Lower limits therefore reduce certainty and never cause a second run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerLimits {
     pub(super) answers: usize,
@@ -9,12 +9,12 @@
     pub(super) answer_ms: u64,
     pub(super) records: usize,
     pub(super) keys: usize,
-    pub(super) faded_keys: usize,
+    pub(super) expired_keys: usize,
 }
 
 impl LedgerLimits {
-    /// Returns bounds of some 20 MB at most: two minutes of answers (8 MB), the last 16,384 attempts,
-    /// 8,192 keys, and of 65,536 more keys that they came.
+    /// Returns limits that bound the memory to about 20 MB: answers of the last two minutes (8 MB),
+    /// the last 16,384 attempts, 8,192 keys, and digests of 65,536 more keys.
     pub const fn new() -> Self {
         Self {
             answers: 4_096,
@@ -22,11 +22,12 @@
             answer_ms: 120_000,
             records: 16_384,
             keys: 8_192,
-            faded_keys: 65_536,
+            expired_keys: 65_536,
         }
     }
 
-    /// Sets how many answers are kept, of how many bytes together, and for how long.
+    /// Sets the maximum number of kept answers, their total size in bytes, and the time for which
+    /// they are kept.
     #[must_use]
     pub const fn answers(mut self, count: usize, bytes: usize, ms: u64) -> Self {
         self.answers = count;
@@ -42,12 +43,12 @@
         self
     }
 
-    /// Sets how many idempotency keys are remembered with their attempts, and of how many more it is
-    /// remembered that they came.
+    /// Sets how many idempotency keys are remembered with their attempts, and for how many more it
+    /// is remembered only that they were used.
     #[must_use]
-    pub const fn keys(mut self, keys: usize, faded: usize) -> Self {
+    pub const fn keys(mut self, keys: usize, expired: usize) -> Self {
         self.keys = keys;
-        self.faded_keys = faded;
+        self.expired_keys = expired;
         self
     }
 }
--- a/crates/geraniumpost-core/src/requests/location.rs
+++ b/crates/geraniumpost-core/src/requests/location.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::Name;
 
-/// Region and failure domain of a process, by which routing tells near from far.
+/// Region and failure domain of a process, by which routing determines distance.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Location {
     region: Name,
@@ -8,17 +8,17 @@
 }
 
 impl Location {
-    /// Returns the place in failure domain `domain` of `region`.
+    /// Returns the location in failure domain `domain` of `region`.
     pub fn new(region: impl Into<Name>, domain: impl Into<Name>) -> Self {
         Self { region: region.into(), domain: domain.into() }
     }
 
-    /// Region.
+    /// Name of the region.
     pub const fn region(&self) -> &Name {
         &self.region
     }
 
-    /// Failure domain.
+    /// Name of the failure domain.
     pub const fn domain(&self) -> &Name {
         &self.domain
     }
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -5,10 +5,10 @@
 use super::{AgentGauge, AgentView};
 use crate::Millis;
 
-/// Superseded incarnations that are remembered of one agent.
-const MOST_RETIRED: usize = 8;
+/// Number of superseded incarnations remembered for each agent.
+const MAX_RETIRED: usize = 8;
 
-/// An incarnation that another one of the same name has superseded.
+/// An incarnation that another one of the same agent has superseded.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Retired {
     pub(super) incarnation: u64,
@@ -16,11 +16,11 @@
     pub(super) state: AgentState,
 }
 
-/// What the [`super::Membership`] knows of one agent.
+/// State of one agent in the [`super::Membership`].
 #[derive(Debug)]
 pub(super) struct Member {
-    pub(super) beat: Heartbeat,
-    pub(super) heard_at: Millis,
+    pub(super) heartbeat: Heartbeat,
+    pub(super) last_heard: Millis,
     pub(super) alive: bool,
     pub(super) connected: bool,
     pub(super) gauge: Arc<AgentGauge>,
@@ -28,12 +28,12 @@
 }
 
 impl Member {
-    pub(super) fn new(beat: &Heartbeat, now: Millis) -> Self {
+    pub(super) fn new(heartbeat: &Heartbeat, now: Millis) -> Self {
         let gauge = AgentGauge::default();
-        gauge.record_load(&beat.load, now);
+        gauge.record_load(&heartbeat.load, now);
         Self {
-            beat: beat.clone(),
-            heard_at: now,
+            heartbeat: heartbeat.clone(),
+            last_heard: now,
             alive: true,
             connected: false,
             gauge: Arc::new(gauge),
@@ -41,43 +41,43 @@
         }
     }
 
-    /// Takes in a newer heartbeat of the same incarnation; returns whether routing is affected.
+    /// Applies a newer heartbeat of the same incarnation, and returns whether routing is affected.
     ///
-    /// Leaving is final for an incarnation: a heartbeat that was sent before the announcement may
-    /// arrive after it, and would otherwise send new work to a process that is about to end.
-    pub(super) fn refresh(&mut self, beat: &Heartbeat, now: Millis) -> bool {
-        let mut next = beat.clone();
-        if self.beat.state == AgentState::Draining {
-            next.state = AgentState::Draining;
+    /// Draining is final for an incarnation. A heartbeat sent before the announcement may arrive
+    /// after it and would otherwise send new work to a process that is about to exit.
+    pub(super) fn refresh(&mut self, heartbeat: &Heartbeat, now: Millis) -> bool {
+        let mut updated = heartbeat.clone();
+        if self.heartbeat.state == AgentState::Draining {
+            updated.state = AgentState::Draining;
         }
-        let changed = next.service != self.beat.service
-            || next.region != self.beat.region
-            || next.domain != self.beat.domain
-            || next.address != self.beat.address
-            || next.slots != self.beat.slots;
-        self.beat = next;
-        self.heard_at = now;
-        self.gauge.record_load(&beat.load, now);
+        let changed = updated.service != self.heartbeat.service
+            || updated.region != self.heartbeat.region
+            || updated.domain != self.heartbeat.domain
+            || updated.address != self.heartbeat.address
+            || updated.slots != self.heartbeat.slots;
+        self.heartbeat = updated;
+        self.last_heard = now;
+        self.gauge.record_load(&heartbeat.load, now);
         changed
     }
 
-    /// Starts over with a new incarnation and remembers the old one.
-    pub(super) fn supersede(&mut self, beat: &Heartbeat, now: Millis) {
-        let Heartbeat { incarnation, sequence, state, .. } = self.beat;
+    /// Replaces the state by that of a new incarnation and remembers the old one.
+    pub(super) fn supersede(&mut self, heartbeat: &Heartbeat, now: Millis) {
+        let Heartbeat { incarnation, sequence, state, .. } = self.heartbeat;
         let mut retired = std::mem::take(&mut self.retired);
-        let known = retired.iter().position(|known| known.incarnation == beat.incarnation);
-        let was = known.map(|index| retired.remove(index).state);
+        let known = retired.iter().position(|known| known.incarnation == heartbeat.incarnation);
+        let previous_state = known.map(|index| retired.remove(index).state);
         retired.push(Retired { incarnation, sequence, state });
-        if retired.len() > MOST_RETIRED {
+        if retired.len() > MAX_RETIRED {
             retired.remove(0);
         }
-        *self = Self { retired, ..Self::new(beat, now) };
-        if was == Some(AgentState::Draining) {
-            self.beat.state = AgentState::Draining;
+        *self = Self { retired, ..Self::new(heartbeat, now) };
+        if previous_state == Some(AgentState::Draining) {
+            self.heartbeat.state = AgentState::Draining;
         }
     }
 
     pub(super) fn view(&self) -> AgentView {
-        AgentView::from(&self.beat).connected(self.connected).gauge(Arc::clone(&self.gauge))
+        AgentView::from(&self.heartbeat).connected(self.connected).gauge(Arc::clone(&self.gauge))
     }
 }
--- a/crates/geraniumpost-core/src/requests/membership.rs
+++ b/crates/geraniumpost-core/src/requests/membership.rs
@@ -12,13 +12,13 @@
     struct MemberKey;
 }
 
-/// Which agents live, by their heartbeats.
+/// Set of live agents, determined by their heartbeats.
 ///
-/// Heartbeats are datagrams: they are lost, repeated, delayed and reordered, and an agent that was
-/// frozen or cut off may go on where it stopped. Each carries the agent's incarnation and a
-/// sequence number, by which late ones are told and ignored. Incarnations are random and have no
-/// order: one not heard of before supersedes the present one, and a superseded one comes back only
-/// when it still counts on while the present one is dead.
+/// Heartbeats are datagrams: they can be lost, repeated, delayed and reordered, and an agent that
+/// was suspended or partitioned may resume where it stopped. Each heartbeat carries the incarnation
+/// of the agent and a sequence number, by which late ones are recognized and ignored. Incarnations
+/// are random and have no order: an unknown one supersedes the current one, and a superseded one
+/// returns only if its sequence still advances while the current one has failed.
 ///
 /// See `docs/design/0102-membership.md`.
 #[derive(Debug)]
@@ -30,60 +30,60 @@
 }
 
 impl Membership {
-    /// Returns a membership without agents, as seen from `here`.
+    /// Returns a membership without agents for an entry at the location `here`.
     pub fn new(here: Location, limits: MembershipLimits) -> Self {
         Self { here, limits, members: SlotMap::with_key(), by_name: HashMap::new() }
     }
 
-    /// Takes in a heartbeat.
-    pub fn record_heartbeat(&mut self, beat: &Heartbeat, now: Millis) -> MembershipChange {
-        let Some(member) = self.find(&beat.agent) else {
-            let key = self.members.insert(Member::new(beat, now));
-            self.by_name.insert(beat.agent.clone(), key);
+    /// Records a heartbeat.
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis) -> MembershipChange {
+        let Some(member) = self.find(&heartbeat.agent) else {
+            let key = self.members.insert(Member::new(heartbeat, now));
+            self.by_name.insert(heartbeat.agent.clone(), key);
             return MembershipChange::Joined;
         };
-        if member.beat.incarnation == beat.incarnation {
-            heard_again(member, beat, now)
+        if member.heartbeat.incarnation == heartbeat.incarnation {
+            record_same_incarnation(member, heartbeat, now)
         } else {
-            heard_other(member, beat, now)
+            record_other_incarnation(member, heartbeat, now)
         }
     }
 
-    /// Takes in a word that incarnation `incarnation` of `agent` is leaving, received over a link;
-    /// returns whether a new snapshot must be published.
+    /// Records the announcement, received over a link, that incarnation `incarnation` of `agent` is
+    /// draining. Returns whether a new snapshot must be published.
     pub fn mark_draining(&mut self, agent: &str, incarnation: u64) -> bool {
         let Some(member) = self.incarnation(agent, incarnation) else { return false };
-        let before = std::mem::replace(&mut member.beat.state, AgentState::Draining);
-        before != AgentState::Draining
+        let previous = std::mem::replace(&mut member.heartbeat.state, AgentState::Draining);
+        previous != AgentState::Draining
     }
 
-    /// Takes in whether a link to incarnation `incarnation` of `agent` is up; returns whether a new
+    /// Records whether a link to incarnation `incarnation` of `agent` is up. Returns whether a new
     /// snapshot must be published.
     pub fn set_connected(&mut self, agent: &str, incarnation: u64, connected: bool) -> bool {
         let Some(member) = self.incarnation(agent, incarnation) else { return false };
         std::mem::replace(&mut member.connected, connected) != connected
     }
 
-    /// Finds the agents that have gone silent; if any is returned, a new snapshot must be
-    /// published. To be called every 100 ms or so.
+    /// Returns the agents that have newly failed by missing heartbeats. If any is returned, a new
+    /// snapshot must be published. To be called about every 100 ms.
     #[must_use]
     pub fn tick(&mut self, now: Millis) -> Vec<Name> {
         let limits = self.limits;
-        let mut dead = Vec::new();
+        let mut failed = Vec::new();
         for member in self.members.values_mut() {
-            let silent = now.since(member.heard_at) > limits.failed_after_ms;
+            let silent = now.since(member.last_heard) > limits.failed_after_ms;
             if member.alive && silent {
                 member.alive = false;
-                dead.push(member.beat.agent.clone());
+                failed.push(member.heartbeat.agent.clone());
             }
         }
-        self.members.retain(|_, member| now.since(member.heard_at) <= limits.forget_after_ms);
+        self.members.retain(|_, member| now.since(member.last_heard) <= limits.forget_after_ms);
         let members = &self.members;
         self.by_name.retain(|_, key| members.contains_key(*key));
-        dead
+        failed
     }
 
-    /// Returns the live agents.
+    /// Returns a snapshot of the live agents.
     pub fn snapshot(&self) -> Snapshot {
         let live = self.members.values().filter(|member| member.alive);
         Snapshot::new(live.map(Member::view), &self.here)
@@ -91,7 +91,7 @@
 
     /// Returns the last heartbeat of each live agent, for placement and the console.
     pub fn heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
-        self.members.values().filter(|member| member.alive).map(|member| &member.beat)
+        self.members.values().filter(|member| member.alive).map(|member| &member.heartbeat)
     }
 
     fn find(&mut self, agent: &str) -> Option<&mut Member> {
@@ -99,18 +99,22 @@
     }
 
     fn incarnation(&mut self, agent: &str, incarnation: u64) -> Option<&mut Member> {
-        self.find(agent).filter(|member| member.beat.incarnation == incarnation)
+        self.find(agent).filter(|member| member.heartbeat.incarnation == incarnation)
     }
 }
 
-fn heard_again(member: &mut Member, beat: &Heartbeat, now: Millis) -> MembershipChange {
-    if beat.sequence <= member.beat.sequence {
-        return sticky_drain(member, beat);
+fn record_same_incarnation(
+    member: &mut Member,
+    heartbeat: &Heartbeat,
+    now: Millis,
+) -> MembershipChange {
+    if heartbeat.sequence <= member.heartbeat.sequence {
+        return record_late_heartbeat(member, heartbeat);
     }
     let was_alive = std::mem::replace(&mut member.alive, true);
-    let was_draining = member.beat.state == AgentState::Draining;
-    let changed = member.refresh(beat, now);
-    let draining = member.beat.state == AgentState::Draining;
+    let was_draining = member.heartbeat.state == AgentState::Draining;
+    let changed = member.refresh(heartbeat, now);
+    let draining = member.heartbeat.state == AgentState::Draining;
     match (was_alive, draining && !was_draining, changed) {
         (false, _, _) => MembershipChange::Joined,
         (true, true, _) => MembershipChange::Draining,
@@ -119,24 +123,31 @@
     }
 }
 
-/// A late heartbeat is ignored but for one thing: leaving is final, so it is believed whenever it
+/// Ignores a late heartbeat unless it announces draining, which is final and applies whenever it
 /// arrives.
-fn sticky_drain(member: &mut Member, beat: &Heartbeat) -> MembershipChange {
-    let news = beat.state == AgentState::Draining && member.beat.state == AgentState::Ready;
-    if !news {
+fn record_late_heartbeat(member: &mut Member, heartbeat: &Heartbeat) -> MembershipChange {
+    let starts_draining =
+        heartbeat.state == AgentState::Draining && member.heartbeat.state == AgentState::Ready;
+    if !starts_draining {
         return MembershipChange::Stale;
     }
-    member.beat.state = AgentState::Draining;
+    member.heartbeat.state = AgentState::Draining;
     MembershipChange::Draining
 }
 
-fn heard_other(member: &mut Member, beat: &Heartbeat, now: Millis) -> MembershipChange {
-    let known = member.retired.iter().find(|known| known.incarnation == beat.incarnation);
-    let comes_back = known.is_none_or(|known| !member.alive && beat.sequence > known.sequence);
-    if !comes_back {
+fn record_other_incarnation(
+    member: &mut Member,
+    heartbeat: &Heartbeat,
+    now: Millis,
+) -> MembershipChange {
+    let retired =
+        member.retired.iter().find(|retired| retired.incarnation == heartbeat.incarnation);
+    let supersedes =
+        retired.is_none_or(|retired| !member.alive && heartbeat.sequence > retired.sequence);
+    if !supersedes {
         return MembershipChange::Stale;
     }
-    let was = member.beat.incarnation;
-    member.supersede(beat, now);
-    MembershipChange::Restarted { was }
+    let previous = member.heartbeat.incarnation;
+    member.supersede(heartbeat, now);
+    MembershipChange::Restarted { previous }
 }
--- a/crates/geraniumpost-core/src/requests/membership_change.rs
+++ b/crates/geraniumpost-core/src/requests/membership_change.rs
@@ -1,27 +1,27 @@
 use derive_more::Display;
 
-/// What a heartbeat told the [`super::Membership`].
+/// Change to the [`super::Membership`] caused by a heartbeat. `Display` gives the text for the log.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// An agent not known before, or dead until now.
+    /// The agent was unknown or had failed.
     #[display("joined")]
     Joined,
-    /// A known agent was started anew: what was sent to the old incarnation cannot be asked for.
-    #[display("restarted was={was:x}")]
+    /// A new incarnation of a known agent. The old one can no longer be queried.
+    #[display("restarted previous={previous:x}")]
     Restarted {
-        /// The incarnation that is gone.
-        was: u64,
+        /// The previous incarnation.
+        previous: u64,
     },
-    /// The agent began to leave.
+    /// The agent began to drain.
     #[display("draining")]
     Draining,
-    /// Something that routing uses changed, such as the slots.
+    /// A property that routing uses changed, such as the number of slots.
     #[display("changed")]
     Changed,
-    /// Nothing but the load, which the snapshot shares already.
+    /// Only the load changed, which existing snapshots share.
     #[display("refreshed")]
     Refreshed,
-    /// A late or repeated heartbeat, ignored.
+    /// A delayed or repeated heartbeat, which was ignored.
     #[display("stale")]
     Stale,
 }
--- a/crates/geraniumpost-core/src/requests/membership_limits.rs
+++ b/crates/geraniumpost-core/src/requests/membership_limits.rs
@@ -1,4 +1,4 @@
-/// When an agent counts as dead, and when it is forgotten.
+/// Times after which a silent agent counts as failed and is forgotten.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipLimits {
     pub(super) failed_after_ms: u64,
@@ -6,22 +6,23 @@
 }
 
 impl MembershipLimits {
-    /// Returns the limits for agents that announce themselves every `heartbeat_ms` milliseconds.
+    /// Returns the limits for agents that send a heartbeat every `heartbeat_ms` milliseconds.
     ///
-    /// Three heartbeats may be lost and the next half an interval late: 1,750 ms at 500 ms.
+    /// Three heartbeats may be lost and the next may be late by half an interval: 1,750 ms at an
+    /// interval of 500 ms.
     pub const fn new(heartbeat_ms: u64) -> Self {
         Self { failed_after_ms: heartbeat_ms * 7 / 2, forget_after_ms: 600_000 }
     }
 
-    /// Sets the silence after which an agent counts as dead.
+    /// Sets the time without a heartbeat after which an agent counts as failed.
     #[must_use]
     pub const fn failed_after_ms(mut self, ms: u64) -> Self {
         self.failed_after_ms = ms;
         self
     }
 
-    /// Sets how long a dead agent's incarnation is remembered, so that its late heartbeats do not
-    /// bring it back.
+    /// Sets how long the incarnation of a failed agent is remembered, so that its late heartbeats
+    /// do not revive it.
     #[must_use]
     pub const fn forget_after_ms(mut self, ms: u64) -> Self {
         self.forget_after_ms = ms;
--- a/crates/geraniumpost-core/src/requests/mod.rs
+++ b/crates/geraniumpost-core/src/requests/mod.rs
@@ -1,9 +1,10 @@
-//! Decisions on requests: who runs one, in which order, what becomes of it when something fails.
+//! Decisions on requests: which agent runs a request, in which order an agent runs its requests,
+//! and what follows a failure.
 //!
-//! An entry keeps a [`Membership`] of agents fed by heartbeats, publishes a [`Snapshot`] of it and
-//! routes each request with a [`Router`]. An agent records every attempt in an [`AttemptLedger`]
-//! and gives its minion's slots out through a [`FairQueue`]. The reasons are in
-//! `docs/design/0101-routing.md` and the notes after it.
+//! An entry keeps a [`Membership`] of agents, updated by heartbeats, publishes a [`Snapshot`] of it
+//! and routes each request with a [`Router`]. An agent records every attempt in an
+//! [`AttemptLedger`] and assigns the slots of its minion through a [`FairQueue`]. The design is
+//! described in `docs/design/0101-routing.md` and the documents that follow it.
 
 mod admission;
 mod agent_gauge;
@@ -19,12 +20,12 @@
 mod ejection_limits;
 mod ejector;
 mod entry_limits;
-mod faded_keys;
+mod expired_keys;
 mod fair_queue;
 mod flow;
 mod in_flight_guard;
 mod key_index;
-mod key_standing;
+mod key_status;
 mod ledger_limits;
 mod location;
 mod member;
@@ -52,7 +53,7 @@
 mod service_times;
 mod service_view;
 mod slot_reserve;
-mod smoothed;
+mod smoothed_time;
 mod snapshot;
 
 pub use admission::Admission;
--- a/crates/geraniumpost-core/src/requests/next_step.rs
+++ b/crates/geraniumpost-core/src/requests/next_step.rs
@@ -2,33 +2,34 @@
 
 use crate::ResultCode;
 
-/// What an entry does next with a request; its `Display` is for the log.
+/// Next action of an entry for a request. `Display` gives the text for the log.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Hand the minion's answer to the caller.
+    /// Return the answer of the minion to the caller.
     #[display("deliver")]
     Deliver,
-    /// Send it to another agent under a new attempt number.
+    /// Send the request to another agent under a new attempt number.
     ///
-    /// A keyed request first moves its claim from the agent that just barred the key, by
-    /// compare-and-swap on the claim as it was read; if that fails, it follows the claim.
+    /// For a keyed request, the claim is first moved from the agent that just barred the key, by
+    /// compare-and-swap on the claim as it was read. If that fails, the request follows the new
+    /// claim.
     #[display("retry")]
     Retry,
-    /// Ask the agent over another link what became of the attempt, for a keyed request by its key.
+    /// Query the agent over another link about the attempt, for a keyed request by its key.
     #[display("ask after={after_ms}ms")]
     Ask {
-        /// Pause before the question, in milliseconds.
+        /// Delay before the query, in milliseconds.
         after_ms: u64,
     },
-    /// Keep waiting for the answer.
+    /// Continue to wait for the answer.
     #[display("wait")]
     Wait,
-    /// Answer the caller now.
+    /// Answer the caller now with a result code.
     #[display("answer code={code} retry_after={retry_after_ms}ms")]
     Answer {
-        /// Final result.
+        /// Final result of the request.
         code: ResultCode,
-        /// When to come back, 0 for no advice.
+        /// Advised delay before a retry by the caller, 0 for no advice.
         retry_after_ms: u64,
     },
 }
--- a/crates/geraniumpost-core/src/requests/permit.rs
+++ b/crates/geraniumpost-core/src/requests/permit.rs
@@ -2,13 +2,13 @@
 
 use super::CustomerLimiter;
 
-/// Counts one request of a customer for as long as it lives.
+/// Counts one request of a customer as in flight until it is dropped.
 #[derive(Debug)]
 pub struct Permit(Arc<CustomerLimiter>);
 
 impl Permit {
-    pub(super) const fn new(gate: Arc<CustomerLimiter>) -> Self {
-        Self(gate)
+    pub(super) const fn new(limiter: Arc<CustomerLimiter>) -> Self {
+        Self(limiter)
     }
 }
 
--- a/crates/geraniumpost-core/src/requests/queue_action.rs
+++ b/crates/geraniumpost-core/src/requests/queue_action.rs
@@ -1,17 +1,17 @@
 use super::{QueuedRequest, Refusal};
 
-/// What the shell must do with a request now.
+/// Action that the agent must take on a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QueueAction<T> {
-    /// Run it on the minion, then call [`super::FairQueue::finish`].
+    /// Run the request on the minion, then call [`super::FairQueue::finish`].
     Run(QueuedRequest<T>),
-    /// Answer it: it does not run.
+    /// Refuse the request, which does not run.
     Refuse {
-        /// The request.
+        /// The refused request.
         request: QueuedRequest<T>,
-        /// Why it does not run.
+        /// Reason for the refusal.
         refusal: Refusal,
-        /// When the caller should come back, in milliseconds, at least 1.
+        /// Delay after which the caller should retry, in milliseconds, at least 1.
         retry_after_ms: u64,
     },
 }
--- a/crates/geraniumpost-core/src/requests/queue_limits.rs
+++ b/crates/geraniumpost-core/src/requests/queue_limits.rs
@@ -1,4 +1,4 @@
-/// Hard bounds of one minion's queue.
+/// Limits of the queue of one minion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     pub(super) slots: usize,
@@ -6,12 +6,12 @@
 }
 
 impl QueueLimits {
-    /// Returns the bounds of the document's defaults: 8 slots, 32 waiting.
+    /// Returns the defaults of the configuration document: 8 slots and 32 waiting requests.
     pub const fn new() -> Self {
         Self { slots: 8, queue: 32 }
     }
 
-    /// Sets how many requests the minion runs at once.
+    /// Sets how many requests the minion runs concurrently; 0 counts as 1.
     #[must_use]
     pub const fn slots(mut self, slots: usize) -> Self {
         self.slots = if slots == 0 { 1 } else { slots };
--- a/crates/geraniumpost-core/src/requests/queued_request.rs
+++ b/crates/geraniumpost-core/src/requests/queued_request.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// A request that asks an agent for a slot; `T` is whatever the shell needs to run it.
+/// A request for a slot of the minion. `T` is the payload that the agent needs to run it.
 ///
 /// # Example
 ///
@@ -10,8 +10,8 @@
 /// use geraniumpost_core::{Millis, requests::QueuedRequest};
 /// use geraniumpost_schema::RequestId;
 /// let id = RequestId { entry: 1, sequence: 2 };
-/// let waiting = QueuedRequest::new(id, "conida", Millis(2_000), "body").weight(3);
-/// assert_eq!(waiting.into_payload(), "body");
+/// let request = QueuedRequest::new(id, "conida", Millis(2_000), "body").weight(3);
+/// assert_eq!(request.into_payload(), "body");
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedRequest<T> {
@@ -23,24 +23,24 @@
 }
 
 impl<T> QueuedRequest<T> {
-    /// Returns a request of `customer` that is of no use after `deadline`, with weight 1.
+    /// Returns a request of `customer` with weight 1, whose answer is useless after `deadline`.
     pub fn new(id: RequestId, customer: impl Into<Name>, deadline: Millis, payload: T) -> Self {
         Self { id, customer: customer.into(), weight: 1, deadline, payload }
     }
 
-    /// Sets the customer's share weight; 0 counts as 1.
+    /// Sets the share weight of the customer; 0 counts as 1.
     #[must_use]
     pub const fn weight(mut self, weight: u32) -> Self {
         self.weight = if weight == 0 { 1 } else { weight };
         self
     }
 
-    /// Identity of the attempt.
+    /// Identifier of the attempt.
     pub const fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Customer who pays with its share.
+    /// Customer whose share the request uses.
     pub const fn customer(&self) -> &Name {
         &self.customer
     }
@@ -50,17 +50,17 @@
         self.weight
     }
 
-    /// When the answer is of no use any more, on the agent's own clock.
+    /// Time after which the answer is useless, on the clock of the agent.
     pub const fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// The shell's own part.
+    /// Payload of the request.
     pub const fn payload(&self) -> &T {
         &self.payload
     }
 
-    /// Gives the shell's own part back.
+    /// Returns the payload.
     pub fn into_payload(self) -> T {
         self.payload
     }
--- a/crates/geraniumpost-core/src/requests/refusal.rs
+++ b/crates/geraniumpost-core/src/requests/refusal.rs
@@ -1,25 +1,25 @@
 use derive_more::Display;
 use geraniumpost_schema::Outcome;
 
-/// Why a queue refused a request, which therefore certainly does not run.
+/// Reason why the queue refused a request, which therefore does not run.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The queue is full and no other customer is further over its share.
+    /// The queue is full, and no other customer is further above its share.
     #[display("overloaded")]
     Overloaded,
-    /// It waited, and a customer under its share took its place.
+    /// The request waited and was displaced by one of a customer further below its share.
     #[display("displaced")]
     Displaced,
-    /// It cannot be answered before its deadline.
+    /// The request cannot be answered before its deadline.
     #[display("deadline")]
     Deadline,
-    /// The agent is leaving.
+    /// The agent is draining.
     #[display("draining")]
     Draining,
 }
 
 impl Refusal {
-    /// Returns the outcome that the entry is told.
+    /// Returns the outcome reported to the entry.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Overloaded | Self::Displaced => Outcome::NotRunOverloaded,
--- a/crates/geraniumpost-core/src/requests/request_kind.rs
+++ b/crates/geraniumpost-core/src/requests/request_kind.rs
@@ -1,22 +1,22 @@
 use derive_more::Display;
 
-/// What a second run of a request would do, by which it is retried.
+/// Whether a request may safely run a second time, which determines how it is retried.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// A second run does no harm.
+    /// A second run has no further effect.
     #[display("idempotent")]
     Idempotent,
-    /// A second run does harm, and nothing tells a caller's repeat from a new request.
+    /// A second run is harmful, and repeats by the caller cannot be recognized.
     #[display("once")]
     Once,
-    /// A second run does harm, and a key tells the caller's repeats; the key's claim in the store
-    /// names the one agent that may run it.
+    /// A second run is harmful, and a key identifies repeats by the caller. The claim on the key in
+    /// the store names the only agent that may run it.
     #[display("keyed")]
     Keyed,
 }
 
 impl RequestKind {
-    /// Returns the kind of a request with these marks.
+    /// Returns the kind of a request with these properties.
     pub const fn of(idempotent: bool, keyed: bool) -> Self {
         match (idempotent, keyed) {
             (true, _) => Self::Idempotent,
--- a/crates/geraniumpost-core/src/requests/retry_budget.rs
+++ b/crates/geraniumpost-core/src/requests/retry_budget.rs
@@ -1,14 +1,14 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Thousandths of a retry in one retry.
-const WHOLE: u64 = 1000;
+/// Tokens of one retry, which is counted in thousandths.
+const TOKENS_PER_RETRY: u64 = 1000;
 
-/// A token bucket that lets retries be a bounded share of the requests.
+/// Token bucket that limits retries to a share of the requests.
 ///
-/// When many attempts fail, unbounded retries multiply the load just when capacity is missing, and
-/// the service stays down after the fault is gone. Each request pays in a few thousandths of a
-/// retry and each retry takes a whole one out, so in the long run retries stay below that share.
-/// The burst covers the requests that were at one agent when it died.
+/// When many attempts fail, unlimited retries multiply the load while capacity is missing, and the
+/// service remains overloaded after the fault has ended. Each request deposits a few thousandths of
+/// a retry and each retry withdraws a whole one, so in the long run retries remain below that
+/// share. The burst covers the requests that were at one agent when it failed.
 ///
 /// # Example
 ///
@@ -29,29 +29,33 @@
 }
 
 impl RetryBudget {
-    /// Returns a full budget of `burst` retries that regains `permille` retries per thousand
+    /// Returns a full budget of `burst` retries that is refilled by `permille` retries per thousand
     /// requests.
     pub const fn new(permille: u64, burst: u64) -> Self {
-        let full = burst * WHOLE;
-        Self { permille: AtomicU64::new(permille), burst: full, tokens: AtomicU64::new(full) }
+        let burst_tokens = burst * TOKENS_PER_RETRY;
+        Self {
+            permille: AtomicU64::new(permille),
+            burst: burst_tokens,
+            tokens: AtomicU64::new(burst_tokens),
+        }
     }
 
-    /// Sets the retries allowed per thousand requests, when the configuration changes.
+    /// Sets the number of retries allowed per thousand requests, after a change of configuration.
     pub fn set_permille(&self, permille: u64) {
         self.permille.store(permille, Relaxed);
     }
 
-    /// Pays in for one request.
+    /// Deposits the share of one request.
     pub fn deposit(&self) {
-        let paid = self.permille.load(Relaxed);
-        let add = |tokens: u64| Some(tokens.saturating_add(paid).min(self.burst));
+        let deposit = self.permille.load(Relaxed);
+        let add = |tokens: u64| Some(tokens.saturating_add(deposit).min(self.burst));
         let _ = self.tokens.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Withdraws one retry, and returns whether one was available.
     #[must_use]
     pub fn try_withdraw(&self) -> bool {
-        let less = |tokens: u64| tokens.checked_sub(WHOLE);
-        self.tokens.fetch_update(Relaxed, Relaxed, less).is_ok()
+        let withdraw = |tokens: u64| tokens.checked_sub(TOKENS_PER_RETRY);
+        self.tokens.fetch_update(Relaxed, Relaxed, withdraw).is_ok()
     }
 }
--- a/crates/geraniumpost-core/src/requests/retry_limits.rs
+++ b/crates/geraniumpost-core/src/requests/retry_limits.rs
@@ -1,4 +1,4 @@
-/// Bounds on what an entry tries for one request.
+/// Limits on the attempts and queries of an entry for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryLimits {
     pub(super) attempts: u32,
@@ -7,19 +7,20 @@
 }
 
 impl RetryLimits {
-    /// Returns four attempts, three questions on each, and a second's pause when no agent is left.
+    /// Returns the defaults: four attempts, three queries about each, and an advised delay of one
+    /// second when no agent remains.
     pub const fn new() -> Self {
         Self { attempts: 4, asks: 3, no_agent_retry_ms: 1_000 }
     }
 
-    /// Sets how many agents one request is sent to at most.
+    /// Sets the maximum number of agents that one request is sent to.
     #[must_use]
     pub const fn attempts(mut self, attempts: u32) -> Self {
         self.attempts = attempts;
         self
     }
 
-    /// Sets how many questions are put about one attempt.
+    /// Sets the maximum number of queries about one attempt.
     #[must_use]
     pub const fn asks(mut self, asks: u32) -> Self {
         self.asks = asks;
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -3,23 +3,24 @@
 use super::{AttemptEvent, NextStep, RequestKind, RetryLimits};
 use crate::{Millis, ResultCode};
 
-/// Pause before each question about one attempt. A link that was cut comes back within a second or
-/// not before most deadlines, and an agent that refuses connections would eat all questions at once.
-const ASK_PAUSES_MS: [u64; 3] = [0, 100, 400];
+/// Delay before each query about one attempt. A link that was cut is usually restored within a
+/// second or not before the deadline, and an agent that refuses connections would use up all
+/// queries at once.
+const ASK_DELAYS_MS: [u64; 3] = [0, 100, 400];
 
-/// Whether a retry makes minions work more, so that it must be paid from the budget.
+/// Whether a retry increases the load of the minions and must be paid from the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Price {
+enum RetryCost {
     Free,
     Budget,
 }
 
-/// One request on its way through an entry: what is known of it and what to do next.
+/// State of one request at an entry, which decides the next action after each event.
 ///
-/// The promise that is easily broken is "not run". It speaks of the request and not of the last
-/// attempt, so as soon as any attempt may have run, no later refusal is passed on as "not run".
-/// A request that is given up gets its final answer at once and never waits for its deadline.
-/// See `docs/design/0105-retries.md`.
+/// A request is reported as "not run" only if no attempt can have run. As soon as any attempt may
+/// have run, later refusals are no longer reported as "not run". A request that is given up gets
+/// its final answer immediately, without waiting for its deadline. See
+/// `docs/design/0105-retries.md`.
 ///
 /// # Example
 ///
@@ -41,9 +42,9 @@
     attempts: u32,
     asks: u32,
     running: bool,
-    in_doubt: bool,
-    ran: Option<ResultCode>,
-    refused: Option<ResultCode>,
+    may_have_run: bool,
+    run_result: Option<ResultCode>,
+    refusal_result: Option<ResultCode>,
     retry_after_ms: u64,
 }
 
@@ -57,22 +58,22 @@
             attempts: 1,
             asks: 0,
             running: false,
-            in_doubt: false,
-            ran: None,
-            refused: None,
+            may_have_run: false,
+            run_result: None,
+            refusal_result: None,
             retry_after_ms: 0,
         }
     }
 
-    /// Number of the present attempt, from 1.
+    /// Number of the current attempt, from 1.
     pub const fn attempt(&self) -> u32 {
         self.attempts
     }
 
-    /// Takes in what happened to the present attempt and says what to do next.
+    /// Records an event of the current attempt and returns the next action.
     ///
-    /// `budget` is asked at most once, and only when a retry would make minions work more; it takes
-    /// from the [`super::RetryBudget`].
+    /// `budget` is called at most once, and only if a retry would increase the load of the minions.
+    /// It withdraws from the [`super::RetryBudget`].
     #[must_use]
     pub fn on_event(
         &mut self,
@@ -86,10 +87,10 @@
             AttemptEvent::Outcome { outcome, retry_after_ms } => {
                 self.outcome(outcome, retry_after_ms, now, budget)
             }
-            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => self.lost(now, budget),
+            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => self.link_lost(now, budget),
             AttemptEvent::Verdict(verdict) => self.verdict(verdict, now, budget),
             AttemptEvent::AskFailed => self.ask_failed(now, budget),
-            AttemptEvent::AgentRestarted => self.doubtful(now, budget),
+            AttemptEvent::AgentRestarted => self.outcome_unknown(now, budget),
             AttemptEvent::DeadlinePassed { sent } => self.deadline_passed(sent),
         }
     }
@@ -103,36 +104,36 @@
     ) -> NextStep {
         match outcome {
             Outcome::Answered => NextStep::Deliver,
-            Outcome::RunTimedOut => self.fail(ResultCode::TimedOut),
-            Outcome::RunAnswerLost => self.fail(ResultCode::FirstAnswerLost),
+            Outcome::RunTimedOut => self.finish_with(ResultCode::TimedOut),
+            Outcome::RunAnswerLost => self.finish_with(ResultCode::FirstAnswerLost),
             Outcome::RunFailed => self.failed(ResultCode::MinionFailed, now, budget),
             Outcome::RunTruncated => self.failed(ResultCode::AnswerTruncated, now, budget),
-            Outcome::Unknown => self.doubtful(now, budget),
+            Outcome::Unknown => self.outcome_unknown(now, budget),
             refusal => {
-                let (code, price) = refused_as(refusal);
-                self.in_doubt = false;
-                self.note_refusal(code, retry_after_ms);
-                self.retry_or_answer(price, now, budget)
+                let (code, cost) = classify_refusal(refusal);
+                self.may_have_run = false;
+                self.record_refusal(code, retry_after_ms);
+                self.retry_or_answer(cost, now, budget)
             }
         }
     }
 
-    /// A keyed request may have been sent to the same agent by another entry that read the claim,
-    /// so only the agent can bar the key; for the others nothing happened at all.
+    /// Another entry that read the same claim may have sent a keyed request to the agent, so only
+    /// the agent can bar the key. Any other request has not been sent at all.
     fn never_sent(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
-        self.note_refusal(ResultCode::NoAgent, 0);
+        self.record_refusal(ResultCode::NoAgent, 0);
         if self.kind == RequestKind::Keyed {
             return self.ask_or_give_up(now);
         }
-        self.retry_or_answer(Price::Free, now, budget)
+        self.retry_or_answer(RetryCost::Free, now, budget)
     }
 
-    /// An idempotent request is sent elsewhere at once, because that is faster than asking; when
-    /// the budget is spent it asks instead, which costs no minion any work.
-    fn lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
-        self.in_doubt = true;
-        let resend = self.kind == RequestKind::Idempotent && self.may_retry(now);
-        if resend && budget() { self.next_attempt() } else { self.ask_or_give_up(now) }
+    /// An idempotent request is sent to another agent immediately, which is faster than a query. If
+    /// the budget is exhausted, a query is sent instead, which adds no load to the minions.
+    fn link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+        self.may_have_run = true;
+        let may_resend = self.kind == RequestKind::Idempotent && self.may_retry(now);
+        if may_resend && budget() { self.next_attempt() } else { self.ask_or_give_up(now) }
     }
 
     fn verdict(
@@ -143,9 +144,9 @@
     ) -> NextStep {
         match verdict {
             AskVerdict::NeverStarted => {
-                self.in_doubt = false;
-                self.note_refusal(ResultCode::NoAgent, 0);
-                self.retry_or_answer(Price::Free, now, budget)
+                self.may_have_run = false;
+                self.record_refusal(ResultCode::NoAgent, 0);
+                self.retry_or_answer(RetryCost::Free, now, budget)
             }
             AskVerdict::Running => {
                 self.running = true;
@@ -153,36 +154,36 @@
                 NextStep::Wait
             }
             AskVerdict::Finished => NextStep::Wait,
-            AskVerdict::Unknown => self.doubtful(now, budget),
+            AskVerdict::Unknown => self.outcome_unknown(now, budget),
         }
     }
 
     fn ask_failed(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
-        if self.kind == RequestKind::Idempotent && self.in_doubt {
-            return self.doubtful(now, budget);
+        if self.kind == RequestKind::Idempotent && self.may_have_run {
+            return self.outcome_unknown(now, budget);
         }
         self.ask_or_give_up(now)
     }
 
-    /// Nobody can say whether the attempt ran.
-    fn doubtful(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    /// Handles an attempt whose outcome cannot be determined.
+    fn outcome_unknown(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.failed(ResultCode::OutcomeUnknown, now, budget)
     }
 
-    /// The attempt ran badly, or may have.
+    /// Handles an attempt that has failed, or may have run.
     fn failed(&mut self, code: ResultCode, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
-        self.ran = Some(code);
+        self.run_result = Some(code);
         if self.kind != RequestKind::Idempotent {
             return self.give_up();
         }
-        self.retry_or_answer(Price::Budget, now, budget)
+        self.retry_or_answer(RetryCost::Budget, now, budget)
     }
 
     fn deadline_passed(&mut self, sent: bool) -> NextStep {
         if self.running {
-            return self.fail(ResultCode::TimedOut);
+            return self.finish_with(ResultCode::TimedOut);
         }
-        self.in_doubt |= sent;
+        self.may_have_run |= sent;
         self.refuse(ResultCode::DeadlineTooShort)
     }
 
@@ -190,18 +191,18 @@
         if self.asks >= self.limits.asks || now >= self.deadline {
             return self.give_up();
         }
-        let pause = ASK_PAUSES_MS.get(self.asks as usize).or(ASK_PAUSES_MS.last());
+        let delay = ASK_DELAYS_MS.get(self.asks as usize).or(ASK_DELAYS_MS.last());
         self.asks += 1;
-        NextStep::Ask { after_ms: pause.copied().unwrap_or(0) }
+        NextStep::Ask { after_ms: delay.copied().unwrap_or(0) }
     }
 
     fn retry_or_answer(
         &mut self,
-        price: Price,
+        cost: RetryCost,
         now: Millis,
         budget: impl FnOnce() -> bool,
     ) -> NextStep {
-        if self.may_retry(now) && (price == Price::Free || budget()) {
+        if self.may_retry(now) && (cost == RetryCost::Free || budget()) {
             return self.next_attempt();
         }
         self.give_up()
@@ -211,61 +212,66 @@
         self.attempts < self.limits.attempts && now < self.deadline
     }
 
-    /// What is in doubt about this attempt stays so for the request.
+    /// If the current attempt may have run, this remains true of the request.
     const fn next_attempt(&mut self) -> NextStep {
-        if self.in_doubt {
-            self.ran = Some(ResultCode::OutcomeUnknown);
+        if self.may_have_run {
+            self.run_result = Some(ResultCode::OutcomeUnknown);
         }
-        self.in_doubt = false;
+        self.may_have_run = false;
         self.running = false;
         self.attempts += 1;
         self.asks = 0;
         NextStep::Retry
     }
 
-    /// An overload stays the reason when later agents were not reached: it tells the caller more.
-    fn note_refusal(&mut self, code: ResultCode, retry_after_ms: u64) {
-        if self.refused != Some(ResultCode::Overloaded) {
-            self.refused = Some(code);
+    /// An overload remains the reported reason if later agents cannot be reached, because it is
+    /// more informative to the caller.
+    fn record_refusal(&mut self, code: ResultCode, retry_after_ms: u64) {
+        if self.refusal_result != Some(ResultCode::Overloaded) {
+            self.refusal_result = Some(code);
         }
-        let sooner = self.retry_after_ms == 0 || retry_after_ms < self.retry_after_ms;
-        if retry_after_ms > 0 && sooner {
+        let is_shorter = self.retry_after_ms == 0 || retry_after_ms < self.retry_after_ms;
+        if retry_after_ms > 0 && is_shorter {
             self.retry_after_ms = retry_after_ms;
         }
     }
 
     fn refuse(&mut self, code: ResultCode) -> NextStep {
-        if self.refused.is_none() {
-            self.note_refusal(code, 0);
+        if self.refusal_result.is_none() {
+            self.record_refusal(code, 0);
         }
         self.give_up()
     }
 
-    fn fail(&mut self, code: ResultCode) -> NextStep {
-        self.ran = Some(code);
+    fn finish_with(&mut self, code: ResultCode) -> NextStep {
+        self.run_result = Some(code);
         self.give_up()
     }
 
-    /// Says "not run" only if every attempt certainly did not.
+    /// Reports "not run" only if no attempt can have run.
     fn give_up(&self) -> NextStep {
-        let doubt = self.in_doubt.then_some(ResultCode::OutcomeUnknown);
-        let harm = self.ran.or(doubt);
-        let code = harm.or(self.refused).unwrap_or(ResultCode::NoAgent);
-        let come_back = harm.is_none() || self.kind == RequestKind::Idempotent;
-        NextStep::Answer { code, retry_after_ms: if come_back { self.pause_ms() } else { 0 } }
+        let unknown = self.may_have_run.then_some(ResultCode::OutcomeUnknown);
+        let possible_run = self.run_result.or(unknown);
+        let code = possible_run.or(self.refusal_result).unwrap_or(ResultCode::NoAgent);
+        let advise_retry = possible_run.is_none() || self.kind == RequestKind::Idempotent;
+        NextStep::Answer {
+            code,
+            retry_after_ms: if advise_retry { self.retry_advice_ms() } else { 0 },
+        }
     }
 
-    const fn pause_ms(&self) -> u64 {
+    const fn retry_advice_ms(&self) -> u64 {
         if self.retry_after_ms == 0 { self.limits.no_agent_retry_ms } else { self.retry_after_ms }
     }
 }
 
-/// Refusals for want of room are paid for, since trying everywhere would multiply an overload; the
-/// others are free, so that no request is lost to an agent that merely leaves.
-const fn refused_as(outcome: Outcome) -> (ResultCode, Price) {
+/// Retries after refusals for lack of capacity are paid from the budget, since trying all agents
+/// would multiply an overload. Other retries are free, so that no request fails because an agent is
+/// draining.
+const fn classify_refusal(outcome: Outcome) -> (ResultCode, RetryCost) {
     match outcome {
-        Outcome::NotRunOverloaded => (ResultCode::Overloaded, Price::Budget),
-        Outcome::NotRunDeadline => (ResultCode::DeadlineTooShort, Price::Budget),
-        _ => (ResultCode::NoAgent, Price::Free),
+        Outcome::NotRunOverloaded => (ResultCode::Overloaded, RetryCost::Budget),
+        Outcome::NotRunDeadline => (ResultCode::DeadlineTooShort, RetryCost::Budget),
+        _ => (ResultCode::NoAgent, RetryCost::Free),
     }
 }
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -7,17 +7,19 @@
     RoutingReason, ServiceView,
 };
 
-/// Agents weighed from the nearest tier that has any, and again from the next one.
-const PER_TIER: usize = 2;
-/// Largest share of failures that is weighed, in thousandths; it bounds the cost's growth.
-const MOST_FAILURES: u64 = 950;
+/// Number of agents drawn from the nearest tier with any, and again from the next one.
+const DRAWS_PER_TIER: usize = 2;
+/// Maximum share of failures that is taken into account, in thousandths; it bounds the cost.
+const MAX_FAILURES_PERMILLE: u64 = 950;
 
-/// Power of two choices over (requests at the agent) x (smoothed service time).
+/// Routes by the power of two choices, with the cost (requests at the agent) x (smoothed service
+/// time).
 ///
-/// Two agents are drawn at random from the entry's own failure domain and two from the next
-/// farther tier, which carry a surcharge, so the own domain is preferred until it costs more than
-/// the way. Random draws are what keeps several entries with equally old reports from sending
-/// everything to the one agent that looked idle; see `docs/design/0101-routing.md`.
+/// Two agents are drawn at random from the failure domain of the entry and two from the next
+/// farther tier, whose cost includes a surcharge. The own domain is thus preferred until its cost
+/// exceeds that of the longer distance. Random draws keep several entries with equally old reports
+/// from sending all requests to the one agent that appeared idle; see
+/// `docs/design/0101-routing.md`.
 ///
 /// # Example
 ///
@@ -29,8 +31,8 @@
 /// let agents = [AgentView::new("a1", 7).service("filing").at_location(here.clone())];
 /// let snapshot = Snapshot::new(agents, &here);
 /// let service = snapshot.service("filing").unwrap();
-/// let ask = RoutingQuery::new(Millis(0));
-/// let choice = Router::default().choose(service, &ask, &mut SmallRng::seed_from_u64(1)).unwrap();
+/// let query = RoutingQuery::new(Millis(0));
+/// let choice = Router::default().choose(service, &query, &mut SmallRng::seed_from_u64(1)).unwrap();
 /// let guard = choice.agent().counters().begin_request();
 /// assert_eq!(choice.agent().counters().in_flight(), 1);
 /// drop(guard);
@@ -50,76 +52,79 @@
     ///
     /// # Errors
     ///
-    /// Returns why none can be chosen: the request is certainly not sent.
+    /// Returns the reason if no agent can be chosen, in which case the request is not sent.
     pub fn choose(
         &self,
         service: &ServiceView,
-        ask: &RoutingQuery<'_>,
+        query: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
     ) -> Result<RoutingDecision, NoAgent> {
-        if let Some(agent) = probe(service, ask) {
+        if let Some(agent) = claim_due_probe(service, query) {
             return Ok(RoutingDecision::of(agent, RoutingReason::Probe));
         }
-        let considered = self.draw(service, ask, rng);
-        let cheapest = considered.iter().flatten().min_by_key(|seen| seen.cost_us);
-        let Some(agent) = cheapest.map(|seen| Arc::clone(&seen.agent)) else {
-            return last_resort(service, ask);
+        let candidates = self.draw(service, query, rng);
+        let cheapest = candidates.iter().flatten().min_by_key(|candidate| candidate.cost_us);
+        let Some(agent) = cheapest.map(|candidate| Arc::clone(&candidate.agent)) else {
+            return last_resort(service, query);
         };
-        let why =
-            if considered[1].is_some() { RoutingReason::Cheapest } else { RoutingReason::Only };
-        Ok(RoutingDecision { agent, considered, why })
+        let reason =
+            if candidates[1].is_some() { RoutingReason::Cheapest } else { RoutingReason::Only };
+        Ok(RoutingDecision { agent, candidates, reason })
     }
 
     /// Expected cost of one more request at `agent`, in microseconds of waiting.
     ///
-    /// The number of other entries' requests in a report is believed less and less until the report
-    /// is `fresh_ms` old, and their usual number takes its place. Otherwise all entries would send
-    /// their requests to whoever reported "idle" last until its next report, again and again.
-    pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, ask: &RoutingQuery<'_>) -> u64 {
+    /// The reported number of other entries' requests loses weight to the mean of the candidates
+    /// until the report is `report_max_age_ms` old. Otherwise all entries would repeatedly send
+    /// their requests to the agent that last reported itself idle, until its next report.
+    pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, query: &RoutingQuery<'_>) -> u64 {
         let gauge = agent.counters();
-        let fresh_ms = self.tuning.fresh_ms;
-        let age = gauge.report_age(ask.now).min(fresh_ms);
-        let others =
-            u64::from(gauge.others_in_flight()) * (fresh_ms - age) + peers.others_in_flight() * age;
-        let own = u64::from(gauge.in_flight()) + 1;
+        let max_age_ms = self.tuning.report_max_age_ms;
+        let age = gauge.report_age(query.now).min(max_age_ms);
+        let weighted_others = u64::from(gauge.others_in_flight()) * (max_age_ms - age)
+            + peers.others_in_flight() * age;
+        let own_requests = u64::from(gauge.in_flight()) + 1;
         let service_us = peers.service_us(gauge.service_us());
-        let busy = service_us.saturating_mul(own * fresh_ms + others) / fresh_ms;
-        let failures = u64::from(gauge.failures_permille()).min(MOST_FAILURES);
-        busy.saturating_mul(1000) / (1000 - failures) / u64::from(agent.slot_count())
+        let waiting_us =
+            service_us.saturating_mul(own_requests * max_age_ms + weighted_others) / max_age_ms;
+        let failures = u64::from(gauge.failures_permille()).min(MAX_FAILURES_PERMILLE);
+        waiting_us.saturating_mul(1000) / (1000 - failures) / u64::from(agent.slot_count())
     }
 
     fn draw(
         &self,
         service: &ServiceView,
-        ask: &RoutingQuery<'_>,
+        query: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
     ) -> [Option<Candidate>; RoutingDecision::MAX_CANDIDATES] {
-        let mut considered = [const { None }; RoutingDecision::MAX_CANDIDATES];
+        let mut candidates = [const { None }; RoutingDecision::MAX_CANDIDATES];
         let mut len = 0;
         for tier in 0..ServiceView::TIERS {
-            for index in draw_tier(service, tier, ask, rng).into_iter().flatten() {
+            for index in draw_tier(service, tier, query, rng).into_iter().flatten() {
                 let agent = Arc::clone(service.agent(index));
                 let cost_us = self.tuning.tier_cost_us(tier);
-                considered[len] = Some(Candidate { agent, cost_us });
+                candidates[len] = Some(Candidate { agent, cost_us });
                 len += 1;
             }
-            if len + PER_TIER > RoutingDecision::MAX_CANDIDATES {
+            if len + DRAWS_PER_TIER > RoutingDecision::MAX_CANDIDATES {
                 break;
             }
         }
-        self.weigh(ask, &mut considered);
-        considered
+        self.add_load_cost(query, &mut candidates);
+        candidates
     }
 
-    /// Adds to each drawn agent's surcharge what waiting there costs.
-    fn weigh(
+    /// Adds the expected cost of waiting at each drawn agent to its surcharge.
+    fn add_load_cost(
         &self,
-        ask: &RoutingQuery<'_>,
-        considered: &mut [Option<Candidate>; RoutingDecision::MAX_CANDIDATES],
+        query: &RoutingQuery<'_>,
+        candidates: &mut [Option<Candidate>; RoutingDecision::MAX_CANDIDATES],
     ) {
-        let peers = PeerLoad::from_agents(considered.iter().flatten().map(|one| &*one.agent));
-        for one in considered.iter_mut().flatten() {
-            one.cost_us = one.cost_us.saturating_add(self.cost_us(&one.agent, &peers, ask));
+        let peers =
+            PeerLoad::from_agents(candidates.iter().flatten().map(|candidate| &*candidate.agent));
+        for candidate in candidates.iter_mut().flatten() {
+            candidate.cost_us =
+                candidate.cost_us.saturating_add(self.cost_us(&candidate.agent, &peers, query));
         }
     }
 }
@@ -128,39 +133,45 @@
 fn draw_tier(
     service: &ServiceView,
     tier: usize,
-    ask: &RoutingQuery<'_>,
+    query: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
-) -> [Option<u32>; PER_TIER] {
+) -> [Option<u32>; DRAWS_PER_TIER] {
     let indexes = service.tier(tier);
     let len = indexes.len();
     if len == 0 {
-        return [None; PER_TIER];
+        return [None; DRAWS_PER_TIER];
     }
-    let find = |start: usize, taken: Option<usize>| {
-        let mut turn = (start..start + len).map(|position| position % len);
-        turn.find(|&position| {
-            Some(position) != taken && usable(service.agent(indexes[position]), ask)
+    let find = |start: usize, excluded: Option<usize>| {
+        let mut positions = (start..start + len).map(|position| position % len);
+        positions.find(|&position| {
+            Some(position) != excluded && usable(service.agent(indexes[position]), query)
         })
     };
-    let first = find(below(len, rng), None);
+    let first = find(random_below(len, rng), None);
     let second = match first {
-        Some(first) if len > 1 => find(first + 1 + below(len - 1, rng), Some(first)),
+        Some(first) if len > 1 => find(first + 1 + random_below(len - 1, rng), Some(first)),
         _ => None,
     };
     [first, second].map(|position| position.map(|position| indexes[position]))
 }
 
-fn usable(agent: &AgentView, ask: &RoutingQuery<'_>) -> bool {
-    !agent.counters().is_ejected() && !ask.tried.contains(agent.name())
+fn usable(agent: &AgentView, query: &RoutingQuery<'_>) -> bool {
+    !agent.counters().is_ejected() && !query.tried.contains(agent.name())
 }
 
-fn probe<'a>(service: &'a ServiceView, ask: &RoutingQuery<'_>) -> Option<&'a Arc<AgentView>> {
-    let mut due = service.ejected().filter(|agent| !ask.tried.contains(agent.name()));
-    due.find(|agent| agent.counters().claim_probe(ask.now, ask.retryable))
+fn claim_due_probe<'a>(
+    service: &'a ServiceView,
+    query: &RoutingQuery<'_>,
+) -> Option<&'a Arc<AgentView>> {
+    let mut ejected = service.ejected().filter(|agent| !query.tried.contains(agent.name()));
+    ejected.find(|agent| agent.counters().claim_probe(query.now, query.retryable))
 }
 
-fn last_resort(service: &ServiceView, ask: &RoutingQuery<'_>) -> Result<RoutingDecision, NoAgent> {
-    let mut ejected = service.ejected().filter(|agent| !ask.tried.contains(agent.name()));
+fn last_resort(
+    service: &ServiceView,
+    query: &RoutingQuery<'_>,
+) -> Result<RoutingDecision, NoAgent> {
+    let mut ejected = service.ejected().filter(|agent| !query.tried.contains(agent.name()));
     if let Some(agent) = ejected.next() {
         return Ok(RoutingDecision::of(agent, RoutingReason::LastResort));
     }
@@ -168,8 +179,8 @@
     Err(if none_ready { NoAgent::NoneReady } else { NoAgent::AllTried })
 }
 
-/// Returns a number below `len` by multiplication, which is cheaper than a division and whose bias
-/// of one in 2^32 does not matter here.
-fn below(len: usize, rng: &mut impl RngCore) -> usize {
+/// Returns a random number below `len` by multiplication, which is cheaper than a division. The
+/// bias of one in 2^32 is irrelevant here.
+fn random_below(len: usize, rng: &mut impl RngCore) -> usize {
     ((u64::from(rng.next_u32()) * len as u64) >> 32) as usize
 }
--- a/crates/geraniumpost-core/src/requests/router_tuning.rs
+++ b/crates/geraniumpost-core/src/requests/router_tuning.rs
@@ -1,36 +1,38 @@
-/// Figures of the [`super::Router`], measured in `docs/design/0101-routing.md`.
+/// Parameters of the [`super::Router`]. The measurements behind the defaults are in
+/// `docs/design/0101-routing.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouterTuning {
     pub(super) domain_cost_us: u64,
     pub(super) region_cost_us: u64,
-    pub(super) fresh_ms: u64,
+    pub(super) report_max_age_ms: u64,
 }
 
 impl RouterTuning {
-    /// Returns the figures for failure domains half a millisecond apart and heartbeats of 500 ms.
+    /// Returns defaults for failure domains half a millisecond apart and a heartbeat interval of
+    /// 500 ms.
     pub const fn new() -> Self {
-        Self { domain_cost_us: 1_000, region_cost_us: 50_000, fresh_ms: 100 }
+        Self { domain_cost_us: 1_000, region_cost_us: 50_000, report_max_age_ms: 100 }
     }
 
-    /// Sets what leaving the own failure domain costs, in microseconds of waiting.
+    /// Sets the cost of leaving the failure domain of the entry, in microseconds of waiting.
     #[must_use]
     pub const fn domain_cost_us(mut self, us: u64) -> Self {
         self.domain_cost_us = us;
         self
     }
 
-    /// Sets what leaving the own region costs, in microseconds of waiting.
+    /// Sets the cost of leaving the region of the entry, in microseconds of waiting.
     #[must_use]
     pub const fn region_cost_us(mut self, us: u64) -> Self {
         self.region_cost_us = us;
         self
     }
 
-    /// Sets the age in milliseconds, at least 1, from which a report of others' requests is no longer
-    /// believed.
+    /// Sets the age in milliseconds, at least 1, from which a report of other entries' requests is
+    /// ignored.
     #[must_use]
-    pub const fn fresh_ms(mut self, ms: u64) -> Self {
-        self.fresh_ms = if ms == 0 { 1 } else { ms };
+    pub const fn report_max_age_ms(mut self, ms: u64) -> Self {
+        self.report_max_age_ms = if ms == 0 { 1 } else { ms };
         self
     }
 
--- a/crates/geraniumpost-core/src/requests/routing_decision.rs
+++ b/crates/geraniumpost-core/src/requests/routing_decision.rs
@@ -3,20 +3,24 @@
 
 use super::{AgentView, Candidate, RoutingReason};
 
-/// A routing decision; its `Display` is the decision's log line.
+/// Decision of the [`super::Router`] for one attempt. `Display` gives the text for the log.
 #[derive(Debug, Clone)]
 pub struct RoutingDecision {
     pub(super) agent: Arc<AgentView>,
-    pub(super) considered: [Option<Candidate>; Self::MAX_CANDIDATES],
-    pub(super) why: RoutingReason,
+    pub(super) candidates: [Option<Candidate>; Self::MAX_CANDIDATES],
+    pub(super) reason: RoutingReason,
 }
 
 impl RoutingDecision {
-    /// Most agents that one decision weighs: two near ones and two farther ones.
+    /// Maximum number of agents that one decision compares: two near ones and two farther ones.
     pub const MAX_CANDIDATES: usize = 4;
 
-    pub(super) fn of(agent: &Arc<AgentView>, why: RoutingReason) -> Self {
-        Self { agent: Arc::clone(agent), considered: [const { None }; Self::MAX_CANDIDATES], why }
+    pub(super) fn of(agent: &Arc<AgentView>, reason: RoutingReason) -> Self {
+        Self {
+            agent: Arc::clone(agent),
+            candidates: [const { None }; Self::MAX_CANDIDATES],
+            reason,
+        }
     }
 
     /// The chosen agent.
@@ -24,14 +28,14 @@
         &self.agent
     }
 
-    /// The agents weighed, in the order drawn.
+    /// The compared agents, in the order in which they were drawn.
     pub fn candidates(&self) -> impl Iterator<Item = &Candidate> {
-        self.considered.iter().flatten()
+        self.candidates.iter().flatten()
     }
 
-    /// Why the agent was chosen.
+    /// Reason why the agent was chosen.
     pub const fn reason(&self) -> RoutingReason {
-        self.why
+        self.reason
     }
 }
 
@@ -39,10 +43,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let agent = &self.agent;
         write!(f, "agent={} incarnation={:x}", agent.name(), agent.incarnation())?;
-        write!(f, " domain={} why={} considered=[", agent.location().domain(), self.why)?;
-        for (index, considered) in self.candidates().enumerate() {
-            let gap = if index == 0 { "" } else { " " };
-            write!(f, "{gap}{considered}")?;
+        write!(f, " domain={} why={} considered=[", agent.location().domain(), self.reason)?;
+        for (index, candidate) in self.candidates().enumerate() {
+            let separator = if index == 0 { "" } else { " " };
+            write!(f, "{separator}{candidate}")?;
         }
         write!(f, "]")
     }
--- a/crates/geraniumpost-core/src/requests/routing_query.rs
+++ b/crates/geraniumpost-core/src/requests/routing_query.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// What a routing decision must know of a request.
+/// Properties of a request that a routing decision depends on.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoutingQuery<'a> {
     pub(super) now: Millis,
@@ -11,19 +11,20 @@
 }
 
 impl<'a> RoutingQuery<'a> {
-    /// Returns the question at instant `now` for a request that was sent nowhere yet.
+    /// Returns the query at time `now` for a request without earlier attempts.
     pub const fn new(now: Millis) -> Self {
         Self { now, tried: &[], retryable: false }
     }
 
-    /// Sets the agents that earlier attempts of the request went to; none of them is chosen.
+    /// Sets the agents of earlier attempts, none of which is chosen again.
     #[must_use]
     pub const fn tried(mut self, tried: &'a [Name]) -> Self {
         self.tried = tried;
         self
     }
 
-    /// Sets whether the request may be sent again if it fails, so that it may serve as a probe.
+    /// Sets whether the request can be sent to another agent if it fails, and so may serve as a
+    /// probe.
     #[must_use]
     pub const fn retryable(mut self, retryable: bool) -> Self {
         self.retryable = retryable;
--- a/crates/geraniumpost-core/src/requests/sequence_floors.rs
+++ b/crates/geraniumpost-core/src/requests/sequence_floors.rs
@@ -2,14 +2,15 @@
 
 use geraniumpost_schema::RequestId;
 
-/// Entry incarnations that are told apart before all are treated as possibly forgotten.
-const MOST_ENTRIES: usize = 65_536;
+/// Number of entry incarnations tracked. Above it, an attempt of any untracked one counts as
+/// possibly dropped.
+const MAX_ENTRIES: usize = 65_536;
 
-/// Highest forgotten sequence of each entry.
+/// Highest sequence number dropped from the ledger for each entry.
 ///
-/// An entry counts its attempts upwards, so "at most this number" covers all that was forgotten in
-/// a few bytes. Without it an agent that forgot an attempt would take it for one that never came,
-/// say "never started", and the entry would send a badge print a second time.
+/// An entry numbers its attempts in ascending order, so one number per entry covers all dropped
+/// attempts in a few bytes. Without it, an agent would mistake a dropped attempt for one that never
+/// arrived and answer "never started", and the entry would print a badge a second time.
 #[derive(Debug, Default)]
 pub(super) struct SequenceFloors {
     floors: HashMap<u64, u64>,
@@ -17,10 +18,10 @@
 }
 
 impl SequenceFloors {
-    /// Notes that `id` is no longer on record.
-    pub(super) fn forget(&mut self, id: RequestId) {
-        let known = self.floors.contains_key(&id.entry);
-        if !known && self.floors.len() >= MOST_ENTRIES {
+    /// Records that `id` was dropped from the ledger.
+    pub(super) fn record_dropped(&mut self, id: RequestId) {
+        let is_tracked = self.floors.contains_key(&id.entry);
+        if !is_tracked && self.floors.len() >= MAX_ENTRIES {
             self.overflowed = true;
             return;
         }
@@ -28,8 +29,8 @@
         *floor = (*floor).max(id.sequence);
     }
 
-    /// Whether `id` may have been on record once.
-    pub(super) fn may_have_known(&self, id: RequestId) -> bool {
+    /// Whether `id` may have been recorded and dropped.
+    pub(super) fn may_be_dropped(&self, id: RequestId) -> bool {
         match self.floors.get(&id.entry) {
             Some(&floor) => id.sequence <= floor,
             None => self.overflowed,
--- a/crates/geraniumpost-core/src/requests/service_times.rs
+++ b/crates/geraniumpost-core/src/requests/service_times.rs
@@ -1,45 +1,46 @@
 use geraniumpost_schema::Load;
 
-use super::smoothed::Smoothed;
+use super::smoothed_time::SmoothedTime;
 use crate::Micros;
 
-/// A new sample moves the share of failures by this fraction of the difference.
-const SMOOTHING: u64 = 16;
-/// Service times kept for the percentile.
-const KEPT: usize = 256;
+/// Each sample moves the share of failures by the difference divided by this number.
+const SMOOTHING_DIVISOR: u64 = 16;
+/// Number of recent service times from which the percentile is computed.
+const MAX_RECENT: usize = 256;
 
 /// Smoothed service time, recent 99th percentile and share of failures of a minion.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
-    smoothed: Smoothed,
-    failures_millionth: u64,
+    smoothed: SmoothedTime,
+    failures_millionths: u64,
     recent: Vec<u64>,
-    next: usize,
+    next_index: usize,
 }
 
 impl ServiceTimes {
-    /// Takes in one run. A failed one does not count as service time: a minion that fails at once
-    /// would otherwise report that it is fast.
-    pub(super) fn record(&mut self, took: Micros, success: bool) {
+    /// Records one run. Failed runs do not count towards the service time, because a minion that
+    /// fails immediately would otherwise appear fast.
+    pub(super) fn record(&mut self, duration: Micros, success: bool) {
         let failure = if success { 0 } else { 1_000_000 };
-        self.failures_millionth = (self.failures_millionth * (SMOOTHING - 1) + failure) / SMOOTHING;
+        self.failures_millionths =
+            (self.failures_millionths * (SMOOTHING_DIVISOR - 1) + failure) / SMOOTHING_DIVISOR;
         if success {
-            self.smoothed.record(took.0);
-            self.keep(took.0);
+            self.smoothed.record(duration.0);
+            self.record_recent(duration.0);
         }
     }
 
-    fn keep(&mut self, took_us: u64) {
-        if self.recent.len() < KEPT {
-            self.recent.push(took_us);
+    fn record_recent(&mut self, duration_us: u64) {
+        if self.recent.len() < MAX_RECENT {
+            self.recent.push(duration_us);
             return;
         }
-        self.recent[self.next] = took_us;
-        self.next = (self.next + 1) % KEPT;
+        self.recent[self.next_index] = duration_us;
+        self.next_index = (self.next_index + 1) % MAX_RECENT;
     }
 
-    /// Smoothed service time, empty before the first success.
-    pub(super) const fn smoothed(&self) -> Smoothed {
+    /// Smoothed service time, empty before the first successful run.
+    pub(super) const fn smoothed(&self) -> SmoothedTime {
         self.smoothed
     }
 
@@ -50,7 +51,7 @@
             queued: queued as u32,
             service_us: self.smoothed.mean_us(),
             p99_us: self.p99_us(),
-            failures_permille: (self.failures_millionth / 1000) as u32,
+            failures_permille: (self.failures_millionths / 1000) as u32,
         }
     }
 
--- a/crates/geraniumpost-core/src/requests/service_view.rs
+++ b/crates/geraniumpost-core/src/requests/service_view.rs
@@ -2,7 +2,7 @@
 
 use super::{AgentView, Location};
 
-/// The agents of one service, sorted by how near they are to this entry.
+/// The agents of one service, grouped by their distance from this entry.
 #[derive(Debug, Default)]
 pub struct ServiceView {
     agents: Vec<Arc<AgentView>>,
@@ -11,13 +11,13 @@
 }
 
 impl ServiceView {
-    /// Own failure domain, own region, anywhere.
+    /// Number of distance tiers: own failure domain, own region, and any region.
     pub const TIERS: usize = 3;
 
-    /// Sorts `agents` by distance from `here`.
+    /// Groups `agents` by distance from `here`.
     ///
-    /// Agents that may not be routed to are left out of the tiers, so that a decision draws from
-    /// usable agents only and takes as long among 570 agents as among 11.
+    /// Agents that cannot be routed to are omitted from the tiers, so that a decision draws only
+    /// from usable agents and takes as long among 570 agents as among 11.
     pub fn new(agents: Vec<Arc<AgentView>>, here: &Location) -> Self {
         let mut view = Self::default();
         for (index, agent) in agents.iter().enumerate() {
@@ -32,7 +32,7 @@
         view
     }
 
-    /// All agents of the service, also those that may not be routed to.
+    /// All agents of the service, including those that cannot be routed to.
     pub fn agents(&self) -> &[Arc<AgentView>] {
         &self.agents
     }
@@ -49,15 +49,15 @@
         &self.agents[index as usize]
     }
 
-    /// Agents that ordinary requests may go to when the view was made.
+    /// Number of agents that could get ordinary requests when the view was created.
     pub fn routable_count(&self) -> usize {
         self.tiers.iter().map(Vec::len).sum()
     }
 }
 
-fn tier(place: &Location, here: &Location) -> usize {
-    if place.region() != here.region() {
+fn tier(location: &Location, here: &Location) -> usize {
+    if location.region() != here.region() {
         return 2;
     }
-    usize::from(place.domain() != here.domain())
+    usize::from(location.domain() != here.domain())
 }
--- a/crates/geraniumpost-core/src/requests/snapshot.rs
+++ b/crates/geraniumpost-core/src/requests/snapshot.rs
@@ -5,7 +5,7 @@
 
 use super::{AgentView, Location, ServiceView};
 
-/// All live agents by service, immutable, replaced as a whole when the set changes.
+/// Immutable view of all live agents by service, replaced as a whole when the set changes.
 ///
 /// # Example
 ///
@@ -23,7 +23,7 @@
 }
 
 impl Snapshot {
-    /// Sorts `agents` by service and by distance from `here`.
+    /// Groups `agents` by service and by distance from `here`.
     pub fn new(agents: impl IntoIterator<Item = AgentView>, here: &Location) -> Self {
         let mut groups: HashMap<Name, Vec<Arc<AgentView>>> = HashMap::new();
         let mut by_name = HashMap::new();
@@ -35,12 +35,12 @@
         Self { services: services.collect(), agents: by_name }
     }
 
-    /// Returns the agents of `service`, if any was ever heard of.
+    /// Returns the agents of `service`, if there are any.
     pub fn service(&self, service: &str) -> Option<&ServiceView> {
         self.services.get(service)
     }
 
-    /// Returns the agent called `name`, if it lives.
+    /// Returns the agent named `name`, if it is live.
     pub fn agent(&self, name: &str) -> Option<&Arc<AgentView>> {
         self.agents.get(name)
     }
--- a/crates/geraniumpost-core/tests/requests_membership.rs
+++ b/crates/geraniumpost-core/tests/requests_membership.rs
@@ -173,7 +173,7 @@
     membership.record_heartbeat(&beat("a", 7, 90), Millis(0));
     assert_eq!(
         membership.record_heartbeat(&beat("a", 8, 1), Millis(100)),
-        MembershipChange::Restarted { was: 7 }
+        MembershipChange::Restarted { previous: 7 }
     );
     assert_eq!(
         membership.record_heartbeat(&beat("a", 7, 91), Millis(101)),
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -99,7 +99,7 @@
     fn ejects_like_a_full_history(results in prop::collection::vec((0..4usize, any::<bool>()), 1..300)) {
         let snapshot = fleet(4);
         let service = snapshot.service("filing").unwrap();
-        let limits = EjectionLimits::new().most_permille(1_000).backoff_ms(1_000_000, 1_000_000);
+        let limits = EjectionLimits::new().max_ejected_permille(1_000).backoff_ms(1_000_000, 1_000_000);
         let mut ejector = Ejector::new(limits);
         let mut histories: HashMap<usize, Vec<bool>> = HashMap::new();
         for (index, success) in results {
