--- a/crates/geraniumpost-core/src/requests/agent_view.rs
+++ b/crates/geraniumpost-core/src/requests/agent_view.rs
@@ -10,7 +10,8 @@
 ///
 /// ```
 /// use geraniumpost_core::requests::{AgentView, Location};
-/// let view = AgentView::new("a1", 7).service("filing").at_location(Location::new("lima", "surco")).slots(8);
+/// let location = Location::new("lima", "surco");
+/// let view = AgentView::new("a1", 7).service("filing").at_location(location).slots(8);
 /// assert!(view.is_routable());
 /// assert!(!view.connected(false).is_routable());
 /// ```
--- a/crates/geraniumpost-core/tests/requests_basics.rs
+++ b/crates/geraniumpost-core/tests/requests_basics.rs
@@ -1,4 +1,4 @@
-//! Plain uses of each decision on requests, one after the other.
+//! Basic uses of each decision on requests.
 
 mod requests_support;
 
@@ -13,14 +13,14 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn beat(agent: &str, incarnation: u64, sequence: u64, state: AgentState) -> Heartbeat {
-    Heartbeat { state, ..requests_support::beat(agent, incarnation, sequence) }
+fn heartbeat(agent: &str, incarnation: u64, sequence: u64, state: AgentState) -> Heartbeat {
+    Heartbeat { state, ..requests_support::heartbeat(agent, incarnation, sequence) }
 }
 
 fn agents(count: u64) -> Vec<AgentView> {
-    let place = || Location::new("lima", "surco");
+    let location = || Location::new("lima", "surco");
     (0..count)
-        .map(|n| AgentView::new(format!("a{n}"), n).service("filing").at_location(place()))
+        .map(|n| AgentView::new(format!("a{n}"), n).service("filing").at_location(location()))
         .collect()
 }
 
@@ -35,32 +35,32 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut tried: Vec<Name> = Vec::new();
     for _ in 0..3 {
-        let ask = RoutingQuery::new(Millis(0)).tried(&tried);
-        let choice = Router::default().choose(service, &ask, &mut rng).unwrap();
+        let query = RoutingQuery::new(Millis(0)).tried(&tried);
+        let choice = Router::default().choose(service, &query, &mut rng).unwrap();
         assert!(!tried.contains(choice.agent().name()));
         tried.push(choice.agent().name().clone());
     }
-    let ask = RoutingQuery::new(Millis(0)).tried(&tried);
-    assert_matches!(Router::default().choose(service, &ask, &mut rng), Err(NoAgent::AllTried));
+    let query = RoutingQuery::new(Millis(0)).tried(&tried);
+    assert_matches!(Router::default().choose(service, &query, &mut rng), Err(NoAgent::AllTried));
 }
 
 #[test]
-fn the_log_line_names_who_was_weighed_and_why() {
+fn the_log_line_lists_the_candidates_and_the_reason() {
     let snapshot = Snapshot::new(agents(2), &Location::new("lima", "surco"));
     let service = snapshot.service("filing").unwrap();
-    let ask = RoutingQuery::new(Millis(0));
+    let query = RoutingQuery::new(Millis(0));
     let mut rng = SmallRng::seed_from_u64(3);
-    let line = Router::default().choose(service, &ask, &mut rng).unwrap().to_string();
+    let line = Router::default().choose(service, &query, &mut rng).unwrap().to_string();
     assert!(line.starts_with("agent=a"), "{line}");
     assert!(line.contains("why=cheapest considered=[a"), "{line}");
 }
 
 #[test]
-fn an_agent_joins_leaves_and_dies() {
+fn an_agent_joins_drains_and_fails() {
     let here = Location::new("lima", "surco");
     let mut membership = Membership::new(here, MembershipLimits::new(500));
     assert_eq!(
-        membership.record_heartbeat(&beat("a", 7, 1, AgentState::Ready), Millis(0)),
+        membership.record_heartbeat(&heartbeat("a", 7, 1, AgentState::Ready), Millis(0)),
         MembershipChange::Joined
     );
     assert!(membership.set_connected("a", 7, true));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_ejected_agent_gets_one_probe_and_comes_back() {
+fn an_ejected_agent_gets_one_probe_and_is_restored() {
     let snapshot = Snapshot::new(agents(3), &Location::new("lima", "surco"));
     let service = snapshot.service("filing").unwrap();
     let agent = snapshot.agent("a0").unwrap();
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn a_full_queue_refuses_with_the_time_to_come_back() {
+fn a_full_queue_refuses_with_a_retry_delay() {
     let mut queue = FairQueue::new(QueueLimits::new().slots(1).queue(1));
-    let ask = |n| QueuedRequest::new(id(n), "a", Millis(9_000), ());
-    queue.offer(ask(1), Millis(0));
+    let request = |n| QueuedRequest::new(id(n), "a", Millis(9_000), ());
+    queue.offer(request(1), Millis(0));
     queue.finish(id(1), Micros(20_000), true, Millis(20));
-    queue.offer(ask(2), Millis(20));
-    queue.offer(ask(3), Millis(20));
-    let refused = queue.offer(ask(4), Millis(20));
+    queue.offer(request(2), Millis(20));
+    queue.offer(request(3), Millis(20));
+    let refused = queue.offer(request(4), Millis(20));
     assert_matches!(
         &refused[..],
         [QueueAction::Refuse { refusal: Refusal::Overloaded, retry_after_ms: 40, .. }]
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_question_bars_what_has_not_started() {
+fn a_query_bars_an_attempt_that_has_not_started() {
     let mut ledger = AttemptLedger::<u32>::new(7, LedgerLimits::default());
     let none = Name::default();
     let barred = AskReply::NeverStarted { joined: Vec::new() };
--- a/crates/geraniumpost-core/tests/requests_fair_share.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_share.rs
@@ -1,16 +1,25 @@
-//! What customers of one minion see of each other, in a discrete-event model with fixed seeds.
+//! Effects of the customers of one minion on each other, in a discrete-event model with fixed
+//! seeds.
 
 mod requests_support;
 
 use requests_support::cases;
-use requests_support::minion_model::{CAPACITY, Discipline, MEAN_US, SLOTS, Seen, Source, run};
+use requests_support::minion_model::{
+    CAPACITY, CustomerStats, Discipline, MEAN_US, SLOTS, Source, run,
+};
 
 const QUEUE: usize = 32;
-/// Most that a customer's 99th percentile may grow beside a burst.
-const MOST_GROWTH: f64 = 1.5;
-
-/// How a quiet customer's 99th percentile grows when another one sends ten times its share.
-fn growth(discipline: Discipline, load: f64, burst_mean_us: u64, seed: u64) -> (f64, Seen) {
+/// Maximum growth of the 99th percentile of a customer beside a burst of another one.
+const MAX_GROWTH: f64 = 1.5;
+
+/// Growth of the 99th percentile of a customer below its share when another customer sends ten
+/// times its share.
+fn growth(
+    discipline: Discipline,
+    load: f64,
+    burst_mean_us: u64,
+    seed: u64,
+) -> (f64, CustomerStats) {
     let share = CAPACITY / 2.0;
     let quiet = Source::new("quiet", share * load);
     let slower = MEAN_US as f64 / burst_mean_us as f64;
@@ -23,16 +32,16 @@
 
 fn check_burst(load: f64, burst_mean_us: u64) {
     for seed in 1..=2 {
-        let (growth, seen) = growth(Discipline::Fair, load, burst_mean_us, seed);
-        let refused = seen.refused as f64 / seen.latencies_us.len() as f64;
+        let (growth, stats) = growth(Discipline::Fair, load, burst_mean_us, seed);
+        let refused = stats.refused as f64 / stats.latencies_us.len() as f64;
         println!("load={load} burst_mean_us={burst_mean_us} seed={seed} growth={growth:.2}");
-        assert!(growth <= MOST_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
+        assert!(growth <= MAX_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
         assert!(refused < 0.01, "seed {seed}: {refused:.4} refused under the share");
     }
 }
 
-// One customer's batch of checks arrives at ten times its share. Served in order of arrival, every
-// other customer waits behind a full queue and is refused more often than served.
+// One customer sends a batch of checks at ten times its share. In order of arrival, every other
+// customer would wait behind a full queue and be refused more often than served.
 cases! { check_burst;
     burst_beside_a_tenth_of_the_share: 0.1, MEAN_US;
     burst_beside_half_of_the_share: 0.5, MEAN_US;
@@ -42,53 +51,53 @@
     burst_of_studies_forty_times_as_long: 0.75, 40 * MEAN_US;
 }
 
-fn check_even(load: f64) {
+fn check_fixed_time(load: f64) {
     let share = CAPACITY / 2.0;
-    let quiet = Source { even: true, ..Source::new("quiet", share * load) };
-    let burst = Source { even: true, ..Source::new("burst", share * 10.0) };
+    let quiet = Source { fixed_time: true, ..Source::new("quiet", share * load) };
+    let burst = Source { fixed_time: true, ..Source::new("burst", share * 10.0) };
     for seed in 1..=2 {
         let alone = run(&[quiet], Discipline::Fair, QUEUE, 40, seed);
         let beside = run(&[quiet, burst], Discipline::Fair, QUEUE, 40, seed);
         let growth = beside[0].latency(0.99) as f64 / alone[0].latency(0.99) as f64;
         let used = (beside[0].slot_us + beside[1].slot_us) as f64 / (40.0 * 1e6 * SLOTS as f64);
-        println!("even load={load} seed={seed} growth={growth:.2} slots used={used:.3}");
-        assert!(growth <= MOST_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
+        println!("fixed-time load={load} seed={seed} growth={growth:.2} slots used={used:.3}");
+        assert!(growth <= MAX_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
         assert!(used >= 0.87, "seed {seed}: {used:.3} of the slots used");
     }
 }
 
-// All requests take equally long, so those of a burst that started together end together. Without a
-// slot to spare, a quiet customer's request that comes just after waits for a whole run of them.
-cases! { check_even;
-    even_burst_beside_a_tenth_of_the_share: 0.1;
-    even_burst_beside_half_of_the_share: 0.5;
-    even_burst_beside_eight_tenths_of_the_share: 0.8;
+// If all requests take equally long, those of a burst that started together end together. Without a
+// reserved slot, the request of a customer below its share that arrives just after would wait for a
+// full run.
+cases! { check_fixed_time;
+    fixed_time_burst_beside_a_tenth_of_the_share: 0.1;
+    fixed_time_burst_beside_half_of_the_share: 0.5;
+    fixed_time_burst_beside_eight_tenths_of_the_share: 0.8;
 }
 
-/// The first moments of a burst: a customer that wakes with hundreds of requests used to have its
-/// first 32 served before everybody else's, and a caller of another customer waited four service
-/// times more just then.
+/// A customer that starts to send hundreds of requests could have its first 32 served before those
+/// of all others. Requests of another customer then waited four additional service times.
 #[test]
-fn onset_of_a_burst_costs_others_at_most_two_service_times() {
+fn start_of_a_burst_delays_others_by_at_most_two_service_times() {
     let quiet = Source::new("quiet", CAPACITY * 0.1);
-    let burst = Source { from_us: 5_000_000, ..Source::new("burst", CAPACITY * 10.0) };
+    let burst = Source { first_arrival_us: 5_000_000, ..Source::new("burst", CAPACITY * 10.0) };
     for seed in 1..=5 {
-        let seen = run(&[quiet, burst], Discipline::Fair, QUEUE, 6, seed);
-        let waits = &seen[0].waits_us;
+        let stats = run(&[quiet, burst], Discipline::Fair, QUEUE, 6, seed);
+        let waits = &stats[0].waits_us;
         let worst = waits.iter().max().copied().unwrap_or(0);
         assert!(worst <= 2 * MEAN_US, "seed {seed}: waited {worst} us");
     }
 }
 
-/// The same burst before a queue in order of arrival: the check above would fail without fairness.
+/// Control: with a queue in order of arrival, the same burst violates the limits above.
 #[test]
 fn without_fairness_a_burst_harms_others() {
-    let (growth, seen) = growth(Discipline::Fifo, 0.5, MEAN_US, 1);
-    assert!(growth > MOST_GROWTH, "{growth:.2}");
-    assert!(seen.refused > seen.answered_in_time, "{} refused", seen.refused);
+    let (growth, stats) = growth(Discipline::Fifo, 0.5, MEAN_US, 1);
+    assert!(growth > MAX_GROWTH, "{growth:.2}");
+    assert!(stats.refused > stats.answered_in_time, "{} refused", stats.refused);
 }
 
-/// Goodput in requests a second at `load` times the capacity.
+/// Goodput in requests per second at `load` times the capacity.
 fn goodput(discipline: Discipline, load: f64, deadline_ms: u64) -> f64 {
     let source = Source { deadline_ms, ..Source::new("a", CAPACITY * load) };
     run(&[source], discipline, QUEUE, 30, 1)[0].answered_in_time as f64 / 30.0
@@ -107,8 +116,8 @@
     assert!(kept >= 0.9, "{kept:.3} of the peak at three times the capacity");
 }
 
-// Three times as many requests come as the minion can answer. A queue that starts what is already
-// too late spends its slots on answers nobody waits for, and fewer and fewer callers get one.
+// The minion gets three times as many requests as it can answer. A queue that starts requests which
+// are already too late spends its slots on answers nobody awaits, and the goodput collapses.
 cases! { check_overload;
     overload_with_a_deadline_of_three_service_times: 30;
     overload_with_a_deadline_of_five_service_times: 50;
@@ -116,45 +125,45 @@
     overload_with_a_long_deadline: 2_000;
 }
 
-/// The same overload without regard to deadlines.
+/// Control: the same overload with a queue that ignores deadlines.
 #[test]
 fn without_deadlines_overload_wastes_slots() {
     let kept = overload(Discipline::Fifo, 50);
     assert!(kept < 0.9, "{kept:.3}");
 }
 
-/// Requests are refused under overload. A caller who is told only when the deadline has passed
-/// cannot go elsewhere any more, and one who waits holds a connection for nothing.
+/// A caller that learns of a refusal only at its deadline is too late to try elsewhere, and has
+/// held a connection meanwhile.
 #[test]
 fn a_refusal_comes_long_before_the_deadline() {
     let source = Source { deadline_ms: 500, ..Source::new("a", CAPACITY * 3.0) };
-    let seen = &run(&[source], Discipline::Fair, QUEUE, 20, 1)[0];
-    assert!(seen.refused > 1_000);
-    let last = seen.refused_after_us.iter().max().unwrap();
+    let stats = &run(&[source], Discipline::Fair, QUEUE, 20, 1)[0];
+    assert!(stats.refused > 1_000);
+    let last = stats.refused_after_us.iter().max().unwrap();
     assert!(*last < 100_000, "{last} us");
 }
 
-/// A customer was idle while another one used the whole minion. When it wakes it must get its share
-/// at once, but nothing for the time it did not use, or it would shut the other one out in turn.
+/// A customer that was idle while another used the whole minion must immediately get its share, but
+/// no credit for the idle time, or it would lock out the other one.
 #[test]
-fn a_customer_that_wakes_gets_its_share_and_no_more() {
+fn a_customer_that_becomes_active_gets_its_share_and_no_credit() {
     let rate = CAPACITY * 2.0;
     let early = Source::new("early", rate);
-    let late = Source { from_us: 10_000_000, ..Source::new("late", rate) };
-    let seen = run(&[early, late], Discipline::Fair, QUEUE, 11, 1);
+    let late = Source { first_arrival_us: 10_000_000, ..Source::new("late", rate) };
+    let stats = run(&[early, late], Discipline::Fair, QUEUE, 11, 1);
     let expected = CAPACITY * 2.0 / 2.0;
-    let late = seen[1].answered_in_time as f64;
+    let late = stats[1].answered_in_time as f64;
     assert!((0.9..1.1).contains(&(late / expected)), "{late} of {expected}");
 }
 
-/// Weights are the operator's promise to customers; slots must follow them.
+/// The use of slots must follow the weights configured for the customers.
 #[test]
 fn slots_follow_the_weights() {
     let source = |name, weight| Source { weight, ..Source::new(name, CAPACITY * 2.0) };
     let sources = [source("one", 1), source("three", 3)];
-    let seen = run(&sources, Discipline::Fair, QUEUE, 20, 1);
-    let ratio = seen[1].slot_us as f64 / seen[0].slot_us as f64;
+    let stats = run(&sources, Discipline::Fair, QUEUE, 20, 1);
+    let ratio = stats[1].slot_us as f64 / stats[0].slot_us as f64;
     assert!((2.8..3.2).contains(&ratio), "{ratio:.2}");
-    let used = (seen[0].slot_us + seen[1].slot_us) as f64 / (20.0 * 1e6 * SLOTS as f64);
-    assert!(used > 0.97, "no slot is spared when all are over their shares: {used:.3}");
+    let used = (stats[0].slot_us + stats[1].slot_us) as f64 / (20.0 * 1e6 * SLOTS as f64);
+    assert!(used > 0.97, "no slot is reserved when all customers exceed their shares: {used:.3}");
 }
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -1,4 +1,4 @@
-//! What ran and what did not, by an agent's record.
+//! Which attempts have run, according to the ledger of an agent.
 
 mod requests_support;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use requests_support::id;
 
-const OWN: u64 = 7;
+const OWN_INCARNATION: u64 = 7;
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
@@ -23,7 +23,7 @@
 }
 
 fn step(ids: u64) -> impl Strategy<Value = Step> {
-    let ask = (0..ids, prop_oneof![9 => Just(OWN), 1 => Just(OWN + 1)]);
+    let ask = (0..ids, prop_oneof![9 => Just(OWN_INCARNATION), 1 => Just(OWN_INCARNATION + 1)]);
     prop_oneof![
         4 => (0..ids, 0..6u64).prop_map(|(id, key)| Step::Admit { id, key }),
         3 => (0..ids).prop_map(|id| Step::Start { id }),
@@ -34,7 +34,7 @@
     ]
 }
 
-/// Key 0 stands for a request without one.
+/// Key 0 means a request without a key.
 fn key_name(key: u64) -> Name {
     if key == 0 { Name::default() } else { Name::from(format!("k{key}")) }
 }
@@ -48,30 +48,30 @@
     Joined(u64),
 }
 
-/// A record without bounds, which looks through all attempts for each answer.
+/// Unbounded reference ledger that searches all attempts for each answer.
 #[derive(Debug, Default)]
-struct Twin {
+struct ReferenceLedger {
     attempts: Vec<(u64, State)>,
     keys: Vec<(u64, u64)>,
 }
 
-impl Twin {
+impl ReferenceLedger {
     fn state(&self, id: u64) -> Option<State> {
-        self.attempts.iter().find(|one| one.0 == id).map(|one| one.1)
+        self.attempts.iter().find(|record| record.0 == id).map(|record| record.1)
     }
 
     fn set(&mut self, id: u64, state: State) {
-        self.attempts.retain(|one| one.0 != id);
+        self.attempts.retain(|record| record.0 != id);
         self.attempts.push((id, state));
     }
 
     fn first(&self, key: u64) -> Option<u64> {
-        self.keys.iter().find(|one| one.0 == key).map(|one| one.1)
+        self.keys.iter().find(|record| record.0 == key).map(|record| record.1)
     }
 
     fn joined(&self, first: u64) -> HashSet<RequestId> {
-        let waits = |one: &&(u64, State)| one.1 == State::Joined(first);
-        self.attempts.iter().filter(waits).map(|one| id(one.0)).collect()
+        let is_waiting = |record: &&(u64, State)| record.1 == State::Joined(first);
+        self.attempts.iter().filter(is_waiting).map(|record| id(record.0)).collect()
     }
 
     fn admit(&mut self, number: u64, key: u64) -> Admission<u64> {
@@ -84,11 +84,11 @@
             return self.join(number, first);
         }
         self.set(number, State::Queued);
-        self.enter(key, number);
+        self.index_key(key, number);
         Admission::Queue
     }
 
-    fn enter(&mut self, key: u64, number: u64) {
+    fn index_key(&mut self, key: u64, number: u64) {
         if key > 0 {
             self.keys.push((key, number));
         }
@@ -138,7 +138,7 @@
             return AskReply::Unknown;
         }
         self.set(number, State::Barred);
-        self.enter(key, number);
+        self.index_key(key, number);
         AskReply::NeverStarted { joined: Vec::new() }
     }
 }
@@ -149,7 +149,7 @@
     ids
 }
 
-fn in_order(reply: AskReply<u64>) -> AskReply<u64> {
+fn with_sorted_ids(reply: AskReply<u64>) -> AskReply<u64> {
     match reply {
         AskReply::NeverStarted { joined } => AskReply::NeverStarted { joined: sorted(joined) },
         other => other,
@@ -158,63 +158,73 @@
 
 proptest! {
     #[test]
-    fn knows_what_an_unbounded_record_knows(steps in prop::collection::vec(step(12), 1..200)) {
-        let mut ledger = AttemptLedger::<u64>::new(OWN, LedgerLimits::default());
-        let mut twin = Twin::default();
+    fn matches_an_unbounded_reference_ledger(steps in prop::collection::vec(step(12), 1..200)) {
+        let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
+        let mut reference = ReferenceLedger::default();
         let now = Millis(0);
         for step in steps {
             match step {
                 Step::Admit { id: n, key } => {
-                    prop_assert_eq!(ledger.admit(id(n), &key_name(key), now), twin.admit(n, key));
+                    prop_assert_eq!(
+                        ledger.admit(id(n), &key_name(key), now),
+                        reference.admit(n, key)
+                    );
                 }
                 Step::Start { id: n } => {
-                    let waits = twin.state(n) == Some(State::Queued);
-                    prop_assert_eq!(ledger.start(id(n)), waits);
-                    if waits {
-                        twin.set(n, State::Running);
+                    let is_waiting = reference.state(n) == Some(State::Queued);
+                    prop_assert_eq!(ledger.start(id(n)), is_waiting);
+                    if is_waiting {
+                        reference.set(n, State::Running);
                     }
                 }
                 Step::NotRun { id: n } => {
                     let joined = ledger.mark_not_run(id(n));
-                    if twin.state(n) == Some(State::Queued) {
-                        twin.set(n, State::Barred);
-                        prop_assert_eq!(sorted(joined), sorted(twin.joined(n)));
+                    if reference.state(n) == Some(State::Queued) {
+                        reference.set(n, State::Barred);
+                        prop_assert_eq!(sorted(joined), sorted(reference.joined(n)));
                     }
                 }
                 Step::Finish { id: n } => {
                     let joined = ledger.finish(id(n), n, 1, now);
-                    if twin.state(n) == Some(State::Running) {
-                        twin.set(n, State::Finished);
-                        prop_assert_eq!(sorted(joined), sorted(twin.joined(n)));
+                    if reference.state(n) == Some(State::Running) {
+                        reference.set(n, State::Finished);
+                        prop_assert_eq!(sorted(joined), sorted(reference.joined(n)));
                     }
                 }
                 Step::Ask { id: n, incarnation } => {
-                    let ours = in_order(ledger.ask(id(n), incarnation, now));
-                    let theirs = if incarnation == OWN { twin.ask(n) } else { AskReply::Unknown };
-                    prop_assert_eq!(ours, theirs);
+                    let actual = with_sorted_ids(ledger.ask(id(n), incarnation, now));
+                    let expected = if incarnation == OWN_INCARNATION {
+                        reference.ask(n)
+                    } else {
+                        AskReply::Unknown
+                    };
+                    prop_assert_eq!(actual, expected);
                 }
                 Step::AskKey { id: n, key } => {
-                    let ours = ledger.ask_key(id(n), &key_name(key), OWN, now);
-                    prop_assert_eq!(in_order(ours), twin.ask_key(n, key));
+                    let actual = ledger.ask_key(id(n), &key_name(key), OWN_INCARNATION, now);
+                    prop_assert_eq!(with_sorted_ids(actual), reference.ask_key(n, key));
                 }
             }
         }
     }
 
     #[test]
-    fn a_small_record_forgets_but_never_lies(steps in prop::collection::vec(step(40), 1..300)) {
+    fn a_small_ledger_drops_records_but_never_answers_falsely(
+        steps in prop::collection::vec(step(40), 1..300),
+    ) {
         let limits = LedgerLimits::new().answers(2, 3, 50).records(4).keys(2, 100);
-        let mut ledger = AttemptLedger::<u64>::new(OWN, limits);
+        let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, limits);
         let (mut ran, mut barred) = (HashSet::new(), HashSet::new());
         let mut key_of: HashMap<u64, u64> = HashMap::new();
-        for (at, step) in steps.into_iter().enumerate() {
-            let now = Millis(at as u64);
+        for (index, step) in steps.into_iter().enumerate() {
+            let now = Millis(index as u64);
             match step {
                 Step::Admit { id: n, key } => match ledger.admit(id(n), &key_name(key), now) {
                     Admission::Queue => {
                         prop_assert!(!ran.contains(&n) && !barred.contains(&n));
-                        let twice = key > 0 && ran.iter().any(|one| key_of.get(one) == Some(&key));
-                        prop_assert!(!twice, "key {key} is to run a second time");
+                        let runs_again =
+                            key > 0 && ran.iter().any(|earlier| key_of.get(earlier) == Some(&key));
+                        prop_assert!(!runs_again, "key {key} is to run a second time");
                         key_of.insert(n, key);
                     }
                     Admission::Replay(first) => prop_assert_eq!(key_of[&first], key),
@@ -237,10 +247,10 @@
                     _ => {}
                 },
                 Step::AskKey { id: n, key } => {
-                    let reply = ledger.ask_key(id(n), &key_name(key), OWN, now);
+                    let reply = ledger.ask_key(id(n), &key_name(key), OWN_INCARNATION, now);
                     if matches!(reply, AskReply::NeverStarted { .. }) {
-                        let lied = ran.iter().any(|one| key_of.get(one) == Some(&key));
-                        prop_assert!(!lied, "key {key} ran");
+                        let has_run = ran.iter().any(|earlier| key_of.get(earlier) == Some(&key));
+                        prop_assert!(!has_run, "key {key} ran");
                     }
                 }
             }
@@ -250,37 +260,41 @@
     }
 }
 
-/// A badge print runs, and so many others follow that the agent forgets it. Then the entry, whose
-/// link was lost, asks. "Never started" would print the badge a second time.
+/// A badge print runs, and so many attempts follow that the ledger drops its record. If the entry,
+/// whose link was lost, then got the answer "never started", the badge would be printed a second
+/// time.
 #[test]
-fn a_forgotten_attempt_is_unknown_and_not_never_started() {
-    let mut ledger = AttemptLedger::<u64>::new(OWN, LedgerLimits::new().records(4));
+fn a_dropped_attempt_is_unknown_and_not_never_started() {
+    let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::new().records(4));
     let none = Name::default();
     for n in 1..=10 {
         assert_eq!(ledger.admit(id(n), &none, Millis(0)), Admission::Queue);
         assert!(ledger.start(id(n)));
         ledger.finish(id(n), n, 1, Millis(0));
     }
-    assert_eq!(ledger.ask(id(1), OWN, Millis(0)), AskReply::Unknown);
+    assert_eq!(ledger.ask(id(1), OWN_INCARNATION, Millis(0)), AskReply::Unknown);
     assert_eq!(ledger.admit(id(1), &none, Millis(0)), Admission::Forgotten);
-    assert_eq!(ledger.ask(id(10), OWN, Millis(0)), AskReply::Finished(10));
+    assert_eq!(ledger.ask(id(10), OWN_INCARNATION, Millis(0)), AskReply::Finished(10));
     assert_eq!(ledger.sizes()[0], 4);
 }
 
-/// The agent was killed while it printed and has come back. It knows nothing, and nothing it says
-/// about the time before may pass for knowledge.
+/// An agent that was killed during a print and restarted knows nothing about attempts before the
+/// restart, and must not answer as if it did.
 #[test]
-fn a_restarted_agent_knows_nothing_of_before() {
-    let mut ledger = AttemptLedger::<u64>::new(OWN, LedgerLimits::default());
-    assert_eq!(ledger.ask(id(1), OWN - 1, Millis(0)), AskReply::Unknown);
-    assert_eq!(ledger.ask_key(id(2), &key_name(1), OWN - 1, Millis(0)), AskReply::Unknown);
+fn a_restarted_agent_answers_unknown_for_its_predecessor() {
+    let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
+    assert_eq!(ledger.ask(id(1), OWN_INCARNATION - 1, Millis(0)), AskReply::Unknown);
+    assert_eq!(
+        ledger.ask_key(id(2), &key_name(1), OWN_INCARNATION - 1, Millis(0)),
+        AskReply::Unknown
+    );
 }
 
-/// A request is refused for want of room, and its entry moves the key's claim to another agent. A
-/// repeat, sent here under the old claim, arrives late. If it ran, both agents would print.
+/// A request is refused for lack of capacity, and its entry moves the claim on the key to another
+/// agent. If a late repeat sent here under the old claim ran, both agents would print.
 #[test]
-fn a_refused_key_never_runs_here() {
-    let mut ledger = AttemptLedger::<u64>::new(OWN, LedgerLimits::default());
+fn a_refused_key_never_runs_on_this_agent() {
+    let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
     let key = key_name(1);
     assert_eq!(ledger.admit(id(1), &key, Millis(0)), Admission::Queue);
     assert_eq!(ledger.admit(id(2), &key, Millis(0)), Admission::Join(id(1)));
@@ -289,19 +303,19 @@
     assert!(!ledger.start(id(3)));
 }
 
-/// A repeat asks by key before the first request has arrived; its entry then moves the claim. The
-/// first request comes after all and must not run.
+/// A repeat queries the key before the first request has arrived, and its entry then moves the
+/// claim. The first request must not run when it arrives.
 #[test]
-fn a_key_that_was_asked_for_never_runs_here() {
-    let mut ledger = AttemptLedger::<u64>::new(OWN, LedgerLimits::default());
-    let reply = ledger.ask_key(id(2), &key_name(1), OWN, Millis(0));
+fn a_queried_key_never_runs_on_this_agent() {
+    let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
+    let reply = ledger.ask_key(id(2), &key_name(1), OWN_INCARNATION, Millis(0));
     assert_eq!(reply, AskReply::NeverStarted { joined: Vec::new() });
     assert_eq!(ledger.admit(id(1), &key_name(1), Millis(0)), Admission::Barred);
 }
 
-/// Runs one request under each key, so that a ledger of small bounds lets the oldest go.
+/// Runs one request under each key, so that a ledger with low limits drops the oldest.
 fn ledger_with_keys(limits: LedgerLimits, keys: u64) -> AttemptLedger<u64> {
-    let mut ledger = AttemptLedger::new(OWN, limits);
+    let mut ledger = AttemptLedger::new(OWN_INCARNATION, limits);
     for n in 1..=keys {
         assert_eq!(ledger.admit(id(n), &key_name(n), Millis(0)), Admission::Queue);
         assert!(ledger.start(id(n)));
@@ -311,39 +325,42 @@
 }
 
 /// A kiosk repeats a badge print hours later, and its entry sends it to the agent that ran it. The
-/// agent has many newer keys, and must still know that this one came.
+/// agent must still know that the key was used, although it has many newer keys.
 #[test]
-fn a_key_of_long_ago_does_not_run_again() {
+fn an_expired_key_does_not_run_again() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 10), 6);
     assert_eq!(ledger.admit(id(9), &key_name(1), Millis(0)), Admission::Forgotten);
     assert!(!ledger.start(id(9)));
-    assert_eq!(ledger.ask(id(9), OWN, Millis(0)), AskReply::Unknown);
-    assert_eq!(ledger.ask_key(id(10), &key_name(2), OWN, Millis(0)), AskReply::Unknown);
+    assert_eq!(ledger.ask(id(9), OWN_INCARNATION, Millis(0)), AskReply::Unknown);
+    assert_eq!(ledger.ask_key(id(10), &key_name(2), OWN_INCARNATION, Millis(0)), AskReply::Unknown);
     assert_eq!(ledger.admit(id(11), &key_name(7), Millis(0)), Admission::Queue);
 }
 
-/// The agent has forgotten keys altogether, and a repeat asks for one it does not know. It may be
-/// one of those forgotten, which ran.
+/// The ledger has dropped keys entirely. A queried key that it does not know may be one of them,
+/// whose request has run.
 #[test]
-fn an_unknown_key_may_be_a_forgotten_one() {
+fn an_unknown_key_may_have_been_dropped() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 0), 3);
-    assert_eq!(ledger.ask_key(id(9), &key_name(1), OWN, Millis(0)), AskReply::Unknown);
-    assert_eq!(ledger.ask_key(id(9), &key_name(3), OWN, Millis(0)), AskReply::Finished(3));
+    assert_eq!(ledger.ask_key(id(9), &key_name(1), OWN_INCARNATION, Millis(0)), AskReply::Unknown);
+    assert_eq!(
+        ledger.ask_key(id(9), &key_name(3), OWN_INCARNATION, Millis(0)),
+        AskReply::Finished(3)
+    );
 }
 
-/// Large answers come fast. Kept without a bound they would cost the agent its memory and its life,
-/// and all its requests would end as "outcome unknown".
+/// Without a limit on kept answers, large answers would exhaust the memory of the agent, and all
+/// its requests would end as "outcome unknown".
 #[test]
-fn answers_are_kept_within_bytes_and_time() {
+fn answers_are_kept_within_limits_on_size_and_age() {
     let limits = LedgerLimits::new().answers(100, 1_000, 500);
-    let mut ledger = AttemptLedger::<u64>::new(OWN, limits);
+    let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, limits);
     for n in 1..=3 {
         let _ = ledger.admit(id(n), &key_name(n), Millis(0));
         assert!(ledger.start(id(n)));
         ledger.finish(id(n), n, 400, Millis(n));
     }
     assert_eq!(ledger.sizes()[2], 800);
-    assert_eq!(ledger.ask(id(1), OWN, Millis(4)), AskReply::AnswerLost);
+    assert_eq!(ledger.ask(id(1), OWN_INCARNATION, Millis(4)), AskReply::AnswerLost);
     assert_eq!(ledger.admit(id(9), &key_name(2), Millis(4)), Admission::Replay(2));
     assert_eq!(ledger.admit(id(10), &key_name(3), Millis(600)), Admission::AnswerLost);
 }
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -1,4 +1,4 @@
-//! What an entry tells a caller, against what really ran.
+//! Results that an entry reports to a caller, compared with what has run.
 
 mod requests_support;
 
@@ -15,54 +15,54 @@
 
 const DEADLINE: Millis = Millis(2_000);
 
-/// What becomes of one attempt, which the entry does not see.
+/// Actual fate of one attempt, which the entry cannot observe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Truth {
-    /// It will never run.
-    Never,
-    /// It ran or runs.
-    Ran,
-    /// Its bytes are on the way: it runs unless a question bars it first.
-    Late,
+enum Fate {
+    /// The attempt will never run.
+    NeverRuns,
+    /// The attempt runs or has run.
+    Runs,
+    /// The bytes of the attempt are in transit: it runs unless a query bars it first.
+    InTransit,
 }
 
-/// How one attempt goes: its truth and dice for the events.
-type Attempt = (Truth, Vec<(u8, u16)>);
+/// One attempt: its actual fate and random numbers that select its events.
+type Attempt = (Fate, Vec<(u8, u16)>);
 
 fn attempt() -> impl Strategy<Value = Attempt> {
-    let truth = prop_oneof![Just(Truth::Never), Just(Truth::Ran), Just(Truth::Late)];
-    (truth, prop::collection::vec((any::<u8>(), 0..300u16), 12))
+    let fate = prop_oneof![Just(Fate::NeverRuns), Just(Fate::Runs), Just(Fate::InTransit)];
+    (fate, prop::collection::vec((any::<u8>(), 0..300u16), 12))
 }
 
 fn outcome(outcome: Outcome) -> AttemptEvent {
     AttemptEvent::Outcome { outcome, retry_after_ms: 7 }
 }
 
-/// Events that an entry may see of an attempt of this truth when it last did `step`.
-fn possible(truth: Truth, step: NextStep) -> Vec<AttemptEvent> {
+/// Events that an entry may observe for an attempt with this fate after the action `step`.
+fn possible_events(fate: Fate, step: NextStep) -> Vec<AttemptEvent> {
     let mut events = vec![AttemptEvent::LinkLost, AttemptEvent::LinkUnresponsive];
     events.extend([outcome(Outcome::Unknown), AttemptEvent::DeadlinePassed { sent: true }]);
     if matches!(step, NextStep::Ask { .. }) {
         let unknown = AttemptEvent::Verdict(AskVerdict::Unknown);
         events.extend([AttemptEvent::AskFailed, AttemptEvent::AgentRestarted, unknown]);
     }
-    match (truth, step) {
-        (Truth::Never, NextStep::Retry) => events.extend([
+    match (fate, step) {
+        (Fate::NeverRuns, NextStep::Retry) => events.extend([
             AttemptEvent::NeverSent,
             AttemptEvent::NoAgent,
             AttemptEvent::DeadlinePassed { sent: false },
         ]),
-        (Truth::Ran, NextStep::Ask { .. }) => {
+        (Fate::Runs, NextStep::Ask { .. }) => {
             let verdicts = [AskVerdict::Running, AskVerdict::Finished];
             events.extend(verdicts.map(AttemptEvent::Verdict));
         }
-        (Truth::Never | Truth::Late, NextStep::Ask { .. }) => {
+        (Fate::NeverRuns | Fate::InTransit, NextStep::Ask { .. }) => {
             events.push(AttemptEvent::Verdict(AskVerdict::NeverStarted));
         }
         _ => {}
     }
-    match truth {
-        Truth::Never => events.extend(
+    match fate {
+        Fate::NeverRuns => events.extend(
             [
                 Outcome::NotRunOverloaded,
                 Outcome::NotRunDeadline,
@@ -73,52 +73,53 @@
             ]
             .map(outcome),
         ),
-        Truth::Ran => events.extend(
+        Fate::Runs => events.extend(
             [Outcome::Answered, Outcome::RunFailed, Outcome::RunTruncated, Outcome::RunTimedOut]
                 .map(outcome),
         ),
-        Truth::Late => {}
+        Fate::InTransit => {}
     }
     events
 }
 
-/// What one request came to.
+/// Outcome of one request.
 #[derive(Debug)]
-struct End {
+struct RequestOutcome {
     last: NextStep,
     may_have_run: u32,
     attempts: u32,
-    paid: u32,
+    budget_calls: u32,
 }
 
-/// Plays the attempts against `decide` until the request has its answer.
-fn play(
+/// Applies the attempts to `decide` until the request has its answer.
+fn simulate(
     attempts: &[Attempt],
-    affordable: u32,
+    budget_limit: u32,
     mut decide: impl FnMut(AttemptEvent, Millis, &mut dyn FnMut() -> bool) -> NextStep,
-) -> End {
-    let mut end = End { last: NextStep::Retry, may_have_run: 0, attempts: 0, paid: 0 };
+) -> RequestOutcome {
+    let mut end =
+        RequestOutcome { last: NextStep::Retry, may_have_run: 0, attempts: 0, budget_calls: 0 };
     let mut now = Millis(0);
-    for (truth, dice) in attempts {
+    for (fate, random_choices) in attempts {
         end.attempts += 1;
-        let mut truth = *truth;
+        let mut fate = *fate;
         let mut step = NextStep::Retry;
-        for &(die, ms) in dice {
+        for &(random, ms) in random_choices {
             now = now.plus(u64::from(ms));
-            let events = possible(truth, step);
-            let event = events[die as usize % events.len()];
+            let events = possible_events(fate, step);
+            let event = events[random as usize % events.len()];
             if event == AttemptEvent::Verdict(AskVerdict::NeverStarted) {
-                truth = Truth::Never;
+                fate = Fate::NeverRuns;
             }
             step = decide(event, now, &mut || {
-                end.paid += 1;
-                end.paid <= affordable
+                end.budget_calls += 1;
+                end.budget_calls <= budget_limit
             });
             if matches!(step, NextStep::Retry | NextStep::Deliver | NextStep::Answer { .. }) {
                 break;
             }
         }
-        end.may_have_run += u32::from(truth != Truth::Never);
+        end.may_have_run += u32::from(fate != Fate::NeverRuns);
         end.last = step;
         if step != NextStep::Retry {
             break;
@@ -131,40 +132,44 @@
     prop_oneof![Just(RequestKind::Idempotent), Just(RequestKind::Once), Just(RequestKind::Keyed)]
 }
 
-/// Whether the end breaks a promise, and which.
-fn broken(kind: RequestKind, end: &End) -> Option<&'static str> {
+/// Returns which guarantee the outcome violates, if any.
+fn violated_guarantee(kind: RequestKind, end: &RequestOutcome) -> Option<&'static str> {
     if kind != RequestKind::Idempotent && end.may_have_run > 1 {
         return Some("ran twice");
     }
     match end.last {
         NextStep::Answer { code, .. } if code.is_not_run() && end.may_have_run > 0 => {
-            Some("said not run of what ran")
+            Some("reported not run after a possible run")
         }
         NextStep::Answer { code, retry_after_ms: 0 } if code.is_not_run() => {
-            Some("did not say when to come back")
+            Some("gave no retry delay")
         }
-        NextStep::Retry => Some("goes on for ever"),
+        NextStep::Retry => Some("gave no final answer"),
         _ => None,
     }
 }
 
 proptest! {
     #[test]
-    fn keeps_its_promises(
+    fn never_runs_twice_or_reports_a_false_not_run(
         kind in kinds(),
-        affordable in 0..5u32,
+        budget_limit in 0..5u32,
         attempts in prop::collection::vec(attempt(), 6),
     ) {
         let mut policy = RetryPolicy::new(kind, DEADLINE, RetryLimits::default());
-        let end = play(&attempts, affordable, |event, now, budget| policy.on_event(event, now, budget));
-        prop_assert_eq!(broken(kind, &end), None, "{:?}", end);
+        let end = simulate(
+            &attempts,
+            budget_limit,
+            |event, now, budget| policy.on_event(event, now, budget),
+        );
+        prop_assert_eq!(violated_guarantee(kind, &end), None, "{:?}", end);
         prop_assert!(end.attempts <= 4);
     }
 }
 
-/// A policy that sends everything again after any trouble: the world above must catch it.
+/// Control: a policy that retries after any failure violates the guarantees under the same events.
 #[test]
-fn a_naive_policy_breaks_promises_in_the_same_world() {
+fn a_naive_policy_violates_the_guarantees() {
     let naive = |event, _, _: &mut dyn FnMut() -> bool| match event {
         AttemptEvent::Outcome { outcome: Outcome::Answered, .. } => NextStep::Deliver,
         AttemptEvent::DeadlinePassed { .. } => {
@@ -172,16 +177,19 @@
         }
         _ => NextStep::Retry,
     };
-    let lost = (Truth::Ran, vec![(0, 1); 12]);
-    let late = (Truth::Ran, vec![(3, 1); 12]);
-    let end = play(&[lost.clone(), lost], 9, naive);
-    assert_eq!(broken(RequestKind::Once, &end), Some("ran twice"));
-    let end = play(&[late], 9, naive);
-    assert_eq!(broken(RequestKind::Once, &end), Some("said not run of what ran"));
+    let lost = (Fate::Runs, vec![(0, 1); 12]);
+    let late = (Fate::Runs, vec![(3, 1); 12]);
+    let end = simulate(&[lost.clone(), lost], 9, naive);
+    assert_eq!(violated_guarantee(RequestKind::Once, &end), Some("ran twice"));
+    let end = simulate(&[late], 9, naive);
+    assert_eq!(
+        violated_guarantee(RequestKind::Once, &end),
+        Some("reported not run after a possible run")
+    );
 }
 
-/// Plays events in order with a full budget and returns the last step.
-fn steps(kind: RequestKind, events: &[AttemptEvent]) -> NextStep {
+/// Applies events in order with an unlimited budget and returns the last action.
+fn last_step(kind: RequestKind, events: &[AttemptEvent]) -> NextStep {
     let mut policy = RetryPolicy::new(kind, DEADLINE, RetryLimits::default());
     let mut step = NextStep::Wait;
     for &event in events {
@@ -195,71 +203,75 @@
 }
 
 fn check_steps(kind: RequestKind, events: &[AttemptEvent], expected: NextStep) {
-    assert_eq!(steps(kind, events), expected);
+    assert_eq!(last_step(kind, events), expected);
 }
 
-const NEVER: AttemptEvent = AttemptEvent::Verdict(AskVerdict::NeverStarted);
+const NEVER_STARTED: AttemptEvent = AttemptEvent::Verdict(AskVerdict::NeverStarted);
 const RUNNING: AttemptEvent = AttemptEvent::Verdict(AskVerdict::Running);
-const LOST: AttemptEvent = AttemptEvent::LinkLost;
-const FULL: AttemptEvent =
+const LINK_LOST: AttemptEvent = AttemptEvent::LinkLost;
+const OVERLOADED: AttemptEvent =
     AttemptEvent::Outcome { outcome: Outcome::NotRunOverloaded, retry_after_ms: 30 };
 const FAILED: AttemptEvent =
     AttemptEvent::Outcome { outcome: Outcome::RunFailed, retry_after_ms: 0 };
 
 cases! { check_steps;
     a_badge_print_is_not_repeated_after_a_lost_link:
-        RequestKind::Once, &[LOST], NextStep::Ask { after_ms: 0 };
-    a_barred_badge_print_goes_elsewhere: RequestKind::Once, &[LOST, NEVER], NextStep::Retry;
-    a_running_badge_print_is_waited_for: RequestKind::Once, &[LOST, RUNNING], NextStep::Wait;
+        RequestKind::Once, &[LINK_LOST], NextStep::Ask { after_ms: 0 };
+    a_barred_badge_print_is_retried_on_another_agent:
+        RequestKind::Once, &[LINK_LOST, NEVER_STARTED], NextStep::Retry;
+    a_running_badge_print_is_awaited: RequestKind::Once, &[LINK_LOST, RUNNING], NextStep::Wait;
     a_restarted_agent_leaves_the_outcome_unknown:
-        RequestKind::Once, &[LOST, AttemptEvent::AgentRestarted],
+        RequestKind::Once, &[LINK_LOST, AttemptEvent::AgentRestarted],
         answer(ResultCode::OutcomeUnknown, 0);
-    an_agent_that_cannot_be_asked_leaves_the_outcome_unknown:
+    an_agent_that_cannot_be_queried_leaves_the_outcome_unknown:
         RequestKind::Once,
-        &[LOST, AttemptEvent::AskFailed, AttemptEvent::AskFailed, AttemptEvent::AskFailed],
+        &[LINK_LOST, AttemptEvent::AskFailed, AttemptEvent::AskFailed, AttemptEvent::AskFailed],
         answer(ResultCode::OutcomeUnknown, 0);
     a_failed_badge_print_is_not_repeated:
         RequestKind::Once, &[FAILED], answer(ResultCode::MinionFailed, 0);
-    a_refusal_after_a_lost_attempt_is_not_called_not_run:
-        RequestKind::Idempotent, &[LOST, AttemptEvent::NoAgent],
+    a_refusal_after_a_lost_attempt_is_not_reported_as_not_run:
+        RequestKind::Idempotent, &[LINK_LOST, AttemptEvent::NoAgent],
         answer(ResultCode::OutcomeUnknown, 1_000);
-    a_refusal_after_a_failed_attempt_is_not_called_not_run:
+    a_refusal_after_a_failed_attempt_is_not_reported_as_not_run:
         RequestKind::Idempotent, &[FAILED, AttemptEvent::NoAgent],
         answer(ResultCode::MinionFailed, 1_000);
-    a_match_is_repeated_after_a_lost_link: RequestKind::Idempotent, &[LOST], NextStep::Retry;
-    an_overloaded_agent_is_left_for_another: RequestKind::Once, &[FULL], NextStep::Retry;
-    overload_everywhere_names_the_soonest_return:
-        RequestKind::Once, &[FULL, FULL, FULL, FULL], answer(ResultCode::Overloaded, 30);
-    a_refusal_by_the_agent_itself_ends_the_doubt:
-        RequestKind::Once, &[LOST, FULL, FULL, FULL, FULL], answer(ResultCode::Overloaded, 30);
-    an_unsent_key_is_asked_for_before_it_moves:
+    a_match_is_retried_after_a_lost_link: RequestKind::Idempotent, &[LINK_LOST], NextStep::Retry;
+    a_refusal_for_overload_is_retried_on_another_agent:
+        RequestKind::Once, &[OVERLOADED], NextStep::Retry;
+    overload_of_all_agents_reports_the_shortest_retry_delay:
+        RequestKind::Once, &[OVERLOADED, OVERLOADED, OVERLOADED, OVERLOADED],
+        answer(ResultCode::Overloaded, 30);
+    a_refusal_by_the_agent_itself_resolves_the_outcome:
+        RequestKind::Once, &[LINK_LOST, OVERLOADED, OVERLOADED, OVERLOADED, OVERLOADED],
+        answer(ResultCode::Overloaded, 30);
+    an_unsent_keyed_request_is_queried_before_its_claim_moves:
         RequestKind::Keyed, &[AttemptEvent::NeverSent], NextStep::Ask { after_ms: 0 };
     a_deadline_before_sending_is_not_run:
         RequestKind::Once, &[AttemptEvent::DeadlinePassed { sent: false }],
         answer(ResultCode::DeadlineTooShort, 1_000);
     a_deadline_after_sending_is_unknown:
-        RequestKind::Once, &[FULL, AttemptEvent::DeadlinePassed { sent: true }],
+        RequestKind::Once, &[OVERLOADED, AttemptEvent::DeadlinePassed { sent: true }],
         answer(ResultCode::OutcomeUnknown, 0);
     a_deadline_while_it_runs_is_a_timeout:
-        RequestKind::Once, &[LOST, RUNNING, AttemptEvent::DeadlinePassed { sent: true }],
+        RequestKind::Once, &[LINK_LOST, RUNNING, AttemptEvent::DeadlinePassed { sent: true }],
         answer(ResultCode::TimedOut, 0);
 }
 
-/// The budget is spent because many agents fail at once. An idempotent request whose link was lost
-/// is then not run again, but the agent may still have its answer, so it is asked.
+/// The budget is exhausted because many agents fail at once. An idempotent request whose link was
+/// lost is not run again, but the agent may still have its answer, so it is queried.
 #[test]
-fn without_budget_a_lost_request_is_asked_for() {
+fn without_budget_a_lost_request_is_queried() {
     let mut policy = RetryPolicy::new(RequestKind::Idempotent, DEADLINE, RetryLimits::default());
-    assert_eq!(policy.on_event(LOST, Millis(1), || false), NextStep::Ask { after_ms: 0 });
+    assert_eq!(policy.on_event(LINK_LOST, Millis(1), || false), NextStep::Ask { after_ms: 0 });
     let unknown = AttemptEvent::Verdict(AskVerdict::Unknown);
     let end = policy.on_event(unknown, Millis(1), || false);
     assert_eq!(end, answer(ResultCode::OutcomeUnknown, 1_000));
 }
 
-/// Half of all attempts fail. Without a budget each request is sent up to four times, and the load
-/// nearly doubles just when minions are missing.
+/// Half of all attempts fail. Without a budget each request would be sent up to four times, and the
+/// load would nearly double while minions are missing.
 #[test]
-fn retries_stay_a_share_of_the_requests() {
+fn retries_remain_within_the_budget() {
     let budget = RetryBudget::new(100, 20);
     let mut attempts = 0;
     for _ in 0..10_000 {
@@ -277,15 +289,15 @@
     assert!(attempts >= 10_900, "{attempts}");
 }
 
-/// Many threads let requests of one customer in at the same time. If two could take the last place,
-/// the bound would not hold just when it matters.
+/// Many threads admit requests of one customer concurrently. If two could take the last permit, the
+/// limit would not hold under load.
 #[test]
-fn the_bound_of_a_customer_holds_between_threads() {
+fn the_limit_of_a_customer_holds_across_threads() {
     let limits = Arc::new(EntryLimits::default().updated([("a".into(), 10)]));
-    let enter = |limits: Arc<EntryLimits>| {
+    let acquire_all = |limits: Arc<EntryLimits>| {
         move || (0..100).filter_map(|_| limits.try_acquire("a").ok()).collect::<Vec<_>>()
     };
-    let threads: Vec<_> = (0..4).map(|_| thread::spawn(enter(Arc::clone(&limits)))).collect();
+    let threads: Vec<_> = (0..4).map(|_| thread::spawn(acquire_all(Arc::clone(&limits)))).collect();
     let permits: Vec<_> = threads.into_iter().flat_map(|one| one.join().unwrap()).collect();
     assert_eq!((permits.len(), limits.in_flight("a")), (10, 10));
     let newer = limits.updated([("a".into(), 11)]);
@@ -295,7 +307,7 @@
     assert_eq!(limits.in_flight("a"), 0);
 }
 
-/// Two codes with one number, or a number that moved, would tell callers the wrong thing.
+/// Two codes with one number, or a number that changed, would give callers a wrong result.
 #[test]
 fn result_codes_are_distinct_and_complete() {
     let numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
--- a/crates/geraniumpost-core/tests/requests_support/minion_model.rs
+++ b/crates/geraniumpost-core/tests/requests_support/minion_model.rs
@@ -1,4 +1,4 @@
-//! A deterministic discrete-event model of one minion behind a queue.
+//! Deterministic discrete-event model of one minion with a queue.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -12,22 +12,22 @@
 
 pub const SLOTS: usize = 8;
 pub const MEAN_US: u64 = 10_000;
-/// Requests a second that the slots can answer.
+/// Requests per second that the slots can answer.
 pub const CAPACITY: f64 = SLOTS as f64 * 1e6 / MEAN_US as f64;
 
-/// One customer's open-loop arrivals.
+/// Open-loop arrivals of one customer.
 #[derive(Debug, Clone, Copy)]
 pub struct Source {
     pub name: &'static str,
     pub per_second: f64,
     pub weight: u32,
     pub deadline_ms: u64,
-    /// First arrival, so that a customer can wake later than the others.
-    pub from_us: u64,
+    /// Time of the first arrival, so that a customer can start later than the others.
+    pub first_arrival_us: u64,
     /// Mean service time of its requests.
     pub mean_us: u64,
-    /// Whether each request takes just the mean, instead of a time drawn around it.
-    pub even: bool,
+    /// Whether each request takes exactly the mean time instead of a random one.
+    pub fixed_time: bool,
 }
 
 impl Source {
@@ -37,24 +37,24 @@
             per_second,
             weight: 1,
             deadline_ms: 2_000,
-            from_us: 0,
+            first_arrival_us: 0,
             mean_us: MEAN_US,
-            even: false,
+            fixed_time: false,
         }
     }
 }
 
-/// Which queue stands before the minion.
+/// Queue in front of the minion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discipline {
     Fair,
-    /// First come, first served, bounded, without regard to customers or deadlines.
+    /// First come, first served, with a bounded length, regardless of customers and deadlines.
     Fifo,
 }
 
-/// What one customer saw.
+/// Results of the requests of one customer.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct CustomerStats {
     pub latencies_us: Vec<u64>,
     pub waits_us: Vec<u64>,
     pub answered_in_time: u64,
@@ -64,7 +64,7 @@
     pub slot_us: u64,
 }
 
-impl Seen {
+impl CustomerStats {
     /// Latency of the answers in microseconds at `quantile`.
     pub fn latency(&self, quantile: f64) -> u64 {
         let mut sorted = self.latencies_us.clone();
@@ -86,10 +86,10 @@
     source: usize,
     sequence: u64,
     arrived_us: u64,
-    took_us: u64,
+    service_us: u64,
 }
 
-/// A naive queue: nothing but a bound.
+/// Reference queue with no rule but its bound.
 #[derive(Debug, Default)]
 struct Fifo {
     waiting: VecDeque<Job>,
@@ -109,19 +109,20 @@
     jobs: BTreeMap<u64, Job>,
     queue: Queue,
     bound: usize,
-    seen: Vec<Seen>,
+    stats: Vec<CustomerStats>,
     now_us: u64,
-    warm_us: u64,
+    warm_up_us: u64,
 }
 
-/// Runs `sources` for `seconds` after a second of warming up and returns what each customer saw.
+/// Runs `sources` for `seconds` after a warm-up of one second, and returns the results of each
+/// customer.
 pub fn run(
     sources: &[Source],
     discipline: Discipline,
     bound: usize,
     seconds: u64,
     seed: u64,
-) -> Vec<Seen> {
+) -> Vec<CustomerStats> {
     let queue = match discipline {
         Discipline::Fair => {
             Queue::Fair(Box::new(FairQueue::new(QueueLimits::new().slots(SLOTS).queue(bound))))
@@ -136,16 +137,16 @@
         jobs: BTreeMap::new(),
         queue,
         bound,
-        seen: sources.iter().map(|_| Seen::default()).collect(),
+        stats: sources.iter().map(|_| CustomerStats::default()).collect(),
         now_us: 0,
-        warm_us: 1_000_000,
+        warm_up_us: 1_000_000,
     };
     for (index, source) in sources.iter().enumerate() {
-        model.push(source.from_us, Event::Arrive(index));
+        model.push(source.first_arrival_us, Event::Arrive(index));
     }
     model.push(0, Event::Tick);
     model.run((seconds + 1) * 1_000_000);
-    model.seen
+    model.stats
 }
 
 impl Model<'_> {
@@ -162,7 +163,7 @@
             self.now_us = at_us;
             match event {
                 Event::Arrive(source) => self.arrive(source),
-                Event::Finish(sequence, took_us) => self.finish(sequence, took_us),
+                Event::Finish(sequence, service_us) => self.finish(sequence, service_us),
                 Event::Tick => self.tick(),
             }
         }
@@ -181,48 +182,48 @@
         let source = self.sources[index];
         let gap = self.exponential(1e6 / source.per_second);
         let drawn_us = self.exponential(source.mean_us as f64);
-        let took_us = if source.even { source.mean_us } else { drawn_us };
+        let service_us = if source.fixed_time { source.mean_us } else { drawn_us };
         self.push(self.now_us + gap, Event::Arrive(index));
-        let job = Job { source: index, sequence: self.order, arrived_us: self.now_us, took_us };
+        let job = Job { source: index, sequence: self.order, arrived_us: self.now_us, service_us };
         self.jobs.insert(job.sequence, job);
         let now = self.now();
         let deadline = now.plus(source.deadline_ms);
         let actions = match &mut self.queue {
             Queue::Fair(queue) => {
-                let waiting = QueuedRequest::new(id(job.sequence), source.name, deadline, job);
-                queue.offer(waiting.weight(source.weight), now)
+                let request = QueuedRequest::new(id(job.sequence), source.name, deadline, job);
+                queue.offer(request.weight(source.weight), now)
             }
             Queue::Fifo(_) => return self.arrive_fifo(job),
         };
-        self.act(actions);
+        self.apply(actions);
     }
 
     fn arrive_fifo(&mut self, job: Job) {
         let Queue::Fifo(fifo) = &mut self.queue else { return };
         if fifo.running < SLOTS {
             fifo.running += 1;
-            self.push(self.now_us + job.took_us, Event::Finish(job.sequence, job.took_us));
+            self.push(self.now_us + job.service_us, Event::Finish(job.sequence, job.service_us));
         } else if fifo.waiting.len() < self.bound {
             fifo.waiting.push_back(job);
         } else {
-            self.refused(job);
+            self.record_refusal(job);
         }
     }
 
-    fn finish(&mut self, sequence: u64, took_us: u64) {
+    fn finish(&mut self, sequence: u64, service_us: u64) {
         let Some(job) = self.jobs.remove(&sequence) else { return };
-        self.answered(job);
+        self.record_answer(job);
         let now = self.now();
         match &mut self.queue {
             Queue::Fair(queue) => {
-                let actions = queue.finish(id(sequence), Micros(took_us), true, now);
-                self.act(actions);
+                let actions = queue.finish(id(sequence), Micros(service_us), true, now);
+                self.apply(actions);
             }
             Queue::Fifo(fifo) => match fifo.waiting.pop_front() {
                 Some(next) => {
                     self.push(
-                        self.now_us + next.took_us,
-                        Event::Finish(next.sequence, next.took_us),
+                        self.now_us + next.service_us,
+                        Event::Finish(next.sequence, next.service_us),
                     );
                 }
                 None => fifo.running -= 1,
@@ -234,48 +235,51 @@
         let now = self.now();
         if let Queue::Fair(queue) = &mut self.queue {
             let actions = queue.tick(now);
-            self.act(actions);
+            self.apply(actions);
         }
         self.push(self.now_us + 10_000, Event::Tick);
     }
 
-    fn act(&mut self, actions: Vec<QueueAction<Job>>) {
+    fn apply(&mut self, actions: Vec<QueueAction<Job>>) {
         for action in actions {
             match action {
-                QueueAction::Run(waiting) => {
-                    let job = waiting.into_payload();
-                    self.push(self.now_us + job.took_us, Event::Finish(job.sequence, job.took_us));
+                QueueAction::Run(request) => {
+                    let job = request.into_payload();
+                    self.push(
+                        self.now_us + job.service_us,
+                        Event::Finish(job.sequence, job.service_us),
+                    );
                 }
-                QueueAction::Refuse { request: waiting, retry_after_ms, .. } => {
-                    assert!(retry_after_ms > 0, "a refusal names the time to come back");
-                    let job = waiting.into_payload();
+                QueueAction::Refuse { request, retry_after_ms, .. } => {
+                    assert!(retry_after_ms > 0, "a refusal names a retry delay");
+                    let job = request.into_payload();
                     self.jobs.remove(&job.sequence);
-                    self.refused(job);
+                    self.record_refusal(job);
                 }
             }
         }
     }
 
-    fn answered(&mut self, job: Job) {
-        if job.arrived_us < self.warm_us {
+    fn record_answer(&mut self, job: Job) {
+        if job.arrived_us < self.warm_up_us {
             return;
         }
         let latency = self.now_us - job.arrived_us;
         let in_time = latency <= self.sources[job.source].deadline_ms * 1000;
-        let seen = &mut self.seen[job.source];
-        seen.latencies_us.push(latency);
-        seen.waits_us.push(latency.saturating_sub(job.took_us));
-        seen.answered_in_time += u64::from(in_time);
-        seen.late += u64::from(!in_time);
-        seen.slot_us += job.took_us;
+        let stats = &mut self.stats[job.source];
+        stats.latencies_us.push(latency);
+        stats.waits_us.push(latency.saturating_sub(job.service_us));
+        stats.answered_in_time += u64::from(in_time);
+        stats.late += u64::from(!in_time);
+        stats.slot_us += job.service_us;
     }
 
-    fn refused(&mut self, job: Job) {
-        if job.arrived_us < self.warm_us {
+    fn record_refusal(&mut self, job: Job) {
+        if job.arrived_us < self.warm_up_us {
             return;
         }
-        let seen = &mut self.seen[job.source];
-        seen.refused += 1;
-        seen.refused_after_us.push(self.now_us - job.arrived_us);
+        let stats = &mut self.stats[job.source];
+        stats.refused += 1;
+        stats.refused_after_us.push(self.now_us - job.arrived_us);
     }
 }
--- a/crates/geraniumpost-core/tests/requests_support/mod.rs
+++ b/crates/geraniumpost-core/tests/requests_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of decisions on requests share.
+//! Helpers shared by the tests of decisions on requests.
 #![allow(dead_code, unused_macros, unused_imports, reason = "each test file uses a part of it")]
 
 pub mod minion_model;
@@ -7,7 +7,7 @@
 use geraniumpost_core::requests::{AgentView, Location, Snapshot};
 use geraniumpost_schema::{AgentState, Heartbeat, Load, RequestId, Resources};
 
-/// Names each case of a test by a function of its own.
+/// Turns each case of a test into a function with its own name.
 macro_rules! cases {
     ($check:path; $($(#[$meta:meta])* $name:ident: $($argument:expr),+;)+) => {
         $($(#[$meta])* #[test] fn $name() { $check($($argument),+); })+
@@ -23,7 +23,7 @@
     Location::new("lima", "surco")
 }
 
-/// A ready agent of the filing service in the own failure domain.
+/// A ready agent of the filing service in the entry's failure domain.
 pub fn agent(name: impl Into<String>) -> AgentView {
     AgentView::new(name.into(), 1).service("filing").at_location(here())
 }
@@ -33,7 +33,7 @@
     Snapshot::new((0..count).map(|n| agent(format!("a{n}"))), &here())
 }
 
-pub fn beat(agent: &str, incarnation: u64, sequence: u64) -> Heartbeat {
+pub fn heartbeat(agent: &str, incarnation: u64, sequence: u64) -> Heartbeat {
     let none = Resources { milli_cpus: 0, memory_mb: 0, accelerators: 0 };
     Heartbeat {
         agent: agent.into(),
--- a/crates/geraniumpost-core/tests/requests_support/naive_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_support/naive_queue.rs
@@ -1,16 +1,16 @@
-//! A queue that scans everything for each decision, as a twin of `FairQueue`.
+//! Reference implementation of `FairQueue` that scans everything for each decision.
 
 use geraniumpost_core::requests::Refusal;
 
-/// What the twin decided about a request.
+/// Decision of the reference queue on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Decided {
+pub enum Decision {
     Run(u64),
     Refuse(u64, Refusal, u64),
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Times {
+struct ServiceTimes {
     mean: u64,
     deviation: u64,
 }
@@ -20,14 +20,14 @@
     number: usize,
     weight: u64,
     virtual_time: u64,
-    times: Times,
+    times: ServiceTimes,
     used_us: u64,
     busy_milli: u64,
-    used_ms: u64,
+    last_request_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct QueuedRequest {
     sequence: u64,
     customer: usize,
     deadline_ms: u64,
@@ -38,16 +38,16 @@
     slots: usize,
     bound: usize,
     customers: Vec<Customer>,
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedRequest>,
     running: Vec<(u64, usize, u64)>,
     virtual_time: u64,
-    latest: u64,
-    times: Times,
-    measured_ms: u64,
+    max_virtual_time: u64,
+    times: ServiceTimes,
+    measured_at_ms: u64,
     now_ms: u64,
 }
 
-impl Times {
+impl ServiceTimes {
     fn record(&mut self, sample: u64) {
         if self.mean == 0 {
             self.mean = sample.max(1);
@@ -64,7 +64,7 @@
         us.max(1) * 1024 / self.weight
     }
 
-    fn misses(&self, deadline_ms: u64, now_ms: u64) -> bool {
+    fn misses_deadline(&self, deadline_ms: u64, now_ms: u64) -> bool {
         let needed_ms = (self.times.mean + self.times.deviation) / 1000;
         now_ms >= deadline_ms || now_ms + needed_ms > deadline_ms
     }
@@ -94,55 +94,61 @@
         weight: u64,
         deadline_ms: u64,
         now_ms: u64,
-    ) -> Vec<Decided> {
+    ) -> Vec<Decision> {
         if now_ms >= deadline_ms {
-            return vec![Decided::Refuse(sequence, Refusal::Deadline, 1)];
+            return vec![Decision::Refuse(sequence, Refusal::Deadline, 1)];
         }
         self.now_ms = now_ms;
         let customer = self.customer(number, weight);
-        self.customers[customer].used_ms = now_ms;
-        let request = Waiting { sequence, customer, deadline_ms };
-        if self.queued(customer) == 0 && self.may_take(customer) {
-            self.wake(customer);
-            return vec![self.run(request)];
+        self.customers[customer].last_request_ms = now_ms;
+        let request = QueuedRequest { sequence, customer, deadline_ms };
+        if self.queued(customer) == 0 && self.may_start(customer) {
+            self.activate(customer);
+            return vec![self.start(request)];
         }
         let wait_us = self.wait_us(customer);
-        if self.customers[customer].misses(deadline_ms, now_ms + wait_us / 1000) {
+        if self.customers[customer].misses_deadline(deadline_ms, now_ms + wait_us / 1000) {
             return vec![refuse(sequence, Refusal::Deadline, wait_us)];
         }
-        let mut decided = Vec::new();
+        let mut decisions = Vec::new();
         if self.waiting.len() >= self.bound {
             let Some(victim) = self.displaced_by(customer) else {
                 return vec![refuse(sequence, Refusal::Overloaded, self.drain_us())];
             };
             self.waiting.retain(|one| one.sequence != victim);
-            decided.push(refuse(victim, Refusal::Displaced, wait_us));
+            decisions.push(refuse(victim, Refusal::Displaced, wait_us));
         }
         if self.queued(customer) == 0 {
-            self.wake(customer);
+            self.activate(customer);
         }
         self.waiting.push(request);
-        decided
+        decisions
     }
 
-    pub fn finish(&mut self, sequence: u64, took: u64, success: bool, now_ms: u64) -> Vec<Decided> {
-        let Some(at) = self.running.iter().position(|one| one.0 == sequence) else {
+    pub fn finish(
+        &mut self,
+        sequence: u64,
+        service_us: u64,
+        success: bool,
+        now_ms: u64,
+    ) -> Vec<Decision> {
+        let Some(index) = self.running.iter().position(|one| one.0 == sequence) else {
             return Vec::new();
         };
-        let (_, customer, charged) = self.running.remove(at);
+        let (_, customer, charged) = self.running.remove(index);
         let one = &mut self.customers[customer];
-        one.virtual_time = one.virtual_time.saturating_sub(charged) + one.cost(took);
-        one.used_us += took;
-        self.latest = self.latest.max(one.virtual_time);
+        one.virtual_time = one.virtual_time.saturating_sub(charged) + one.cost(service_us);
+        one.used_us += service_us;
+        self.max_virtual_time = self.max_virtual_time.max(one.virtual_time);
         if success {
-            one.times.record(took);
-            self.times.record(took);
+            one.times.record(service_us);
+            self.times.record(service_us);
         }
-        let decided = self.fill(now_ms);
+        let decisions = self.dispatch(now_ms);
         if self.running.is_empty() && self.waiting.is_empty() {
-            self.virtual_time = self.latest;
+            self.virtual_time = self.max_virtual_time;
         }
-        decided
+        decisions
     }
 
     pub fn cancel(&mut self, sequence: u64) -> bool {
@@ -151,31 +157,34 @@
         self.waiting.len() < before
     }
 
-    /// Refuses what is late, customer by customer.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Decided> {
+    /// Refuses requests that can no longer meet their deadlines, customer by customer.
+    pub fn tick(&mut self, now_ms: u64) -> Vec<Decision> {
         let wait_us = self.drain_us();
-        let mut decided = Vec::new();
+        let mut decisions = Vec::new();
         for customer in 0..self.customers.len() {
-            let late = |one: &Waiting| {
-                one.customer == customer && self.customers[customer].misses(one.deadline_ms, now_ms)
+            let misses_its_deadline = |one: &QueuedRequest| {
+                one.customer == customer
+                    && self.customers[customer].misses_deadline(one.deadline_ms, now_ms)
             };
-            let (gone, kept) = self.waiting.iter().partition(|one| late(one));
+            let (removed, kept) = self.waiting.iter().partition(|one| misses_its_deadline(one));
             self.waiting = kept;
-            let gone: Vec<Waiting> = gone;
-            decided.extend(gone.iter().map(|g| refuse(g.sequence, Refusal::Deadline, wait_us)));
+            let removed: Vec<QueuedRequest> = removed;
+            decisions.extend(
+                removed.iter().map(|request| refuse(request.sequence, Refusal::Deadline, wait_us)),
+            );
         }
-        self.measure(now_ms);
-        decided.extend(self.fill(now_ms));
-        decided
+        self.measure_usage(now_ms);
+        decisions.extend(self.dispatch(now_ms));
+        decisions
     }
 
-    /// Smooths the slots that each customer used, in windows of 200 ms or more.
-    fn measure(&mut self, now_ms: u64) {
-        let window_ms = now_ms - self.measured_ms;
+    /// Updates the smoothed use of slots of each customer, in windows of at least 200 ms.
+    fn measure_usage(&mut self, now_ms: u64) {
+        let window_ms = now_ms - self.measured_at_ms;
         if window_ms < 200 {
             return;
         }
-        self.measured_ms = now_ms;
+        self.measured_at_ms = now_ms;
         for one in &mut self.customers {
             one.busy_milli = (one.busy_milli * 3 + one.used_us / window_ms) / 4;
             one.used_us = 0;
@@ -186,7 +195,7 @@
         let known = self.customers.iter().position(|one| one.number == number);
         known.unwrap_or_else(|| {
             let times = self.times;
-            let (virtual_time, used_us, busy_milli, used_ms) = (0, 0, 0, 0);
+            let (virtual_time, used_us, busy_milli, last_request_ms) = (0, 0, 0, 0);
             self.customers.push(Customer {
                 number,
                 weight,
@@ -194,54 +203,58 @@
                 times,
                 used_us,
                 busy_milli,
-                used_ms,
+                last_request_ms,
             });
             self.customers.len() - 1
         })
     }
 
-    fn wake(&mut self, customer: usize) {
+    fn activate(&mut self, customer: usize) {
         let most = 4 * self.slots as u64 * self.times.mean;
         let one = &mut self.customers[customer];
-        let recent = 8 * one.busy_milli * self.times.mean / 1000;
-        let present = self.virtual_time.saturating_sub(one.cost(recent.min(most)));
-        one.virtual_time = one.virtual_time.max(present);
+        let recent_us = 8 * one.busy_milli * self.times.mean / 1000;
+        let virtual_time = self.virtual_time.saturating_sub(one.cost(recent_us.min(most)));
+        one.virtual_time = one.virtual_time.max(virtual_time);
     }
 
-    fn run(&mut self, request: Waiting) -> Decided {
+    fn start(&mut self, request: QueuedRequest) -> Decision {
         let one = &mut self.customers[request.customer];
         self.virtual_time = self.virtual_time.max(one.virtual_time);
         let charged = one.cost(one.times.mean);
         one.virtual_time += charged;
-        self.latest = self.latest.max(one.virtual_time);
+        self.max_virtual_time = self.max_virtual_time.max(one.virtual_time);
         self.running.push((request.sequence, request.customer, charged));
-        Decided::Run(request.sequence)
+        Decision::Run(request.sequence)
     }
 
-    fn fill(&mut self, now_ms: u64) -> Vec<Decided> {
+    fn dispatch(&mut self, now_ms: u64) -> Vec<Decision> {
         self.now_ms = now_ms;
-        let mut decided = Vec::new();
+        let mut decisions = Vec::new();
         loop {
-            let behind = |one: &&Waiting| (self.customers[one.customer].virtual_time, one.customer);
-            let may = self.waiting.iter().filter(|one| self.may_take(one.customer));
-            let Some(first) = may.min_by_key(behind).copied() else { return decided };
+            let by_virtual_time =
+                |one: &&QueuedRequest| (self.customers[one.customer].virtual_time, one.customer);
+            let candidates = self.waiting.iter().filter(|one| self.may_start(one.customer));
+            let Some(first) = candidates.min_by_key(by_virtual_time).copied() else {
+                return decisions;
+            };
             self.waiting.retain(|one| one.sequence != first.sequence);
-            if self.customers[first.customer].misses(first.deadline_ms, now_ms) {
-                decided.push(refuse(first.sequence, Refusal::Deadline, self.drain_us()));
+            if self.customers[first.customer].misses_deadline(first.deadline_ms, now_ms) {
+                decisions.push(refuse(first.sequence, Refusal::Deadline, self.drain_us()));
             } else {
-                decided.push(self.run(first));
+                decisions.push(self.start(first));
             }
         }
     }
 
-    /// Whether a slot is free, and not the last one while the customer is over its share.
-    fn may_take(&self, customer: usize) -> bool {
-        let left = self.slots - self.running.len().min(self.slots);
-        if left != 1 || self.slots < 4 {
-            return left > 0;
+    /// Whether a slot is free for the customer. The last one is not if the customer is above its
+    /// share.
+    fn may_start(&self, customer: usize) -> bool {
+        let free_slots = self.slots - self.running.len().min(self.slots);
+        if free_slots != 1 || self.slots < 4 {
+            return free_slots > 0;
         }
         let one = self.customers[customer];
-        let active = self.customers.iter().filter(|one| self.now_ms - one.used_ms <= 1_000);
+        let active = self.customers.iter().filter(|one| self.now_ms - one.last_request_ms <= 1_000);
         let weights: u64 = active.map(|one| one.weight).sum();
         let share = self.slots as u64 * one.weight;
         let running = self.running.iter().filter(|run| run.1 == customer).count() as u64;
@@ -252,16 +265,16 @@
         self.waiting.iter().filter(|one| one.customer == customer).count() as u64
     }
 
-    fn occupancy(&self, customer: usize, more: u64) -> u64 {
+    fn occupancy(&self, customer: usize, additional: u64) -> u64 {
         let running = self.running.iter().filter(|one| one.1 == customer).count() as u64;
-        (self.queued(customer) + running + more) * 1024 / self.customers[customer].weight
+        (self.queued(customer) + running + additional) * 1024 / self.customers[customer].weight
     }
 
-    fn displaced_by(&self, comer: usize) -> Option<u64> {
+    fn displaced_by(&self, newcomer: usize) -> Option<u64> {
         let most = (0..self.customers.len())
             .filter(|&customer| self.queued(customer) > 0)
             .max_by_key(|&customer| (self.occupancy(customer, 0), customer))?;
-        if self.occupancy(most, 0) <= self.occupancy(comer, 1) {
+        if self.occupancy(most, 0) <= self.occupancy(newcomer, 1) {
             return None;
         }
         self.waiting.iter().rfind(|one| one.customer == most).map(|one| one.sequence)
@@ -281,6 +294,6 @@
     }
 }
 
-fn refuse(sequence: u64, refusal: Refusal, wait_us: u64) -> Decided {
-    Decided::Refuse(sequence, refusal, wait_us.div_ceil(1000).max(1))
+fn refuse(sequence: u64, refusal: Refusal, wait_us: u64) -> Decision {
+    Decision::Refuse(sequence, refusal, wait_us.div_ceil(1000).max(1))
 }
