--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -205,8 +205,12 @@
     }
 
     fn missing_deadline(&self, now: Millis) -> impl Iterator<Item = RequestId> {
-        let all = self.flows.values().flat_map(|flow| flow.queue.iter().map(move |w| (flow, w)));
-        all.filter(move |(flow, w)| flow.misses_deadline(w.deadline(), now)).map(|(_, w)| w.id())
+        let all = self
+            .flows
+            .values()
+            .flat_map(|flow| flow.queue.iter().map(move |request| (flow, request)));
+        all.filter(move |(flow, request)| flow.misses_deadline(request.deadline(), now))
+            .map(|(_, request)| request.id())
     }
 
     fn update_flow(&mut self, request: &QueuedRequest<T>, now: Millis) -> FlowKey {
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -46,13 +46,13 @@
 }
 
 fn decisions(actions: Vec<QueueAction<()>>) -> Vec<Decision> {
-    let one = |action| match action {
+    let decision = |action| match action {
         QueueAction::Run(request) => Decision::Run(request.id().sequence),
         QueueAction::Refuse { request, refusal, retry_after_ms } => {
             Decision::Refuse(request.id().sequence, refusal, retry_after_ms)
         }
     };
-    actions.into_iter().map(one).collect()
+    actions.into_iter().map(decision).collect()
 }
 
 /// The fair queue and the reference queue, given the same calls.
@@ -99,19 +99,19 @@
         match *step {
             Step::Offer { customer, timeout_ms } => vec![self.offer(customer, timeout_ms)],
             Step::Finish { nth: n, service_us, success } => nth(&running, n)
-                .map(|one| self.finish(one, service_us, success))
+                .map(|sequence| self.finish(sequence, service_us, success))
                 .into_iter()
                 .collect(),
             Step::Cancel { nth: n } => {
-                nth(&waiting, n).map(|one| self.cancel(one)).into_iter().collect()
+                nth(&waiting, n).map(|sequence| self.cancel(sequence)).into_iter().collect()
             }
             Step::Pass { ms } => vec![self.pass(ms)],
             Step::Cycle { customer, ms } => {
                 let mut decisions_of_both: Vec<_> =
                     (0..3).map(|_| self.offer(customer, 5_000)).collect();
                 decisions_of_both.push(self.pass(ms));
-                for one in running {
-                    decisions_of_both.push(self.finish(one, ms * 1000, true));
+                for sequence in running {
+                    decisions_of_both.push(self.finish(sequence, ms * 1000, true));
                 }
                 decisions_of_both
             }
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -298,7 +298,7 @@
         move || (0..100).filter_map(|_| limits.try_acquire("a").ok()).collect::<Vec<_>>()
     };
     let threads: Vec<_> = (0..4).map(|_| thread::spawn(acquire_all(Arc::clone(&limits)))).collect();
-    let permits: Vec<_> = threads.into_iter().flat_map(|one| one.join().unwrap()).collect();
+    let permits: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
     assert_eq!((permits.len(), limits.in_flight("a")), (10, 10));
     let newer = limits.updated([("a".into(), 11)]);
     let last = newer.try_acquire("a").unwrap();
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -76,17 +76,18 @@
         agent_specs in prop::collection::vec(agent_spec(), 1..20),
         seed in any::<u64>(),
     ) {
-        let views = agent_specs.iter().enumerate().map(|(index, one)| agent_view(index, one));
+        let views = agent_specs.iter().enumerate().map(|(index, spec)| agent_view(index, spec));
         let snapshot = Snapshot::new(views, &here());
         let service = snapshot.service("filing").unwrap();
         let names = |keep: fn(&AgentSpec) -> bool| -> Vec<Name> {
-            let kept = agent_specs.iter().enumerate().filter(|(_, one)| keep(one));
+            let kept = agent_specs.iter().enumerate().filter(|(_, spec)| keep(spec));
             kept.map(|(index, _)| Name::from(format!("a{index}"))).collect()
         };
-        let tried = names(|one| one.tried);
-        let usable = names(|one| !one.tried && !one.draining && one.connected);
-        let nearest = agent_specs.iter().filter(|s| !s.tried && !s.draining && s.connected)
-            .map(|one| one.domain).min();
+        let tried = names(|spec| spec.tried);
+        let usable = names(|spec| !spec.tried && !spec.draining && spec.connected);
+        let nearest = agent_specs.iter()
+            .filter(|spec| !spec.tried && !spec.draining && spec.connected)
+            .map(|spec| spec.domain).min();
         let query = RoutingQuery::new(Millis(0)).tried(&tried);
         let choice = Router::default().choose(service, &query, &mut SmallRng::seed_from_u64(seed));
         let Ok(choice) = choice else {
@@ -94,11 +95,15 @@
             return Ok(());
         };
         prop_assert!(usable.contains(choice.agent().name()));
-        let cheapest = choice.candidates().min_by_key(|one| one.cost_us()).unwrap();
+        let cheapest = choice.candidates().min_by_key(|candidate| candidate.cost_us()).unwrap();
         prop_assert_eq!(cheapest.agent().name(), choice.agent().name());
         let domain = |name: &Name| agent_specs[name[1..].parse::<usize>().unwrap()].domain;
-        prop_assert!(choice.candidates().any(|one| Some(domain(one.agent().name())) == nearest));
-        let distinct: HashSet<&Name> = choice.candidates().map(|one| one.agent().name()).collect();
+        prop_assert!(
+            choice.candidates()
+                .any(|candidate| Some(domain(candidate.agent().name())) == nearest)
+        );
+        let distinct: HashSet<&Name> =
+            choice.candidates().map(|candidate| candidate.agent().name()).collect();
         prop_assert_eq!(distinct.len(), choice.candidates().count());
     }
 
@@ -139,7 +144,7 @@
         for (index, ms) in failures {
             now += ms;
             record_failure(&mut ejector, &snapshot, &format!("a{}", index % count), now);
-            let ejected = snapshot.agents().filter(|one| one.counters().is_ejected()).count();
+            let ejected = snapshot.agents().filter(|agent| agent.counters().is_ejected()).count();
             let max = if count < 2 { 0 } else { (count * 340 / 1000).max(1) };
             prop_assert!(ejected <= max, "{ejected} of {count}");
         }
@@ -159,10 +164,10 @@
         .map(|_| Router::default().choose(service, &query, &mut rng).unwrap())
         .map(|choice| choice.agent().counters().begin_request())
         .collect();
-    let max = snapshot.agents().map(|one| one.counters().in_flight()).max().unwrap();
+    let max = snapshot.agents().map(|agent| agent.counters().in_flight()).max().unwrap();
     assert!(max <= 105, "{max}");
     drop(guards);
-    assert!(snapshot.agents().all(|one| one.counters().in_flight() == 0));
+    assert!(snapshot.agents().all(|agent| agent.counters().in_flight() == 0));
 }
 
 /// Number of times each agent is chosen in 1,000 decisions at `now`, none of which remains in
@@ -211,10 +216,10 @@
     let mut totals: HashMap<Name, u32> = HashMap::new();
     for entry in 0..16 {
         let snapshot = fleet(11);
-        for one in snapshot.agents() {
-            let number: u32 = one.name()[1..].parse().unwrap();
+        for agent in snapshot.agents() {
+            let number: u32 = agent.name()[1..].parse().unwrap();
             let report = load(number * 5 % 11, 8_000 + u64::from(number) * 500);
-            one.counters().record_load(&report, Millis(0));
+            agent.counters().record_load(&report, Millis(0));
         }
         let service = snapshot.service("filing").unwrap();
         let mut rng = SmallRng::seed_from_u64(entry);
@@ -237,9 +242,9 @@
     let far = |n| agent(format!("far{n}")).at_location(Location::new("lima", "callao"));
     let near = |n| agent(format!("near{n}"));
     let snapshot = Snapshot::new((0..3).map(near).chain((0..8).map(far)), &here());
-    for one in snapshot.agents() {
-        let in_flight = u32::from(one.location() == &here());
-        one.counters().record_load(&load(in_flight, 5_000), Millis(0));
+    for agent in snapshot.agents() {
+        let in_flight = u32::from(agent.location() == &here());
+        agent.counters().record_load(&load(in_flight, 5_000), Millis(0));
     }
     let mut rng = SmallRng::seed_from_u64(1);
     for _ in 0..200 {
@@ -301,7 +306,7 @@
             changes.push(record_failure(&mut ejector, &snapshot, &format!("a{index}"), 0));
         }
     }
-    let ejected = snapshot.agents().filter(|one| one.counters().is_ejected()).count();
+    let ejected = snapshot.agents().filter(|agent| agent.counters().is_ejected()).count();
     let capped = changes.iter().filter(|&&change| change == EjectionChange::Capped).count();
     assert_eq!((ejected, capped), (3, 8), "each of the others is logged once");
 }
@@ -316,7 +321,7 @@
     for _ in 0..5 {
         record_failure(&mut ejector, &snapshot, "a1", 0);
     }
-    let snapshot = Snapshot::new(snapshot.agents().map(|one| AgentView::clone(one)), &here());
+    let snapshot = Snapshot::new(snapshot.agents().map(|agent| AgentView::clone(agent)), &here());
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(2);
     let mut probes = |now, retryable| {
--- a/crates/geraniumpost-core/tests/requests_support/naive_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_support/naive_queue.rs
@@ -80,11 +80,11 @@
     }
 
     pub fn running(&self) -> Vec<u64> {
-        self.running.iter().map(|one| one.0).collect()
+        self.running.iter().map(|run| run.0).collect()
     }
 
     pub fn waiting(&self) -> Vec<u64> {
-        self.waiting.iter().map(|one| one.sequence).collect()
+        self.waiting.iter().map(|request| request.sequence).collect()
     }
 
     pub fn offer(
@@ -115,7 +115,7 @@
             let Some(victim) = self.displaced_by(customer) else {
                 return vec![refuse(sequence, Refusal::Overloaded, self.drain_us())];
             };
-            self.waiting.retain(|one| one.sequence != victim);
+            self.waiting.retain(|request| request.sequence != victim);
             decisions.push(refuse(victim, Refusal::Displaced, wait_us));
         }
         if self.queued(customer) == 0 {
@@ -132,16 +132,16 @@
         success: bool,
         now_ms: u64,
     ) -> Vec<Decision> {
-        let Some(index) = self.running.iter().position(|one| one.0 == sequence) else {
+        let Some(index) = self.running.iter().position(|run| run.0 == sequence) else {
             return Vec::new();
         };
         let (_, customer, charged) = self.running.remove(index);
-        let one = &mut self.customers[customer];
-        one.virtual_time = one.virtual_time.saturating_sub(charged) + one.cost(service_us);
-        one.used_us += service_us;
-        self.max_virtual_time = self.max_virtual_time.max(one.virtual_time);
+        let state = &mut self.customers[customer];
+        state.virtual_time = state.virtual_time.saturating_sub(charged) + state.cost(service_us);
+        state.used_us += service_us;
+        self.max_virtual_time = self.max_virtual_time.max(state.virtual_time);
         if success {
-            one.times.record(service_us);
+            state.times.record(service_us);
             self.times.record(service_us);
         }
         let decisions = self.dispatch(now_ms);
@@ -153,7 +153,7 @@
 
     pub fn cancel(&mut self, sequence: u64) -> bool {
         let before = self.waiting.len();
-        self.waiting.retain(|one| one.sequence != sequence);
+        self.waiting.retain(|request| request.sequence != sequence);
         self.waiting.len() < before
     }
 
@@ -162,11 +162,12 @@
         let wait_us = self.drain_us();
         let mut decisions = Vec::new();
         for customer in 0..self.customers.len() {
-            let misses_its_deadline = |one: &QueuedRequest| {
-                one.customer == customer
-                    && self.customers[customer].misses_deadline(one.deadline_ms, now_ms)
+            let misses_its_deadline = |request: &QueuedRequest| {
+                request.customer == customer
+                    && self.customers[customer].misses_deadline(request.deadline_ms, now_ms)
             };
-            let (removed, kept) = self.waiting.iter().partition(|one| misses_its_deadline(one));
+            let (removed, kept) =
+                self.waiting.iter().partition(|request| misses_its_deadline(request));
             self.waiting = kept;
             let removed: Vec<QueuedRequest> = removed;
             decisions.extend(
@@ -185,14 +186,14 @@
             return;
         }
         self.measured_at_ms = now_ms;
-        for one in &mut self.customers {
-            one.busy_milli = (one.busy_milli * 3 + one.used_us / window_ms) / 4;
-            one.used_us = 0;
+        for state in &mut self.customers {
+            state.busy_milli = (state.busy_milli * 3 + state.used_us / window_ms) / 4;
+            state.used_us = 0;
         }
     }
 
     fn customer(&mut self, number: usize, weight: u64) -> usize {
-        let known = self.customers.iter().position(|one| one.number == number);
+        let known = self.customers.iter().position(|other| other.number == number);
         known.unwrap_or_else(|| {
             let times = self.times;
             let (virtual_time, used_us, busy_milli, last_request_ms) = (0, 0, 0, 0);
@@ -210,19 +211,19 @@
     }
 
     fn activate(&mut self, customer: usize) {
-        let most = 4 * self.slots as u64 * self.times.mean;
-        let one = &mut self.customers[customer];
-        let recent_us = 8 * one.busy_milli * self.times.mean / 1000;
-        let virtual_time = self.virtual_time.saturating_sub(one.cost(recent_us.min(most)));
-        one.virtual_time = one.virtual_time.max(virtual_time);
+        let max_us = 4 * self.slots as u64 * self.times.mean;
+        let state = &mut self.customers[customer];
+        let recent_us = 8 * state.busy_milli * self.times.mean / 1000;
+        let virtual_time = self.virtual_time.saturating_sub(state.cost(recent_us.min(max_us)));
+        state.virtual_time = state.virtual_time.max(virtual_time);
     }
 
     fn start(&mut self, request: QueuedRequest) -> Decision {
-        let one = &mut self.customers[request.customer];
-        self.virtual_time = self.virtual_time.max(one.virtual_time);
-        let charged = one.cost(one.times.mean);
-        one.virtual_time += charged;
-        self.max_virtual_time = self.max_virtual_time.max(one.virtual_time);
+        let state = &mut self.customers[request.customer];
+        self.virtual_time = self.virtual_time.max(state.virtual_time);
+        let charged = state.cost(state.times.mean);
+        state.virtual_time += charged;
+        self.max_virtual_time = self.max_virtual_time.max(state.virtual_time);
         self.running.push((request.sequence, request.customer, charged));
         Decision::Run(request.sequence)
     }
@@ -231,13 +232,14 @@
         self.now_ms = now_ms;
         let mut decisions = Vec::new();
         loop {
-            let by_virtual_time =
-                |one: &&QueuedRequest| (self.customers[one.customer].virtual_time, one.customer);
-            let candidates = self.waiting.iter().filter(|one| self.may_start(one.customer));
+            let by_virtual_time = |request: &&QueuedRequest| {
+                (self.customers[request.customer].virtual_time, request.customer)
+            };
+            let candidates = self.waiting.iter().filter(|request| self.may_start(request.customer));
             let Some(first) = candidates.min_by_key(by_virtual_time).copied() else {
                 return decisions;
             };
-            self.waiting.retain(|one| one.sequence != first.sequence);
+            self.waiting.retain(|request| request.sequence != first.sequence);
             if self.customers[first.customer].misses_deadline(first.deadline_ms, now_ms) {
                 decisions.push(refuse(first.sequence, Refusal::Deadline, self.drain_us()));
             } else {
@@ -246,47 +248,50 @@
         }
     }
 
-    /// Whether a slot is free for the customer. The last one is not if the customer is above its
-    /// share.
+    /// Whether a slot is free, other than the last one if the customer is above its share.
     fn may_start(&self, customer: usize) -> bool {
         let free_slots = self.slots - self.running.len().min(self.slots);
         if free_slots != 1 || self.slots < 4 {
             return free_slots > 0;
         }
-        let one = self.customers[customer];
-        let active = self.customers.iter().filter(|one| self.now_ms - one.last_request_ms <= 1_000);
-        let weights: u64 = active.map(|one| one.weight).sum();
-        let share = self.slots as u64 * one.weight;
+        let state = self.customers[customer];
+        let active =
+            self.customers.iter().filter(|other| self.now_ms - other.last_request_ms <= 1_000);
+        let weights: u64 = active.map(|other| other.weight).sum();
+        let share = self.slots as u64 * state.weight;
         let running = self.running.iter().filter(|run| run.1 == customer).count() as u64;
-        running * weights < share || one.busy_milli * weights < share * 1000
+        running * weights < share || state.busy_milli * weights < share * 1000
     }
 
     fn queued(&self, customer: usize) -> u64 {
-        self.waiting.iter().filter(|one| one.customer == customer).count() as u64
+        self.waiting.iter().filter(|request| request.customer == customer).count() as u64
     }
 
     fn occupancy(&self, customer: usize, additional: u64) -> u64 {
-        let running = self.running.iter().filter(|one| one.1 == customer).count() as u64;
+        let running = self.running.iter().filter(|run| run.1 == customer).count() as u64;
         (self.queued(customer) + running + additional) * 1024 / self.customers[customer].weight
     }
 
     fn displaced_by(&self, newcomer: usize) -> Option<u64> {
-        let most = (0..self.customers.len())
+        let furthest_above = (0..self.customers.len())
             .filter(|&customer| self.queued(customer) > 0)
             .max_by_key(|&customer| (self.occupancy(customer, 0), customer))?;
-        if self.occupancy(most, 0) <= self.occupancy(newcomer, 1) {
+        if self.occupancy(furthest_above, 0) <= self.occupancy(newcomer, 1) {
             return None;
         }
-        self.waiting.iter().rfind(|one| one.customer == most).map(|one| one.sequence)
+        self.waiting
+            .iter()
+            .rfind(|request| request.customer == furthest_above)
+            .map(|request| request.sequence)
     }
 
     fn wait_us(&self, customer: usize) -> u64 {
         let has_queue = |&other: &usize| other == customer || self.queued(other) > 0;
         let all = (0..self.customers.len()).filter(has_queue);
         let weights: u64 = all.map(|other| self.customers[other].weight).sum();
-        let one = self.customers[customer];
-        let ahead = (self.queued(customer) + 1) * one.times.mean;
-        (ahead * weights / one.weight / self.slots as u64).min(self.drain_us())
+        let state = self.customers[customer];
+        let ahead = (self.queued(customer) + 1) * state.times.mean;
+        (ahead * weights / state.weight / self.slots as u64).min(self.drain_us())
     }
 
     fn drain_us(&self) -> u64 {
