--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -1,4 +1,4 @@
-//! Choice of the agent for a request, and ejection of failing agents.
+//! Selection of the agent for a request, and ejection of failing agents.
 
 mod requests_support;
 
