--- a/crates/geraniumpost-core/src/placement/amounts.rs
+++ b/crates/geraniumpost-core/src/placement/amounts.rs
@@ -1,43 +1,43 @@
-//! Arithmetic on [`Resources`], saturating so that no report can wrap a ledger around.
+//! Arithmetic on [`Resources`]. It saturates, so that no report can make a sum overflow.
 
 use geraniumpost_schema::{Quota, Reserve, Resources};
 
 use super::Resource;
 
-/// No resources at all.
+/// Zero of each resource.
 pub const NONE: Resources = Resources { milli_cpus: 0, memory_mb: 0, accelerators: 0 };
 
-/// Returns the resource that `need` has too much of to fit into `room`, if any.
+/// Returns the first resource of which `need` exceeds `available`, or none if `need` fits.
 ///
 /// # Example
 ///
 /// ```
 /// use geraniumpost_core::placement::{Resource, amounts};
 /// use geraniumpost_schema::Resources;
-/// let room = Resources { milli_cpus: 500, memory_mb: 100, accelerators: 0 };
+/// let available = Resources { milli_cpus: 500, memory_mb: 100, accelerators: 0 };
 /// let need = Resources { milli_cpus: 500, memory_mb: 101, accelerators: 0 };
-/// assert_eq!(amounts::exceeded_resource(&need, &room), Some(Resource::Memory));
+/// assert_eq!(amounts::exceeded_resource(&need, &available), Some(Resource::Memory));
 /// ```
 #[must_use]
-pub const fn exceeded_resource(need: &Resources, room: &Resources) -> Option<Resource> {
-    if need.accelerators > room.accelerators {
+pub const fn exceeded_resource(need: &Resources, available: &Resources) -> Option<Resource> {
+    if need.accelerators > available.accelerators {
         Some(Resource::Accelerators)
-    } else if need.memory_mb > room.memory_mb {
+    } else if need.memory_mb > available.memory_mb {
         Some(Resource::Memory)
-    } else if need.milli_cpus > room.milli_cpus {
+    } else if need.milli_cpus > available.milli_cpus {
         Some(Resource::Processors)
     } else {
         None
     }
 }
 
-/// Returns whether `need` fits into `room`.
+/// Returns whether `need` fits into `available`.
 #[must_use]
-pub const fn fits(need: &Resources, room: &Resources) -> bool {
-    exceeded_resource(need, room).is_none()
+pub const fn fits(need: &Resources, available: &Resources) -> bool {
+    exceeded_resource(need, available).is_none()
 }
 
-/// Returns the sum.
+/// Returns the sum of each resource.
 #[must_use]
 pub const fn plus(a: &Resources, b: &Resources) -> Resources {
     Resources {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the difference, 0 where `b` is larger.
+/// Returns the difference of each resource, 0 where `b` is larger.
 #[must_use]
 pub const fn minus(a: &Resources, b: &Resources) -> Resources {
     Resources {
--- a/crates/geraniumpost-core/src/placement/candidate.rs
+++ b/crates/geraniumpost-core/src/placement/candidate.rs
@@ -1,12 +1,12 @@
 use derive_more::Display;
 use geraniumpost_schema::Name;
 
-/// A worker that was weighed for a job, with its score; lower is better.
+/// A worker that was considered for a job, with its score.
 #[derive(Debug, Display, Clone, PartialEq)]
 #[display("{worker}={score:.4}")]
 pub struct Candidate {
-    /// The worker.
+    /// Name of the worker.
     pub worker: Name,
-    /// Predicted harm plus tie-breakers.
+    /// Increase in the predicted latency cost plus tie-breakers; lower is better.
     pub score: f64,
 }
--- a/crates/geraniumpost-core/src/placement/decision.rs
+++ b/crates/geraniumpost-core/src/placement/decision.rs
@@ -3,95 +3,96 @@
 
 use super::{Reason, Resource};
 
-/// What the planner should do; its text is the log line of the decision.
+/// An action for the planner to carry out. Its `Display` form is the log line of the decision.
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Decision {
     /// Start a job on a worker.
     #[display("start job={job} worker={worker} score={score:.4} why={reason}")]
     Start {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Where it runs.
+        /// The worker that runs it.
         worker: Name,
-        /// What to reserve: the declared need or more, if its like were seen to use more.
+        /// Resources to reserve: the declared need, or more if similar jobs were measured to use
+        /// more.
         need: Resources,
-        /// Predicted harm plus tie-breakers; lower is better.
+        /// Increase in the predicted latency cost plus tie-breakers; lower is better.
         score: f64,
-        /// Why there.
+        /// Why this worker was chosen.
         reason: Reason,
     },
-    /// Checkpoint and stop a task; its room is free only after the agent's word.
+    /// Checkpoint and stop a task. Its resources are free once the agent reports its end.
     #[display("evict job={job} worker={worker} for={for_job} why={reason}")]
     Evict {
-        /// The job that yields.
+        /// Id of the job to evict.
         job: Name,
-        /// Where it runs.
+        /// The worker that runs it.
         worker: Name,
-        /// The job it yields to, empty if it yields to the worker's service.
+        /// The job that needs the resources, empty if the eviction protects the worker's service.
         for_job: Name,
-        /// Why this one.
+        /// Why this task was chosen.
         reason: Reason,
     },
     /// Set the share of its processors that a task may use.
     #[display("throttle job={job} worker={worker} permille={permille} why={reason}")]
     Throttle {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Where it runs.
+        /// The worker that runs it.
         worker: Name,
         /// Share in thousandths; 1000 lifts the throttle.
         permille: u32,
-        /// Why.
+        /// Why the speed changes.
         reason: Reason,
     },
     /// Keep a job waiting.
     #[display("wait job={job} why={reason}")]
     Wait {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Why.
+        /// What the job waits for.
         reason: Reason,
     },
     /// Refuse a job that cannot run on any worker, however long it waits.
     #[display("impossible job={job} resource={resource} largest={largest} why={reason}")]
     Impossible {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// The resource that it has too much of.
+        /// The resource of which the job needs too much.
         resource: Resource,
         /// The worker that offers most of that resource, empty if the quota forbids the job.
         largest: Name,
-        /// By how much.
+        /// How much the job needs and how much is offered.
         reason: Reason,
     },
-    /// Fail a job that failed on several sound workers.
+    /// Fail a job that failed on several healthy workers.
     #[display("give up job={job} why={reason}")]
     GiveUp {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Why.
+        /// How often the job failed, and where.
         reason: Reason,
     },
-    /// Give a worker no work but probes, as it failed several different jobs.
+    /// Give a worker no new jobs, as it failed several different jobs.
     #[display("quarantine worker={worker} why={reason}")]
     Quarantine {
-        /// The worker.
+        /// Name of the worker.
         worker: Name,
-        /// Why.
+        /// How many jobs failed, and how long the quarantine lasts.
         reason: Reason,
     },
-    /// Give a worker work again.
+    /// Give a worker jobs again, one at a time while it is probed.
     #[display("release worker={worker} why={reason}")]
     Release {
-        /// The worker.
+        /// Name of the worker.
         worker: Name,
-        /// Why.
+        /// Whether the worker is probed or trusted again.
         reason: Reason,
     },
 }
 
 impl Decision {
-    /// Returns the job that the decision is about, if it is about one.
+    /// Returns the job that the decision concerns, or none if it concerns a worker.
     pub const fn job(&self) -> Option<&Name> {
         match self {
             Self::Start { job, .. }
--- a/crates/geraniumpost-core/src/placement/eviction_budget.rs
+++ b/crates/geraniumpost-core/src/placement/eviction_budget.rs
@@ -4,7 +4,8 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-/// Bounds evictions, so that a wave of noise does not become a wave of evictions.
+/// Limits evictions per minute, so that high latency on many workers does not evict tasks on all of
+/// them at once.
 #[derive(Debug, Clone, Default)]
 pub struct EvictionBudget {
     spent: VecDeque<Millis>,
@@ -12,14 +13,14 @@
 
 impl EvictionBudget {
     /// Returns how many evictions may still be ordered this minute.
-    pub fn left(&mut self, now: Millis, per_minute: u32) -> u32 {
+    pub fn remaining(&mut self, now: Millis, per_minute: u32) -> u32 {
         while self.spent.front().is_some_and(|at| now.since(*at) >= MINUTE_MS) {
             self.spent.pop_front();
         }
         per_minute.saturating_sub(self.spent.len() as u32)
     }
 
-    /// Notes an eviction.
+    /// Counts an eviction against the budget.
     pub fn spend(&mut self, now: Millis) {
         self.spent.push_back(now);
     }
--- a/crates/geraniumpost-core/src/placement/explanations.rs
+++ b/crates/geraniumpost-core/src/placement/explanations.rs
@@ -5,46 +5,45 @@
 use super::Decision;
 use crate::Millis;
 
-/// Age at which what was said of a job may be forgotten, once there is much of it.
-const KEPT_MS: u64 = 600_000;
-/// Entries over which old ones are dropped.
-const MANY: usize = 4096;
+/// Age from which decisions may be dropped once there are too many of them.
+const RETENTION_MS: u64 = 600_000;
+/// Number of decisions up to which none are dropped.
+const MIN_TRIM_LEN: usize = 4096;
 
-/// The latest decision on each job, for operators who ask why.
+/// The latest decision on each job, for operators.
 #[derive(Debug, Clone, Default)]
 pub struct Explanations {
     by_job: BTreeMap<Name, (Millis, Decision)>,
-    most: usize,
+    trim_len: usize,
 }
 
 impl Explanations {
-    /// Notes a decision.
-    pub fn note(&mut self, now: Millis, decision: &Decision) {
+    /// Replaces the decision on the job that `decision` concerns, if it concerns one.
+    pub fn record(&mut self, now: Millis, decision: &Decision) {
         if let Some(job) = decision.job() {
             self.by_job.insert(job.clone(), (now, decision.clone()));
         }
     }
 
-    /// Forgets a job.
     pub fn forget(&mut self, job: &Name) {
         self.by_job.remove(job);
     }
 
-    /// Returns whether there is much to forget.
+    /// Returns whether there are enough decisions for [`trim`](Self::trim) to drop old ones.
     pub fn is_large(&self) -> bool {
-        self.by_job.len() > self.most.max(MANY)
+        self.by_job.len() > self.trim_len.max(MIN_TRIM_LEN)
     }
 
-    /// Drops what is old, except for jobs that still run, once there is much of it.
-    pub fn trim(&mut self, now: Millis, runs: impl Fn(&Name) -> bool) {
+    /// Drops old decisions, except on running jobs, once there are too many.
+    pub fn trim(&mut self, now: Millis, is_running: impl Fn(&Name) -> bool) {
         if !self.is_large() {
             return;
         }
-        self.by_job.retain(|job, (at, _)| now.since(*at) < KEPT_MS || runs(job));
-        self.most = self.by_job.len() * 2;
+        self.by_job.retain(|job, (at, _)| now.since(*at) < RETENTION_MS || is_running(job));
+        self.trim_len = self.by_job.len() * 2;
     }
 
-    /// Returns what was last decided on a job, in words.
+    /// Returns the text of the latest decision on a job, with its time.
     pub fn text(&self, job: &Name) -> String {
         match self.by_job.get(job) {
             Some((at, decision)) => format!("{decision} at={at}ms"),
--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -3,9 +3,9 @@
 use geraniumpost_schema::{Name, Resources};
 use slotmap::{SecondaryMap, SlotMap, new_key_type};
 
-use super::group::Group;
 use super::interner::Interner;
-use super::row::{NO_SERVICE, Row};
+use super::task_group::TaskGroup;
+use super::worker_row::{NO_SERVICE, WorkerRow};
 use super::{TaskView, WorkerState, WorkerView, amounts};
 
 new_key_type! {
@@ -34,44 +34,44 @@
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     workers: SlotMap<WorkerKey, WorkerView>,
-    rows: SecondaryMap<WorkerKey, Row>,
+    rows: SecondaryMap<WorkerKey, WorkerRow>,
     by_name: HashMap<Name, WorkerKey>,
     by_job: HashMap<Name, WorkerKey>,
-    holdings: HashMap<Name, Resources>,
-    groups: HashMap<(Name, Name), Group>,
+    allocations: HashMap<Name, Resources>,
+    groups: HashMap<(Name, Name), TaskGroup>,
     services: Interner,
-    places: Interner,
+    locations: Interner,
     total: Resources,
-    shapes: Vec<(Resources, usize)>,
+    allowances: Vec<(Resources, usize)>,
     version: u64,
     awaiting_workers: bool,
 }
 
 impl Fleet {
-    /// Sets whether workers may still be about to announce themselves.
+    /// Sets whether the planner still waits for workers to announce themselves.
     ///
-    /// A planner that has just taken over knows no worker yet. Without this every job would look
-    /// impossible for a second, and customers would be told so.
+    /// A planner that has just taken over knows no workers yet. Without this flag it would reject
+    /// every job as impossible during its first second.
     pub const fn set_awaiting_workers(&mut self, awaiting_workers: bool) {
         self.awaiting_workers = awaiting_workers;
     }
 
-    /// Returns whether workers may still be about to announce themselves.
+    /// Returns whether the planner still waits for workers to announce themselves.
     pub const fn awaiting_workers(&self) -> bool {
         self.awaiting_workers
     }
 
-    /// Adds a worker, or replaces the one of that name together with its tasks.
+    /// Adds a worker, or replaces the worker of the same name together with its tasks.
     pub fn put_worker(&mut self, mut view: WorkerView) -> WorkerKey {
         self.remove_worker(&view.name.clone());
         let tasks = std::mem::take(&mut view.tasks);
         let service = view.service.as_ref().map_or(NO_SERVICE, |name| self.services.intern(name));
-        let rack = self.places.intern(&view.rack);
-        let domain = self.places.intern(&view.domain);
+        let rack = self.locations.intern(&view.rack);
+        let domain = self.locations.intern(&view.domain);
         self.total = amounts::plus(&self.total, &view.allowance());
-        self.add_shape(view.allowance());
+        self.add_allowance(view.allowance());
         self.version += 1;
-        let mut row = Row::new(&view, service, rack, domain);
+        let mut row = WorkerRow::new(&view, service, rack, domain);
         row.version = self.version;
         let name = view.name.clone();
         let key = self.workers.insert(view);
@@ -83,7 +83,7 @@
         key
     }
 
-    /// Removes a worker with its tasks; what only it could run becomes impossible.
+    /// Removes a worker with its tasks. Jobs that fit on no other worker become impossible.
     pub fn remove_worker(&mut self, worker: &Name) -> Option<WorkerView> {
         let key = *self.by_name.get(worker)?;
         let view = self.workers[key].clone();
@@ -91,23 +91,23 @@
             self.remove_task(&task.job);
         }
         self.total = amounts::minus(&self.total, &view.allowance());
-        self.remove_shape(&view.allowance());
+        self.remove_allowance(&view.allowance());
         self.by_name.remove(worker);
         self.workers.remove(key);
         self.rows.remove(key);
         Some(view)
     }
 
-    /// Adds a task to a worker; false if the worker is unknown or the job already runs.
+    /// Adds a task to a worker. Returns false if the worker is unknown or the job already runs.
     pub fn add_task(&mut self, worker: &Name, task: TaskView) -> bool {
         let Some(&key) = self.by_name.get(worker) else { return false };
         if self.by_job.contains_key(&task.job) {
             return false;
         }
-        let held = task.allocated();
+        let allocated = task.allocated();
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
-        let holding = self.holdings.entry(task.customer.clone()).or_insert(amounts::NONE);
-        *holding = amounts::plus(holding, &held);
+        let allocation = self.allocations.entry(task.customer.clone()).or_insert(amounts::NONE);
+        *allocation = amounts::plus(allocation, &allocated);
         let group = self.groups.entry((task.customer.clone(), task.class.clone())).or_default();
         group.add(rack, domain);
         self.by_job.insert(task.job.clone(), key);
@@ -116,26 +116,26 @@
         true
     }
 
-    /// Removes a task after its agent's word that it ended.
+    /// Removes a task, once its agent has reported the end.
     pub fn remove_task(&mut self, job: &Name) -> Option<TaskView> {
         let key = self.by_job.remove(job)?;
         let tasks = &mut self.workers[key].tasks;
-        let at = tasks.iter().position(|task| task.job == *job)?;
-        let task = tasks.swap_remove(at);
+        let index = tasks.iter().position(|task| task.job == *job)?;
+        let task = tasks.swap_remove(index);
         self.refresh(key);
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
         self.release(&task.customer, &task.allocated());
-        let of = (task.customer.clone(), task.class.clone());
-        if let Some(group) = self.groups.get_mut(&of) {
+        let group_key = (task.customer.clone(), task.class.clone());
+        if let Some(group) = self.groups.get_mut(&group_key) {
             group.remove(rack, domain);
             if group.is_empty() {
-                self.groups.remove(&of);
+                self.groups.remove(&group_key);
             }
         }
         Some(task)
     }
 
-    /// Takes over a report on a running task; false if the job does not run.
+    /// Applies a report on a running task. Returns false if the job does not run.
     pub fn update_task(&mut self, job: &Name, change: impl FnOnce(TaskView) -> TaskView) -> bool {
         let Some(&key) = self.by_job.get(job) else { return false };
         let Some(task) = self.workers[key].tasks.iter_mut().find(|task| task.job == *job) else {
@@ -145,23 +145,23 @@
         *task = change(task.clone());
         let (after, customer) = (task.allocated(), task.customer.clone());
         self.release(&customer, &before);
-        let holding = self.holdings.entry(customer).or_insert(amounts::NONE);
-        *holding = amounts::plus(holding, &after);
+        let allocation = self.allocations.entry(customer).or_insert(amounts::NONE);
+        *allocation = amounts::plus(allocation, &after);
         self.refresh(key);
         true
     }
 
-    /// Takes over a worker's state; false if the worker is unknown.
+    /// Sets a worker's state. Returns false if the worker is unknown.
     pub fn set_state(&mut self, worker: &Name, state: WorkerState) -> bool {
         self.update_worker(worker, |view| view.state = state)
     }
 
-    /// Takes over what the agent's ledger holds reserved; false if the worker is unknown.
+    /// Sets what the agent's ledger has reserved. Returns false if the worker is unknown.
     pub fn set_reserved(&mut self, worker: &Name, reserved: Resources) -> bool {
         self.update_worker(worker, |view| view.reserved = reserved)
     }
 
-    /// Takes over the service's load and p99; false if the worker is unknown.
+    /// Sets the load and p99 of a worker's service. Returns false if the worker is unknown.
     pub fn set_load(&mut self, worker: &Name, load_permille: u32, p99_us: u64) -> bool {
         self.update_worker(worker, |view| {
             view.load_permille = load_permille;
@@ -169,7 +169,7 @@
         })
     }
 
-    /// Returns a worker.
+    /// Returns the worker of a name.
     pub fn worker(&self, worker: &Name) -> Option<&WorkerView> {
         self.by_name.get(worker).map(|key| &self.workers[*key])
     }
@@ -184,17 +184,17 @@
         self.workers.values()
     }
 
-    /// Returns what a customer's tasks hold.
+    /// Returns the resources allocated to a customer's tasks.
     pub fn allocated_to(&self, customer: &Name) -> Resources {
-        self.holdings.get(customer).copied().unwrap_or(amounts::NONE)
+        self.allocations.get(customer).copied().unwrap_or(amounts::NONE)
     }
 
-    /// Returns what batch work may hold on all workers together.
+    /// Returns the resources that all workers together offer to batch work.
     pub const fn total(&self) -> &Resources {
         &self.total
     }
 
-    pub(super) const fn rows(&self) -> &SecondaryMap<WorkerKey, Row> {
+    pub(super) const fn rows(&self) -> &SecondaryMap<WorkerKey, WorkerRow> {
         &self.rows
     }
 
@@ -210,38 +210,42 @@
         self.services.names()
     }
 
-    /// Returns how many racks and domains there are.
-    pub(super) fn places(&self) -> usize {
-        self.places.names().len()
+    /// Returns the number of distinct racks and failure domains.
+    pub(super) fn locations(&self) -> usize {
+        self.locations.names().len()
     }
 
-    pub(super) fn group(&self, customer: &Name, class: &Name) -> Option<&Group> {
+    pub(super) fn group(&self, customer: &Name, class: &Name) -> Option<&TaskGroup> {
         self.groups.get(&(customer.clone(), class.clone()))
     }
 
-    /// Returns whether some worker could hold a need if it were empty.
-    pub(super) fn could_hold(&self, need: &Resources) -> bool {
-        self.shapes.iter().any(|(shape, _)| amounts::fits(need, shape))
+    /// Returns whether a need would fit on some worker if that worker were empty.
+    pub(super) fn could_ever_fit(&self, need: &Resources) -> bool {
+        self.allowances.iter().any(|(known, _)| amounts::fits(need, known))
     }
 
-    /// Returns the most that any worker could ever give to a task of a need, if one could.
+    /// Returns the largest allowance of a worker on which a need fits, or none if it fits nowhere.
     pub(super) fn largest_for(&self, need: &Resources) -> Option<Resources> {
-        let holders = self.shapes.iter().filter(|(shape, _)| amounts::fits(need, shape));
-        holders.map(|(shape, _)| *shape).max_by_key(|shape| (shape.memory_mb, shape.milli_cpus))
+        let candidates = self.allowances.iter().filter(|(known, _)| amounts::fits(need, known));
+        candidates
+            .map(|(known, _)| *known)
+            .max_by_key(|allowance| (allowance.memory_mb, allowance.milli_cpus))
     }
 
-    fn add_shape(&mut self, allowance: Resources) {
-        match self.shapes.iter_mut().find(|(shape, _)| *shape == allowance) {
+    fn add_allowance(&mut self, allowance: Resources) {
+        match self.allowances.iter_mut().find(|(known, _)| *known == allowance) {
             Some((_, count)) => *count += 1,
-            None => self.shapes.push((allowance, 1)),
+            None => self.allowances.push((allowance, 1)),
         }
     }
 
-    fn remove_shape(&mut self, allowance: &Resources) {
-        let Some(at) = self.shapes.iter().position(|(shape, _)| shape == allowance) else { return };
-        self.shapes[at].1 -= 1;
-        if self.shapes[at].1 == 0 {
-            self.shapes.swap_remove(at);
+    fn remove_allowance(&mut self, allowance: &Resources) {
+        let Some(index) = self.allowances.iter().position(|(known, _)| known == allowance) else {
+            return;
+        };
+        self.allowances[index].1 -= 1;
+        if self.allowances[index].1 == 0 {
+            self.allowances.swap_remove(index);
         }
     }
 
@@ -257,11 +261,11 @@
         true
     }
 
-    fn release(&mut self, customer: &Name, held: &Resources) {
-        let Some(holding) = self.holdings.get_mut(customer) else { return };
-        *holding = amounts::minus(holding, held);
-        if *holding == amounts::NONE {
-            self.holdings.remove(customer);
+    fn release(&mut self, customer: &Name, allocated: &Resources) {
+        let Some(allocation) = self.allocations.get_mut(customer) else { return };
+        *allocation = amounts::minus(allocation, allocated);
+        if *allocation == amounts::NONE {
+            self.allocations.remove(customer);
         }
     }
 }
--- a/crates/geraniumpost-core/src/placement/interference_model.rs
+++ b/crates/geraniumpost-core/src/placement/interference_model.rs
@@ -3,29 +3,31 @@
 use geraniumpost_schema::Name;
 
 use super::interner::Interner;
-use super::ridge::{Input, Ridge};
+use super::ridge::{Input, RidgeRegression};
 
-/// Coefficients of a service alone: constant, load, load squared.
-const ALONE: usize = 3;
-/// Processors that a slope is counted for, in thousandths.
+/// Number of coefficients for a service without batch tasks: constant, load, load squared.
+const BASELINE_COEFFICIENTS: usize = 3;
+/// Processors, in thousandths, to which a slope refers.
 const UNIT_MILLI_CPUS: f64 = 16_000.0;
-/// Slope of a class that nothing is known of, in targets.
-const UNKNOWN_SLOPE: f64 = 0.15;
-/// Evidence at which a pair counts as much as its class's mean.
-const PAIR_STRENGTH: f64 = 4.0;
-/// Evidence at which a class counts as much as the mean of all classes.
-const CLASS_STRENGTH: f64 = 20.0;
-/// Measurements between two solutions. One takes some microseconds, and until it is made the newest
-/// measurements do not count.
+/// Slope of a class without any measurement, in targets.
+const DEFAULT_SLOPE: f64 = 0.15;
+/// Evidence at which a pair's own measurements weigh as much as its class's mean.
+const PAIR_PRIOR_STRENGTH: f64 = 4.0;
+/// Evidence at which a class's own measurements weigh as much as the mean of all classes.
+const CLASS_PRIOR_STRENGTH: f64 = 20.0;
+/// Number of measurements between two solutions. A solution takes some microseconds; until it is
+/// made, the newest measurements have no effect.
 const SOLVE_EVERY: u32 = 4;
-/// Classes told apart; further ones share the last number, so that matrices stay small.
-const CLASSES: u32 = 60;
+/// Number of classes with their own coefficients. Further classes share the last number, which
+/// keeps the matrices small.
+const MAX_CLASSES: u32 = 60;
 
-/// Predicts how much batch classes slow services, from late measurements.
+/// Predicts how much batch classes slow services, from measurements that arrive late.
 ///
-/// A service's p99, in units of its target, is its own curve over load plus a slope for each class
-/// that runs beside it. A pair rarely seen is drawn towards its class's mean over all services,
-/// and a class rarely seen towards the mean of all classes.
+/// A service's p99, in units of its target, is modelled as a curve over its load plus a slope for
+/// each batch class that runs beside it. The slope of a rarely measured pair of service and class
+/// is regularized towards the mean of the class over all services, and a rarely measured class
+/// towards the mean of all classes.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceModel {
     classes: Interner,
@@ -34,53 +36,53 @@
     mean: Option<f64>,
 }
 
-/// What is known of one service.
+/// The regression of one service.
 #[derive(Debug, Clone)]
 struct ServiceModel {
-    ridge: Ridge,
+    ridge: RidgeRegression,
     unsolved: u32,
 }
 
-/// How strongly tasks press on a service: more when it is busy.
+/// Returns the factor by which load scales interference: tasks slow a busy service more.
 ///
-/// It is linear in load on purpose: little data must decide, and a busy minion is slowed more.
-pub fn pressing(load: f64) -> f64 {
+/// It is linear in the load, as there is too little data to fit a more complex function.
+pub fn load_factor(load: f64) -> f64 {
     0.3 + 0.7 * load
 }
 
 impl InterferenceModel {
-    /// Returns the number of a class.
-    pub fn class(&mut self, class: &Name) -> usize {
-        self.classes.intern(class).min(CLASSES) as usize
+    /// Returns the number of a class, assigning one if the class is new.
+    pub fn intern_class(&mut self, class: &Name) -> usize {
+        self.classes.intern(class).min(MAX_CLASSES) as usize
     }
 
-    /// Returns the number of a class; one never seen shares the last number.
-    pub fn known_class(&self, class: &Name) -> usize {
-        self.classes.get(class).unwrap_or(CLASSES).min(CLASSES) as usize
+    /// Returns the number of a class; unknown classes share the last number.
+    pub fn class_number(&self, class: &Name) -> usize {
+        self.classes.get(class).unwrap_or(MAX_CLASSES).min(MAX_CLASSES) as usize
     }
 
-    /// Keeps what is known of some services and returns whether any was forgotten.
-    pub fn keep(&mut self, mut is_kept: impl FnMut(&Name) -> bool) -> bool {
+    /// Drops the models of all other services and returns whether any was dropped.
+    pub fn retain_services(&mut self, mut is_retained: impl FnMut(&Name) -> bool) -> bool {
         let before = self.services.len();
-        self.services.retain(|service, _| is_kept(service));
+        self.services.retain(|service, _| is_retained(service));
         self.services.len() < before
     }
 
-    /// Learns from a measurement beside the tasks that ran then, given by class number and
-    /// processors; returns how far it lay over the prediction.
-    pub fn observe(&mut self, service: &Name, load: f64, ran: &[(usize, f64)], p99: f64) -> f64 {
-        let predicted = self.predict(service, load, ran);
-        // Noise grows with latency, so what is measured high counts less.
+    /// Learns from a p99 measured beside `tasks`, given by class number and thousandths of
+    /// processors. Returns the excess of the measured over the predicted p99.
+    pub fn observe(&mut self, service: &Name, load: f64, tasks: &[(usize, f64)], p99: f64) -> f64 {
+        let predicted = self.predict(service, load, tasks);
+        // The noise of a measurement grows with the latency, so high measurements weigh less.
         let weight = 1.0 / (p99 * p99).max(0.01);
-        self.take_in(service, &inputs(load, ran), p99, weight);
+        self.add_measurement(service, &inputs(load, tasks), p99, weight);
         p99 - predicted
     }
 
-    fn take_in(&mut self, service: &Name, inputs: &[Input], value: f64, weight: f64) {
-        let model = self
-            .services
-            .entry(service.clone())
-            .or_insert_with(|| ServiceModel { ridge: Ridge::new(), unsolved: SOLVE_EVERY });
+    fn add_measurement(&mut self, service: &Name, inputs: &[Input], value: f64, weight: f64) {
+        let model = self.services.entry(service.clone()).or_insert_with(|| ServiceModel {
+            ridge: RidgeRegression::new(),
+            unsolved: SOLVE_EVERY,
+        });
         model.ridge.observe(inputs, value, weight);
         model.unsolved += 1;
         if model.unsolved >= SOLVE_EVERY {
@@ -88,68 +90,79 @@
         }
     }
 
-    /// Returns the p99 of a service alone at a load, in targets.
-    pub fn alone(&self, service: &Name, load: f64) -> f64 {
+    /// Returns the p99 of a service without batch tasks at a load, in targets.
+    pub fn baseline(&self, service: &Name, load: f64) -> f64 {
         let Some(model) = self.services.get(service) else { return 0.0 };
-        let at = |i| model.ridge.coefficient(i).unwrap_or(0.0);
-        at(0) + at(1) * load + at(2) * load * load
+        let coefficient = |index| model.ridge.coefficient(index).unwrap_or(0.0);
+        coefficient(0) + coefficient(1) * load + coefficient(2) * load * load
     }
 
-    /// Returns how much a class adds to a service's p99 in targets, for each processor unit.
+    /// Returns how much a class adds to a service's p99, in targets per processor unit.
     pub fn slope(&self, service: &Name, class: usize) -> f64 {
-        let known = self.services.get(service).and_then(|m| m.ridge.coefficient(ALONE + class));
+        let known = self
+            .services
+            .get(service)
+            .and_then(|model| model.ridge.coefficient(BASELINE_COEFFICIENTS + class));
         known.unwrap_or_else(|| self.class_mean(class))
     }
 
-    /// Returns the strength of a task in processor units at a load.
-    pub fn strength(milli_cpus: f64, load: f64) -> f64 {
-        milli_cpus / UNIT_MILLI_CPUS * pressing(load)
+    /// Returns the effective size of a task at a load, in processor units.
+    pub fn intensity(milli_cpus: f64, load: f64) -> f64 {
+        milli_cpus / UNIT_MILLI_CPUS * load_factor(load)
     }
 
     /// Returns the predicted p99 of a service beside tasks, in targets.
-    pub fn predict(&self, service: &Name, load: f64, ran: &[(usize, f64)]) -> f64 {
-        let beside: f64 = ran
+    pub fn predict(&self, service: &Name, load: f64, tasks: &[(usize, f64)]) -> f64 {
+        let interference: f64 = tasks
             .iter()
-            .map(|(class, cpus)| self.slope(service, *class) * Self::strength(*cpus, load))
+            .map(|(class, cpus)| self.slope(service, *class) * Self::intensity(*cpus, load))
             .sum();
-        self.alone(service, load) + beside
+        self.baseline(service, load) + interference
     }
 
     fn class_mean(&self, class: usize) -> f64 {
-        let mean = self.mean.unwrap_or(UNKNOWN_SLOPE);
+        let mean = self.mean.unwrap_or(DEFAULT_SLOPE);
         self.class_means.get(class).copied().unwrap_or(mean)
     }
 
     fn solve(&mut self, service: &Name) {
         let means = self.class_means.clone();
-        let mean = self.mean.unwrap_or(UNKNOWN_SLOPE);
+        let mean = self.mean.unwrap_or(DEFAULT_SLOPE);
         if let Some(model) = self.services.get_mut(service) {
             model.unsolved = 0;
-            let least = |at: usize| if at < ALONE { f64::MIN } else { 0.0 };
-            model.ridge.solve(least, |at| match at.checked_sub(ALONE) {
-                None => (0.0, 0.02),
-                Some(class) => (means.get(class).copied().unwrap_or(mean), PAIR_STRENGTH),
+            let lower_bound =
+                |index: usize| if index < BASELINE_COEFFICIENTS { f64::MIN } else { 0.0 };
+            model.ridge.solve(lower_bound, |index| {
+                match index.checked_sub(BASELINE_COEFFICIENTS) {
+                    None => (0.0, 0.02),
+                    Some(class) => (means.get(class).copied().unwrap_or(mean), PAIR_PRIOR_STRENGTH),
+                }
             });
         }
-        self.average();
+        self.update_means();
     }
 
-    /// Takes the means anew that rarely seen pairs and classes are drawn towards.
-    fn average(&mut self) {
-        let classes = self.classes.names().len().min(CLASSES as usize + 1);
-        let mean = self.mean.unwrap_or(UNKNOWN_SLOPE);
+    /// Recomputes the means towards which rarely measured pairs and classes are regularized.
+    fn update_means(&mut self) {
+        let classes = self.classes.names().len().min(MAX_CLASSES as usize + 1);
+        let mean = self.mean.unwrap_or(DEFAULT_SLOPE);
         let mut means = vec![mean; classes];
-        let (mut sum, mut weights) = (UNKNOWN_SLOPE, 1.0);
-        for (class, of_class) in means.iter_mut().enumerate() {
-            let (mut of, mut evidence) = (mean * CLASS_STRENGTH, CLASS_STRENGTH);
+        let (mut sum, mut weights) = (DEFAULT_SLOPE, 1.0);
+        for (class, class_mean) in means.iter_mut().enumerate() {
+            let (mut weighted_sum, mut evidence) =
+                (mean * CLASS_PRIOR_STRENGTH, CLASS_PRIOR_STRENGTH);
             for model in self.services.values() {
-                let weight = model.ridge.evidence(ALONE + class).min(CLASS_STRENGTH * 10.0);
-                of += weight * model.ridge.coefficient(ALONE + class).unwrap_or(0.0);
+                let weight = model
+                    .ridge
+                    .evidence(BASELINE_COEFFICIENTS + class)
+                    .min(CLASS_PRIOR_STRENGTH * 10.0);
+                weighted_sum +=
+                    weight * model.ridge.coefficient(BASELINE_COEFFICIENTS + class).unwrap_or(0.0);
                 evidence += weight;
             }
-            *of_class = of / evidence;
-            let weight = (evidence - CLASS_STRENGTH) / evidence;
-            sum += weight * *of_class;
+            *class_mean = weighted_sum / evidence;
+            let weight = (evidence - CLASS_PRIOR_STRENGTH) / evidence;
+            sum += weight * *class_mean;
             weights += weight;
         }
         self.class_means = means;
@@ -157,22 +170,22 @@
     }
 }
 
-fn inputs(load: f64, ran: &[(usize, f64)]) -> Vec<Input> {
+fn inputs(load: f64, tasks: &[(usize, f64)]) -> Vec<Input> {
     let mut inputs = vec![
-        Input { at: 0, value: 1.0 },
-        Input { at: 1, value: load },
-        Input { at: 2, value: load * load },
+        Input { index: 0, value: 1.0 },
+        Input { index: 1, value: load },
+        Input { index: 2, value: load * load },
     ];
-    add_classes(&mut inputs, load, ran);
+    add_classes(&mut inputs, load, tasks);
     inputs
 }
 
-fn add_classes(inputs: &mut Vec<Input>, load: f64, ran: &[(usize, f64)]) {
-    for (class, cpus) in ran {
-        let value = InterferenceModel::strength(*cpus, load);
-        match inputs.iter_mut().find(|input| input.at == ALONE + class) {
+fn add_classes(inputs: &mut Vec<Input>, load: f64, tasks: &[(usize, f64)]) {
+    for (class, cpus) in tasks {
+        let value = InterferenceModel::intensity(*cpus, load);
+        match inputs.iter_mut().find(|input| input.index == BASELINE_COEFFICIENTS + class) {
             Some(input) => input.value += value,
-            None => inputs.push(Input { at: ALONE + class, value }),
+            None => inputs.push(Input { index: BASELINE_COEFFICIENTS + class, value }),
         }
     }
 }
--- a/crates/geraniumpost-core/src/placement/interner.rs
+++ b/crates/geraniumpost-core/src/placement/interner.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::Name;
 
-/// Small numbers for names, so that a scan over workers compares integers.
+/// Assigns small numbers to names, so that a scan over workers compares integers.
 #[derive(Debug, Clone, Default)]
 pub struct Interner {
     ids: HashMap<Name, u32>,
@@ -10,7 +10,7 @@
 }
 
 impl Interner {
-    /// Returns the number of `name`, a new one if it was never seen.
+    /// Returns the number of `name`, assigning the next one if the name is new.
     pub fn intern(&mut self, name: &Name) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -21,7 +21,7 @@
         id
     }
 
-    /// Returns the number of `name`, if it was ever seen.
+    /// Returns the number of `name`, or none if the name is unknown.
     pub fn get(&self, name: &Name) -> Option<u32> {
         self.ids.get(name).copied()
     }
--- a/crates/geraniumpost-core/src/placement/turn.rs
+++ b/crates/geraniumpost-core/src/placement/job_context.rs
@@ -3,15 +3,12 @@
 use super::{Fleet, PlacementRequest};
 use crate::Millis;
 
-/// A job's turn in the queue.
+/// What the decision on one job is based on.
 #[derive(Debug, Clone, Copy)]
-pub struct Turn<'a> {
-    /// The present.
+pub struct JobContext<'a> {
     pub now: Millis,
-    /// The job.
-    pub wish: &'a PlacementRequest,
-    /// What to reserve for it.
+    pub request: &'a PlacementRequest,
+    /// Resources to reserve for the job.
     pub need: Resources,
-    /// The workers.
     pub fleet: &'a Fleet,
 }
--- a/crates/geraniumpost-core/src/placement/mod.rs
+++ b/crates/geraniumpost-core/src/placement/mod.rs
@@ -1,51 +1,51 @@
-//! Decisions on placement: which job starts where, what yields to whom, and who is at fault.
+//! Placement of jobs on workers: starts, preemption, throttling, and quarantine of failing workers.
 //!
-//! [`Placer::place`] is a pure decision over a [`Fleet`] that its caller keeps up to date. The
-//! placer proposes; the agent's ledger has the last word on what fits. The reasons for the
-//! policy are in `docs/design/0300-placement.md` and `docs/design/0301-harm-and-pressure.md`, its
-//! figures in `docs/measurements/placement.md`.
+//! [`Placer::place`] is a pure function of a [`Fleet`] that its caller keeps up to date. The placer
+//! only proposes: the agent's ledger decides what fits on its VM. The reasons for the policy are in
+//! `docs/design/0300-placement.md` and `docs/design/0301-harm-and-pressure.md`, its figures in
+//! `docs/measurements/placement.md`.
 
 pub mod amounts;
-mod blame;
 mod candidate;
-mod deciding;
+mod decide;
 mod decision;
-mod draft;
 mod eviction_budget;
 mod explanations;
+mod failure_attribution;
 mod fleet;
-mod forecasts;
-mod gauge;
-mod group;
-mod history;
-mod holds;
 mod interference_model;
 mod interner;
-mod learning;
-mod nearness;
+mod job_context;
+mod latency_control;
+mod latency_forecasts;
+mod mitigation;
+mod no_capacity;
 mod observation;
+mod observe;
 mod outcome;
 mod placement_request;
 mod placer;
+mod planned_fleet;
 mod policy;
-mod pressure;
+mod preemption;
+mod proximity;
 mod queue;
 mod reason;
-mod refusing;
-mod relieving;
+mod rejection;
+mod reservations;
 mod resource;
 mod ridge;
-mod row;
+mod run_history;
+mod run_segment;
 mod scan;
-mod size_sample;
-mod sizes;
-mod span;
+mod smoothed_latency;
+mod task_group;
 mod task_view;
-mod turn;
 mod urgent_demand;
-mod urgent_room;
-mod waiting;
+mod usage_estimates;
+mod usage_sample;
 mod worker_record;
+mod worker_row;
 mod worker_state;
 mod worker_view;
 
--- a/crates/geraniumpost-core/src/placement/observation.rs
+++ b/crates/geraniumpost-core/src/placement/observation.rs
@@ -3,51 +3,51 @@
 use super::RunOutcome;
 use crate::Millis;
 
-/// What the placer learns from; `at` is when it happened, which may be long ago.
+/// A report that the placer learns from. `at` is when it happened, which may be long ago.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Observation {
     /// A task began to run.
     Started {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Its customer.
+        /// The job's customer.
         customer: Name,
-        /// Its class.
+        /// The job's class.
         class: Name,
-        /// Where it runs.
+        /// The worker that runs it.
         worker: Name,
-        /// What is reserved for it.
+        /// Resources reserved for it.
         need: Resources,
         /// When it began.
         at: Millis,
     },
     /// A task ended.
     Ended {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Where it ran.
+        /// The worker that ran it.
         worker: Name,
-        /// How it ended.
+        /// How the run ended.
         outcome: RunOutcome,
         /// When it ended.
         at: Millis,
     },
     /// A task's speed was set.
     Throttled {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Where it runs.
+        /// The worker that runs it.
         worker: Name,
-        /// Share of its processors it may use, in thousandths.
+        /// Share of its processors that the task may use, in thousandths.
         permille: u32,
-        /// When that took hold.
+        /// When the new speed took effect.
         at: Millis,
     },
-    /// A service's latency was measured on a worker.
+    /// The latency of a worker's service was measured.
     Latency {
-        /// The worker.
+        /// Name of the worker.
         worker: Name,
-        /// The service.
+        /// Name of the service.
         service: Name,
         /// Busy share of the minion's slots in thousandths.
         load_permille: u32,
@@ -58,15 +58,15 @@
     },
     /// A task's usage was measured.
     Usage {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// Its customer.
+        /// The job's customer.
         customer: Name,
-        /// Its class.
+        /// The job's class.
         class: Name,
-        /// What it declared.
+        /// Resources that the job declared.
         need: Resources,
-        /// What it was seen to use.
+        /// Measured resources.
         usage: Resources,
         /// When it was measured.
         at: Millis,
--- a/crates/geraniumpost-core/src/placement/learning.rs
+++ b/crates/geraniumpost-core/src/placement/observe.rs
@@ -1,29 +1,30 @@
 use geraniumpost_schema::{Name, Resources};
 
-use super::gauge::Gauge;
+use super::smoothed_latency::SmoothedLatency;
 use super::task_view::FULL_SPEED;
 use super::{Observation, Placer, amounts};
 use crate::Millis;
 
 impl Placer {
-    /// Learns from a report, which may be late: it is charged to who ran at its own time.
+    /// Learns from a report. A late report is attributed to the tasks that ran at the time of the
+    /// measurement.
     pub fn observe(&mut self, _now: Millis, observation: &Observation) {
         match observation {
             Observation::Started { job, class, worker, need, at, .. } => {
-                self.history.start(worker, job, class, need.milli_cpus, *at);
-                self.blame.start(job, worker, *at);
+                self.history.record_start(worker, job, class, need.milli_cpus, *at);
+                self.failures.record_start(job, worker, *at);
             }
             Observation::Ended { job, worker, outcome, at } => {
-                self.history.end(worker, job, *at);
-                self.blame.end(job, worker, *outcome, *at);
+                self.history.record_end(worker, job, *at);
+                self.failures.record_end(job, worker, *outcome, *at);
                 self.speeds.remove(job);
                 self.evicting.remove(job);
-                self.outgrown.remove(job);
+                self.over_need.remove(job);
                 self.explanations.forget(job);
             }
             Observation::Throttled { job, worker, permille, at } => {
                 let before = self.speeds.insert(job.clone(), *permille).unwrap_or(FULL_SPEED);
-                self.history.throttle(worker, job, before, *permille, *at);
+                self.history.record_throttle(worker, job, before, *permille, *at);
             }
             Observation::Latency { worker, service, load_permille, p99_us, at } => {
                 self.observe_latency(worker, service, *load_permille, *p99_us, *at);
@@ -44,16 +45,16 @@
     ) {
         let target = self.policy.target_us(service).max(1) as f64;
         let (p99, load) = (p99_us as f64 / target, f64::from(load_permille) / 1000.0);
-        let mut ran = Vec::new();
-        for span in self.history.at(worker, at) {
-            ran.push((self.model.class(&span.class), span.milli_cpus));
+        let mut tasks = Vec::new();
+        for segment in self.history.at(worker, at) {
+            tasks.push((self.model.intern_class(&segment.class), segment.milli_cpus));
         }
-        let excess = self.model.observe(service, load, &ran, p99);
+        let excess = self.model.observe(service, load, &tasks, p99);
         self.measured.insert(worker.clone());
-        self.gauges
+        self.latencies
             .entry(worker.clone())
-            .and_modify(|gauge| gauge.observe(p99, excess, at))
-            .or_insert_with(|| Gauge::new(p99, excess, at));
+            .and_modify(|latency| latency.observe(p99, excess, at))
+            .or_insert_with(|| SmoothedLatency::new(p99, excess, at));
     }
 
     fn observe_usage(
@@ -64,9 +65,9 @@
         need: &Resources,
         usage: &Resources,
     ) {
-        self.sizes.observe(customer, class, job, need, usage);
+        self.usage_estimates.observe(customer, class, job, need, usage);
         if !amounts::fits(usage, need) {
-            self.outgrown.insert(job.clone());
+            self.over_need.insert(job.clone());
         }
     }
 }
--- a/crates/geraniumpost-core/src/placement/placement_request.rs
+++ b/crates/geraniumpost-core/src/placement/placement_request.rs
@@ -10,10 +10,10 @@
 /// use geraniumpost_core::{Millis, placement::PlacementRequest};
 /// use geraniumpost_schema::{Name, Priority, Resources};
 /// let need = Resources { milli_cpus: 4000, memory_mb: 8192, accelerators: 0 };
-/// let wish = PlacementRequest::new("study-7", "entel", "coordination", need)
+/// let request = PlacementRequest::new("study-7", "entel", "coordination", need)
 ///     .priority(Priority::Urgent)
 ///     .submitted(Millis(5));
-/// assert_eq!(wish.job(), &Name::from("study-7"));
+/// assert_eq!(request.job(), &Name::from("study-7"));
 /// ```
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementRequest {
@@ -28,7 +28,7 @@
 }
 
 impl PlacementRequest {
-    /// Creates a wish of normal priority that has waited since the clock's origin.
+    /// Creates a request of normal priority that has waited since the clock's origin.
     pub fn new(
         job: impl Into<Name>,
         customer: impl Into<Name>,
@@ -54,7 +54,7 @@
         self
     }
 
-    /// Sets since when the job waits, which is what aging counts from.
+    /// Sets since when the job waits. Aging counts from this time.
     #[must_use]
     pub const fn submitted(mut self, at: Millis) -> Self {
         self.submitted = at;
--- a/crates/geraniumpost-core/src/placement/placer.rs
+++ b/crates/geraniumpost-core/src/placement/placer.rs
@@ -3,27 +3,28 @@
 use geraniumpost_schema::{Document, Name};
 use rand::Rng;
 
-use super::blame::Blame;
-use super::draft::{Draft, DraftRow};
 use super::eviction_budget::EvictionBudget;
 use super::explanations::Explanations;
-use super::forecasts::Forecasts;
-use super::gauge::Gauge;
-use super::history::History;
-use super::holds::Holds;
+use super::failure_attribution::FailureAttribution;
 use super::interference_model::InterferenceModel;
+use super::latency_forecasts::LatencyForecasts;
+use super::planned_fleet::{PlannedFleet, PlannedWorker};
 use super::queue::Queue;
-use super::sizes::Sizes;
+use super::reservations::Reservations;
+use super::run_history::RunHistory;
+use super::smoothed_latency::SmoothedLatency;
 use super::urgent_demand::UrgentDemand;
+use super::usage_estimates::UsageEstimates;
 use super::{Decision, Fleet, PlacementPolicy, PlacementRequest, amounts};
 use crate::Millis;
 
-/// Decides what starts where, what yields and what cannot run.
+/// Decides where jobs start, which tasks are slowed or evicted, and which jobs cannot run.
 ///
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, placement::{Decision, Fleet, Placer, PlacementRequest, WorkerView}};
+/// use geraniumpost_core::Millis;
+/// use geraniumpost_core::placement::{Decision, Fleet, PlacementRequest, Placer, WorkerView};
 /// use geraniumpost_schema::{Document, Resources};
 /// use rand::{SeedableRng, rngs::StdRng};
 /// let document: Document = serde_json::from_value(serde_json::json!({
@@ -33,140 +34,148 @@
 /// let capacity = Resources { milli_cpus: 8000, memory_mb: 8192, accelerators: 0 };
 /// let mut fleet = Fleet::default();
 /// fleet.put_worker(WorkerView::new("w1", "surco", "rack-1", capacity));
-/// let wish = PlacementRequest::new("study-7", "entel", "coordination", capacity);
+/// let request = PlacementRequest::new("study-7", "entel", "coordination", capacity);
 /// let mut placer = Placer::new(&document);
 /// let mut rng = StdRng::seed_from_u64(1);
-/// let decisions = placer.place(Millis(0), &[wish], &fleet, &mut rng);
+/// let decisions = placer.place(Millis(0), &[request], &fleet, &mut rng);
 /// assert!(decisions[0].to_string().starts_with("start job=study-7 worker=w1"));
 /// ```
 #[derive(Debug, Clone)]
 pub struct Placer {
     pub(super) policy: PlacementPolicy,
-    pub(super) sizes: Sizes,
-    pub(super) history: History,
+    pub(super) usage_estimates: UsageEstimates,
+    pub(super) history: RunHistory,
     pub(super) model: InterferenceModel,
-    pub(super) gauges: BTreeMap<Name, Gauge>,
+    pub(super) latencies: BTreeMap<Name, SmoothedLatency>,
     pub(super) measured: BTreeSet<Name>,
-    pub(super) forecasts: Forecasts,
-    pub(super) blame: Blame,
-    pub(super) holds: Holds,
+    pub(super) forecasts: LatencyForecasts,
+    pub(super) failures: FailureAttribution,
+    pub(super) reservations: Reservations,
     pub(super) urgent_demand: UrgentDemand,
     pub(super) budget: EvictionBudget,
-    pub(super) outgrown: BTreeSet<Name>,
+    pub(super) over_need: BTreeSet<Name>,
     pub(super) evicting: BTreeMap<Name, Millis>,
     pub(super) speeds: HashMap<Name, u32>,
     pub(super) explanations: Explanations,
 }
 
-/// Age at which an eviction without an end is thought lost, and may be ordered again.
-const EVICTION_LOST_MS: u64 = 30_000;
-/// Gauges over twice the workers from which those of gone workers are dropped.
-const MANY_GAUGES: usize = 64;
+/// Age at which an eviction whose end was not reported counts as lost and may be ordered again.
+const EVICTION_TIMEOUT_MS: u64 = 30_000;
+/// Number of latencies, in addition to twice the workers, above which those of departed workers are
+/// dropped.
+const LATENCIES_SURPLUS: usize = 64;
 
 impl Placer {
     /// Creates a placer that has learned nothing yet.
     pub fn new(document: &Document) -> Self {
         Self {
             policy: document.into(),
-            sizes: Sizes::default(),
-            history: History::default(),
+            usage_estimates: UsageEstimates::default(),
+            history: RunHistory::default(),
             model: InterferenceModel::default(),
-            gauges: BTreeMap::new(),
+            latencies: BTreeMap::new(),
             measured: BTreeSet::new(),
-            forecasts: Forecasts::default(),
-            blame: Blame::default(),
-            holds: Holds::default(),
+            forecasts: LatencyForecasts::default(),
+            failures: FailureAttribution::default(),
+            reservations: Reservations::default(),
             urgent_demand: UrgentDemand::default(),
             budget: EvictionBudget::default(),
-            outgrown: BTreeSet::new(),
+            over_need: BTreeSet::new(),
             evicting: BTreeMap::new(),
             speeds: HashMap::new(),
             explanations: Explanations::default(),
         }
     }
 
-    /// Takes over a newer configuration and keeps what was learned.
+    /// Applies a newer configuration and keeps what was learned.
     ///
-    /// Harm is learned in units of the target, so that a service with another target is learned
-    /// anew; else batch would be held off, or let in, by the old one for minutes.
+    /// Interference is learned in units of the latency target, so services with a changed target
+    /// are learned anew. Otherwise the old target would keep batch work off, or let it in, for
+    /// minutes.
     pub fn configure(&mut self, document: &Document) {
         let policy = PlacementPolicy::from(document);
         let old = std::mem::replace(&mut self.policy, policy);
-        if self.model.keep(|service| self.policy.target_us(service) == old.target_us(service)) {
-            self.gauges.clear();
-            self.forecasts = Forecasts::default();
+        if self
+            .model
+            .retain_services(|service| self.policy.target_us(service) == old.target_us(service))
+        {
+            self.latencies.clear();
+            self.forecasts = LatencyForecasts::default();
         }
     }
 
-    /// Decides on all jobs that wait, and on tasks that press on services.
+    /// Decides on all waiting jobs and on running tasks that interfere with services.
     ///
-    /// The decisions hold together: the caller applies each [`Decision::Start`] to the fleet by
-    /// [`Fleet::add_task`] before it calls again, and a task that is evicted stays in the fleet
-    /// until its agent's word that it ended.
+    /// The decisions are consistent with each other. The caller applies each [`Decision::Start`] to
+    /// the fleet by [`Fleet::add_task`] before the next call; an evicted task stays in the fleet
+    /// until its agent reports the end.
     pub fn place<R: Rng + ?Sized>(
         &mut self,
         now: Millis,
-        wishes: &[PlacementRequest],
+        requests: &[PlacementRequest],
         fleet: &Fleet,
         rng: &mut R,
     ) -> Vec<Decision> {
-        self.review(now, wishes, fleet);
-        let mut decisions = self.blame.review(now);
-        decisions.extend(self.relieve(now, fleet));
-        let mut draft = self.draft(fleet);
-        draft.speed_up(&decisions, fleet);
-        let rooms = self.urgent_demand.rooms(now, draft.rows.len());
-        if rooms > 0 {
-            draft.keep_rooms(rooms, self.urgent_demand.room());
+        self.forget_departed(now, requests, fleet);
+        let mut decisions = self.failures.update_trust(now);
+        decisions.extend(self.mitigate(now, fleet));
+        let mut planned = self.plan_fleet(fleet);
+        planned.apply_speed_ups(&decisions, fleet);
+        let reserved_workers = self.urgent_demand.workers_to_reserve(now, planned.rows.len());
+        if reserved_workers > 0 {
+            planned.reserve_for_urgent(reserved_workers, self.urgent_demand.capacity());
         }
-        let mut queue = Queue::new(now, wishes, fleet, &self.policy);
-        while let Some(wish) = queue.pop() {
-            let decided = self.decide(now, wish, fleet, &mut draft, rng);
+        let mut queue = Queue::new(now, requests, fleet, &self.policy);
+        while let Some(request) = queue.pop() {
+            let decided = self.decide(now, request, fleet, &mut planned, rng);
             if matches!(decided.last(), Some(Decision::Start { .. })) {
-                queue.started(&draft, fleet);
+                queue.record_start(&planned, fleet);
             }
             decisions.extend(decided);
         }
         for decision in &decisions {
-            self.explanations.note(now, decision);
+            self.explanations.record(now, decision);
         }
         decisions
     }
 
-    /// Returns why a job runs where it runs, or why it waits.
+    /// Returns the text of the latest decision on a job.
     pub fn explain(&self, job: &Name) -> String {
         self.explanations.text(job)
     }
 
-    /// Forgets what concerns jobs and workers that are gone.
-    fn review(&mut self, now: Millis, wishes: &[PlacementRequest], fleet: &Fleet) {
-        // VMs are replaced at any time and under new names; what is known of the old
-        // ones would pile up.
-        if self.gauges.len() > fleet.rows().len() * 2 + MANY_GAUGES {
-            let is_there = |worker: &Name| fleet.worker(worker).is_some();
-            self.gauges.retain(|worker, _| is_there(worker));
-            self.history.keep(is_there);
-            self.blame.keep_workers(is_there);
+    /// Drops the state of jobs and workers that no longer exist.
+    fn forget_departed(&mut self, now: Millis, requests: &[PlacementRequest], fleet: &Fleet) {
+        // VMs are replaced at any time under new names, so records of old ones would accumulate.
+        if self.latencies.len() > fleet.rows().len() * 2 + LATENCIES_SURPLUS {
+            let is_present = |worker: &Name| fleet.worker(worker).is_some();
+            self.latencies.retain(|worker, _| is_present(worker));
+            self.history.retain_workers(is_present);
+            self.failures.retain_workers(is_present);
         }
-        self.evicting.retain(|_, at| now.since(*at) < EVICTION_LOST_MS);
-        if self.holds.is_empty() && !self.blame.is_large() && !self.explanations.is_large() {
+        self.evicting.retain(|_, at| now.since(*at) < EVICTION_TIMEOUT_MS);
+        if self.reservations.is_empty()
+            && !self.failures.is_large()
+            && !self.explanations.is_large()
+        {
             return;
         }
-        let waiting: HashSet<&Name> = wishes.iter().map(|wish| &wish.job).collect();
-        self.holds.review(now, fleet, |job| waiting.contains(job));
-        self.blame.keep(|job| waiting.contains(job));
+        let waiting: HashSet<&Name> = requests.iter().map(|request| &request.job).collect();
+        self.reservations.retain_valid(now, fleet, |job| waiting.contains(job));
+        self.failures.retain_jobs(|job| waiting.contains(job));
         self.explanations.trim(now, |job| fleet.worker_of(job).is_some());
     }
 
-    fn draft(&mut self, fleet: &Fleet) -> Draft {
-        let mut draft = Draft::default();
-        draft.rows.reserve(fleet.rows().len());
+    fn plan_fleet(&mut self, fleet: &Fleet) -> PlannedFleet {
+        let mut planned = PlannedFleet::default();
+        planned.rows.reserve(fleet.rows().len());
         for (key, row) in fleet.rows() {
-            if !row.open {
+            if !row.accepts_work {
                 continue;
             }
-            let forecast = self.forecasts.of(key, row.version, fleet, &self.model, &self.gauges);
-            draft.rows.push(DraftRow {
+            let forecast =
+                self.forecasts.get(key, row.version, fleet, &self.model, &self.latencies);
+            planned.rows.push(PlannedWorker {
                 key,
                 free: row.free,
                 service: row.service,
@@ -174,26 +183,26 @@
                 domain: row.domain,
                 load: f64::from(row.load_permille) / 1000.0,
                 forecast,
-                limit: u32::MAX,
-                held: amounts::NONE,
-                spare: false,
+                job_limit: u32::MAX,
+                reserved: amounts::NONE,
+                keeps_urgent_capacity: false,
             });
         }
-        self.close(fleet, &mut draft);
-        draft
+        self.apply_limits(fleet, &mut planned);
+        planned
     }
 
-    /// Closes workers that are doubted or kept for a job.
-    fn close(&self, fleet: &Fleet, draft: &mut Draft) {
-        let mut limit = |name: &Name| {
+    /// Limits the jobs of untrusted workers and reserves capacity for jobs that wait for it.
+    fn apply_limits(&self, fleet: &Fleet, planned: &mut PlannedFleet) {
+        let mut apply_limit = |name: &Name| {
             let key = fleet.key(name)?;
-            let row = draft.rows.iter_mut().find(|row| row.key == key)?;
-            row.limit = self.blame.allowance(name)?;
+            let row = planned.rows.iter_mut().find(|row| row.key == key)?;
+            row.job_limit = self.failures.job_limit(name)?;
             Some(())
         };
-        self.blame.doubted().for_each(|name| {
-            limit(name);
+        self.failures.limited().for_each(|name| {
+            apply_limit(name);
         });
-        self.holds.all().for_each(|hold| draft.hold(hold));
+        self.reservations.all().for_each(|reservation| planned.reserve(reservation));
     }
 }
--- a/crates/geraniumpost-core/src/placement/policy.rs
+++ b/crates/geraniumpost-core/src/placement/policy.rs
@@ -4,7 +4,7 @@
 
 use super::amounts;
 
-/// What placement takes from the configuration document.
+/// The part of the configuration document that placement uses.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementPolicy {
     customers: HashMap<Name, CustomerShare>,
@@ -13,7 +13,6 @@
     evictions_per_minute: u32,
 }
 
-/// A customer's weight and quota.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CustomerShare {
     pub weight: u32,
@@ -45,13 +44,13 @@
         self.customers.get(customer).copied()
     }
 
-    /// Returns after how many failures on sound workers a job of a class is given up.
+    /// Returns the number of failures on healthy workers after which a job of a class is given up.
     pub(super) fn max_attempts(&self, class: &Name) -> u32 {
         let default = || JobClass::default().max_attempts;
         self.classes.get(class).map_or_else(default, |class| class.max_attempts)
     }
 
-    /// Returns the latency that batch work must not push a service over, in microseconds.
+    /// Returns the latency target of a service, in microseconds.
     pub(super) fn target_us(&self, service: &Name) -> u64 {
         self.targets_us.get(service).copied().unwrap_or(DEFAULT_TARGET_US)
     }
@@ -61,5 +60,5 @@
     }
 }
 
-/// The document's default for a service without a target, for services not in it.
+/// Latency target of services that are not in the document; the document's default is the same.
 const DEFAULT_TARGET_US: u64 = 200_000;
--- a/crates/geraniumpost-core/src/placement/queue.rs
+++ b/crates/geraniumpost-core/src/placement/queue.rs
@@ -2,103 +2,106 @@
 
 use geraniumpost_schema::{Name, Priority};
 
-use super::draft::Draft;
+use super::planned_fleet::PlannedFleet;
 use super::{Fleet, PlacementPolicy, PlacementRequest, amounts};
 use crate::Millis;
 
-/// Wait after which a scavenger counts as normal, so that it does not starve.
-const AGED_MS: u64 = 600_000;
-/// Number of priorities.
-const LANES: usize = 3;
+/// Waiting time after which a scavenger job counts as a normal one, so that it does not starve.
+const SCAVENGER_AGING_MS: u64 = 600_000;
+/// Number of levels: urgent, normal and scavenger.
+const PRIORITY_LEVELS: usize = 3;
 
 /// The order in which waiting jobs are decided on.
 ///
-/// Urgent jobs come first. Within a priority it is the turn of the customer with the least weighted
-/// dominant share, and of its oldest job.
+/// Urgent jobs come first. Within a priority the customer with the smallest weighted dominant share
+/// is next, with its oldest job.
 #[derive(Debug)]
 pub struct Queue<'a> {
-    lanes: [Vec<Line<'a>>; LANES],
-    last: Option<(usize, usize)>,
+    levels: [Vec<CustomerQueue<'a>>; PRIORITY_LEVELS],
+    last_popped: Option<(usize, usize)>,
 }
 
 /// One customer's jobs of one priority.
 #[derive(Debug)]
-struct Line<'a> {
+struct CustomerQueue<'a> {
     customer: Name,
     share: f64,
     weight: f64,
-    wishes: VecDeque<&'a PlacementRequest>,
+    requests: VecDeque<&'a PlacementRequest>,
 }
 
 impl<'a> Queue<'a> {
-    /// Sorts the jobs that wait.
+    /// Queues the waiting jobs by priority, customer and age.
     pub fn new(
         now: Millis,
-        wishes: &'a [PlacementRequest],
+        requests: &'a [PlacementRequest],
         fleet: &Fleet,
         policy: &PlacementPolicy,
     ) -> Self {
-        let mut sorted: Vec<&PlacementRequest> = wishes.iter().collect();
+        let mut sorted: Vec<&PlacementRequest> = requests.iter().collect();
         sorted.sort_by(|a, b| (a.submitted, &a.job).cmp(&(b.submitted, &b.job)));
-        let mut queue = Self { lanes: [Vec::new(), Vec::new(), Vec::new()], last: None };
-        for wish in sorted {
-            queue.push(now, wish, fleet, policy);
+        let mut queue = Self { levels: [Vec::new(), Vec::new(), Vec::new()], last_popped: None };
+        for request in sorted {
+            queue.push(now, request, fleet, policy);
         }
         queue
     }
 
-    /// Returns the next job.
+    /// Removes and returns the next job.
     pub fn pop(&mut self) -> Option<&'a PlacementRequest> {
-        for (at, lane) in self.lanes.iter_mut().enumerate() {
-            let open = lane.iter_mut().enumerate().filter(|(_, line)| !line.wishes.is_empty());
-            let least = open.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
-            if let Some((line_at, line)) = least {
-                self.last = Some((at, line_at));
-                return line.wishes.pop_front();
+        for (level_at, level) in self.levels.iter_mut().enumerate() {
+            let available =
+                level.iter_mut().enumerate().filter(|(_, queue)| !queue.requests.is_empty());
+            let next = available.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
+            if let Some((queue_at, queue)) = next {
+                self.last_popped = Some((level_at, queue_at));
+                return queue.requests.pop_front();
             }
         }
         None
     }
 
-    /// Takes into account that the job returned last starts.
-    pub fn started(&mut self, draft: &Draft, fleet: &Fleet) {
-        let Some((lane, line)) = self.last else { return };
-        let customer = self.lanes[lane][line].customer.clone();
-        let held = amounts::dominant_share(&draft.allocated_to(&customer, fleet), fleet.total());
-        let lines = self.lanes.iter_mut().flatten().filter(|line| line.customer == customer);
-        lines.for_each(|line| line.share = held / line.weight);
+    /// Updates the customer's share after the start of the job that was returned last.
+    pub fn record_start(&mut self, planned: &PlannedFleet, fleet: &Fleet) {
+        let Some((level, queue)) = self.last_popped else { return };
+        let customer = self.levels[level][queue].customer.clone();
+        let allocated =
+            amounts::dominant_share(&planned.allocated_to(&customer, fleet), fleet.total());
+        let queues = self.levels.iter_mut().flatten().filter(|queue| queue.customer == customer);
+        queues.for_each(|queue| queue.share = allocated / queue.weight);
     }
 
     fn push(
         &mut self,
         now: Millis,
-        wish: &'a PlacementRequest,
+        request: &'a PlacementRequest,
         fleet: &Fleet,
         policy: &PlacementPolicy,
     ) {
-        let lane = &mut self.lanes[lane(now, wish)];
-        if let Some(line) = lane.iter_mut().find(|line| line.customer == wish.customer) {
-            line.wishes.push_back(wish);
+        let level = &mut self.levels[level(now, request)];
+        if let Some(queue) = level.iter_mut().find(|queue| queue.customer == request.customer) {
+            queue.requests.push_back(request);
             return;
         }
         let weight =
-            policy.customer(&wish.customer).map_or(1.0, |share| share.weight.max(1).into());
-        let held = amounts::dominant_share(&fleet.allocated_to(&wish.customer), fleet.total());
-        lane.push(Line {
-            customer: wish.customer.clone(),
-            share: held / weight,
+            policy.customer(&request.customer).map_or(1.0, |share| share.weight.max(1).into());
+        let allocated =
+            amounts::dominant_share(&fleet.allocated_to(&request.customer), fleet.total());
+        level.push(CustomerQueue {
+            customer: request.customer.clone(),
+            share: allocated / weight,
             weight,
-            wishes: VecDeque::from([wish]),
+            requests: VecDeque::from([request]),
         });
     }
 }
 
-/// Returns the lane of a job.
-fn lane(now: Millis, wish: &PlacementRequest) -> usize {
-    match wish.priority {
+/// Returns the priority level of a job, in which a scavenger job rises after a while.
+fn level(now: Millis, request: &PlacementRequest) -> usize {
+    match request.priority {
         Priority::Urgent => 0,
         Priority::Normal => 1,
-        Priority::Scavenger if now.since(wish.submitted) >= AGED_MS => 1,
+        Priority::Scavenger if now.since(request.submitted) >= SCAVENGER_AGING_MS => 1,
         Priority::Scavenger => 2,
     }
 }
--- a/crates/geraniumpost-core/src/placement/reason.rs
+++ b/crates/geraniumpost-core/src/placement/reason.rs
@@ -4,33 +4,39 @@
 use super::{Candidate, Resource};
 use crate::Millis;
 
-/// Why a decision was taken, in the words an operator reads in logs and in `explain`.
+/// Why a decision was taken. Its `Display` form is shown to operators in logs and in `explain`.
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Reason {
-    /// The worker with the least predicted harm among those with room.
-    #[display("least predicted harm of {weighed} with room [{}]", list(best))]
-    LeastHarm {
-        /// Workers that had room.
-        weighed: u32,
+    /// The worker has one of the best scores among those with capacity.
+    #[display(
+        "least predicted interference of {considered} with capacity [{}]",
+        join_candidates(best)
+    )]
+    LeastInterference {
+        /// Number of workers with capacity.
+        considered: u32,
         /// The best of them, the chosen one first.
         best: Vec<Candidate>,
     },
-    /// No worker has room now.
-    #[display("no open worker has room for {} now", amount(need))]
-    NoRoom {
-        /// What is looked for.
+    /// No worker has capacity now.
+    #[display("no available worker has capacity for {} now", format_amount(need))]
+    NoCapacity {
+        /// Resources that the job needs.
         need: Resources,
     },
-    /// An urgent job finds no room, and no more tasks may be evicted this minute.
-    #[display("no room for {} now, and the evictions of this minute are spent", amount(need))]
-    EvictionsSpent {
-        /// What is looked for.
+    /// No worker has capacity for an urgent job, and the eviction budget of this minute is used up.
+    #[display(
+        "no capacity for {} now, and the eviction budget of this minute is used up",
+        format_amount(need)
+    )]
+    EvictionBudgetSpent {
+        /// Resources that the job needs.
         need: Resources,
     },
-    /// The customer holds what its quota allows.
+    /// The customer's quota is used up.
     #[display("customer {customer} is at its quota of {resource}")]
-    OverQuota {
-        /// The customer.
+    QuotaReached {
+        /// Name of the customer.
         customer: Name,
         /// The resource that is used up.
         resource: Resource,
@@ -47,99 +53,103 @@
     /// No worker is large enough.
     #[display("needs {needed} of {resource}, the largest worker {largest} offers {offered}")]
     TooLarge {
-        /// The resource that no worker has enough of.
+        /// The resource of which no worker has enough.
         resource: Resource,
         /// How much the job needs.
         needed: u64,
         /// The worker that offers most of it.
         largest: Name,
-        /// How much that is.
+        /// How much that worker offers.
         offered: u64,
     },
     /// The customer's quota is smaller than this one job.
     #[display("needs {needed} of {resource}, customer {customer} has a quota of {quota}")]
-    BeyondQuota {
-        /// The customer.
+    ExceedsQuota {
+        /// Name of the customer.
         customer: Name,
-        /// The resource.
+        /// The resource of which the job needs more than the quota.
         resource: Resource,
         /// How much the job needs.
         needed: u64,
-        /// How much the customer may ever hold.
+        /// How much the quota allows.
         quota: u64,
     },
-    /// The configuration knows no such customer.
+    /// The configuration has no such customer.
     #[display("customer {customer} is not in the configuration")]
     UnknownCustomer {
-        /// The customer.
+        /// Name of the customer.
         customer: Name,
     },
-    /// Every worker with room has a service that the job would push over its target.
-    #[display("would push a service to {after_permille} permille of its target at best, on {best}")]
-    TooHarmful {
-        /// The best worker.
+    /// The job would bring the service of every worker with capacity too close to its target.
+    #[display(
+        "would push a service to {predicted_permille} permille of its target at best, on {best}"
+    )]
+    ExcessiveInterference {
+        /// The worker with the best score.
         best: Name,
         /// Its predicted p99 with the job, in thousandths of the target.
-        after_permille: u32,
+        predicted_permille: u32,
     },
-    /// A service nears its target.
-    #[display("p99 at {p99_permille} permille of the target, {harm_permille} of it by this task")]
-    Pressed {
+    /// The service's latency is above its target.
+    #[display(
+        "p99 at {p99_permille} permille of the target, {task_permille} of it due to this task"
+    )]
+    LatencyHigh {
         /// Smoothed p99, in thousandths of the target.
         p99_permille: u32,
-        /// What the task adds by the model.
-        harm_permille: u32,
+        /// What the task adds to it, as predicted by the model.
+        task_permille: u32,
     },
-    /// A service is calm again.
+    /// The service's latency is low again.
     #[display("p99 at {p99_permille} permille of the target")]
-    Calm {
+    LatencyRecovered {
         /// Smoothed p99, in thousandths of the target.
         p99_permille: u32,
     },
-    /// The tasks of a VM use more than is theirs.
+    /// The tasks of a VM use more than their allowance.
     #[display(
-        "tasks use {used} of {resource}, {allowed} is theirs; this one outgrew its size most"
+        "tasks use {used} of {resource}, {allowed} is allowed; this one exceeds its need most"
     )]
-    Outgrown {
-        /// The resource.
+    OverAllowance {
+        /// The resource of which they use too much.
         resource: Resource,
         /// What the tasks use together.
         used: u64,
-        /// What they may use.
+        /// What they may use together.
         allowed: u64,
     },
     /// The worker failed several different jobs in a row.
     #[display("failed {jobs} different jobs in a row, probed at {until} ms")]
-    FailsJobs {
-        /// How many.
+    WorkerFailsJobs {
+        /// Number of jobs that failed.
         jobs: u32,
-        /// When it is given one job again.
+        /// When it is probed with one job.
         until: Millis,
     },
-    /// The worker is given one job at a time to see whether it is sound.
+    /// The worker is given one job at a time to test whether it is sound.
     #[display("probed with one job at a time")]
-    Probed,
-    /// The worker's probe ran well.
-    #[display("its probe ran well")]
-    Sound,
-    /// The job failed on several workers that are not to blame.
-    #[display("failed {failures} times on sound workers, last on {last}")]
-    FailsEverywhere {
-        /// How often.
+    ProbeStarted,
+    /// The worker's probe succeeded.
+    #[display("its probe succeeded")]
+    ProbeSucceeded,
+    /// The job failed on several workers that were not quarantined for it.
+    #[display("failed {failures} times on healthy workers, last on {last}")]
+    FailsOnSeveralWorkers {
+        /// Number of failures.
         failures: u32,
         /// Where it failed last.
         last: Name,
     },
-    /// The job waited long and is next on a worker that is kept for it.
-    #[display("waited long; {worker} is kept for it")]
-    Kept {
-        /// The worker.
+    /// The job has waited long and a worker is reserved for it.
+    #[display("waited long; {worker} is reserved for it")]
+    WorkerReserved {
+        /// Name of the worker.
         worker: Name,
     },
-    /// An urgent job needs the room.
-    #[display("cheapest room for urgent {for_job}, losing {lost_ms} ms of work")]
-    RoomForUrgent {
-        /// The urgent job.
+    /// An urgent job needs the resources.
+    #[display("cheapest eviction for urgent {for_job}, losing {lost_ms} ms of work")]
+    PreemptedByUrgent {
+        /// Id of the urgent job.
         for_job: Name,
         /// Work since the latest checkpoint.
         lost_ms: u64,
@@ -147,17 +157,17 @@
     /// An urgent job waits until evicted tasks have stopped.
     #[display("waits for evicted tasks to stop on {worker}")]
     AwaitsEviction {
-        /// Where the room is being made.
+        /// The worker on which they run.
         worker: Name,
     },
 }
 
-/// Writes candidates apart.
-fn list(best: &[Candidate]) -> String {
+/// Joins the texts of candidates.
+fn join_candidates(best: &[Candidate]) -> String {
     best.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
 }
 
-/// Writes an amount.
-pub(super) fn amount(need: &Resources) -> String {
+/// Formats an amount of resources.
+pub(super) fn format_amount(need: &Resources) -> String {
     format!("{}m/{}MiB/{}acc", need.milli_cpus, need.memory_mb, need.accelerators)
 }
--- /dev/null
+++ b/crates/geraniumpost-core/src/placement/rejection.rs
@@ -0,0 +1,77 @@
+use geraniumpost_schema::{Name, Resources};
+
+use super::{Decision, Fleet, PlacementRequest, Placer, Reason, Resource, amounts};
+
+impl Placer {
+    /// Returns the rejection of a job that can never run or has failed too often, if it has to be
+    /// rejected.
+    pub(super) fn rejection(
+        &mut self,
+        request: &PlacementRequest,
+        fleet: &Fleet,
+    ) -> Option<Decision> {
+        let job = request.job.clone();
+        let Some(share) = self.policy.customer(&request.customer) else {
+            let reason = Reason::UnknownCustomer { customer: request.customer.clone() };
+            return Some(Decision::Wait { job, reason });
+        };
+        if let Some(resource) = amounts::exceeded_resource(&request.need, &share.quota) {
+            return Some(exceeds_quota(request, resource, &share.quota));
+        }
+        if !fleet.could_ever_fit(&request.need) {
+            return Some(too_large(request, fleet));
+        }
+        self.give_up_failing(request)
+    }
+
+    /// Gives up a job that failed on healthy workers as often as its class allows.
+    fn give_up_failing(&mut self, request: &PlacementRequest) -> Option<Decision> {
+        let failed_on = self.failures.failed_on(&request.job);
+        let last = failed_on.last()?.clone();
+        let failures = failed_on.len() as u32;
+        if failures < self.policy.max_attempts(&request.class) {
+            return None;
+        }
+        self.failures.forget_job(&request.job);
+        let reason = Reason::FailsOnSeveralWorkers { failures, last };
+        Some(Decision::GiveUp { job: request.job.clone(), reason })
+    }
+}
+
+fn exceeds_quota(request: &PlacementRequest, resource: Resource, quota: &Resources) -> Decision {
+    let reason = Reason::ExceedsQuota {
+        customer: request.customer.clone(),
+        resource,
+        needed: resource.of(&request.need),
+        quota: resource.of(quota),
+    };
+    Decision::Impossible { job: request.job.clone(), resource, largest: Name::default(), reason }
+}
+
+/// Rejects a job that fits on no worker, naming the resource that is too small.
+///
+/// Lost workers count, as they may come back. A job that fitted only on a worker that has been
+/// removed is rejected here the next time it is decided on.
+fn too_large(request: &PlacementRequest, fleet: &Fleet) -> Decision {
+    let job = request.job.clone();
+    let nearest = fleet.workers().min_by(|a, b| {
+        let needed_share = |capacity: Resources| amounts::dominant_share(&request.need, &capacity);
+        needed_share(a.allowance())
+            .total_cmp(&needed_share(b.allowance()))
+            .then_with(|| a.name.cmp(&b.name))
+    });
+    let (Some(worker), false) = (nearest, fleet.awaiting_workers()) else {
+        return Decision::Wait { job, reason: Reason::AwaitingWorkers };
+    };
+    let resource = amounts::exceeded_resource(&request.need, &worker.allowance());
+    let resource = resource.unwrap_or(Resource::Processors);
+    let amount = |a: &&super::WorkerView| resource.of(&a.allowance());
+    let largest = fleet.workers().max_by_key(amount).unwrap_or(worker);
+    let reason = Reason::TooLarge {
+        resource,
+        needed: resource.of(&request.need),
+        largest: largest.name.clone(),
+        offered: resource.of(&largest.allowance()),
+    };
+    Decision::Impossible { job, resource, largest: largest.name.clone(), reason }
+}
--- a/crates/geraniumpost-core/src/placement/resource.rs
+++ b/crates/geraniumpost-core/src/placement/resource.rs
@@ -1,7 +1,7 @@
 use derive_more::Display;
 use geraniumpost_schema::Resources;
 
-/// A kind of resource, named in refusals so that a customer knows what to change.
+/// A kind of resource, named in rejections so that a customer knows what to change.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Resource {
     /// Processors, counted in thousandths.
--- a/crates/geraniumpost-core/src/placement/ridge.rs
+++ b/crates/geraniumpost-core/src/placement/ridge.rs
@@ -1,79 +1,90 @@
-/// Growth of the weight of measurements, so that old ones fade: half their weight after some 1,400.
-const GROWTH: f64 = 1.0005;
-/// Growth at which all weights are scaled back.
-const SCALE_BACK: f64 = 1e6;
-/// Sweeps of a solution; it starts from the last one, so few are enough.
+/// Factor by which the weight of each new measurement grows, so that old ones fade: they have half
+/// the weight after about 1,400 measurements.
+const WEIGHT_GROWTH: f64 = 1.0005;
+/// Weight scale at which all sums are scaled back.
+const RESCALE_THRESHOLD: f64 = 1e6;
+/// Gauss-Seidel sweeps per solution. Few are enough, as a solution starts from the previous one.
 const SWEEPS: usize = 4;
 
-/// Linear regression that is drawn towards given values where there is little evidence.
+/// Linear regression that is regularized towards a given prior where there is little evidence.
 #[derive(Debug, Clone, Default)]
-pub struct Ridge {
+pub struct RidgeRegression {
     size: usize,
     products: Vec<f64>,
     targets: Vec<f64>,
     solution: Vec<f64>,
-    growth: f64,
+    weight_scale: f64,
 }
 
-/// One input of a regression: which coefficient, and how strongly.
+/// One input of a measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct Input {
     /// Number of the coefficient.
-    pub at: usize,
-    /// Strength.
+    pub index: usize,
+    /// Value that the coefficient is multiplied by.
     pub value: f64,
 }
 
-impl Ridge {
+impl RidgeRegression {
     /// Creates a regression without evidence.
     pub fn new() -> Self {
-        Self { growth: 1.0, ..Self::default() }
+        Self { weight_scale: 1.0, ..Self::default() }
     }
 
-    /// Takes a measurement in.
+    /// Adds a measurement.
     pub fn observe(&mut self, inputs: &[Input], target: f64, weight: f64) {
-        let needed = inputs.iter().map(|input| input.at + 1).max().unwrap_or(0);
-        self.grow(needed);
-        let weight = weight * self.growth;
+        let size = inputs.iter().map(|input| input.index + 1).max().unwrap_or(0);
+        self.resize(size);
+        let weight = weight * self.weight_scale;
         for row in inputs {
-            self.targets[row.at] += weight * row.value * target;
+            self.targets[row.index] += weight * row.value * target;
             for column in inputs {
-                self.products[row.at * self.size + column.at] += weight * row.value * column.value;
+                self.products[row.index * self.size + column.index] +=
+                    weight * row.value * column.value;
             }
         }
-        self.growth *= GROWTH;
-        if self.growth > SCALE_BACK {
-            self.scale_back();
+        self.weight_scale *= WEIGHT_GROWTH;
+        if self.weight_scale > RESCALE_THRESHOLD {
+            self.rescale();
         }
     }
 
-    /// Solves anew; `prior` gives the value and strength that each coefficient is drawn with.
-    pub fn solve(&mut self, least: impl Fn(usize) -> f64, prior: impl Fn(usize) -> (f64, f64)) {
+    /// Updates the solution. `prior` returns the value towards which a coefficient is regularized,
+    /// and the strength of the regularization.
+    pub fn solve(
+        &mut self,
+        lower_bound: impl Fn(usize) -> f64,
+        prior: impl Fn(usize) -> (f64, f64),
+    ) {
         for _ in 0..SWEEPS {
-            for at in 0..self.size {
-                let row = &self.products[at * self.size..(at + 1) * self.size];
+            for index in 0..self.size {
+                let row = &self.products[index * self.size..(index + 1) * self.size];
                 let others: f64 = row.iter().zip(&self.solution).map(|(a, b)| a * b).sum::<f64>()
-                    - row[at] * self.solution[at];
-                let (drawn, strength) = prior(at);
-                let strength = strength * self.growth;
-                let value =
-                    (self.targets[at] - others + strength * drawn) / (row[at] + strength).max(1e-9);
-                self.solution[at] = value.max(least(at));
+                    - row[index] * self.solution[index];
+                let (prior_value, strength) = prior(index);
+                let strength = strength * self.weight_scale;
+                let value = (self.targets[index] - others + strength * prior_value)
+                    / (row[index] + strength).max(1e-9);
+                self.solution[index] = value.max(lower_bound(index));
             }
         }
     }
 
-    /// Returns a coefficient, if there is evidence on it.
-    pub fn coefficient(&self, at: usize) -> Option<f64> {
-        (self.evidence(at) > 0.0).then(|| self.solution[at])
+    /// Returns a coefficient, or none if no measurement concerned it.
+    pub fn coefficient(&self, index: usize) -> Option<f64> {
+        (self.evidence(index) > 0.0).then(|| self.solution[index])
     }
 
-    /// Returns how much evidence there is on a coefficient.
-    pub fn evidence(&self, at: usize) -> f64 {
-        if at >= self.size { 0.0 } else { self.products[at * self.size + at] / self.growth }
+    /// Returns the evidence on a coefficient: the weighted sum of its squared inputs.
+    pub fn evidence(&self, index: usize) -> f64 {
+        if index >= self.size {
+            0.0
+        } else {
+            self.products[index * self.size + index] / self.weight_scale
+        }
     }
 
-    fn grow(&mut self, size: usize) {
+    fn resize(&mut self, size: usize) {
         if size <= self.size {
             return;
         }
@@ -88,9 +99,9 @@
         self.size = size;
     }
 
-    fn scale_back(&mut self) {
+    fn rescale(&mut self) {
         let all = self.products.iter_mut().chain(&mut self.targets);
-        all.for_each(|value| *value /= self.growth);
-        self.growth = 1.0;
+        all.for_each(|value| *value /= self.weight_scale);
+        self.weight_scale = 1.0;
     }
 }
--- a/crates/geraniumpost-core/src/placement/task_view.rs
+++ b/crates/geraniumpost-core/src/placement/task_view.rs
@@ -8,7 +8,7 @@
 
 /// A task that runs, or is being started or stopped, on a worker.
 ///
-/// It counts against the worker until the agent's word that it has ended.
+/// It counts against the worker until the agent reports its end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskView {
     pub(super) job: Name,
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Sets what the planner reserved, which is the `need` of the start decision.
+    /// Sets the resources that the planner reserved, which is the `need` of the start decision.
     #[must_use]
     pub const fn reserved(mut self, reserved: Resources) -> Self {
         self.reserved = reserved;
         self
     }
 
-    /// Sets the lagged measured usage.
+    /// Sets the measured usage, which lags behind.
     #[must_use]
     pub const fn usage(mut self, usage: Resources) -> Self {
         self.usage = usage;
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Sets when the latest checkpoint was made; work since then is lost by an eviction.
+    /// Sets when the latest checkpoint was made. An eviction loses the work since then.
     #[must_use]
     pub const fn checkpointed(mut self, at: Millis) -> Self {
         self.checkpointed = at;
@@ -105,7 +105,7 @@
         self.started
     }
 
-    /// Returns the processors it takes at full speed, in thousandths.
+    /// Returns the processors that the task uses at full speed, in thousandths.
     pub(super) fn full_milli_cpus(&self) -> u64 {
         let seen = self.need.milli_cpus.max(self.usage.milli_cpus);
         if self.permille < FULL_SPEED || self.usage.milli_cpus == 0 {
@@ -114,21 +114,21 @@
         seen
     }
 
-    /// Returns the processors it would take in addition at another speed, in thousandths.
-    pub(super) fn more_milli_cpus(&self, permille: u32) -> u64 {
+    /// Returns the additional processors that the task would use at a higher speed, in thousandths.
+    pub(super) fn additional_milli_cpus(&self, permille: u32) -> u64 {
         let faster = permille.saturating_sub(self.permille);
         self.full_milli_cpus() * u64::from(faster) / u64::from(FULL_SPEED)
     }
 
-    /// Returns the processors it may use at its present speed, in thousandths.
+    /// Returns the processors that the task may use at its current speed, in thousandths.
     pub(super) fn active_milli_cpus(&self) -> f64 {
         self.full_milli_cpus() as f64 * f64::from(self.permille) / f64::from(FULL_SPEED)
     }
 
-    /// Returns what the task counts for: never below what it was seen to use.
+    /// Returns the resources that the task counts for, at least its measured usage.
     ///
-    /// Declared sizes are far off. A task that outgrew its size would otherwise let a second one
-    /// in, and the VM would hold more than it has.
+    /// Declared needs are often far too low. Otherwise a task that exceeds its declared need would
+    /// let a second one in, and the VM would be overcommitted.
     pub fn allocated(&self) -> Resources {
         let held = amounts::component_max(
             &amounts::component_max(&self.need, &self.reserved),
--- a/crates/geraniumpost-core/src/placement/urgent_demand.rs
+++ b/crates/geraniumpost-core/src/placement/urgent_demand.rs
@@ -7,38 +7,38 @@
 
 /// How long an urgent start counts.
 const WINDOW_MS: u64 = 120_000;
-/// Urgent starts within the window for which one room is kept free.
-const STARTS_PER_ROOM: usize = 8;
-/// One worker in this many may have a room kept free.
-const SHARE: usize = 4;
+/// Number of urgent starts within the window for which one worker keeps capacity free.
+const STARTS_PER_WORKER: usize = 8;
+/// One worker in this many may keep capacity free.
+const WORKERS_PER_RESERVED: usize = 4;
 
-/// How much room to keep free for the next urgent jobs, from the latest ones.
+/// How much capacity to keep free for the next urgent jobs, estimated from the latest ones.
 ///
-/// Without it nearly each urgent start in a full fleet evicts a batch task: one would notice by
-/// evictions that keep step with urgent jobs. Where none came of late, nothing is kept.
+/// Without free capacity nearly each urgent start in a full fleet evicts a batch task. If there
+/// were no urgent jobs recently, none is kept free.
 #[derive(Debug, Clone, Default)]
 pub struct UrgentDemand {
     starts: VecDeque<(Millis, Resources)>,
 }
 
 impl UrgentDemand {
-    /// Notes an urgent start.
-    pub fn note(&mut self, now: Millis, need: &Resources) {
+    pub fn record_start(&mut self, now: Millis, need: &Resources) {
         self.starts.push_back((now, *need));
     }
 
-    /// Returns how many rooms to keep free among `workers`.
-    pub fn rooms(&mut self, now: Millis, workers: usize) -> usize {
+    /// Returns how many of `workers` should keep capacity free.
+    pub fn workers_to_reserve(&mut self, now: Millis, workers: usize) -> usize {
         while self.starts.front().is_some_and(|(at, _)| now.since(*at) >= WINDOW_MS) {
             self.starts.pop_front();
         }
-        self.starts.len().div_ceil(STARTS_PER_ROOM).min(workers / SHARE)
+        self.starts.len().div_ceil(STARTS_PER_WORKER).min(workers / WORKERS_PER_RESERVED)
     }
 
-    /// Returns the size of a room: enough for any of the latest urgent jobs.
-    pub fn room(&self) -> Resources {
+    /// Returns the capacity that each of them should keep free: enough for any of the latest urgent
+    /// jobs.
+    pub fn capacity(&self) -> Resources {
         self.starts
             .iter()
-            .fold(amounts::NONE, |room, (_, need)| amounts::component_max(&room, need))
+            .fold(amounts::NONE, |capacity, (_, need)| amounts::component_max(&capacity, need))
     }
 }
--- /dev/null
+++ b/crates/geraniumpost-core/src/placement/usage_estimates.rs
@@ -0,0 +1,42 @@
+use std::collections::HashMap;
+
+use geraniumpost_schema::{Name, Resources};
+
+use super::usage_sample::UsageSample;
+use super::{PlacementRequest, amounts};
+
+/// Learns by how much the jobs of a customer and class exceed their declared needs.
+///
+/// Declared needs are often far too low. A class that always uses twice its declared memory would
+/// fill VMs beyond their memory, and the kernel would kill tasks. The next job of the same customer
+/// and class is therefore given what most of the recent ones used.
+#[derive(Debug, Clone, Default)]
+pub struct UsageEstimates {
+    samples: HashMap<(Name, Name), UsageSample>,
+}
+
+impl UsageEstimates {
+    /// Adds a measurement of a task's usage.
+    pub fn observe(
+        &mut self,
+        customer: &Name,
+        class: &Name,
+        job: &Name,
+        need: &Resources,
+        usage: &Resources,
+    ) {
+        let key = (customer.clone(), class.clone());
+        self.samples.entry(key).or_default().observe(job, need, usage);
+    }
+
+    /// Returns the resources to reserve for a request: at least what it declares, and otherwise at
+    /// most `limit`, so that the estimate does not make a job impossible.
+    pub fn estimate(&self, request: &PlacementRequest, limit: &Resources) -> Resources {
+        let key = (request.customer.clone(), request.class.clone());
+        let Some(sample) = self.samples.get(&key) else { return request.need };
+        amounts::component_max(
+            &request.need,
+            &amounts::component_min(&sample.scaled(&request.need), limit),
+        )
+    }
+}
--- a/crates/geraniumpost-core/src/placement/size_sample.rs
+++ b/crates/geraniumpost-core/src/placement/usage_sample.rs
@@ -2,24 +2,24 @@
 
 use geraniumpost_schema::{Name, Resources};
 
-/// Tasks that a sample remembers.
-const REMEMBERED: usize = 32;
-/// Tasks without which a sample says nothing.
-const ENOUGH: usize = 3;
-/// Share of the tasks that the learned processors suffice for; a task short of them only slows.
+/// Number of tasks in a sample.
+const MAX_TASKS: usize = 32;
+/// Minimum number of tasks for an estimate.
+const MIN_TASKS: usize = 3;
+/// Share of the tasks for which the estimated processors suffice. A task with too few only slows.
 const PROCESSORS_QUANTILE: f64 = 0.5;
-/// Share of the tasks that the learned memory suffices for; a task short of it is killed.
+/// Share of the tasks for which the estimated memory suffices. A task with too little is killed.
 const MEMORY_QUANTILE: f64 = 0.85;
 
-/// Peak usage over declared need of the latest tasks of one customer and class.
+/// Peak usage, relative to the declared need, of the latest tasks of one customer and class.
 #[derive(Debug, Clone, Default)]
-pub struct SizeSample {
+pub struct UsageSample {
     peaks: VecDeque<Peak>,
     processors: f64,
     memory: f64,
 }
 
-/// One task's peak usage over its declared need.
+/// Peak usage of one task, relative to its declared need.
 #[derive(Debug, Clone)]
 struct Peak {
     job: Name,
@@ -27,8 +27,8 @@
     memory: f64,
 }
 
-impl SizeSample {
-    /// Takes one measurement in.
+impl UsageSample {
+    /// Adds a measurement of a task's usage.
     pub fn observe(&mut self, job: &Name, need: &Resources, usage: &Resources) {
         let ratio = |used: u64, declared: u64| used as f64 / declared.max(1) as f64;
         let processors = ratio(usage.milli_cpus, need.milli_cpus);
@@ -40,7 +40,7 @@
             peak.processors = peak.processors.max(processors);
             peak.memory = peak.memory.max(memory);
         } else {
-            if self.peaks.len() == REMEMBERED {
+            if self.peaks.len() == MAX_TASKS {
                 self.peaks.pop_front();
             }
             self.peaks.push_back(Peak { job: job.clone(), processors, memory });
@@ -49,8 +49,8 @@
         self.memory = self.quantile(MEMORY_QUANTILE, |peak| peak.memory);
     }
 
-    /// Returns a declared need scaled by what was seen.
-    pub fn grown(&self, need: &Resources) -> Resources {
+    /// Returns a declared need scaled by the estimated ratios.
+    pub fn scaled(&self, need: &Resources) -> Resources {
         let scale = |amount: u64, ratio: f64| (amount as f64 * ratio).ceil() as u64;
         Resources {
             milli_cpus: scale(need.milli_cpus, self.processors),
@@ -59,11 +59,11 @@
         }
     }
 
-    fn quantile(&self, quantile: f64, of: impl Fn(&Peak) -> f64) -> f64 {
-        if self.peaks.len() < ENOUGH {
+    fn quantile(&self, quantile: f64, ratio: impl Fn(&Peak) -> f64) -> f64 {
+        if self.peaks.len() < MIN_TASKS {
             return 0.0;
         }
-        let mut ratios: Vec<f64> = self.peaks.iter().map(of).collect();
+        let mut ratios: Vec<f64> = self.peaks.iter().map(ratio).collect();
         ratios.sort_by(f64::total_cmp);
         ratios[((ratios.len() - 1) as f64 * quantile).ceil() as usize]
     }
--- a/crates/geraniumpost-core/src/placement/worker_record.rs
+++ b/crates/geraniumpost-core/src/placement/worker_record.rs
@@ -2,158 +2,159 @@
 
 use crate::Millis;
 
-/// Different jobs that a worker must fail in a row to be set aside, if no run that had the same
-/// chance goes on.
+/// Number of different jobs that a worker must fail in a row to be quarantined, if no run that
+/// could fail in the same way is still running.
 const JOBS_TO_QUARANTINE: usize = 3;
-/// Different jobs that set a worker aside in any case.
-const JOBS_IN_ANY_CASE: usize = 6;
-/// A run is sound once it has lasted this many times the longest time to a failure, ...
-const SOUND_TIMES: u64 = 2;
-/// ... but at least this long, ...
-const SOUND_LEAST_MS: u64 = 5_000;
-/// ... and at most this long.
-const SOUND_MOST_MS: u64 = 120_000;
-/// Different jobs after which a worker gets one job at a time.
-const JOBS_TO_DOUBT: usize = 2;
+/// Number of different jobs whose failures quarantine a worker in any case.
+const JOBS_TO_QUARANTINE_ALWAYS: usize = 6;
+/// A run counts as a success once it has lasted this many times the longest time to a failure.
+const SUCCESS_FACTOR: u64 = 2;
+/// Lower limit of the time after which a run counts as a success.
+const MIN_SUCCESS_MS: u64 = 5_000;
+/// Upper limit of the time after which a run counts as a success.
+const MAX_SUCCESS_MS: u64 = 120_000;
+/// Number of different failed jobs from which a worker gets one job at a time.
+const JOBS_TO_LIMIT: usize = 2;
 /// How long failures count.
-const WINDOW_MS: u64 = 300_000;
-/// First time a worker is set aside; it doubles with each failed probe.
+const FAILURE_WINDOW_MS: u64 = 300_000;
+/// Duration of the first quarantine. It doubles with each failed probe.
 const FIRST_QUARANTINE_MS: u64 = 30_000;
-/// Most doublings, which bounds the time to about eight minutes.
-const MOST_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings, which limits a quarantine to about eight minutes.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// Whether a worker may be given work.
+/// Whether a worker may be given jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing speaks against it.
+pub enum TrustState {
+    /// There is not enough evidence against the worker.
     #[default]
     Trusted,
-    /// Given nothing.
+    /// The worker is given no jobs.
     Quarantined {
-        /// When it is probed.
+        /// When the worker is probed.
         until: Millis,
-        /// How often its probes failed.
+        /// Number of failed probes.
         doublings: u32,
     },
-    /// Given one job at a time.
+    /// The worker is given one job at a time.
     Probing {
-        /// Since when.
+        /// Start of the probe.
         since: Millis,
-        /// How often its probes failed before.
+        /// Number of failed probes before this one.
         doublings: u32,
     },
 }
 
-/// What speaks for and against one worker.
+/// The failures and the trust state of one worker.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerRecord {
-    standing: Standing,
+    trust: TrustState,
     failures: Vec<Failure>,
-    vouched: bool,
+    probe_succeeded: bool,
 }
 
-/// A job that failed here.
+/// A job that failed on the worker.
 #[derive(Debug, Clone)]
 struct Failure {
     job: Name,
-    began: Millis,
+    started: Millis,
     at: Millis,
 }
 
 impl WorkerRecord {
-    /// Notes a failure; several of one job count once.
-    pub fn fail(&mut self, job: &Name, began: Millis, at: Millis) {
-        self.acquit(job);
-        self.failures.push(Failure { job: job.clone(), began, at });
+    /// Records a failure; several failures of one job count once.
+    pub fn record_failure(&mut self, job: &Name, started: Millis, at: Millis) {
+        self.clear_failure(job);
+        self.failures.push(Failure { job: job.clone(), started, at });
     }
 
-    /// Takes back a failure that turned out to be the job's own.
-    pub fn acquit(&mut self, job: &Name) {
+    /// Removes a failure that turned out to be caused by the job.
+    pub fn clear_failure(&mut self, job: &Name) {
         self.failures.retain(|failure| failure.job != *job);
     }
 
-    /// Returns how long a run here must last to speak for the worker.
-    pub fn sound_after(&self) -> u64 {
-        let longest = self.failures.iter().map(|failure| failure.at.since(failure.began)).max();
-        (longest.unwrap_or(0) * SOUND_TIMES).clamp(SOUND_LEAST_MS, SOUND_MOST_MS)
+    /// Returns after how many milliseconds a run counts as a success of the worker.
+    pub fn success_after_ms(&self) -> u64 {
+        let longest = self.failures.iter().map(|failure| failure.at.since(failure.started)).max();
+        (longest.unwrap_or(0) * SUCCESS_FACTOR).clamp(MIN_SUCCESS_MS, MAX_SUCCESS_MS)
     }
 
-    /// Clears failures of runs that began no later than a sound one, or ends a probe.
-    pub fn vouch(&mut self, began: Millis) {
-        match self.standing {
-            Standing::Trusted => self.failures.retain(|failure| failure.began > began),
-            Standing::Probing { since, .. } if began >= since => self.vouched = true,
+    /// Removes failures of runs that began no later than a successful one, or completes a probe.
+    pub fn record_success(&mut self, started: Millis) {
+        match self.trust {
+            TrustState::Trusted => self.failures.retain(|failure| failure.started > started),
+            TrustState::Probing { since, .. } if started >= since => self.probe_succeeded = true,
             _ => {}
         }
     }
 
-    /// Moves time on and returns the standing if it changed; `pending` tells whether a run that
-    /// had the same chance as the failed ones still goes on.
-    pub fn review(&mut self, now: Millis, pending: bool) -> Option<Standing> {
-        self.failures.retain(|failure| now.since(failure.at) < WINDOW_MS);
-        let next = self.next(now, pending);
-        if next == self.standing {
+    /// Updates the trust state and returns it if it changed. `pending` is whether a run that could
+    /// fail in the same way as the failed ones is still running.
+    pub fn update_trust(&mut self, now: Millis, pending: bool) -> Option<TrustState> {
+        self.failures.retain(|failure| now.since(failure.at) < FAILURE_WINDOW_MS);
+        let next = self.next_state(now, pending);
+        if next == self.trust {
             return None;
         }
-        self.standing = next;
-        if next == Standing::Trusted {
+        self.trust = next;
+        if next == TrustState::Trusted {
             self.failures.clear();
         }
-        self.vouched = false;
+        self.probe_succeeded = false;
         Some(next)
     }
 
-    /// Returns the jobs that failed here.
+    /// Returns the number of different jobs that failed on the worker.
     pub fn failed_jobs(&self) -> u32 {
         self.failures.len() as u32
     }
 
-    /// Returns how many unproven jobs the worker may run at once, if that is bounded.
-    pub fn most_at_once(&self) -> Option<u32> {
-        match self.standing {
-            Standing::Quarantined { .. } => Some(0),
-            Standing::Probing { .. } => Some(1),
-            Standing::Trusted => (self.failures.len() >= JOBS_TO_DOUBT).then_some(1),
+    /// Returns how many unproven runs the worker may have at once, or none if that is not limited.
+    pub fn concurrency_limit(&self) -> Option<u32> {
+        match self.trust {
+            TrustState::Quarantined { .. } => Some(0),
+            TrustState::Probing { .. } => Some(1),
+            TrustState::Trusted => (self.failures.len() >= JOBS_TO_LIMIT).then_some(1),
         }
     }
 
-    /// Returns whether a run that began then is still unproven.
-    pub fn counts_since(&self, began: Millis) -> bool {
-        match self.standing {
-            Standing::Probing { since, .. } => began >= since,
-            _ => self.failures.iter().any(|failure| began >= failure.began),
+    /// Returns whether a current run is unproven: it began during the probe or, if there is none,
+    /// no earlier than a failed run.
+    pub fn is_unproven(&self, started: Millis) -> bool {
+        match self.trust {
+            TrustState::Probing { since, .. } => started >= since,
+            _ => self.failures.iter().any(|failure| started >= failure.started),
         }
     }
 
     /// Returns whether the worker is quarantined or probed.
-    pub const fn is_set_aside(&self) -> bool {
-        !matches!(self.standing, Standing::Trusted)
+    pub const fn is_untrusted(&self) -> bool {
+        !matches!(self.trust, TrustState::Trusted)
     }
 
-    /// Returns whether nothing speaks against the worker.
+    /// Returns whether there is no evidence against the worker.
     pub fn is_clean(&self) -> bool {
-        self.standing == Standing::Trusted && self.failures.is_empty()
+        self.trust == TrustState::Trusted && self.failures.is_empty()
     }
 
-    fn next(&self, now: Millis, pending: bool) -> Standing {
-        let needed = if pending { JOBS_IN_ANY_CASE } else { JOBS_TO_QUARANTINE };
-        match self.standing {
-            Standing::Trusted if self.failures.len() >= needed => set_aside(now, 0),
-            Standing::Quarantined { until, doublings } if now >= until => {
-                Standing::Probing { since: now, doublings }
+    fn next_state(&self, now: Millis, pending: bool) -> TrustState {
+        let needed = if pending { JOBS_TO_QUARANTINE_ALWAYS } else { JOBS_TO_QUARANTINE };
+        match self.trust {
+            TrustState::Trusted if self.failures.len() >= needed => quarantine(now, 0),
+            TrustState::Quarantined { until, doublings } if now >= until => {
+                TrustState::Probing { since: now, doublings }
             }
-            Standing::Probing { since, doublings }
+            TrustState::Probing { since, doublings }
                 if self.failures.iter().any(|failure| failure.at > since) =>
             {
-                set_aside(now, (doublings + 1).min(MOST_DOUBLINGS))
+                quarantine(now, (doublings + 1).min(MAX_DOUBLINGS))
             }
-            Standing::Probing { .. } if self.vouched => Standing::Trusted,
-            standing => standing,
+            TrustState::Probing { .. } if self.probe_succeeded => TrustState::Trusted,
+            trust => trust,
         }
     }
 }
 
-/// Sets a worker aside for a time that doubles.
-const fn set_aside(now: Millis, doublings: u32) -> Standing {
-    Standing::Quarantined { until: now.plus(FIRST_QUARANTINE_MS << doublings), doublings }
+/// Returns a quarantine whose duration doubles with each failed probe.
+const fn quarantine(now: Millis, doublings: u32) -> TrustState {
+    TrustState::Quarantined { until: now.plus(FIRST_QUARANTINE_MS << doublings), doublings }
 }
--- a/crates/geraniumpost-core/src/placement/row.rs
+++ b/crates/geraniumpost-core/src/placement/worker_row.rs
@@ -2,13 +2,13 @@
 
 use super::{WorkerState, WorkerView};
 
-/// Number of "no service" in [`Row::service`].
+/// Value of [`WorkerRow::service`] for a worker without a service.
 pub const NO_SERVICE: u32 = u32::MAX;
 
-/// What a scan needs of a worker, small enough that 570 of them stay in a near cache.
+/// The part of a worker that a scan reads, small enough for 570 rows to stay in a near cache.
 #[derive(Debug, Clone, Copy)]
-pub struct Row {
-    /// What is free for batch work.
+pub struct WorkerRow {
+    /// Resources that are free for batch work.
     pub free: Resources,
     /// Number of the service, or [`NO_SERVICE`].
     pub service: u32,
@@ -18,13 +18,13 @@
     pub domain: u32,
     /// Busy share of the minion's slots in thousandths.
     pub load_permille: u32,
-    /// Changes with every change of the worker, so that what was computed from it can be kept.
+    /// Changes with every change of the worker, so that values computed from it can be cached.
     pub version: u64,
-    /// Whether the worker takes new work.
-    pub open: bool,
+    /// Whether the worker accepts new jobs.
+    pub accepts_work: bool,
 }
 
-impl Row {
+impl WorkerRow {
     /// Creates the row of a worker.
     pub fn new(view: &WorkerView, service: u32, rack: u32, domain: u32) -> Self {
         let mut row = Self {
@@ -34,17 +34,17 @@
             domain,
             load_permille: view.load_permille,
             version: 0,
-            open: true,
+            accepts_work: true,
         };
         row.refresh(view, 0);
         row
     }
 
-    /// Takes over what changes while a worker runs.
+    /// Updates the values that change while a worker runs.
     pub fn refresh(&mut self, view: &WorkerView, version: u64) {
         self.free = view.free();
         self.load_permille = view.load_permille;
         self.version = version;
-        self.open = view.state == WorkerState::Healthy;
+        self.accepts_work = view.state == WorkerState::Healthy;
     }
 }
--- a/crates/geraniumpost-core/src/placement/worker_state.rs
+++ b/crates/geraniumpost-core/src/placement/worker_state.rs
@@ -1,19 +1,19 @@
 use derive_more::Display;
 
-/// Whether a worker may be given work.
+/// Whether a worker may be given jobs.
 #[derive(Debug, Display, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum WorkerState {
-    /// Takes new work.
+    /// Accepts new jobs.
     #[default]
     #[display("healthy")]
     Healthy,
-    /// Is leaving: its tasks go on, new ones are refused.
+    /// Is about to leave: its tasks continue, new jobs are refused.
     #[display("draining")]
     Draining,
-    /// Was set aside by an operator or by the planner.
+    /// Was quarantined by an operator or by the planner.
     #[display("quarantined")]
     Quarantined,
-    /// Is silent; it still counts for what could ever run, as it may come back.
+    /// Does not answer. It still counts for which jobs could ever run, as it may come back.
     #[display("lost")]
     Lost,
 }
--- a/crates/geraniumpost-core/src/placement/worker_view.rs
+++ b/crates/geraniumpost-core/src/placement/worker_view.rs
@@ -58,7 +58,7 @@
         self
     }
 
-    /// Sets what is kept free of batch work for the service.
+    /// Sets the resources that are kept free of batch work for the service.
     #[must_use]
     pub const fn reserve(mut self, reserve: Resources) -> Self {
         self.reserve = reserve;
@@ -73,17 +73,17 @@
         self
     }
 
-    /// Sets what the agent's ledger holds reserved by its latest heartbeat.
+    /// Sets what the agent's ledger has reserved according to its latest heartbeat.
     ///
-    /// The ledger may count a throttled or a measured task for more than the planner does. What it
-    /// would refuse is not worth proposing: the job would wait out a back-off for nothing.
+    /// The ledger may count a throttled or a measured task for more than the planner does. A start
+    /// that it would refuse is not proposed, as the job would have to wait for a back-off in vain.
     #[must_use]
     pub const fn reserved(mut self, reserved: Resources) -> Self {
         self.reserved = reserved;
         self
     }
 
-    /// Sets whether the worker takes work.
+    /// Sets whether the worker accepts jobs.
     #[must_use]
     pub const fn state(mut self, state: WorkerState) -> Self {
         self.state = state;
@@ -107,17 +107,17 @@
         &self.tasks
     }
 
-    /// Returns what batch work may ever hold here.
+    /// Returns the resources that the worker offers to batch work.
     pub const fn allowance(&self) -> Resources {
         amounts::minus(&self.capacity, &self.reserve)
     }
 
-    /// Returns what the tasks hold together.
+    /// Returns the resources allocated to the tasks.
     pub fn allocated(&self) -> Resources {
         self.tasks.iter().fold(amounts::NONE, |sum, task| amounts::plus(&sum, &task.allocated()))
     }
 
-    /// Returns what is free for batch work, by the planner's count and by the ledger's.
+    /// Returns what is free for batch work, by both the planner's and the ledger's count.
     pub fn free(&self) -> Resources {
         amounts::minus(
             &self.allowance(),
--- a/crates/geraniumpost-core/tests/placement_basics.rs
+++ b/crates/geraniumpost-core/tests/placement_basics.rs
@@ -1,4 +1,4 @@
-//! What a placement must do in the plainest cases.
+//! Basic cases of placement.
 
 use assert_matches::assert_matches;
 use geraniumpost_core::Millis;
@@ -31,35 +31,37 @@
     fleet
 }
 
-fn place(wishes: &[PlacementRequest], fleet: &Fleet) -> Vec<Decision> {
+fn place(requests: &[PlacementRequest], fleet: &Fleet) -> Vec<Decision> {
     let mut rng = StdRng::seed_from_u64(1);
-    Placer::new(&document()).place(Millis(1000), wishes, fleet, &mut rng)
+    Placer::new(&document()).place(Millis(1000), requests, fleet, &mut rng)
 }
 
 macro_rules! cases {
-    ($($(#[$doc:meta])* $name:ident: $wishes:expr => $check:expr;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $requests:expr => $check:expr;)*) => {
         $($(#[$doc])* #[test]
         fn $name() {
             let check: fn(&[Decision]) = $check;
-            check(&place(&$wishes, &fleet()));
+            check(&place(&$requests, &fleet()));
         })*
     };
 }
 
 cases! {
-    starts_what_fits: [PlacementRequest::new("j", "entel", "study", amount(6000, 100))] => |decided| {
+    starts_job_that_fits: [PlacementRequest::new("j", "entel", "study", amount(6000, 100))]
+        => |decided| {
         assert_matches!(&decided[0], Decision::Start { worker, .. } if worker.as_str() == "w1");
     };
-    waits_out_a_back_off: [PlacementRequest::new("j", "entel", "study", amount(1, 1)).not_before(Millis(1001))]
-        => |decided| {
+    waits_during_back_off: [
+        PlacementRequest::new("j", "entel", "study", amount(1, 1)).not_before(Millis(1001)),
+    ] => |decided| {
         assert_matches!(decided[0], Decision::Wait { reason: Reason::BackOff { .. }, .. });
     };
-    keeps_a_quota: [
+    respects_customer_quota: [
         PlacementRequest::new("a", "claro", "study", amount(3000, 1)),
         PlacementRequest::new("b", "claro", "study", amount(3000, 1)).submitted(Millis(1)),
     ] => |decided| {
         assert_matches!(decided[0], Decision::Start { .. });
-        assert_matches!(decided[1], Decision::Wait { reason: Reason::OverQuota { .. }, .. });
+        assert_matches!(decided[1], Decision::Wait { reason: Reason::QuotaReached { .. }, .. });
     };
     starts_urgent_before_normal: [
         PlacementRequest::new("normal", "entel", "study", amount(8000, 1)),
@@ -69,52 +71,57 @@
         assert_matches!(&decided[0], Decision::Start { job, .. } if job.as_str() == "urgent");
         assert_matches!(decided[1], Decision::Wait { .. });
     };
-    keeps_away_from_excluded_workers: [
-        PlacementRequest::new("j", "entel", "study", amount(6000, 1)).excluded(vec![Name::from("w1")]),
+    avoids_excluded_workers: [
+        PlacementRequest::new("j", "entel", "study", amount(6000, 1))
+            .excluded(vec![Name::from("w1")]),
     ] => |decided| {
         assert_matches!(decided[0], Decision::Wait { .. });
     };
-    /// A customer asks for more memory than any VM has. Without a refusal the job would wait for
-    /// ever and the customer would learn of it at the auction's deadline.
-    refuses_what_no_worker_can_hold: [PlacementRequest::new("j", "entel", "study", amount(1, 16001))]
-        => |decided| {
+    /// A customer asks for more memory than any VM has. Without a rejection the job would wait
+    /// forever, and the customer would learn of it only when the job's deadline passes.
+    rejects_job_larger_than_any_worker: [
+        PlacementRequest::new("j", "entel", "study", amount(1, 16001)),
+    ] => |decided| {
         let text = decided[0].to_string();
         assert_matches!(decided[0], Decision::Impossible { .. });
         assert!(text.contains("needs 16001 of memory, the largest worker w1 offers 16000"), "{text}");
     };
-    refuses_what_the_quota_forbids: [PlacementRequest::new("j", "claro", "study", amount(4001, 1))]
+    rejects_job_larger_than_quota: [PlacementRequest::new("j", "claro", "study", amount(4001, 1))]
         => |decided| {
-        assert_matches!(decided[0], Decision::Impossible { reason: Reason::BeyondQuota { .. }, .. });
+        assert_matches!(
+            decided[0],
+            Decision::Impossible { reason: Reason::ExceedsQuota { .. }, .. }
+        );
     };
 }
 
-/// A planner has just taken over and has heard of no worker yet. Were it to judge now, every job
-/// would be refused as impossible.
+/// A planner has just taken over and knows only some workers yet. If it judged jobs by these, it
+/// would reject those that fit on the others as impossible.
 #[test]
-fn judges_nothing_impossible_while_workers_announce_themselves() {
+fn rejects_no_job_while_workers_announce_themselves() {
     let mut fleet = fleet();
     fleet.set_awaiting_workers(true);
     let decided = place(&[PlacementRequest::new("j", "entel", "study", amount(9000, 1))], &fleet);
     assert_matches!(decided[0], Decision::Wait { reason: Reason::AwaitingWorkers, .. });
 }
 
-/// A task outgrows its declared size. Counting only the declaration, a second task would be let in
-/// and the VM would hold more than it has.
+/// A task uses more than it declared. If only the declared need were counted, a second task would
+/// be started and the VM would be overcommitted.
 #[test]
-fn counts_a_task_for_what_it_uses() {
+fn counts_measured_usage_above_declared_need() {
     let mut fleet = fleet();
     let task = TaskView::new("big", "entel", "study", amount(1000, 1), Millis(0));
     assert!(fleet.add_task(&Name::from("w1"), task.usage(amount(7000, 1))));
     let decided = place(&[PlacementRequest::new("j", "entel", "study", amount(5000, 1))], &fleet);
-    assert_matches!(decided[0], Decision::Wait { reason: Reason::NoRoom { .. }, .. });
+    assert_matches!(decided[0], Decision::Wait { reason: Reason::NoCapacity { .. }, .. });
 }
 
-/// The agent's ledger holds more than the planner knows of. A start there would be refused and the
-/// job would wait out a back-off, so it is not proposed.
+/// The agent's ledger has reserved more than the planner knows of. A start there would be refused,
+/// and the job would have to wait for a back-off, so it is not proposed.
 #[test]
-fn proposes_nothing_that_the_ledger_would_refuse() {
+fn respects_ledger_reservations() {
     let mut fleet = fleet();
     assert!(fleet.set_reserved(&Name::from("w1"), amount(6000, 1)));
     let decided = place(&[PlacementRequest::new("j", "entel", "study", amount(5000, 1))], &fleet);
-    assert_matches!(decided[0], Decision::Wait { reason: Reason::NoRoom { .. }, .. });
+    assert_matches!(decided[0], Decision::Wait { reason: Reason::NoCapacity { .. }, .. });
 }
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -1,4 +1,4 @@
-//! The placer against a naive twin that scans everything for each job.
+//! Compares the placer with a naive reference model that scans all workers for each job.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,15 +15,15 @@
 const CLASSES: [&str; 3] = ["study", "logs", "check"];
 const QUOTA: Resources = Resources { milli_cpus: 9000, memory_mb: 9000, accelerators: 2 };
 
-/// What happens to a site between two decisions.
+/// An event between two decisions.
 #[derive(Debug, Clone)]
 enum Step {
     Submit { customer: usize, class: usize, need: Resources, priority: Priority },
-    EndOne(usize),
-    Grow(usize, u64),
-    State(usize, WorkerState),
+    EndTask(usize),
+    ReportUsage(usize, u64),
+    SetState(usize, WorkerState),
     Cancel(usize),
-    Later(u64),
+    AdvanceClock(u64),
 }
 
 fn need() -> impl Strategy<Value = Resources> {
@@ -51,19 +51,23 @@
     prop_oneof![
         6 => (0..3usize, 0..3usize, need(), priority()).prop_map(
             |(customer, class, need, priority)| Step::Submit { customer, class, need, priority }),
-        3 => any::<usize>().prop_map(Step::EndOne),
-        1 => (any::<usize>(), 0..6000u64).prop_map(|(which, cpus)| Step::Grow(which, cpus)),
-        1 => (any::<usize>(), state()).prop_map(|(which, state)| Step::State(which, state)),
+        3 => any::<usize>().prop_map(Step::EndTask),
+        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| Step::ReportUsage(index, cpus)),
+        1 => (any::<usize>(), state()).prop_map(|(index, state)| Step::SetState(index, state)),
         1 => any::<usize>().prop_map(Step::Cancel),
-        2 => (1..20_000u64).prop_map(Step::Later),
+        2 => (1..20_000u64).prop_map(Step::AdvanceClock),
     ]
 }
 
-fn worker(at: usize, cpus: u64, accelerators: u32) -> WorkerView {
+fn worker(index: usize, cpus: u64, accelerators: u32) -> WorkerView {
     let capacity = Resources { milli_cpus: cpus * 1000, memory_mb: 5000, accelerators };
     let reserve = Resources { milli_cpus: 500, memory_mb: 100, accelerators: 0 };
-    let view =
-        WorkerView::new(format!("w{at}"), format!("d{}", at % 2), format!("r{}", at / 2), capacity);
+    let view = WorkerView::new(
+        format!("w{index}"),
+        format!("d{}", index % 2),
+        format!("r{}", index / 2),
+        capacity,
+    );
     view.reserve(reserve)
 }
 
@@ -79,13 +83,13 @@
     .expect("a document")
 }
 
-/// The naive twin: sums everything up anew whenever it is asked.
-struct Twin {
+/// Recomputes every sum whenever it is needed.
+struct ReferenceModel {
     workers: BTreeMap<Name, (Resources, WorkerState)>,
     tasks: BTreeMap<Name, (Name, Name, Resources)>,
 }
 
-impl Twin {
+impl ReferenceModel {
     fn new(fleet: &Fleet, states: &BTreeMap<Name, WorkerState>) -> Self {
         let mut tasks = BTreeMap::new();
         let mut workers = BTreeMap::new();
@@ -101,162 +105,191 @@
     }
 
     fn free(&self, worker: &Name) -> Resources {
-        let on = self.tasks.values().filter(|(on, _, _)| on == worker);
-        let held = on.fold(amounts::NONE, |sum, (_, _, held)| amounts::plus(&sum, held));
-        amounts::minus(&self.workers[worker].0, &held)
+        let tasks = self.tasks.values().filter(|(on_worker, _, _)| on_worker == worker);
+        let allocated =
+            tasks.fold(amounts::NONE, |sum, (_, _, allocated)| amounts::plus(&sum, allocated));
+        amounts::minus(&self.workers[worker].0, &allocated)
     }
 
-    fn holding(&self, customer: &Name) -> Resources {
-        let of = self.tasks.values().filter(|(_, owner, _)| owner == customer);
-        of.fold(amounts::NONE, |sum, (_, _, held)| amounts::plus(&sum, held))
+    fn allocated_to(&self, customer: &Name) -> Resources {
+        let tasks = self.tasks.values().filter(|(_, owner, _)| owner == customer);
+        tasks.fold(amounts::NONE, |sum, (_, _, allocated)| amounts::plus(&sum, allocated))
     }
 
-    fn rooms(&self, need: &Resources) -> usize {
-        let open = self.workers.iter().filter(|(_, (_, state))| *state == WorkerState::Healthy);
-        open.filter(|(name, _)| amounts::fits(need, &self.free(name))).count()
+    fn workers_with_capacity(&self, need: &Resources) -> usize {
+        let healthy = self.workers.iter().filter(|(_, (_, state))| *state == WorkerState::Healthy);
+        healthy.filter(|(name, _)| amounts::fits(need, &self.free(name))).count()
     }
 
-    fn could_ever(&self, wish: &PlacementRequest) -> bool {
-        amounts::fits(wish.need(), &QUOTA)
-            && self.workers.values().any(|(room, _)| amounts::fits(wish.need(), room))
+    fn could_ever_fit(&self, request: &PlacementRequest) -> bool {
+        amounts::fits(request.need(), &QUOTA)
+            && self.workers.values().any(|(allowance, _)| amounts::fits(request.need(), allowance))
     }
 
-    fn within_quota(&self, wish: &PlacementRequest) -> bool {
-        self.within_quota_beside(wish, std::iter::empty())
+    fn within_quota(&self, request: &PlacementRequest) -> bool {
+        self.within_quota_with_reservations(request, std::iter::empty())
     }
 
-    /// Tells whether the quota also lasts for other jobs that room is kept for.
-    fn within_quota_beside<'a>(
+    /// Returns whether the quota also suffices for the other jobs that capacity is reserved for.
+    fn within_quota_with_reservations<'a>(
         &self,
-        wish: &PlacementRequest,
-        kept: impl Iterator<Item = &'a PlacementRequest>,
+        request: &PlacementRequest,
+        reserved: impl Iterator<Item = &'a PlacementRequest>,
     ) -> bool {
-        let others = kept.filter(|w| w.customer() == wish.customer() && w.job() != wish.job());
+        let others =
+            reserved.filter(|w| w.customer() == request.customer() && w.job() != request.job());
         let others = others.filter(|w| !self.tasks.contains_key(w.job()));
-        let kept = others.fold(*wish.need(), |sum, other| amounts::plus(&sum, other.need()));
-        amounts::fits(&amounts::plus(&self.holding(wish.customer()), &kept), &QUOTA)
+        let reserved = others.fold(*request.need(), |sum, other| amounts::plus(&sum, other.need()));
+        amounts::fits(&amounts::plus(&self.allocated_to(request.customer()), &reserved), &QUOTA)
     }
 }
 
-/// Applies decisions to the twin one by one and checks each.
-fn check(
+/// Applies decisions to the model one by one and checks each.
+fn check_decisions(
     decided: &[Decision],
-    wishes: &[PlacementRequest],
-    mut twin: Twin,
-    holders: &BTreeSet<Name>,
+    requests: &[PlacementRequest],
+    mut model: ReferenceModel,
+    reservation_holders: &BTreeSet<Name>,
 ) -> Result<(), TestCaseError> {
-    let wish_of = |job: &Name| wishes.iter().find(|wish| wish.job() == job).expect("a wish");
+    let request_of =
+        |job: &Name| requests.iter().find(|request| request.job() == job).expect("a request");
     let starts = decided.iter().filter(|d| matches!(d, Decision::Start { .. }));
-    let ranks: Vec<u8> = starts.map(|d| rank(wish_of(d.job().expect("a job")))).collect();
-    prop_assert!(ranks.windows(2).all(|pair| pair[0] <= pair[1]), "order {ranks:?}");
-    let mut answered = 0;
+    let ranks: Vec<u8> = starts.map(|d| rank(request_of(d.job().expect("a job")))).collect();
+    prop_assert!(
+        ranks.windows(2).all(|pair| pair[0] <= pair[1]),
+        "priorities out of order: {ranks:?}"
+    );
+    let mut decided_jobs = 0;
     for decision in decided {
         match decision {
             Decision::Start { job, worker, need, .. } => {
-                let wish = wish_of(job);
-                let (_, state) = twin.workers[worker];
-                prop_assert_eq!(state, WorkerState::Healthy, "{} on a closed worker", job);
-                prop_assert!(amounts::fits(wish.need(), need), "less than declared for {}", job);
-                prop_assert!(amounts::fits(need, &twin.free(worker)), "{worker} is overfull");
-                prop_assert!(twin.within_quota(wish), "{job} breaks its quota");
-                let entry = (worker.clone(), wish.customer().clone(), *need);
-                prop_assert!(twin.tasks.insert(job.clone(), entry).is_none(), "{job} twice");
-                answered += 1;
+                let request = request_of(job);
+                let (_, state) = model.workers[worker];
+                prop_assert_eq!(
+                    state,
+                    WorkerState::Healthy,
+                    "{} starts on a worker that accepts no jobs",
+                    job
+                );
+                prop_assert!(
+                    amounts::fits(request.need(), need),
+                    "{} is given less than declared",
+                    job
+                );
+                prop_assert!(amounts::fits(need, &model.free(worker)), "{worker} is overcommitted");
+                prop_assert!(model.within_quota(request), "{job} exceeds its quota");
+                let entry = (worker.clone(), request.customer().clone(), *need);
+                prop_assert!(
+                    model.tasks.insert(job.clone(), entry).is_none(),
+                    "{job} starts twice"
+                );
+                decided_jobs += 1;
             }
             Decision::Impossible { job, .. } => {
-                prop_assert!(!twin.could_ever(wish_of(job)), "{job} could run");
-                answered += 1;
+                prop_assert!(!model.could_ever_fit(request_of(job)), "{job} could run");
+                decided_jobs += 1;
             }
             Decision::Wait { job, reason } => {
-                let wish = wish_of(job);
-                prop_assert!(twin.could_ever(wish), "{job} is not told that it cannot run");
+                let request = request_of(job);
+                prop_assert!(
+                    model.could_ever_fit(request),
+                    "{job} should be rejected as impossible"
+                );
                 match reason {
-                    Reason::OverQuota { .. } => {
-                        let kept = wishes.iter().filter(|other| holders.contains(other.job()));
-                        prop_assert!(!twin.within_quota_beside(wish, kept));
+                    Reason::QuotaReached { .. } => {
+                        let reserved = requests
+                            .iter()
+                            .filter(|other| reservation_holders.contains(other.job()));
+                        prop_assert!(!model.within_quota_with_reservations(request, reserved));
                     }
-                    Reason::NoRoom { .. } | Reason::EvictionsSpent { .. } => {
-                        let kept = kept(holders, wish, &twin);
+                    Reason::NoCapacity { .. } | Reason::EvictionBudgetSpent { .. } => {
+                        let reserved_workers =
+                            max_reserved_workers(reservation_holders, request, &model);
                         prop_assert!(
-                            twin.rooms(wish.need()) <= kept,
-                            "{job} has room: {decided:#?}"
+                            model.workers_with_capacity(request.need()) <= reserved_workers,
+                            "{job} waits despite free capacity: {decided:#?}"
                         );
                     }
                     Reason::AwaitsEviction { .. } => {
-                        prop_assert_eq!(wish.requested_priority(), Priority::Urgent);
+                        prop_assert_eq!(request.requested_priority(), Priority::Urgent);
                     }
-                    Reason::Kept { .. } => {
-                        prop_assert_ne!(wish.requested_priority(), Priority::Urgent)
+                    Reason::WorkerReserved { .. } => {
+                        prop_assert_ne!(request.requested_priority(), Priority::Urgent);
                     }
                     other => prop_assert!(false, "unexpected {other}"),
                 }
-                answered += 1;
+                decided_jobs += 1;
             }
             Decision::Evict { job, .. } => {
-                prop_assert!(twin.tasks.contains_key(job), "{job} does not run");
+                prop_assert!(model.tasks.contains_key(job), "{job} does not run");
             }
             other => prop_assert!(false, "unexpected {other}"),
         }
     }
-    prop_assert_eq!(answered, wishes.len(), "each job has one answer");
+    prop_assert_eq!(decided_jobs, requests.len(), "each job needs one decision");
     Ok(())
 }
 
-/// Returns how many workers may have room and yet be closed to a job: those kept for jobs that say
-/// so and, unless it is urgent, one in four that may keep a room for urgent ones.
-fn kept(holders: &BTreeSet<Name>, wish: &PlacementRequest, twin: &Twin) -> usize {
-    let spare =
-        if wish.requested_priority() == Priority::Urgent { 0 } else { twin.workers.len() / 4 };
-    holders.len() + spare
+/// Returns how many workers may have capacity and still not accept a job: those reserved for other
+/// jobs and, unless the job is urgent, one in four that may keep capacity free for urgent jobs.
+fn max_reserved_workers(
+    reservation_holders: &BTreeSet<Name>,
+    request: &PlacementRequest,
+    model: &ReferenceModel,
+) -> usize {
+    let for_urgent =
+        if request.requested_priority() == Priority::Urgent { 0 } else { model.workers.len() / 4 };
+    reservation_holders.len() + for_urgent
 }
 
-/// Returns the jobs that are told that room is kept for them.
-fn holders(decided: &[Decision]) -> impl Iterator<Item = Name> {
+/// Returns the jobs that wait on a reserved worker.
+fn reservation_holders(decided: &[Decision]) -> impl Iterator<Item = Name> {
     decided.iter().filter_map(|decision| match decision {
-        Decision::Wait { job, reason: Reason::AwaitsEviction { .. } | Reason::Kept { .. } } => {
-            Some(job.clone())
-        }
+        Decision::Wait {
+            job,
+            reason: Reason::AwaitsEviction { .. } | Reason::WorkerReserved { .. },
+        } => Some(job.clone()),
         _ => None,
     })
 }
 
-fn rank(wish: &PlacementRequest) -> u8 {
-    match wish.requested_priority() {
+fn rank(request: &PlacementRequest) -> u8 {
+    match request.requested_priority() {
         Priority::Urgent => 0,
         Priority::Normal => 1,
         Priority::Scavenger => 2,
     }
 }
 
-/// Checks that what the fleet keeps up to date equals what the twin sums up.
-fn check_index(fleet: &Fleet, twin: &Twin) -> Result<(), TestCaseError> {
+/// Checks that the sums that the fleet maintains equal those of the model.
+fn check_fleet(fleet: &Fleet, model: &ReferenceModel) -> Result<(), TestCaseError> {
     for view in fleet.workers() {
-        prop_assert_eq!(view.free(), twin.free(view.name()));
+        prop_assert_eq!(view.free(), model.free(view.name()));
     }
     for customer in CUSTOMERS {
         let customer = Name::from(customer);
-        prop_assert_eq!(fleet.allocated_to(&customer), twin.holding(&customer));
+        prop_assert_eq!(fleet.allocated_to(&customer), model.allocated_to(&customer));
     }
     Ok(())
 }
 
-/// A site under random events, with the planner's part played by hand.
+/// A fleet under random events, with the test in the role of the planner.
 struct Site {
     fleet: Fleet,
     placer: Placer,
     states: BTreeMap<Name, WorkerState>,
     queue: Vec<PlacementRequest>,
     now: u64,
-    number: usize,
-    holders: BTreeSet<Name>,
+    next_job: usize,
+    reservation_holders: BTreeSet<Name>,
     rng: StdRng,
 }
 
 impl Site {
     fn new(workers: &[(u64, u32)]) -> Self {
         let mut fleet = Fleet::default();
-        for (at, (cpus, accelerators)) in workers.iter().enumerate() {
-            fleet.put_worker(worker(at, *cpus, *accelerators));
+        for (index, (cpus, accelerators)) in workers.iter().enumerate() {
+            fleet.put_worker(worker(index, *cpus, *accelerators));
         }
         Self {
             fleet,
@@ -264,8 +297,8 @@
             states: BTreeMap::new(),
             queue: Vec::new(),
             now: 1000,
-            number: 0,
-            holders: BTreeSet::new(),
+            next_job: 0,
+            reservation_holders: BTreeSet::new(),
             rng: StdRng::seed_from_u64(3),
         }
     }
@@ -281,47 +314,50 @@
         let running = self.running();
         match step {
             Step::Submit { customer, class, need, priority } => {
-                let job = format!("job-{}", self.number);
-                self.number += 1;
-                let wish = PlacementRequest::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
-                self.queue.push(wish.priority(*priority).submitted(Millis(self.now)));
+                let job = format!("job-{}", self.next_job);
+                self.next_job += 1;
+                let request =
+                    PlacementRequest::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
+                self.queue.push(request.priority(*priority).submitted(Millis(self.now)));
             }
-            Step::EndOne(which) if !running.is_empty() => {
-                self.fleet.remove_task(&running[which % running.len()]);
+            Step::EndTask(index) if !running.is_empty() => {
+                self.fleet.remove_task(&running[index % running.len()]);
             }
-            Step::Grow(which, cpus) if !running.is_empty() => {
+            Step::ReportUsage(index, cpus) if !running.is_empty() => {
                 let usage = Resources { milli_cpus: *cpus, memory_mb: 1, accelerators: 0 };
-                let job = &running[which % running.len()];
+                let job = &running[index % running.len()];
                 self.fleet.update_task(job, |task| task.usage(usage));
             }
-            Step::State(which, state) => {
-                let worker = Name::from(format!("w{}", which % self.fleet.workers().count()));
+            Step::SetState(index, state) => {
+                let worker = Name::from(format!("w{}", index % self.fleet.workers().count()));
                 self.fleet.set_state(&worker, *state);
                 self.states.insert(worker, *state);
             }
-            Step::Cancel(which) if !self.queue.is_empty() => {
-                self.queue.swap_remove(which % self.queue.len());
+            Step::Cancel(index) if !self.queue.is_empty() => {
+                self.queue.swap_remove(index % self.queue.len());
             }
-            Step::Later(ms) => self.now += ms,
+            Step::AdvanceClock(ms) => self.now += ms,
             _ => {}
         }
     }
 
     fn place(&mut self) -> Result<Vec<Decision>, TestCaseError> {
-        let twin = Twin::new(&self.fleet, &self.states);
-        check_index(&self.fleet, &twin)?;
+        let model = ReferenceModel::new(&self.fleet, &self.states);
+        check_fleet(&self.fleet, &model)?;
         let decided = self.placer.place(Millis(self.now), &self.queue, &self.fleet, &mut self.rng);
-        let now: BTreeSet<Name> = holders(&decided).collect();
-        self.holders.extend(now.iter().cloned());
-        check(&decided, &self.queue, twin, &self.holders)?;
-        self.holders = now;
+        let current: BTreeSet<Name> = reservation_holders(&decided).collect();
+        self.reservation_holders.extend(current.iter().cloned());
+        check_decisions(&decided, &self.queue, model, &self.reservation_holders)?;
+        self.reservation_holders = current;
         for decision in &decided {
             let Decision::Start { job, worker, need, .. } = decision else { continue };
-            let at = self.queue.iter().position(|wish| wish.job() == job).expect("a wish");
-            let wish = self.queue.swap_remove(at);
-            let (customer, class) = (wish.customer().clone(), wish.class().clone());
-            let task = TaskView::new(job.clone(), customer, class, *wish.need(), Millis(self.now));
-            let task = task.reserved(*need).priority(wish.requested_priority());
+            let index =
+                self.queue.iter().position(|request| request.job() == job).expect("a request");
+            let request = self.queue.swap_remove(index);
+            let (customer, class) = (request.customer().clone(), request.class().clone());
+            let task =
+                TaskView::new(job.clone(), customer, class, *request.need(), Millis(self.now));
+            let task = task.reserved(*need).priority(request.requested_priority());
             prop_assert!(self.fleet.add_task(worker, task));
         }
         Ok(decided)
@@ -331,10 +367,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    /// Whatever comes in whatever order: no VM over its allowance, no quota broken, urgent before
-    /// normal, the twin's answer on what could ever run, and nobody waits where there is room.
+    /// Under any sequence of events no VM exceeds its allowance, no quota is exceeded, urgent jobs
+    /// start before normal ones, jobs are rejected exactly if they can never run, and no job waits
+    /// while a worker has capacity.
     #[test]
-    fn decides_as_a_naive_twin_allows(
+    fn decisions_agree_with_reference_model(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
         steps in prop::collection::vec(step(), 1..80),
     ) {
@@ -345,9 +382,9 @@
         }
     }
 
-    /// A decision that cannot be replayed from its seed cannot be explained after an incident.
+    /// A decision must be reproducible from its seed, to be explained after an incident.
     #[test]
-    fn decides_alike_from_the_same_seed(
+    fn same_seed_gives_same_decisions(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
         steps in prop::collection::vec(step(), 1..60),
     ) {
--- a/crates/geraniumpost-core/tests/placement_support/mod.rs
+++ b/crates/geraniumpost-core/tests/placement_support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of placement share: a small site that applies decisions as a planner would.
+//! Shared fixture of the placement tests: a small fleet to which decisions are applied as a planner
+//! would.
 
 #![allow(dead_code)]
 
@@ -36,7 +37,7 @@
     WorkerView::new(text, format!("domain-of-{rack}"), rack, amount(16_000, 64_000))
 }
 
-pub fn wish(job: &str, class: &str, need: Resources) -> PlacementRequest {
+pub fn request(job: &str, class: &str, need: Resources) -> PlacementRequest {
     PlacementRequest::new(job, "entel", class, need)
 }
 
@@ -56,14 +57,15 @@
         Self { placer: Placer::new(&document()), fleet, rng: StdRng::seed_from_u64(7) }
     }
 
-    /// Decides and applies starts and throttles.
-    pub fn place(&mut self, now: u64, wishes: &[PlacementRequest]) -> Vec<Decision> {
-        let decided = self.placer.place(Millis(now), wishes, &self.fleet, &mut self.rng);
+    /// Decides, and applies starts and throttles.
+    pub fn place(&mut self, now: u64, requests: &[PlacementRequest]) -> Vec<Decision> {
+        let decided = self.placer.place(Millis(now), requests, &self.fleet, &mut self.rng);
         for decision in &decided {
             match decision {
                 Decision::Start { job, worker, need, .. } => {
-                    let wish = wishes.iter().find(|wish| wish.job() == job).expect("a wish");
-                    self.start(now, wish, worker, *need);
+                    let request =
+                        requests.iter().find(|request| request.job() == job).expect("a request");
+                    self.start(now, request, worker, *need);
                 }
                 Decision::Throttle { job, worker, permille, .. } => {
                     self.fleet.update_task(job, |task| task.permille(*permille));
@@ -83,13 +85,18 @@
         decided
     }
 
-    /// Starts a job by hand.
-    pub fn start(&mut self, now: u64, wish: &PlacementRequest, worker: &Name, need: Resources) {
-        let (customer, class) = (wish.customer().clone(), wish.class().clone());
-        let job = wish.job().clone();
-        let task =
-            TaskView::new(job.clone(), customer.clone(), class.clone(), *wish.need(), Millis(now));
-        let task = task.reserved(need).priority(wish.requested_priority());
+    /// Starts a job without a decision.
+    pub fn start(&mut self, now: u64, request: &PlacementRequest, worker: &Name, need: Resources) {
+        let (customer, class) = (request.customer().clone(), request.class().clone());
+        let job = request.job().clone();
+        let task = TaskView::new(
+            job.clone(),
+            customer.clone(),
+            class.clone(),
+            *request.need(),
+            Millis(now),
+        );
+        let task = task.reserved(need).priority(request.requested_priority());
         assert!(self.fleet.add_task(worker, task), "{job} is started twice");
         let (worker, at) = (worker.clone(), Millis(now));
         self.observe(now, Observation::Started { job, customer, class, worker, need, at });
@@ -115,10 +122,10 @@
         self.observe(now, Observation::Usage { job, customer, class, need, usage, at });
     }
 
-    /// Decides without taking anything over.
-    pub fn clone_place(&self, now: u64, wishes: &[PlacementRequest]) -> Vec<Decision> {
+    /// Decides on a copy of the placer, without applying the decisions.
+    pub fn clone_place(&self, now: u64, requests: &[PlacementRequest]) -> Vec<Decision> {
         let mut rng = StdRng::seed_from_u64(7);
-        self.placer.clone().place(Millis(now), wishes, &self.fleet, &mut rng)
+        self.placer.clone().place(Millis(now), requests, &self.fleet, &mut rng)
     }
 
     pub fn observe(&mut self, now: u64, seen: Observation) {
@@ -152,5 +159,5 @@
 }
 
 pub fn urgent(job: &str, need: Resources) -> PlacementRequest {
-    wish(job, "check", need).priority(Priority::Urgent)
+    request(job, "check", need).priority(Priority::Urgent)
 }
