--- a/crates/geraniumpost-core/src/jobs/ledger/task.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/task.rs
@@ -90,7 +90,7 @@
     /// Returns whether a call that starts the task may still reach the worker and begin it.
     pub(super) fn start_may_arrive(&self, now: Millis, config: &LedgerConfig) -> bool {
         let calls = [self.start, self.earlier_start];
-        calls.iter().any(|call| call.may_arrive(now, config.settle_ms, config.longest_call_ms))
+        calls.iter().any(|call| call.may_arrive(now, config.settle_ms, config.call_timeout_ms))
     }
 
     /// Takes note that the call that starts the task is made again.
--- a/crates/geraniumpost/src/planner/summary.rs
+++ b/crates/geraniumpost/src/planner/summary.rs
@@ -8,7 +8,7 @@
 /// Shows queue, evictions, customers' shares and workers as placement sees them, for the console and
 /// `geraniumpost status`.
 pub fn summary(planner: &Planner, document: &Document) -> Value {
-    let (waiting, assigned) = planner.queue();
+    let (waiting, assigned) = planner.queue_lengths();
     let counters = planner.counters();
     json!({
         "term": planner.term(),
