--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -6,7 +6,7 @@
 use crate::{
     Millis,
     jobs::{JobRecord, LeaseRole, Now, Transition, codes},
-    placement::{Decision, Fleet, Observation, Wish},
+    placement::{Decision, Fleet, Observation, PlacementRequest},
 };
 
 impl Planner {
@@ -18,7 +18,7 @@
         &mut self,
         standing: LeaseRole,
         moment: Now,
-        decide: impl FnOnce(Millis, &[Wish], &Fleet) -> Vec<Decision>,
+        decide: impl FnOnce(Millis, &[PlacementRequest], &Fleet) -> Vec<Decision>,
     ) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
         self.standing = standing;
@@ -41,7 +41,7 @@
         actions
     }
 
-    fn wishes(&self, moment: Now) -> Vec<Wish> {
+    fn wishes(&self, moment: Now) -> Vec<PlacementRequest> {
         self.pending
             .iter()
             .filter_map(|job| self.record(job))
@@ -49,10 +49,10 @@
             .collect()
     }
 
-    fn wish(&self, record: &JobRecord, moment: Now) -> Wish {
+    fn wish(&self, record: &JobRecord, moment: Now) -> PlacementRequest {
         let spec = record.spec();
         let class = self.classes.get(&spec.class);
-        Wish::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need)
+        PlacementRequest::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need)
             .priority(class.map_or(Priority::Normal, |class| class.priority))
             .submitted(on_clock(record.submitted_ms(), moment))
             .not_before(on_clock(record.not_before_ms(), moment))
@@ -69,11 +69,11 @@
             Decision::Throttle { job, permille, .. } => {
                 self.throttle(&job, permille, moment, actions);
             }
-            Decision::Impossible { job, why, .. } => {
-                self.doubt(&job, why.to_string(), moment);
+            Decision::Impossible { job, reason, .. } => {
+                self.doubt(&job, reason.to_string(), moment);
             }
-            Decision::GiveUp { job, why } => {
-                self.give_up(&job, codes::FAILED_TOO_OFTEN, why.to_string(), moment);
+            Decision::GiveUp { job, reason } => {
+                self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), moment);
             }
             Decision::Quarantine { worker, .. } => self.quarantine(&worker, true),
             Decision::Release { worker, .. } => self.quarantine(&worker, false),
--- a/crates/geraniumpost-core/src/jobs/planner/planner.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner.rs
@@ -57,7 +57,7 @@
     /// Creates the planner of a new term; it reads the records at its first tick.
     pub fn new(takeover: &Takeover, config: PlannerConfig) -> Self {
         let mut fleet = Fleet::default();
-        fleet.set_settling(true);
+        fleet.set_awaiting_workers(true);
         Self {
             term: takeover.term,
             config,
@@ -173,7 +173,7 @@
             actions.push(PlannerAction::PredecessorsExpired);
         }
         self.show_workers(now);
-        self.fleet.set_settling(self.is_settling(now));
+        self.fleet.set_awaiting_workers(self.is_settling(now));
         self.ask_inventories(now, actions);
         if self.is_ready() {
             self.lose_lapsed(moment, actions);
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -111,7 +111,7 @@
         let spec = record.spec();
         let class = self.classes.get(&spec.class);
         TaskView::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need, now)
-            .learned(need)
+            .reserved(need)
             .priority(class.map_or(Priority::Normal, |class| class.priority))
             .evictable(class.is_none_or(|class| class.evictable))
     }
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -80,12 +80,12 @@
     /// Refuses at once what no worker could ever hold, naming the resource and the largest worker.
     fn impossible(&self, spec: &JobSpec) -> Option<JobResponse> {
         let fits = |worker: &WorkerView| amounts::fits(&spec.need, &worker.allowance());
-        if self.fleet.settling() || self.fleet.workers().any(fits) {
+        if self.fleet.awaiting_workers() || self.fleet.workers().any(fits) {
             return None;
         }
-        let share = |worker: &WorkerView| amounts::dominant(&spec.need, &worker.allowance());
+        let share = |worker: &WorkerView| amounts::dominant_share(&spec.need, &worker.allowance());
         let nearest = self.fleet.workers().min_by(|a, b| share(a).total_cmp(&share(b)))?;
-        let resource = amounts::excess(&spec.need, &nearest.allowance())?;
+        let resource = amounts::exceeded_resource(&spec.need, &nearest.allowance())?;
         let detail = format!(
             "needs more {resource} than the largest worker {} offers: {:?}",
             nearest.name(),
--- a/crates/geraniumpost-core/tests/jobs_planner/bench.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/bench.rs
@@ -138,7 +138,7 @@
             worker: worker.into(),
             need: NEED,
             score: 0.0,
-            why: Reason::Settling,
+            reason: Reason::AwaitingWorkers,
         };
         let leader = LeaseRole::Leader { term: 2 };
         let actions = self.planner.place(leader, self.moment(), |_, _, _| vec![start]);
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -151,7 +151,7 @@
     bench.tell(PlannerEvent::Submit { spec: spec("study-1"), reply: 1 });
     for second in 10..400 {
         bench.tick_at(second * 1_000);
-        assert!(bench.planner.fleet().settling());
+        assert!(bench.planner.fleet().awaiting_workers());
     }
     assert_eq!(bench.state("study-1"), (JobState::Pending, 1));
 }
--- a/crates/geraniumpost-core/tests/jobs_world/world/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_world/world/entries.rs
@@ -112,7 +112,7 @@
                     job: running[pick % running.len()].clone(),
                     worker: Name::default(),
                     for_job: Name::default(),
-                    why: Reason::Settling,
+                    reason: Reason::AwaitingWorkers,
                 });
             }
             decisions
