--- a/crates/geraniumpost-core/src/config/adoption.rs
+++ b/crates/geraniumpost-core/src/config/adoption.rs
@@ -1,15 +1,15 @@
 use super::{AdoptionAction, AdoptionEvent, Source};
 use crate::Millis;
 
-/// Time after which a fetch without an answer may be repeated.
-const FETCH_MS: u64 = 1000;
+/// Time after which a fetch that was not answered may be repeated.
+const FETCH_TIMEOUT_MS: u64 = 1000;
 
-/// Decides which revision of the configuration is in force in one process.
+/// Decides which revision of the configuration is in force in a process.
 ///
 /// A lower revision is never adopted after a higher one. A process that starts while the store is
-/// down would see its peers' revisions one by one; adopting the first that answers would put an
-/// older setting in force again, for a moment, where a newer one had been in force before the
-/// restart. So a starting process gathers answers for a while and adopts the highest.
+/// unavailable receives its peers' revisions one by one. If it adopted the first, it could put an
+/// older setting in force for a short time although a newer one had been in force before the
+/// restart. Therefore a starting process collects responses for some time and adopts the highest.
 ///
 /// # Example
 ///
@@ -28,113 +28,118 @@
 #[derive(Debug, Clone)]
 pub struct Adoption<T> {
     in_force: u64,
-    gather_ms: u64,
-    gathering: Option<Gathering<T>>,
-    fetching: Option<Fetching>,
+    collect_ms: u64,
+    collecting: Option<Collection<T>>,
+    pending_fetch: Option<PendingFetch>,
     unreadable: Option<u64>,
 }
 
-/// What a starting process has gathered.
+/// Documents received by a starting process.
 #[derive(Debug, Clone)]
-struct Gathering<T> {
+struct Collection<T> {
     until: Millis,
-    asked_again: Millis,
-    held: Option<(u64, T)>,
+    next_request_at: Millis,
+    highest: Option<(u64, T)>,
 }
 
-/// A fetch whose answer is awaited.
+/// A fetch that has not been answered.
 #[derive(Debug, Clone, Copy)]
-struct Fetching {
+struct PendingFetch {
     revision: u64,
     until: Millis,
 }
 
 impl<T> Adoption<T> {
-    /// Creates the state of a process that gathers peers' answers for `gather_ms` after its start.
-    pub const fn new(gather_ms: u64) -> Self {
-        Self { in_force: 0, gather_ms, gathering: None, fetching: None, unreadable: None }
+    /// Creates the state of a process that collects its peers' responses for `collect_ms` after its
+    /// start.
+    pub const fn new(collect_ms: u64) -> Self {
+        Self { in_force: 0, collect_ms, collecting: None, pending_fetch: None, unreadable: None }
     }
 
-    /// Returns the revision in force, 0 before the first.
+    /// Returns the revision in force, 0 if there is none yet.
     pub const fn in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, event: AdoptionEvent<T>, now: Millis) -> Vec<AdoptionAction<T>> {
         match event {
-            AdoptionEvent::Started => self.start(now),
-            AdoptionEvent::Offered { source, revision } => self.offered(source, revision, now),
+            AdoptionEvent::Started => self.on_started(now),
+            AdoptionEvent::Offered { source, revision } => self.on_offered(source, revision, now),
             AdoptionEvent::Received { source, revision, document } => {
-                self.received(&source, revision, document, now)
+                self.on_received(&source, revision, document, now)
             }
-            AdoptionEvent::Unreadable { revision } => self.unreadable(revision),
-            AdoptionEvent::StoreEmpty => self.finish_gathering(),
-            AdoptionEvent::Tick => self.tick(now),
+            AdoptionEvent::Unreadable { revision } => self.on_unreadable(revision),
+            AdoptionEvent::StoreEmpty => self.finish_collection(),
+            AdoptionEvent::Tick => self.on_tick(now),
         }
     }
 
-    fn start(&mut self, now: Millis) -> Vec<AdoptionAction<T>> {
-        let until = now.plus(self.gather_ms);
-        let asked_again = now.plus(FETCH_MS);
-        self.gathering = Some(Gathering { until, asked_again, held: None });
+    fn on_started(&mut self, now: Millis) -> Vec<AdoptionAction<T>> {
+        let until = now.plus(self.collect_ms);
+        let next_request_at = now.plus(FETCH_TIMEOUT_MS);
+        self.collecting = Some(Collection { until, next_request_at, highest: None });
         vec![AdoptionAction::FetchAll]
     }
 
-    fn offered(&mut self, source: Source, revision: u64, now: Millis) -> Vec<AdoptionAction<T>> {
-        let held = self.gathering.as_ref().and_then(|g| g.held.as_ref()).map_or(0, |h| h.0);
-        if revision <= self.in_force.max(held) || self.unreadable == Some(revision) {
+    fn on_offered(&mut self, source: Source, revision: u64, now: Millis) -> Vec<AdoptionAction<T>> {
+        let highest = self
+            .collecting
+            .as_ref()
+            .and_then(|collected| collected.highest.as_ref())
+            .map_or(0, |h| h.0);
+        if revision <= self.in_force.max(highest) || self.unreadable == Some(revision) {
             return Vec::new();
         }
-        let awaited = self.fetching.filter(|fetching| now < fetching.until);
-        if awaited.is_some_and(|fetching| fetching.revision >= revision) {
+        let awaited = self.pending_fetch.filter(|fetch| now < fetch.until);
+        if awaited.is_some_and(|fetch| fetch.revision >= revision) {
             return Vec::new();
         }
-        self.fetching = Some(Fetching { revision, until: now.plus(FETCH_MS) });
+        self.pending_fetch = Some(PendingFetch { revision, until: now.plus(FETCH_TIMEOUT_MS) });
         vec![AdoptionAction::Fetch { source, revision }]
     }
 
-    fn received(
+    fn on_received(
         &mut self,
         source: &Source,
         revision: u64,
         document: T,
         now: Millis,
     ) -> Vec<AdoptionAction<T>> {
-        if self.fetching.is_some_and(|fetching| fetching.revision <= revision) {
-            self.fetching = None;
+        if self.pending_fetch.is_some_and(|fetch| fetch.revision <= revision) {
+            self.pending_fetch = None;
         }
-        if let Some(gathering) = &mut self.gathering {
-            gathering.hold(revision, document);
-            let over = *source == Source::Store || now >= gathering.until;
-            return if over { self.finish_gathering() } else { Vec::new() };
+        if let Some(collecting) = &mut self.collecting {
+            collecting.keep_highest(revision, document);
+            let over = *source == Source::Store || now >= collecting.until;
+            return if over { self.finish_collection() } else { Vec::new() };
         }
         self.adopt(revision, document)
     }
 
-    fn unreadable(&mut self, revision: u64) -> Vec<AdoptionAction<T>> {
+    fn on_unreadable(&mut self, revision: u64) -> Vec<AdoptionAction<T>> {
         self.unreadable = Some(revision);
-        self.fetching = None;
+        self.pending_fetch = None;
         Vec::new()
     }
 
-    /// Ends the gathering once its time is over and something was found; until then it asks anew,
-    /// since a process without any configuration can serve nobody.
-    fn tick(&mut self, now: Millis) -> Vec<AdoptionAction<T>> {
-        let Some(gathering) = &mut self.gathering else { return Vec::new() };
-        if gathering.held.is_some() && now >= gathering.until {
-            return self.finish_gathering();
+    /// Ends the collection when its time has passed and a document was received. Without a document
+    /// the request is repeated, because a process without a configuration cannot serve requests.
+    fn on_tick(&mut self, now: Millis) -> Vec<AdoptionAction<T>> {
+        let Some(collecting) = &mut self.collecting else { return Vec::new() };
+        if collecting.highest.is_some() && now >= collecting.until {
+            return self.finish_collection();
         }
-        if gathering.held.is_none() && now >= gathering.asked_again {
-            gathering.asked_again = now.plus(FETCH_MS);
+        if collecting.highest.is_none() && now >= collecting.next_request_at {
+            collecting.next_request_at = now.plus(FETCH_TIMEOUT_MS);
             return vec![AdoptionAction::FetchAll];
         }
         Vec::new()
     }
 
-    fn finish_gathering(&mut self) -> Vec<AdoptionAction<T>> {
-        let held = self.gathering.take().and_then(|gathering| gathering.held);
-        held.map_or_else(Vec::new, |(revision, document)| self.adopt(revision, document))
+    fn finish_collection(&mut self) -> Vec<AdoptionAction<T>> {
+        let highest = self.collecting.take().and_then(|collecting| collecting.highest);
+        highest.map_or_else(Vec::new, |(revision, document)| self.adopt(revision, document))
     }
 
     fn adopt(&mut self, revision: u64, document: T) -> Vec<AdoptionAction<T>> {
@@ -146,10 +151,10 @@
     }
 }
 
-impl<T> Gathering<T> {
-    fn hold(&mut self, revision: u64, document: T) {
-        if self.held.as_ref().is_none_or(|(held, _)| *held < revision) {
-            self.held = Some((revision, document));
+impl<T> Collection<T> {
+    fn keep_highest(&mut self, revision: u64, document: T) {
+        if self.highest.as_ref().is_none_or(|(highest, _)| *highest < revision) {
+            self.highest = Some((revision, document));
         }
     }
 }
--- a/crates/geraniumpost-core/src/config/adoption_action.rs
+++ b/crates/geraniumpost-core/src/config/adoption_action.rs
@@ -1,22 +1,22 @@
 use super::Source;
 
-/// What the shell has to do about configurations.
+/// An action that [`Adoption`](super::Adoption) requests from the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdoptionAction<T> {
-    /// Ask the store and every peer for what they hold.
+    /// Request the document in force from the store and every peer.
     FetchAll,
-    /// Ask one source for its document.
+    /// Request the document from one source.
     Fetch {
-        /// Whom to ask.
+        /// Source of the document.
         source: Source,
-        /// The revision it offered.
+        /// Revision that the source announced.
         revision: u64,
     },
-    /// Put the document in force.
+    /// Put a document in force.
     Adopt {
-        /// Its revision.
+        /// Revision of the document.
         revision: u64,
-        /// The document.
+        /// Document to be put in force.
         document: T,
     },
 }
--- a/crates/geraniumpost-core/src/config/adoption_event.rs
+++ b/crates/geraniumpost-core/src/config/adoption_event.rs
@@ -1,32 +1,32 @@
 use super::Source;
 
-/// What a process learns about configurations; `T` is the document as the shell holds it.
+/// An input of [`Adoption`](super::Adoption); `T` is the type of the document in the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdoptionEvent<T> {
-    /// The process has started and knows nothing.
+    /// The process has started and has no configuration.
     Started,
-    /// Somebody says that a revision exists, as every heartbeat does.
+    /// A source announced a revision, as every heartbeat does.
     Offered {
-        /// Who says so, and can be asked for it.
+        /// Source that announced the revision and can provide it.
         source: Source,
-        /// The revision in force there.
+        /// Revision in force at the source.
         revision: u64,
     },
-    /// A readable document has arrived.
+    /// A valid document was received.
     Received {
-        /// Who sent it.
+        /// Source of the document.
         source: Source,
-        /// Its revision.
+        /// Revision of the document.
         revision: u64,
-        /// The document.
+        /// Decoded document.
         document: T,
     },
-    /// A document has arrived that this process cannot read.
+    /// A document was received that this process cannot decode.
     Unreadable {
-        /// Its revision.
+        /// Revision of the document.
         revision: u64,
     },
-    /// The store has answered that it holds no document.
+    /// The store responded that it contains no document.
     StoreEmpty,
     /// Time has passed.
     Tick,
--- a/crates/geraniumpost-core/src/config/change.rs
+++ b/crates/geraniumpost-core/src/config/change.rs
@@ -1,15 +1,15 @@
 use geraniumpost_schema::Name;
 use serde_json::Value;
 
-/// A checked change that an operator asks for.
+/// A validated change requested by an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    /// Random identity, the same in every repeat of the call.
+    /// Random id, which is the same in every repetition of the request.
     pub change_id: Name,
-    /// Operator who asks.
+    /// Operator who requested the change.
     pub changed_by: Name,
-    /// Revision that the operator has edited, 0 if there was none.
+    /// Revision that the operator edited, 0 if there was none.
     pub based_on: u64,
-    /// The whole new document.
+    /// The complete new document.
     pub document: Value,
 }
--- a/crates/geraniumpost-core/src/config/change_action.rs
+++ b/crates/geraniumpost-core/src/config/change_action.rs
@@ -1,17 +1,18 @@
 use super::{ChangeOutcome, StoredDocument};
 
-/// What the shell has to do next for a change.
+/// The next step of a [`ChangeProtocol`](super::ChangeProtocol), to be done by the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeAction {
     /// Read the stored value.
     Read,
-    /// Write the value if the key still stands at `expected`, 0 meaning that it does not exist.
+    /// Write the value if the key still has the revision `expected`, where 0 means that it does not
+    /// exist.
     Write {
-        /// Revision to be replaced.
+        /// Revision that is replaced.
         expected: u64,
-        /// The new value.
+        /// New value of the key.
         value: StoredDocument,
     },
-    /// Answer the operator; nothing more is to be done.
+    /// Report the outcome to the operator; the protocol has ended.
     Done(ChangeOutcome),
 }
--- a/crates/geraniumpost-core/src/config/change_event.rs
+++ b/crates/geraniumpost-core/src/config/change_event.rs
@@ -1,16 +1,16 @@
 use super::StoredDocument;
 
-/// What the store has answered.
+/// The result of a store call made for a change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeEvent {
-    /// The value that stands, with its revision; `None` if there is none.
+    /// The current value with its revision, `None` if there is none.
     Read(Option<(u64, StoredDocument)>),
     /// The write took effect at this revision.
     Written(u64),
-    /// Another write came first; this one had no effect.
+    /// Another write changed the revision first; this one had no effect.
     Conflict,
-    /// A call certainly had no effect, as when the store is down.
+    /// The call definitely had no effect, for example because the store is down.
     Failed,
-    /// A call may have had its effect, its reply is missing.
+    /// The response was lost; the call may have taken effect.
     Lost,
 }
--- a/crates/geraniumpost-core/src/config/change_outcome.rs
+++ b/crates/geraniumpost-core/src/config/change_outcome.rs
@@ -1,22 +1,22 @@
 use super::PastChange;
 
-/// What became of an operator's change.
+/// The final outcome of an operator's change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// The change is in the store, exactly once.
+    /// The change was committed exactly once.
     Committed {
-        /// Revision that it became.
+        /// Revision created by the change.
         revision: u64,
     },
-    /// Others changed the document first; this change is not and will not be in the store.
+    /// Other changes were committed first; this change is not in the store and never will be.
     Conflict {
-        /// Revision that stands now.
+        /// Current revision.
         revision: u64,
-        /// What the others changed, the latest first.
+        /// The other changes, latest first.
         changes: Vec<PastChange>,
     },
-    /// The store did not take the change; it is not and will not be in the store.
+    /// The store did not accept the change; it is not in the store and never will be.
     Unavailable,
-    /// Whether the change is in the store is not known; a repeat under the same id will tell.
+    /// It is unknown whether the change is in the store. A repetition under the same id finds out.
     Uncertain,
 }
--- a/crates/geraniumpost-core/src/config/change_protocol.rs
+++ b/crates/geraniumpost-core/src/config/change_protocol.rs
@@ -1,22 +1,22 @@
 use super::{Change, ChangeAction, ChangeEvent, ChangeOutcome, StoredDocument};
 
-/// Calls to the store after which a change is given up.
-const CALLS: u32 = 8;
+/// Store calls after which the protocol ends without a result.
+const MAX_CALLS: u32 = 8;
 
-/// Carries one change into the store exactly once, or says truly why not.
+/// Commits one change to the store exactly once, or reports accurately why it was not committed.
 ///
-/// A reply can be lost after the write has taken effect, and the write may even take effect after
-/// the loss was noticed. An operator told "failed" would repeat the change over a colleague's. So a
-/// lost reply is settled by reading the value back: of all changes based on one revision only one
-/// can be in the store, and the list of changes in the stored value tells which. See
-/// `docs/design/0401-configuration.md`.
+/// A response can be lost after the write took effect, and the write may even take effect after the
+/// loss was noticed. An operator who was told that the change failed would repeat it and overwrite
+/// a colleague's change. Therefore the value is read back after a lost response. Of all changes
+/// based on one revision only one can be in the store, and the list of changes in the stored value
+/// identifies it. See `docs/design/0401-configuration.md`.
 #[derive(Debug, Clone)]
 pub struct ChangeProtocol {
     change: Change,
     calls: u32,
     /// Whether the last call was a write.
     writing: bool,
-    /// Whether the reply of a write was lost.
+    /// Whether the response to a write was lost.
     in_doubt: bool,
 }
 
@@ -26,15 +26,15 @@
         Self { change, calls: 0, writing: false, in_doubt: false }
     }
 
-    /// Returns the first thing to do.
+    /// Returns the first action.
     pub fn begin(&mut self) -> ChangeAction {
         self.call(ChangeAction::Read)
     }
 
-    /// Takes the store's answer to the last call and returns what to do next.
+    /// Handles the result of the last store call and returns the next action.
     pub fn handle(&mut self, event: ChangeEvent) -> ChangeAction {
         match event {
-            ChangeEvent::Read(current) => self.read(current),
+            ChangeEvent::Read(current) => self.on_read(current),
             ChangeEvent::Written(revision) => {
                 ChangeAction::Done(ChangeOutcome::Committed { revision })
             }
@@ -46,7 +46,7 @@
         }
     }
 
-    fn read(&mut self, current: Option<(u64, StoredDocument)>) -> ChangeAction {
+    fn on_read(&mut self, current: Option<(u64, StoredDocument)>) -> ChangeAction {
         let revision = current.as_ref().map_or(0, |(revision, _)| *revision);
         let stored = current.as_ref().map(|(_, stored)| stored);
         if revision == self.change.based_on {
@@ -54,14 +54,14 @@
             return self.call(ChangeAction::Write { expected: revision, value });
         }
         match stored.and_then(|stored| stored.changes_since(self.change.based_on)) {
-            Some(changes) => ChangeAction::Done(self.settled(revision, changes)),
-            // The value was removed, or the list is too short: nothing proves either way.
+            Some(changes) => ChangeAction::Done(self.outcome(revision, changes)),
+            // The value was removed or the list is too short, so the outcome cannot be determined.
             None => ChangeAction::Done(ChangeOutcome::Uncertain),
         }
     }
 
-    /// Tells from the changes since the operator's revision whether this one won.
-    fn settled(&self, revision: u64, changes: &[super::PastChange]) -> ChangeOutcome {
+    /// Determines from the changes since the operator's revision whether this one was committed.
+    fn outcome(&self, revision: u64, changes: &[super::PastChange]) -> ChangeOutcome {
         let Some((first, later)) = changes.split_last() else {
             return ChangeOutcome::Uncertain;
         };
@@ -73,7 +73,7 @@
     }
 
     fn call(&mut self, action: ChangeAction) -> ChangeAction {
-        if self.calls == CALLS {
+        if self.calls == MAX_CALLS {
             let outcome =
                 if self.in_doubt { ChangeOutcome::Uncertain } else { ChangeOutcome::Unavailable };
             return ChangeAction::Done(outcome);
--- a/crates/geraniumpost-core/src/config/difference.rs
+++ b/crates/geraniumpost-core/src/config/difference.rs
@@ -2,9 +2,9 @@
 
 use serde_json::Value;
 
-/// Returns the paths of all values that differ between two documents, joined by dots.
+/// Returns the dot-separated paths of all values that differ between two documents.
 ///
-/// A value that only one of them has is told by its own path, not by those inside it.
+/// A value that exists in only one of them is listed by its own path, without the paths inside it.
 ///
 /// # Example
 ///
--- a/crates/geraniumpost-core/src/config/mod.rs
+++ b/crates/geraniumpost-core/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions on the configuration: how a change is committed and when a revision is adopted.
+//! Configuration changes: how a change is committed and when a revision is adopted.
 //!
-//! [`ChangeProtocol`] carries one operator's change into the store, whatever becomes of the replies.
-//! [`Adoption`] decides in every process which revision is in force: never a lower one than before.
-//! The reasons are in `docs/design/0401-configuration.md`.
+//! [`ChangeProtocol`] commits one operator's change to the store exactly once, even if responses
+//! are lost. [`Adoption`] decides in each process which revision is in force, which never
+//! decreases. The reasons are in `docs/design/0401-configuration.md`.
 
 mod adoption;
 mod adoption_action;
--- a/crates/geraniumpost-core/src/config/past_change.rs
+++ b/crates/geraniumpost-core/src/config/past_change.rs
@@ -1,15 +1,15 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// Note on one committed change, kept in the stored value.
+/// A committed change, as recorded in the stored value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastChange {
-    /// Random identity of the change, chosen by whoever asked for it.
+    /// Random id of the change, chosen by the client that requested it.
     pub change_id: Name,
-    /// Operator who asked for it.
+    /// Operator who requested the change.
     pub changed_by: Name,
-    /// Revision that it replaced, 0 if there was none.
+    /// Revision that the change replaced, 0 if there was none.
     pub based_on: u64,
-    /// Values that it changed, as paths joined by dots.
+    /// Dot-separated paths of the changed values; may be truncated or empty.
     pub paths: Vec<Name>,
 }
--- a/crates/geraniumpost-core/src/config/source.rs
+++ b/crates/geraniumpost-core/src/config/source.rs
@@ -1,10 +1,10 @@
 use geraniumpost_schema::Name;
 
-/// Where a revision was heard of.
+/// Origin of an announced or received revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's key-value service, whose answer is the highest revision there is.
+    /// The platform's key-value service, which always has the highest revision.
     Store,
-    /// Another process of the deployment, which may be behind.
+    /// Another process of the deployment, whose revision may be older.
     Peer(Name),
 }
--- a/crates/geraniumpost-core/src/config/stored_document.rs
+++ b/crates/geraniumpost-core/src/config/stored_document.rs
@@ -4,20 +4,22 @@
 
 use super::{Change, PastChange, differing_paths};
 
-/// Changes that the stored value remembers.
+/// Maximum number of changes listed in the stored value.
 ///
-/// A lost reply is settled by finding one's own change in this list, and a conflict is certain only
-/// while the list reaches back to the operator's revision. This is more than a day's changes.
-const REMEMBERED: usize = 300;
-/// Latest changes whose paths are kept; of the older ones only who made them is.
-const DETAILED: usize = 32;
-/// Paths noted for a change; a larger change is told by its first ones.
-const PATHS: usize = 12;
+/// After a lost response the protocol searches its own change in this list. A conflict can be
+/// proven only while the list reaches back to the operator's revision. This is more than the
+/// changes of a day.
+const MAX_CHANGES: usize = 300;
+/// Number of latest changes that keep their paths. Older ones keep only their id, operator and base
+/// revision.
+const MAX_CHANGES_WITH_PATHS: usize = 32;
+/// Maximum number of paths recorded for a change.
+const MAX_PATHS: usize = 12;
 
-/// Value under which the configuration is kept in the store.
+/// The stored value of the configuration key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// The latest changes, the one that wrote this value first.
+    /// The latest changes, starting with the one that wrote this value.
     pub changes: Vec<PastChange>,
     /// The configuration document.
     pub document: Value,
@@ -29,8 +31,8 @@
     pub fn from_change(current: Option<&Self>, change: &Change) -> Self {
         let before = current.map_or(&Value::Null, |current| &current.document);
         let mut paths = differing_paths(before, &change.document);
-        paths.truncate(PATHS);
-        let note = PastChange {
+        paths.truncate(MAX_PATHS);
+        let entry = PastChange {
             change_id: change.change_id.clone(),
             changed_by: change.changed_by.clone(),
             based_on: change.based_on,
@@ -38,19 +40,19 @@
         };
         let past = current.into_iter().flat_map(|current| &current.changes);
         let mut changes: Vec<_> =
-            std::iter::once(note).chain(past.cloned()).take(REMEMBERED).collect();
-        changes.iter_mut().skip(DETAILED).for_each(|change| change.paths.clear());
+            std::iter::once(entry).chain(past.cloned()).take(MAX_CHANGES).collect();
+        changes.iter_mut().skip(MAX_CHANGES_WITH_PATHS).for_each(|change| change.paths.clear());
         Self { changes, document: change.document.clone() }
     }
 
-    /// Returns the id of the change that wrote this value.
+    /// Returns the id of the change that wrote this value, empty if none is listed.
     pub fn change_id(&self) -> Name {
         self.changes.first().map(|change| change.change_id.clone()).unwrap_or_default()
     }
 
-    /// Returns the changes that came after revision `based_on`, the latest first.
+    /// Returns the changes after revision `based_on`, latest first.
     ///
-    /// `None` if the list does not reach back so far.
+    /// Returns `None` if the list does not reach back to that revision.
     pub fn changes_since(&self, based_on: u64) -> Option<&[PastChange]> {
         let oldest = self.changes.iter().position(|change| change.based_on == based_on)?;
         Some(&self.changes[..=oldest])
--- a/crates/geraniumpost-core/src/jobs/codes.rs
+++ b/crates/geraniumpost-core/src/jobs/codes.rs
@@ -1,40 +1,40 @@
 //! Numbered result codes of jobs, 3000 to 3999.
 //!
-//! Every code stands in [`TABLE`] with its name and what a user is to do.
+//! [`TABLE`] lists every code with its name and the advice for the user.
 
 /// The job was recorded.
 pub const ACCEPTED: u16 = 3000;
-/// The job was recorded by an earlier submission with the same content.
+/// An earlier submission with the same content recorded the job.
 pub const ALREADY_ACCEPTED: u16 = 3001;
 /// The job has finished.
 pub const FINISHED: u16 = 3002;
-/// The cancellation was recorded; the job never completes.
+/// The cancellation was recorded, so the job never completes.
 pub const CANCELLED: u16 = 3003;
-/// The id is taken by a job with other content.
+/// Another job with different content has the same id.
 pub const ID_TAKEN: u16 = 3101;
-/// No such job.
+/// There is no job with this id.
 pub const UNKNOWN_JOB: u16 = 3102;
-/// The job finished before the cancellation.
+/// The job finished before it was cancelled.
 pub const FINISHED_BEFORE_CANCEL: u16 = 3103;
 /// The job id is not 1 to 128 letters, digits, dots, dashes or underscores.
 pub const BAD_ID: u16 = 3104;
-/// The command is longer than allowed.
+/// The command is longer than 4096 bytes.
 pub const COMMAND_TOO_LONG: u16 = 3105;
-/// The class is not in the configuration.
+/// The configuration has no such job class.
 pub const UNKNOWN_CLASS: u16 = 3106;
 /// The customer has as many unfinished jobs as its quota allows.
 pub const TOO_MANY_JOBS: u16 = 3107;
-/// No worker could ever hold the job.
+/// The job needs more resources than any worker has.
 pub const IMPOSSIBLE: u16 = 3108;
-/// The store value for this id is nearly full.
+/// The store value that keeps the job's record is nearly full.
 pub const RECORDS_FULL: u16 = 3201;
-/// This process does not plan for the region, or not yet.
+/// This process is not the region's planner, or has not yet loaded the records.
 pub const NOT_PLANNER: u16 = 3202;
-/// The store could not be reached to record the request.
+/// The store is unreachable, so the request cannot be recorded.
 pub const NOT_RECORDED: u16 = 3203;
-/// The job failed as often as its class allows.
+/// The job failed as often as its class allows, or on several sound workers.
 pub const FAILED_TOO_OFTEN: u16 = 3301;
-/// The job's runs were lost with their workers too often.
+/// Too many runs of the job were lost with their workers.
 pub const LOST_TOO_OFTEN: u16 = 3302;
 
 /// Code, name and advice of each result, for `docs/RESULT_CODES.md`.
--- a/crates/geraniumpost-core/src/jobs/job_record.rs
+++ b/crates/geraniumpost-core/src/jobs/job_record.rs
@@ -3,16 +3,16 @@
 
 use super::{JobSpec, JobState, Transition, TransitionError, codes};
 
-/// Lost runs after which the job itself is suspected of ending its workers.
-const MAX_LOSSES: u32 = 20;
-/// Longest result or reason kept, in bytes, so that a record stays small.
-const MAX_TEXT: usize = 256;
+/// Lost runs after which the job itself is suspected of crashing its workers.
+const MAX_LOST_RUNS: u32 = 20;
+/// Maximum length of a recorded result or reason; it keeps records small.
+const MAX_TEXT_BYTES: usize = 256;
 
-/// One job as the store keeps it.
+/// A job as it is kept in the store.
 ///
-/// Every change goes through [`JobRecord::apply`]. The epoch numbers runs: it grows each time a run
-/// ends without finishing the job, so that reports and orders of an earlier run can be told from
-/// those of the current one.
+/// Every change goes through [`JobRecord::apply`]. The epoch numbers the runs. It is incremented
+/// each time a run ends without finishing the job, so that reports and orders of an earlier run can
+/// be distinguished from those of the current one.
 ///
 /// # Example
 ///
@@ -71,22 +71,28 @@
         }
     }
 
-    /// Applies one step at wall time `wall_ms` and returns the state reached.
+    /// Applies a transition at wall time `wall_ms` and returns the new state.
     ///
-    /// A cancellation recorded first wins: whatever its run still says, the job ends cancelled. A
-    /// completion recorded first wins as well: the cancellation is told that the job had finished.
+    /// If the cancellation is recorded first, the job ends as cancelled whatever its run reports
+    /// afterwards. If the completion is recorded first, the cancellation fails with
+    /// [`TransitionError::Finished`].
     ///
     /// # Errors
     ///
-    /// Returns why the step is impossible in this state; the record is then unchanged.
-    pub fn apply(&mut self, step: Transition, wall_ms: u64) -> Result<JobState, TransitionError> {
-        match (self.state, step) {
+    /// Returns an error if the transition is invalid in the current state; the record is then
+    /// unchanged.
+    pub fn apply(
+        &mut self,
+        transition: Transition,
+        wall_ms: u64,
+    ) -> Result<JobState, TransitionError> {
+        match (self.state, transition) {
             (JobState::Done | JobState::Failed | JobState::Cancelled, _) => {
                 return Err(TransitionError::Finished);
             }
             (JobState::Pending, Transition::Assign { worker }) => self.assign(worker),
             (JobState::Pending | JobState::Cancelling, Transition::Cancel) => {
-                self.cancel_at(wall_ms);
+                self.cancel_pending(wall_ms);
             }
             (JobState::Pending, Transition::GiveUp { code, reason }) => {
                 self.finish(JobState::Failed, code, reason, wall_ms);
@@ -104,8 +110,9 @@
         Ok(self.state)
     }
 
-    /// Notes a newer checkpoint of the current run and returns whether it was new.
-    pub fn note_checkpoint(&mut self, checkpoint: &Name) -> bool {
+    /// Records a newer checkpoint of the current run and returns whether it differs from the
+    /// recorded one.
+    pub fn record_checkpoint(&mut self, checkpoint: &Name) -> bool {
         if checkpoint.is_empty() || *checkpoint == self.checkpoint {
             return false;
         }
@@ -118,7 +125,7 @@
         self.worker = worker;
     }
 
-    fn cancel_at(&mut self, wall_ms: u64) {
+    fn cancel_pending(&mut self, wall_ms: u64) {
         if self.state == JobState::Pending {
             self.finish(JobState::Cancelled, codes::CANCELLED, String::new(), wall_ms);
         }
@@ -134,7 +141,7 @@
                 self.requeue(&checkpoint);
             }
             Transition::Stopped { checkpoint } => self.requeue(&checkpoint),
-            Transition::Lost { checkpoint } => self.lose(&checkpoint, wall_ms),
+            Transition::Lost { checkpoint } => self.lose_run(&checkpoint, wall_ms),
             Transition::RunFailed { reason, max_attempts, not_before_ms } => {
                 self.fail_run(reason, max_attempts, not_before_ms, wall_ms);
             }
@@ -146,9 +153,9 @@
         }
     }
 
-    fn lose(&mut self, checkpoint: &Name, wall_ms: u64) {
+    fn lose_run(&mut self, checkpoint: &Name, wall_ms: u64) {
         self.losses += 1;
-        if self.losses > MAX_LOSSES {
+        if self.losses > MAX_LOST_RUNS {
             self.finish(JobState::Failed, codes::LOST_TOO_OFTEN, String::new(), wall_ms);
         } else {
             self.requeue(checkpoint);
@@ -163,11 +170,11 @@
         }
         self.requeue(&Name::default());
         self.not_before_ms = not_before_ms;
-        self.result = shortened(reason);
+        self.result = sanitized(reason);
     }
 
     fn requeue(&mut self, checkpoint: &Name) {
-        self.note_checkpoint(checkpoint);
+        self.record_checkpoint(checkpoint);
         self.state = JobState::Pending;
         self.worker = Name::default();
         self.epoch += 1;
@@ -176,11 +183,11 @@
     fn finish(&mut self, state: JobState, code: u16, result: String, wall_ms: u64) {
         self.state = state;
         self.code = code;
-        self.result = shortened(result);
+        self.result = sanitized(result);
         self.finished_ms = wall_ms.max(1);
     }
 
-    /// Returns what the customer asked for.
+    /// Returns the job as it was submitted.
     pub const fn spec(&self) -> &JobSpec {
         &self.spec
     }
@@ -190,7 +197,7 @@
         &self.spec.id
     }
 
-    /// Returns where the job stands.
+    /// Returns the state of the job.
     pub const fn state(&self) -> JobState {
         self.state
     }
@@ -210,7 +217,7 @@
         &self.checkpoint
     }
 
-    /// Returns how many runs failed by themselves.
+    /// Returns how many runs failed by an error of their own.
     pub const fn attempts(&self) -> u32 {
         self.attempts
     }
@@ -225,12 +232,12 @@
         self.evictions
     }
 
-    /// Returns the wall time of submission.
+    /// Returns the wall time of submission in milliseconds since the Unix epoch.
     pub const fn submitted_ms(&self) -> u64 {
         self.submitted_ms
     }
 
-    /// Returns the wall time of the end, 0 while unfinished.
+    /// Returns the wall time at which the job finished, 0 while it is unfinished.
     pub const fn finished_ms(&self) -> u64 {
         self.finished_ms
     }
@@ -240,7 +247,7 @@
         self.not_before_ms
     }
 
-    /// Returns the result code of the job's end, [`codes::ACCEPTED`] while unfinished.
+    /// Returns the final result code, [`codes::ACCEPTED`] while the job is unfinished.
     pub const fn code(&self) -> u16 {
         self.code
     }
@@ -251,10 +258,11 @@
     }
 }
 
-/// Bounds a text from outside; control characters would grow sixfold when encoded.
-fn shortened(text: String) -> String {
+/// Replaces control characters and truncates the text. A control character takes six times its size
+/// when encoded.
+fn sanitized(text: String) -> String {
     let mut text = text.replace(char::is_control, " ");
-    let mut end = text.len().min(MAX_TEXT);
+    let mut end = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/geraniumpost-core/src/jobs/job_spec.rs
+++ b/crates/geraniumpost-core/src/jobs/job_spec.rs
@@ -1,35 +1,34 @@
 use geraniumpost_schema::{Name, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Longest command in bytes; longer input belongs into the customer's own storage.
-const MAX_COMMAND: usize = 4096;
-/// Longest job id in bytes.
-const MAX_ID: usize = 128;
+/// Maximum length of a command; larger input belongs in the customer's own storage.
+const MAX_COMMAND_BYTES: usize = 4096;
+const MAX_ID_BYTES: usize = 128;
 
-/// What a customer asks for when it submits a job.
+/// A job as submitted by a customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id chosen by the customer; a repeated submission is known by it.
+    /// Id chosen by the customer, which identifies repeated submissions.
     pub id: Name,
-    /// Customer the job belongs to.
+    /// Customer that owns the job.
     pub customer: Name,
-    /// Job class of the configuration.
+    /// Name of a job class in the configuration.
     pub class: Name,
-    /// Declared size.
+    /// Resources that the job requests.
     pub need: Resources,
-    /// Command the worker runs.
+    /// Command that the worker runs.
     pub command: String,
 }
 
 impl JobSpec {
-    /// Returns whether the id can be part of paths, keys and log lines.
+    /// Returns whether the id is safe in paths, store keys and log lines.
     pub fn has_valid_id(&self) -> bool {
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-        (1..=MAX_ID).contains(&self.id.len()) && self.id.bytes().all(allowed)
+        (1..=MAX_ID_BYTES).contains(&self.id.len()) && self.id.bytes().all(allowed)
     }
 
     /// Returns whether the command is short enough for a record.
     pub const fn has_valid_command(&self) -> bool {
-        self.command.len() <= MAX_COMMAND
+        self.command.len() <= MAX_COMMAND_BYTES
     }
 }
--- a/crates/geraniumpost-core/src/jobs/job_state.rs
+++ b/crates/geraniumpost-core/src/jobs/job_state.rs
@@ -1,36 +1,36 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Where a job stands in the store.
+/// State of a job as recorded in the store.
 ///
-/// Whether a run has started, or is being evicted, is no state of its own: the agent's inventory
-/// tells it again to any new planner, so that recording it would only cost writes.
+/// Whether a run has started or is being evicted is not recorded. The agent's inventory reports it
+/// to every new planner, so recording it would only cost writes.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum JobState {
-    /// Waits for a worker; the record's epoch numbers its next run.
+    /// The job waits for a worker; the record's epoch numbers its next run.
     #[serde(rename = "p")]
     Pending,
-    /// Given to a worker, where it may be running.
+    /// The job is assigned to a worker and may be running there.
     #[serde(rename = "a")]
     Assigned,
-    /// Cancelled while assigned; the word that its run ended is awaited.
+    /// The job was cancelled while assigned; the agent has not yet reported the end of its run.
     #[serde(rename = "w")]
     Cancelling,
-    /// Completed; the one result is recorded.
+    /// The job completed and its only result is recorded.
     #[serde(rename = "d")]
     Done,
-    /// Given up; the reason is recorded.
+    /// The job failed permanently and the reason is recorded.
     #[serde(rename = "f")]
     Failed,
-    /// Cancelled; no result is taken any more.
+    /// The job is cancelled; later results are discarded.
     #[serde(rename = "c")]
     Cancelled,
 }
 
 impl JobState {
-    /// All states, in the order of a job's life.
+    /// All states, in the order of the job lifecycle.
     pub const ALL: [Self; 6] = [
         Self::Pending,
         Self::Assigned,
@@ -40,7 +40,7 @@
         Self::Cancelled,
     ];
 
-    /// Returns whether nothing can happen to the job any more.
+    /// Returns whether the state never changes again.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
--- a/crates/geraniumpost-core/src/jobs/lease/tenure.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/held_term.rs
@@ -1,8 +1,8 @@
 use super::TermRecord;
 
-/// A term that this process holds.
+/// The term that this process holds, with the revision of its record in the store.
 #[derive(Debug, Clone)]
-pub(super) struct Tenure {
+pub(super) struct HeldTerm {
     pub(super) record: TermRecord,
     pub(super) revision: u64,
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
@@ -1,45 +1,46 @@
 use super::{Takeover, TermRecord};
 
-/// What a [`PlannerLease`](super::PlannerLease) asks the shell to do.
+/// An action that a [`PlannerLease`](super::PlannerLease) requests from the shell.
 ///
-/// At most one store call is open at a time.
+/// At most one store call is open at a time, apart from revocations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Read the alive key.
+    /// Read the key that is attached to the current planner's lease.
     ReadAlive,
-    /// Take a store lease.
+    /// Acquire a lease from the store.
     Grant {
-        /// Its time to live in milliseconds.
+        /// Time to live of the lease in milliseconds.
         ttl_ms: u64,
     },
-    /// Write the alive key under the lease, if it is absent.
+    /// Create the alive key under the lease, if the key is absent.
     Claim {
-        /// The lease.
+        /// Store lease id.
         lease: u64,
-        /// The value.
+        /// Value that identifies this process and the lease.
         value: Vec<u8>,
     },
     /// Read the term record.
     ReadTerm,
-    /// Write the term record, if it still has the expected revision.
+    /// Write the term record if it has the expected revision.
     WriteTerm {
-        /// Revision it must have, none if it must be absent.
+        /// Expected revision, `None` if the record must be absent.
         expected: Option<u64>,
-        /// The record.
+        /// Term record to be written.
         record: TermRecord,
     },
-    /// Extend the lease.
+    /// Renew the lease.
     KeepAlive {
-        /// The lease.
+        /// Store lease id.
         lease: u64,
     },
-    /// Give the lease back, without waiting for the answer.
+    /// Revoke the lease; the result is ignored.
     Revoke {
-        /// The lease.
+        /// Store lease id.
         lease: u64,
     },
-    /// This process now plans: load the records.
+    /// This process is now the planner and must load the records.
     Acquired(Takeover),
-    /// This process no longer plans: drop the planner and stop granting holds.
+    /// This process is no longer the planner. The shell drops the planner and stops granting agent
+    /// leases. The text is the reason for the log.
     Lost(&'static str),
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_config.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_config.rs
@@ -1,13 +1,14 @@
 /// Times of a [`PlannerLease`](super::PlannerLease), in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// Time to live of the store lease, renewed at a third of it.
+    /// Time to live of the store lease. The holder renews it after a third of this time.
     pub ttl_ms: u64,
-    /// Interval at which a process that doesn't plan looks whether anybody does.
+    /// Interval at which a process that is not the planner checks whether there is one.
     pub poll_ms: u64,
-    /// How long a planner cut from the store goes on granting holds (`outage_hold_s`).
+    /// How long a planner that cannot reach the store continues to grant agent leases
+    /// (`outage_hold_s`).
     pub outage_hold_ms: u64,
-    /// Longest hold it grants (`hold_ms`).
+    /// Maximum duration of the agent leases that it grants (`hold_ms`).
     pub hold_ms: u64,
 }
 
--- a/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
@@ -1,30 +1,31 @@
 use super::LeaseConfig;
 
-/// What a [`PlannerLease`](super::PlannerLease) is told: the answer to its one call, or the time.
+/// An input of a [`PlannerLease`](super::PlannerLease): the result of its open store call, a tick,
+/// or a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// The value of the alive key, if there is one.
+    /// Value of the alive key, `None` if it is absent.
     AliveRead(Option<Vec<u8>>),
-    /// The store granted a lease.
+    /// The store granted a lease with this id.
     Granted(u64),
-    /// Whether the alive key was absent and is now ours.
+    /// Whether the alive key was absent and now belongs to this process.
     Claimed(bool),
-    /// Revision and value of the term record, if there is one.
+    /// Revision and value of the term record, `None` if it is absent.
     TermRead(Option<(u64, Vec<u8>)>),
-    /// The new revision of the term record, or none if it had changed.
+    /// New revision of the term record, `None` if it had changed in the meantime.
     TermWritten(Option<u64>),
-    /// Whether the store still knew the lease and extended it.
+    /// Whether the lease still existed and was renewed.
     KeptAlive(bool),
-    /// The call failed or its answer was lost; it may have taken effect.
+    /// The call failed or its response was lost; it may have taken effect.
     CallFailed,
-    /// The planner is sure that no earlier holder grants holds any more.
+    /// No earlier holder can grant agent leases any longer.
     PredecessorsExpired,
-    /// The configuration changed.
+    /// The configured times have changed.
     Configure(LeaseConfig),
-    /// The planner has found that another one took over, or that it can't go on.
+    /// The planner found that another one took over, or that it cannot continue.
     StepDown,
-    /// This process leaves and should let another plan.
+    /// This process is shutting down and another one should become the planner.
     Resign,
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_holder.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_holder.rs
@@ -2,12 +2,12 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// One process that plans or has planned.
+/// A process that is or was the planner of a region.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, Constructor)]
 #[display("{name}#{incarnation}")]
 pub struct LeaseHolder {
     /// Name of the entry.
     pub name: Name,
-    /// Random number drawn at the entry's start.
+    /// Random number that identifies one process of the entry, drawn at its start.
     pub incarnation: u64,
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_role.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_role.rs
@@ -1,32 +1,33 @@
 use derive_more::Display;
 
-/// What a process may do as planner at this instant.
+/// What a process may do as planner at an instant.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseRole {
-    /// It doesn't plan.
-    #[display("follows")]
+    /// The process is not the planner.
+    #[display("follower")]
     Follower,
-    /// It holds the lease: it may assign, start and grant holds.
-    #[display("leads term {term}")]
+    /// The process holds the store lease. It may assign and start jobs and grant agent leases.
+    #[display("leader of term {term}")]
     Leader {
-        /// Its term.
+        /// Term of this planner.
         term: u64,
     },
-    /// It is cut from the store: it may only keep running tasks going.
-    #[display("cut from the store in term {term}")]
+    /// The process cannot renew its store lease. It may only extend agent leases, so that running
+    /// tasks continue.
+    #[display("disconnected from the store in term {term}")]
     Disconnected {
-        /// Its term.
+        /// Term of this planner.
         term: u64,
     },
 }
 
 impl LeaseRole {
-    /// Returns whether new work may be assigned and started.
+    /// Returns whether jobs may be assigned and started.
     pub const fn may_assign(self) -> bool {
         matches!(self, Self::Leader { .. })
     }
 
-    /// Returns whether holds may be granted to agents.
+    /// Returns whether agent leases may be granted.
     pub const fn may_grant_leases(self) -> bool {
         !matches!(self, Self::Follower)
     }
--- a/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
@@ -1,20 +1,21 @@
 use geraniumpost_schema::Name;
 
 use super::{
-    LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, Step, Takeover, Tenure,
+    HeldTerm, LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, StoreCall, Takeover,
     TermRecord,
 };
 use crate::Millis;
 
-/// Renewals per time to live, so that two may fail before the lease lapses.
-const RENEWALS: u64 = 3;
+/// Renewals within the time to live, so that two may fail before the lease expires.
+const RENEWALS_PER_TTL: u64 = 3;
 
-/// The candidate for planning a region, as a state machine over the store.
+/// A process's part in the election of the planner, as a state machine over the store.
 ///
-/// A key attached to a store lease says that somebody plans; a second key, which never lapses, holds
-/// the growing term. The lease alone would not do: a holder that was paused doesn't know that its
-/// lease lapsed. Therefore the holder counts from the moment it *sent* its last successful renewal,
-/// on its own clock, and asks [`PlannerLease::role`] before each thing it does.
+/// A key attached to a store lease indicates that there is a planner. A second key, which never
+/// expires, holds the increasing term. The lease alone is not sufficient, because a holder that was
+/// paused does not know that its lease expired. Therefore the holder counts from the instant at
+/// which it *sent* its last successful renewal, on its own clock, and checks [`PlannerLease::role`]
+/// before each action.
 ///
 /// # Example
 ///
@@ -28,82 +29,84 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct PlannerLease {
-    me: LeaseHolder,
+    holder: LeaseHolder,
     config: LeaseConfig,
-    step: Option<(Step, Millis)>,
-    next: Millis,
+    open_call: Option<(StoreCall, Millis)>,
+    next_call_at: Millis,
     lease: u64,
     valid_until: Millis,
-    hold_until: Millis,
-    claimed_at: Millis,
-    tenure: Option<Tenure>,
-    writing: Option<TermRecord>,
-    settled: bool,
+    grants_until: Millis,
+    lease_requested_at: Millis,
+    held: Option<HeldTerm>,
+    pending_record: Option<TermRecord>,
+    predecessors_expired: bool,
     configured_at: Millis,
     resigned: bool,
 }
 
 impl PlannerLease {
-    /// Creates a candidate that doesn't plan yet.
-    pub const fn new(me: LeaseHolder, config: LeaseConfig) -> Self {
+    /// Creates the state of a process that is not the planner.
+    pub const fn new(holder: LeaseHolder, config: LeaseConfig) -> Self {
         Self {
-            me,
+            holder,
             config,
-            step: None,
-            next: Millis(0),
+            open_call: None,
+            next_call_at: Millis(0),
             lease: 0,
             valid_until: Millis(0),
-            hold_until: Millis(0),
-            claimed_at: Millis(0),
-            tenure: None,
-            writing: None,
-            settled: false,
+            grants_until: Millis(0),
+            lease_requested_at: Millis(0),
+            held: None,
+            pending_record: None,
+            predecessors_expired: false,
             configured_at: Millis(0),
             resigned: false,
         }
     }
 
-    /// Returns what this process may do now.
+    /// Returns what this process may do at `now`.
     pub fn role(&self, now: Millis) -> LeaseRole {
-        let Some(tenure) = &self.tenure else { return LeaseRole::Follower };
-        let term = tenure.record.term;
+        let Some(held) = &self.held else { return LeaseRole::Follower };
+        let term = held.record.term;
         if now < self.valid_until {
             LeaseRole::Leader { term }
-        } else if now < self.hold_until {
+        } else if now < self.grants_until {
             LeaseRole::Disconnected { term }
         } else {
             LeaseRole::Follower
         }
     }
 
-    /// Returns when this process must stop granting holds if nothing else happens.
+    /// Returns when this process must stop granting agent leases unless it renews its lease.
     pub fn may_grant_until(&self) -> Millis {
-        if self.tenure.is_some() { self.hold_until.max(self.valid_until) } else { Millis(0) }
+        if self.held.is_some() { self.grants_until.max(self.valid_until) } else { Millis(0) }
     }
 
-    /// Returns the longest hold granted of late, by which holds are to be counted.
+    /// Returns the longest agent lease in milliseconds that may have been granted recently. The
+    /// planner has to assume this duration.
     ///
-    /// An answer to a heartbeat may have gone out just before the configuration was lowered.
+    /// A heartbeat may have been acknowledged just before the configured duration was lowered.
     pub fn longest_agent_lease_ms(&self) -> u64 {
-        self.tenure.as_ref().map_or(0, |tenure| tenure.record.hold_ms)
+        self.held.as_ref().map_or(0, |held| held.record.hold_ms)
     }
 
-    /// Returns the longest hold that may be granted, which the next planner is sure to wait out.
+    /// Returns the duration of the agent leases to be granted, in milliseconds. It never exceeds
+    /// the recorded duration, for which the next planner waits.
     pub fn agent_lease_ms(&self) -> u64 {
         self.longest_agent_lease_ms().min(self.config.hold_ms)
     }
 
-    /// Takes one event in and returns what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn handle(&mut self, event: LeaseEvent, now: Millis) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
-        self.notice_lapse(now, &mut actions);
+        self.check_expiry(now, &mut actions);
         match event {
             LeaseEvent::Tick => self.on_tick(now, &mut actions),
-            LeaseEvent::PredecessorsExpired => self.settled = true,
+            LeaseEvent::PredecessorsExpired => self.predecessors_expired = true,
             LeaseEvent::Configure(config) => self.configure(config, now),
             LeaseEvent::StepDown => self.step_down(now, &mut actions),
             LeaseEvent::Resign => self.resign(&mut actions),
-            answer => self.on_answer(answer, now, &mut actions),
+            result => self.on_call_result(result, now, &mut actions),
         }
         actions
     }
@@ -115,158 +118,183 @@
         }
     }
 
-    /// Ends a tenure whose holds have run out without word from the store.
-    fn notice_lapse(&mut self, now: Millis, actions: &mut Vec<LeaseAction>) {
-        if self.tenure.is_some() && now >= self.hold_until.max(self.valid_until) {
-            self.lose("the store was out of reach for too long", actions);
+    /// Ends the term if the store was unreachable until the last permitted grant.
+    fn check_expiry(&mut self, now: Millis, actions: &mut Vec<LeaseAction>) {
+        if self.held.is_some() && now >= self.grants_until.max(self.valid_until) {
+            self.end_term("the store was unreachable for too long", actions);
         }
     }
 
-    fn lose(&mut self, why: &'static str, actions: &mut Vec<LeaseAction>) {
-        if self.tenure.take().is_some() {
-            actions.push(LeaseAction::Lost(why));
+    fn end_term(&mut self, reason: &'static str, actions: &mut Vec<LeaseAction>) {
+        if self.held.take().is_some() {
+            actions.push(LeaseAction::Lost(reason));
         }
-        // A term must not come back: a planner that began anew under it would take the records that
-        // its forerunner wrote for its own, and write its empty ones over them.
-        self.writing = None;
-        self.settled = false;
+        // A term must not be reused. A planner that started anew under it would take the records
+        // that its predecessor wrote for its own and overwrite them with its empty ones.
+        self.pending_record = None;
+        self.predecessors_expired = false;
         self.valid_until = Millis(0);
-        self.hold_until = Millis(0);
+        self.grants_until = Millis(0);
     }
 
-    /// Lets the planner go, and leaves the lease to run out, so that another process goes first.
+    /// Ends the term without revoking the lease. The process waits for twice the time to live, so
+    /// that another process is elected first.
     fn step_down(&mut self, now: Millis, actions: &mut Vec<LeaseAction>) {
-        self.lose("the planner stepped down", actions);
-        self.next = now.plus(2 * self.config.ttl_ms);
+        self.end_term("the planner stepped down", actions);
+        self.next_call_at = now.plus(2 * self.config.ttl_ms);
     }
 
     fn resign(&mut self, actions: &mut Vec<LeaseAction>) {
         self.resigned = true;
-        let held = self.tenure.is_some();
-        self.lose("this process leaves", actions);
-        if held {
+        let held_before = self.held.is_some();
+        self.end_term("this process is shutting down", actions);
+        if held_before {
             actions.push(LeaseAction::Revoke { lease: self.lease });
         }
     }
 
     fn on_tick(&mut self, now: Millis, actions: &mut Vec<LeaseAction>) {
-        if self.step.is_some() || now < self.next || self.resigned {
+        if self.open_call.is_some() || now < self.next_call_at || self.resigned {
             return;
         }
         if !self.role(now).may_assign() {
-            self.call(Step::Look, LeaseAction::ReadAlive, now, actions);
-        } else if let Some(record) = self.rewritten(now) {
-            self.rewrite(record, now, actions);
+            self.begin_call(StoreCall::Poll, LeaseAction::ReadAlive, now, actions);
+        } else if let Some(record) = self.record_update(now) {
+            self.update_record(record, now, actions);
         } else {
-            self.call(Step::KeepAlive, LeaseAction::KeepAlive { lease: self.lease }, now, actions);
+            self.begin_call(
+                StoreCall::KeepAlive,
+                LeaseAction::KeepAlive { lease: self.lease },
+                now,
+                actions,
+            );
         }
     }
 
-    fn call(&mut self, step: Step, action: LeaseAction, now: Millis, out: &mut Vec<LeaseAction>) {
-        self.step = Some((step, now));
-        out.push(action);
+    fn begin_call(
+        &mut self,
+        call: StoreCall,
+        action: LeaseAction,
+        now: Millis,
+        actions: &mut Vec<LeaseAction>,
+    ) {
+        self.open_call = Some((call, now));
+        actions.push(action);
     }
 
-    /// Returns the record to write over this tenure's, if the two should differ.
+    /// Returns the updated record of the held term, if it has to change.
     ///
-    /// Times are raised before they are used, and lowered only when every hold granted under the
-    /// longer ones has run out, because the next planner waits as long as the record says.
-    fn rewritten(&self, now: Millis) -> Option<TermRecord> {
-        let record = &self.tenure.as_ref()?.record;
+    /// Times are raised in the record before longer leases are granted. They are lowered only after
+    /// every lease granted under the longer times has expired, because the next planner waits as
+    /// long as the record says.
+    fn record_update(&self, now: Millis) -> Option<TermRecord> {
+        let record = &self.held.as_ref()?.record;
         let config = &self.config;
         if record.hold_ms < config.hold_ms || record.outage_hold_ms < config.outage_hold_ms {
-            return Some(record.raised(config));
+            return Some(record.with_raised_times(config));
         }
-        if !self.settled {
+        if !self.predecessors_expired {
             return None;
         }
         if record.has_earlier() {
-            return Some(record.settled());
+            return Some(record.without_earlier());
         }
         let longest = record.hold_ms.max(config.ttl_ms);
         let may_lower = now >= self.configured_at.plus(longest);
         let longer =
             record.hold_ms > config.hold_ms || record.outage_hold_ms > config.outage_hold_ms;
-        (may_lower && longer).then(|| record.lowered(config))
+        (may_lower && longer).then(|| record.with_configured_times(config))
     }
 
-    fn rewrite(&mut self, record: TermRecord, now: Millis, actions: &mut Vec<LeaseAction>) {
-        let expected = self.tenure.as_ref().map(|tenure| tenure.revision);
-        self.writing = Some(record.clone());
-        self.call(Step::Rewrite, LeaseAction::WriteTerm { expected, record }, now, actions);
+    fn update_record(&mut self, record: TermRecord, now: Millis, actions: &mut Vec<LeaseAction>) {
+        let expected = self.held.as_ref().map(|held| held.revision);
+        self.pending_record = Some(record.clone());
+        self.begin_call(
+            StoreCall::UpdateTerm,
+            LeaseAction::WriteTerm { expected, record },
+            now,
+            actions,
+        );
     }
 
-    fn on_answer(&mut self, answer: LeaseEvent, now: Millis, actions: &mut Vec<LeaseAction>) {
-        let Some((step, sent)) = self.step.take() else { return };
+    fn on_call_result(&mut self, result: LeaseEvent, now: Millis, actions: &mut Vec<LeaseAction>) {
+        let Some((call, sent)) = self.open_call.take() else { return };
         if self.resigned {
             return;
         }
-        match (step, answer) {
-            (Step::Look, LeaseEvent::AliveRead(found)) => self.on_looked(found, now, actions),
-            (Step::Grant, LeaseEvent::Granted(lease)) => {
+        match (call, result) {
+            (StoreCall::Poll, LeaseEvent::AliveRead(found)) => self.on_polled(found, now, actions),
+            (StoreCall::Grant, LeaseEvent::Granted(lease)) => {
                 self.on_granted(lease, sent, now, actions);
             }
-            (Step::Claim, LeaseEvent::Claimed(true)) => self.on_claimed(now, actions),
-            (Step::Claim, LeaseEvent::CallFailed) => {
-                self.call(Step::CheckClaim, LeaseAction::ReadAlive, now, actions);
+            (StoreCall::Claim, LeaseEvent::Claimed(true)) => self.on_claimed(now, actions),
+            (StoreCall::Claim, LeaseEvent::CallFailed) => {
+                self.begin_call(StoreCall::CheckClaim, LeaseAction::ReadAlive, now, actions);
             }
-            (Step::CheckClaim, LeaseEvent::AliveRead(Some(value))) if value == self.token() => {
+            (StoreCall::CheckClaim, LeaseEvent::AliveRead(Some(value)))
+                if value == self.token() =>
+            {
                 self.on_claimed(now, actions);
             }
-            (Step::ReadTerm, LeaseEvent::TermRead(found)) => {
+            (StoreCall::ReadTerm, LeaseEvent::TermRead(found)) => {
                 self.on_term_read(found, now, actions);
             }
-            (Step::WriteTerm, LeaseEvent::TermWritten(Some(revision))) => {
+            (StoreCall::WriteTerm, LeaseEvent::TermWritten(Some(revision))) => {
                 self.on_term_written(revision, now, actions);
             }
-            (Step::WriteTerm, LeaseEvent::CallFailed | LeaseEvent::TermWritten(None)) => {
-                self.call(Step::ReadTerm, LeaseAction::ReadTerm, now, actions);
+            (StoreCall::WriteTerm, LeaseEvent::CallFailed | LeaseEvent::TermWritten(None)) => {
+                self.begin_call(StoreCall::ReadTerm, LeaseAction::ReadTerm, now, actions);
             }
-            (Step::KeepAlive, LeaseEvent::KeptAlive(true)) => self.on_renewed(sent),
-            (Step::KeepAlive, LeaseEvent::KeptAlive(false)) => self.valid_until = Millis(0),
-            (Step::Rewrite, LeaseEvent::TermWritten(Some(revision))) => {
-                self.on_rewritten(revision);
+            (StoreCall::KeepAlive, LeaseEvent::KeptAlive(true)) => self.on_renewed(sent),
+            (StoreCall::KeepAlive, LeaseEvent::KeptAlive(false)) => self.valid_until = Millis(0),
+            (StoreCall::UpdateTerm, LeaseEvent::TermWritten(Some(revision))) => {
+                self.on_record_updated(revision);
             }
-            (Step::Rewrite, LeaseEvent::CallFailed | LeaseEvent::TermWritten(None)) => {
-                self.call(Step::CheckRewrite, LeaseAction::ReadTerm, now, actions);
+            (StoreCall::UpdateTerm, LeaseEvent::CallFailed | LeaseEvent::TermWritten(None)) => {
+                self.begin_call(StoreCall::CheckUpdate, LeaseAction::ReadTerm, now, actions);
             }
-            (Step::CheckRewrite, LeaseEvent::TermRead(found)) => {
-                self.on_rewrite_checked(found, actions);
+            (StoreCall::CheckUpdate, LeaseEvent::TermRead(found)) => {
+                self.on_update_checked(found, actions);
             }
-            _ => self.rest(now),
+            _ => self.schedule_retry(now),
         }
     }
 
-    /// Waits before the next try; a holder retries its renewal sooner than others look.
-    fn rest(&mut self, now: Millis) {
+    /// Schedules the next attempt. A holder retries its renewal sooner than other processes poll.
+    fn schedule_retry(&mut self, now: Millis) {
         let wait = if self.role(now).may_assign() {
-            self.config.ttl_ms / (RENEWALS * 4)
+            self.config.ttl_ms / (RENEWALS_PER_TTL * 4)
         } else {
             self.config.poll_ms
         };
-        self.next = now.plus(wait);
+        self.next_call_at = now.plus(wait);
     }
 
-    fn on_looked(&mut self, found: Option<Vec<u8>>, now: Millis, actions: &mut Vec<LeaseAction>) {
+    fn on_polled(&mut self, found: Option<Vec<u8>>, now: Millis, actions: &mut Vec<LeaseAction>) {
         match found {
             None => {
                 let ttl_ms = self.config.ttl_ms;
-                self.call(Step::Grant, LeaseAction::Grant { ttl_ms }, now, actions);
+                self.begin_call(StoreCall::Grant, LeaseAction::Grant { ttl_ms }, now, actions);
             }
-            Some(value) if self.tenure.is_some() && value == self.token() => {
+            Some(value) if self.held.is_some() && value == self.token() => {
                 let lease = self.lease;
-                self.call(Step::KeepAlive, LeaseAction::KeepAlive { lease }, now, actions);
+                self.begin_call(
+                    StoreCall::KeepAlive,
+                    LeaseAction::KeepAlive { lease },
+                    now,
+                    actions,
+                );
             }
             Some(value) => {
                 if !self.is_own(&value) {
-                    self.lose("another process plans", actions);
+                    self.end_term("another process holds the planner lease", actions);
                 }
-                self.rest(now);
+                self.schedule_retry(now);
             }
         }
     }
 
-    /// A lease counts from when it was asked for: that is before the store starts its own count.
+    /// Counts the lease from the request, which precedes the start of the store's own count.
     fn on_granted(
         &mut self,
         lease: u64,
@@ -275,13 +303,13 @@
         actions: &mut Vec<LeaseAction>,
     ) {
         self.lease = lease;
-        self.claimed_at = sent;
+        self.lease_requested_at = sent;
         let value = self.token();
-        self.call(Step::Claim, LeaseAction::Claim { lease, value }, now, actions);
+        self.begin_call(StoreCall::Claim, LeaseAction::Claim { lease, value }, now, actions);
     }
 
     fn on_claimed(&mut self, now: Millis, actions: &mut Vec<LeaseAction>) {
-        self.call(Step::ReadTerm, LeaseAction::ReadTerm, now, actions);
+        self.begin_call(StoreCall::ReadTerm, LeaseAction::ReadTerm, now, actions);
     }
 
     fn on_term_read(
@@ -291,20 +319,20 @@
         actions: &mut Vec<LeaseAction>,
     ) {
         let Some((revision, value)) = found else {
-            let record = TermRecord::first(self.me.clone(), &self.config);
+            let record = TermRecord::first(self.holder.clone(), &self.config);
             return self.write_term(None, record, now, actions);
         };
         let Ok(record) = serde_json::from_slice::<TermRecord>(&value) else {
-            return self.rest(now);
+            return self.schedule_retry(now);
         };
-        if self.writing.as_ref() == Some(&record) {
+        if self.pending_record.as_ref() == Some(&record) {
             return self.on_term_written(revision, now, actions);
         }
-        let own = self.tenure.as_ref().is_some_and(|own| own.record.term == record.term);
+        let own = self.held.as_ref().is_some_and(|own| own.record.term == record.term);
         let next = if own {
-            record.raised(&self.config)
+            record.with_raised_times(&self.config)
         } else {
-            record.next(self.me.clone(), &self.config)
+            record.next(self.holder.clone(), &self.config)
         };
         self.write_term(Some(revision), next, now, actions);
     }
@@ -316,84 +344,87 @@
         now: Millis,
         actions: &mut Vec<LeaseAction>,
     ) {
-        self.writing = Some(record.clone());
-        self.call(Step::WriteTerm, LeaseAction::WriteTerm { expected, record }, now, actions);
+        self.pending_record = Some(record.clone());
+        self.begin_call(
+            StoreCall::WriteTerm,
+            LeaseAction::WriteTerm { expected, record },
+            now,
+            actions,
+        );
     }
 
-    /// Begins a tenure, or resumes the one that only a store outage had interrupted.
+    /// Begins a new term, or resumes a term that was interrupted only by a store outage.
     fn on_term_written(&mut self, revision: u64, now: Millis, actions: &mut Vec<LeaseAction>) {
-        let Some(record) = self.writing.take() else { return self.rest(now) };
-        if now >= self.claimed_at.plus(self.config.ttl_ms) {
-            return self.rest(now);
+        let Some(record) = self.pending_record.take() else { return self.schedule_retry(now) };
+        if now >= self.lease_requested_at.plus(self.config.ttl_ms) {
+            return self.schedule_retry(now);
         }
-        let resumed = self.tenure.as_ref().is_some_and(|own| own.record.term == record.term);
+        let resumed = self.held.as_ref().is_some_and(|own| own.record.term == record.term);
         if !resumed {
-            self.lose("another process has planned", actions);
+            self.end_term("another process has taken over the term record", actions);
             actions.push(LeaseAction::Acquired(Takeover::new(&record, now)));
         }
-        self.tenure = Some(Tenure { record, revision });
-        self.on_renewed(self.claimed_at);
+        self.held = Some(HeldTerm { record, revision });
+        self.on_renewed(self.lease_requested_at);
     }
 
     fn on_renewed(&mut self, sent: Millis) {
-        let Some(tenure) = &self.tenure else { return };
-        let outage = tenure.record.outage_hold_ms.min(self.config.outage_hold_ms);
+        let Some(held) = &self.held else { return };
+        let outage = held.record.outage_hold_ms.min(self.config.outage_hold_ms);
         self.valid_until = self.valid_until.max(sent.plus(self.config.ttl_ms));
-        self.hold_until = sent.plus(outage.max(self.config.ttl_ms));
-        self.next = sent.plus(self.config.ttl_ms / RENEWALS);
+        self.grants_until = sent.plus(outage.max(self.config.ttl_ms));
+        self.next_call_at = sent.plus(self.config.ttl_ms / RENEWALS_PER_TTL);
     }
 
-    fn on_rewritten(&mut self, revision: u64) {
-        let Some(record) = self.writing.take() else { return };
-        self.tenure = Some(Tenure { record, revision });
+    fn on_record_updated(&mut self, revision: u64) {
+        let Some(record) = self.pending_record.take() else { return };
+        self.held = Some(HeldTerm { record, revision });
     }
 
-    fn on_rewrite_checked(
-        &mut self,
-        found: Option<(u64, Vec<u8>)>,
-        actions: &mut Vec<LeaseAction>,
-    ) {
+    fn on_update_checked(&mut self, found: Option<(u64, Vec<u8>)>, actions: &mut Vec<LeaseAction>) {
         let Some((revision, value)) = found else { return };
         let Ok(record) = serde_json::from_slice::<TermRecord>(&value) else { return };
-        let Some(tenure) = &mut self.tenure else { return };
-        if record.term == tenure.record.term {
-            *tenure = Tenure { record, revision };
+        let Some(held) = &mut self.held else { return };
+        if record.term == held.record.term {
+            *held = HeldTerm { record, revision };
         } else {
-            self.lose("another process has planned", actions);
+            self.end_term("another process has taken over the term record", actions);
         }
     }
 
     fn token(&self) -> Vec<u8> {
-        format!("{} {}", self.me, self.lease).into_bytes()
+        format!("{} {}", self.holder, self.lease).into_bytes()
     }
 
-    /// Returns whether an alive key was written by this process, maybe under an older lease.
+    /// Returns whether this process wrote the alive key, possibly under an older lease.
     fn is_own(&self, value: &[u8]) -> bool {
-        value.starts_with(format!("{} ", self.me).as_bytes())
+        value.starts_with(format!("{} ", self.holder).as_bytes())
     }
 
-    /// Returns whether this event answers the store call that is open.
+    /// Returns whether the event is a response to the open store call.
     pub const fn awaits(&self, event: &LeaseEvent) -> bool {
-        let Some((step, _)) = self.step else { return false };
+        let Some((call, _)) = self.open_call else { return false };
         match event {
-            LeaseEvent::AliveRead(_) => matches!(step, Step::Look | Step::CheckClaim),
-            LeaseEvent::Granted(_) => matches!(step, Step::Grant),
-            LeaseEvent::Claimed(_) => matches!(step, Step::Claim),
-            LeaseEvent::TermRead(_) => matches!(step, Step::ReadTerm | Step::CheckRewrite),
-            LeaseEvent::TermWritten(_) => matches!(step, Step::WriteTerm | Step::Rewrite),
-            LeaseEvent::KeptAlive(_) => matches!(step, Step::KeepAlive),
+            LeaseEvent::AliveRead(_) => matches!(call, StoreCall::Poll | StoreCall::CheckClaim),
+            LeaseEvent::Granted(_) => matches!(call, StoreCall::Grant),
+            LeaseEvent::Claimed(_) => matches!(call, StoreCall::Claim),
+            LeaseEvent::TermRead(_) => matches!(call, StoreCall::ReadTerm | StoreCall::CheckUpdate),
+            LeaseEvent::TermWritten(_) => {
+                matches!(call, StoreCall::WriteTerm | StoreCall::UpdateTerm)
+            }
+            LeaseEvent::KeptAlive(_) => matches!(call, StoreCall::KeepAlive),
             LeaseEvent::CallFailed => true,
             _ => false,
         }
     }
 
-    /// Returns this process as a holder.
+    /// Returns the identity under which this process takes part in the election.
     pub const fn holder(&self) -> &LeaseHolder {
-        &self.me
+        &self.holder
     }
 
-    /// Returns the name under which this process plans.
+    /// Returns the name of this process.
     pub const fn name(&self) -> &Name {
-        &self.me.name
+        &self.holder.name
     }
 }
--- a/crates/geraniumpost-core/src/jobs/lease/takeover.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/takeover.rs
@@ -1,25 +1,28 @@
 use super::{LeaseHolder, TermRecord};
 use crate::Millis;
 
-/// What a new planner knows of those before it.
+/// What a new planner must know about its predecessors.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Takeover {
     /// The new planner's term.
     pub term: u64,
-    /// When it had the lease, which no earlier holder had from then on.
+    /// Instant at which the new planner held the lease. No earlier holder holds it from then on.
     pub at: Millis,
-    /// Earlier holders that may still grant holds.
+    /// Earlier holders that may still grant agent leases.
     pub earlier: Vec<LeaseHolder>,
-    /// Whether there are more, so that no proof of the named ones is enough.
+    /// Whether there are more of them than are listed. Proof that the listed ones stopped is then
+    /// not sufficient.
     pub earlier_dropped: bool,
-    /// Longest time that an earlier holder grants holds after it lost the store.
+    /// Longest time in milliseconds for which an earlier holder grants agent leases without the
+    /// store.
     pub outage_hold_ms: u64,
-    /// Longest hold that an earlier holder grants.
+    /// Longest agent lease in milliseconds that an earlier holder grants.
     pub hold_ms: u64,
 }
 
 impl Takeover {
-    /// Returns what follows from the record that the new planner wrote at `at`.
+    /// Creates the takeover from the record that the new planner wrote; the planner held the lease
+    /// at `at`.
     pub fn new(record: &TermRecord, at: Millis) -> Self {
         Self {
             term: record.term,
--- a/crates/geraniumpost-core/src/jobs/lease/term_record.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/term_record.rs
@@ -3,43 +3,46 @@
 
 use super::{LeaseConfig, LeaseHolder};
 
-/// Most earlier holders that are told apart.
-const MAX_EARLIER: usize = 8;
+/// Maximum number of earlier holders that are listed by name.
+const MAX_EARLIER_HOLDERS: usize = 8;
 
-/// Returns the store key of the [`TermRecord`], which outlives every lease.
+/// Returns the store key of the [`TermRecord`]. The key is not attached to a lease and never
+/// expires.
 pub fn term_key(region: &Name) -> String {
     format!("planner/{region}")
 }
 
-/// Returns the store key that is attached to the planner's store lease.
+/// Returns the store key that is attached to the planner's lease and disappears with it.
 pub fn alive_key(region: &Name) -> String {
     format!("planner/{region}/alive")
 }
 
-/// The term of a region's planner, kept in the store.
+/// The term of a region's planner, as kept in the store.
 ///
-/// It also names the earlier holders that may still be granting holds, and for how long such a
-/// holder may go on, because the next planner has to wait that long for agents it cannot reach.
+/// It also lists the earlier holders that may still grant agent leases, and how long they may do
+/// so. The next planner has to wait that long for agents that it cannot reach.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// Grows with each holder.
+    /// Number of the term, incremented by each new holder.
     pub term: u64,
-    /// Who plans.
+    /// The current planner.
     pub holder: LeaseHolder,
-    /// Who planned before and may not know that it no longer does.
+    /// Earlier planners that may not have noticed that they were superseded.
     pub earlier: Vec<LeaseHolder>,
-    /// Whether there were more of them than are told apart.
+    /// Whether there were more earlier planners than are listed.
     pub earlier_dropped: bool,
-    /// Longest time that any of these grants holds after it lost the store.
+    /// Longest time in milliseconds for which any listed planner grants agent leases without the
+    /// store.
     pub outage_hold_ms: u64,
-    /// Longest hold that any of these grants.
+    /// Longest agent lease in milliseconds that any of them grants.
     pub hold_ms: u64,
-    /// Counts writes of the record, so that a holder whose reply was lost knows its own write.
+    /// Number of writes of the record. It lets a holder whose response was lost recognize its own
+    /// write.
     pub writes: u64,
 }
 
 impl TermRecord {
-    /// Returns the record of the first holder.
+    /// Creates the record of a region's first holder.
     pub fn first(holder: LeaseHolder, config: &LeaseConfig) -> Self {
         Self {
             term: 1,
@@ -52,13 +55,13 @@
         }
     }
 
-    /// Returns the record of the next holder.
+    /// Returns the record of the next holder, with the present one among the earlier ones.
     #[must_use]
     pub fn next(&self, holder: LeaseHolder, config: &LeaseConfig) -> Self {
         let mut earlier = self.earlier.clone();
         earlier.push(self.holder.clone());
         earlier.retain(|other| *other != holder);
-        let surplus = earlier.len().saturating_sub(MAX_EARLIER);
+        let surplus = earlier.len().saturating_sub(MAX_EARLIER_HOLDERS);
         earlier.drain(..surplus);
         Self {
             term: self.term + 1,
@@ -71,9 +74,10 @@
         }
     }
 
-    /// Returns the record of the same holder with longer times, if the configuration asks for them.
+    /// Returns the record of the same holder, with its times raised to the configured ones if those
+    /// are longer.
     #[must_use]
-    pub fn raised(&self, config: &LeaseConfig) -> Self {
+    pub fn with_raised_times(&self, config: &LeaseConfig) -> Self {
         Self {
             outage_hold_ms: self.outage_hold_ms.max(config.outage_hold_ms),
             hold_ms: self.hold_ms.max(config.hold_ms),
@@ -82,9 +86,10 @@
         }
     }
 
-    /// Returns the record of the same holder once the earlier ones are surely gone.
+    /// Returns the record of the same holder without earlier holders, which have all stopped
+    /// granting.
     #[must_use]
-    pub fn settled(&self) -> Self {
+    pub fn without_earlier(&self) -> Self {
         Self {
             earlier: Vec::new(),
             earlier_dropped: false,
@@ -93,9 +98,9 @@
         }
     }
 
-    /// Returns the record of the same holder with the configured times, even if they are shorter.
+    /// Returns the record of the same holder with the configured times, even if these are shorter.
     #[must_use]
-    pub fn lowered(&self, config: &LeaseConfig) -> Self {
+    pub fn with_configured_times(&self, config: &LeaseConfig) -> Self {
         Self {
             outage_hold_ms: config.outage_hold_ms,
             hold_ms: config.hold_ms,
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Returns whether earlier holders may still be granting holds.
+    /// Returns whether an earlier holder may still grant agent leases.
     pub fn has_earlier(&self) -> bool {
         self.earlier_dropped || !self.earlier.is_empty()
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
@@ -1,26 +1,27 @@
 use crate::Millis;
 
-/// How far a restarted agent has come in taking over what its worker runs.
+/// Progress of a restarted agent in adopting the tasks that its worker runs.
 ///
-/// Before the end of it the ledger doesn't know what the VM holds: it takes no start, and gives no
-/// inventory, because a task missing from that would be started elsewhere while it runs here. Two
-/// lists are read, some time apart, because a start sent by the agent's previous process may still
-/// be on its way to the worker when the first is read.
+/// Until the adoption is complete the ledger does not know what the VM runs. It accepts no start
+/// and sends no inventory, because a task missing from the inventory would be started elsewhere
+/// while it still runs here. Two lists are read with an interval between them, because a start sent
+/// by the agent's previous process may still be on its way to the worker when the first one is
+/// read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Adoption {
-    /// No list has been read.
-    Blank,
-    /// One list, asked for at this time, has been read.
+    /// No list has been received.
+    NotStarted,
+    /// One list, requested at this instant, has been received.
     Listed(Millis),
-    /// The ledger knows all that runs.
+    /// The ledger knows every task of the worker.
     Complete,
 }
 
 impl Adoption {
-    /// Returns the state after a list asked for at `asked`.
+    /// Returns the state after a list that was requested at `asked`.
     pub(super) fn after_list(self, asked: Millis, settle_ms: u64) -> Self {
         match self {
-            Self::Blank => Self::Listed(asked),
+            Self::NotStarted => Self::Listed(asked),
             Self::Listed(first) if asked < first.plus(settle_ms) => self,
             Self::Listed(_) | Self::Complete => Self::Complete,
         }
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_action.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_action.rs
@@ -1,53 +1,53 @@
 use geraniumpost_schema::{Inventory, Name, StartTask, TaskReport};
 
-/// What a [`VmLedger`](super::VmLedger) asks the shell to do.
+/// An action that a [`VmLedger`](super::VmLedger) requests from the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerAction {
-    /// Start the task at the worker. The worker must treat a repeat of job and epoch as the same
-    /// task. The shell asks [`VmLedger::may_run`](super::VmLedger::may_run) again just before it
-    /// writes the call, in case the process was paused in between.
+    /// Start the task at the worker, which must treat a repeated job and epoch as the same task.
+    /// The shell checks [`VmLedger::may_run`](super::VmLedger::may_run) again immediately before
+    /// the call, in case the process was paused in between.
     Start(StartTask),
-    /// Write a checkpoint.
+    /// Have the worker write a checkpoint.
     Checkpoint {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// End the task.
+    /// Have the worker stop the task.
     Stop {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// Limit the task's processors.
+    /// Limit the processor time of the task.
     Throttle {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
-        /// Share of its processors in thousandths.
+        /// Permitted share of its processors in thousandths.
         permille: u32,
     },
-    /// Extend the task's lease at the worker; subject to `may_run` like a start.
+    /// Renew the task's lease at the worker; `may_run` is checked as for a start.
     Renew {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// Let the worker forget a finished task.
+    /// Have the worker delete a finished task.
     Forget {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// List the worker's tasks.
+    /// Request the worker's list of tasks.
     List,
-    /// Tell the planner of one task.
+    /// Report one task to the planner.
     Report(TaskReport),
-    /// Tell the planner of all tasks.
+    /// Report all tasks to the planner.
     Inventory(Inventory),
 }
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_config.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_config.rs
@@ -1,22 +1,23 @@
 /// Times that govern a [`VmLedger`](super::VmLedger), in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerConfig {
-    /// Lease under which the worker runs a task; the worker ends the task when it lapses.
+    /// Lease under which the worker runs a task; the worker stops the task when it expires.
     pub worker_lease_ms: u64,
-    /// Interval between lists of the worker's tasks.
+    /// Interval between requests for the worker's list of tasks.
     pub list_ms: u64,
-    /// Interval at which unsettled final reports are repeated.
+    /// Interval at which calls to the worker and final reports are repeated until they have taken
+    /// effect.
     pub repeat_ms: u64,
-    /// Interval of reports with usage of running tasks.
+    /// Interval between reports with the usage of a running task.
     pub usage_ms: u64,
-    /// Shortest time between the two lists of an adoption. A start sent by the agent's previous
-    /// process may reach the worker within it.
+    /// Minimum time between the two lists of an adoption, and the longest time for which a call
+    /// whose response was lost may still reach the worker.
     pub settle_ms: u64,
-    /// Longest time that a call to the worker is open.
+    /// Longest time for which a call to the worker is open.
     pub call_timeout_ms: u64,
-    /// Interval of checkpoints of a running task: the most work that the loss of its VM costs.
+    /// Interval between the checkpoints of a running task, which bounds the work lost with its VM.
     pub checkpoint_ms: u64,
-    /// How long the epoch of a settled run is remembered, so that a delayed order for it is refused.
+    /// How long the epoch of a settled run is kept, so that a delayed order for it is refused.
     pub epoch_retention_ms: u64,
 }
 
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
@@ -3,93 +3,95 @@
 use super::WorkerTask;
 use crate::Millis;
 
-/// What a [`VmLedger`](super::VmLedger) is told.
+/// An input of a [`VmLedger`](super::VmLedger).
 ///
-/// Calls to the worker end in one of three ways: it did as asked, it refused for certain, or the
-/// answer was lost and the call may have taken effect.
+/// A call to the worker ends in one of three ways: it succeeded, it was definitely refused, or the
+/// response was lost and it may have taken effect.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerEvent {
     /// The heartbeat with this number is about to be sent.
     HeartbeatSent(u64),
-    /// An entry answered a heartbeat.
+    /// An entry acknowledged a heartbeat.
     Ack(HeartbeatAck),
-    /// The planner orders a start.
+    /// The planner orders the start of a task.
     Start(StartTask),
-    /// The planner orders a checkpoint and stop.
+    /// The planner orders a checkpoint followed by a stop.
     Evict(TaskRef),
-    /// The planner orders a stop for good.
+    /// The planner orders a stop without a checkpoint. A task that is unknown here must never
+    /// start.
     Stop(TaskRef),
-    /// The planner slows a run.
+    /// The planner limits the processor time of a run.
     Throttle(Throttle),
-    /// The planner has committed a final report.
+    /// The planner committed the final report of a run.
     Settled(TaskRef),
-    /// A planner announces its term and wants the inventory.
+    /// A planner announces its term and requests the inventory.
     Supersede(u64),
-    /// The VM takes no new work from now on.
+    /// The VM accepts no new tasks from now on.
     Drain,
-    /// The service beside the agent needs this much kept free.
+    /// Resources that are reserved for the service beside the agent.
     Reserve(Resources),
-    /// The worker's answer to a list asked for at `asked`.
+    /// The worker's list of tasks.
     Listed {
-        /// When the agent asked.
+        /// When the list was requested.
         asked: Millis,
-        /// All tasks the worker knows.
+        /// All tasks that the worker knows.
         tasks: Vec<WorkerTask>,
     },
-    /// The worker runs the task, or already did.
+    /// The worker runs the task, or did so already.
     Started {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// The worker refused the start, which truly did not run.
+    /// The worker refused the start, which is guaranteed not to have run.
     StartRefused {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
-        /// The worker's reason.
+        /// Reason given by the worker.
         reason: String,
     },
-    /// The answer to a start was lost; it may still take effect.
+    /// The response to a start was lost; the start may still take effect.
     StartUncertain {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
     /// The worker wrote a checkpoint.
     Checkpointed {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
-        /// The checkpoint's name.
+        /// Name of the checkpoint.
         checkpoint: Name,
     },
-    /// The worker could not write a checkpoint, or the answer was lost.
+    /// The worker could not write a checkpoint, or the response was lost.
     CheckpointFailed {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// The worker knows no such task, or has ended it; not for one that ended by itself.
+    /// The worker stopped the task or does not know it. Not sent for a task that ended without
+    /// being stopped.
     Stopped {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// The worker extended the lease of a task, or the answer to that was lost. Either way the
-    /// lease may now last until one lease from here.
+    /// The worker renewed the lease of a task, or the response was lost. In both cases the lease
+    /// may last for its full duration from now.
     Renewed {
-        /// Job.
+        /// Job that the task runs.
         job: Name,
-        /// Run.
+        /// Epoch of the run.
         epoch: u64,
     },
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
--- a/crates/geraniumpost-core/src/jobs/ledger/lists.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/lists.rs
@@ -1,4 +1,4 @@
-//! What the worker's list of tasks tells.
+//! Reconciliation with the worker's list of tasks.
 
 use std::collections::HashMap;
 
@@ -18,9 +18,9 @@
         let listed: HashMap<(Name, u64), WorkerTask> =
             listed.into_iter().map(|task| ((task.job.clone(), task.epoch), task)).collect();
         for found in listed.values() {
-            self.on_found(found, now, actions);
+            self.reconcile(found, now, actions);
         }
-        self.note_vanished(&listed, asked, now, actions);
+        self.end_vanished(&listed, asked, now, actions);
         self.advance_adoption(asked, actions);
     }
 
@@ -29,24 +29,24 @@
             return;
         }
         self.adoption = self.adoption.after_list(asked, self.config.settle_ms);
-        if self.is_complete() && std::mem::take(&mut self.inventory_owed) {
+        if self.is_complete() && std::mem::take(&mut self.inventory_requested) {
             actions.push(self.inventory());
         }
     }
 
-    fn on_found(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn reconcile(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
         match self.tasks.get(&found.job) {
-            Some(task) if task.epoch == found.epoch => self.compare(found, now, actions),
+            Some(task) if task.epoch == found.epoch => self.update_known(found, now, actions),
             Some(task) if task.phase.is_live() || task.epoch > found.epoch => {
-                drop_stranger(found, actions);
+                discard_unexpected(found, actions);
             }
-            _ if self.is_settled(found) => drop_stranger(found, actions),
+            _ if self.is_settled(found) => discard_unexpected(found, actions),
             _ => self.adopt(found, now, actions),
         }
     }
 
     fn is_settled(&self, found: &WorkerTask) -> bool {
-        self.epochs.get(&found.job).is_some_and(|&(known, _)| found.epoch <= known)
+        self.known_epochs.get(&found.job).is_some_and(|&(known, _)| found.epoch <= known)
     }
 
     fn adopt(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
@@ -60,22 +60,22 @@
         task.lease_until = now.plus(self.config.worker_lease_ms);
         task.last_renewal = Millis::default();
         self.counters.adopted += 1;
-        self.remember(&found.job, found.epoch, now);
+        self.record_epoch(&found.job, found.epoch, now);
         actions.push(LedgerAction::Report(task.report()));
         self.tasks.insert(found.job.clone(), task);
     }
 
-    fn compare(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn update_known(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
         let Some(task) = self.tasks.get_mut(&found.job) else { return };
         if task.is_ended() {
             return;
         }
         task.observe(found.usage, &found.checkpoint);
-        task.start_is_settled();
+        task.settle_start();
         match found.state {
             TaskState::Starting | TaskState::Running => {
                 if task.phase == Phase::Starting {
-                    task.enter(Phase::Running, now);
+                    task.enter_phase(Phase::Running, now);
                     actions.push(LedgerAction::Report(task.report()));
                 }
             }
@@ -90,10 +90,10 @@
         }
     }
 
-    /// Ends runs that the worker no longer knows, as after its own restart.
+    /// Ends runs that are missing from the worker's list, for example after the worker restarted.
     ///
-    /// A list says nothing of a run whose call was made after the list was asked for.
-    fn note_vanished(
+    /// A list is not conclusive for a run whose call was made after the list was requested.
+    fn end_vanished(
         &mut self,
         listed: &HashMap<(Name, u64), WorkerTask>,
         asked: Millis,
@@ -104,7 +104,9 @@
             .tasks
             .values()
             .filter(|task| task.phase.is_live() && task.phase != Phase::Starting)
-            .filter(|task| task.since < asked && !task.start_may_arrive(now, &self.config))
+            .filter(|task| {
+                task.phase_since < asked && !task.start_may_take_effect(now, &self.config)
+            })
             .filter(|task| !listed.contains_key(&(task.job.clone(), task.epoch)))
             .map(|task| task.job.clone())
             .collect();
@@ -116,9 +118,9 @@
     }
 }
 
-/// Ends a run that the ledger has no place for: a start that took effect after the ledger had
-/// barred it, or a task whose end was settled but not yet forgotten.
-fn drop_stranger(found: &WorkerTask, actions: &mut Vec<LedgerAction>) {
+/// Stops or deletes a run that the ledger does not expect: a start that took effect although the
+/// ledger had blocked it, or a task whose end was settled but which the worker has not yet deleted.
+fn discard_unexpected(found: &WorkerTask, actions: &mut Vec<LedgerAction>) {
     let (job, epoch) = (found.job.clone(), found.epoch);
     if found.state == TaskState::Running {
         actions.push(LedgerAction::Stop { job, epoch });
--- a/crates/geraniumpost-core/src/jobs/ledger/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/mod.rs
@@ -1,7 +1,7 @@
-//! The agent's account of its VM; see `docs/design/0203-vm-ledger.md`.
+//! Tasks and allocated resources of an agent's VM; see `docs/design/0203-vm-ledger.md`.
 
 mod adoption;
-mod hold;
+mod agent_lease;
 mod ledger_action;
 mod ledger_config;
 mod ledger_counters;
@@ -17,7 +17,7 @@
 mod worker_task;
 
 use adoption::Adoption;
-use hold::Hold;
+use agent_lease::AgentLease;
 pub use ledger_action::LedgerAction;
 pub use ledger_config::LedgerConfig;
 pub use ledger_counters::LedgerCounters;
--- a/crates/geraniumpost-core/src/jobs/ledger/orders.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/orders.rs
@@ -1,4 +1,4 @@
-//! What the planner orders.
+//! Orders of the planner.
 
 use geraniumpost_schema::{
     HeartbeatAck, Name, Resources, StartTask, TaskRef, TaskReport, TaskState, Throttle,
@@ -10,19 +10,19 @@
 impl VmLedger {
     pub(super) fn on_ack(&mut self, ack: &HeartbeatAck) {
         let grants = ack.term > 0 && ack.hold_ms > 0 && ack.incarnation == self.incarnation;
-        if grants && self.obeys(ack.term) {
-            self.hold.extend(ack);
+        if grants && self.accepts_term(ack.term) {
+            self.lease.extend(ack);
         }
     }
 
     pub(super) fn on_supersede(&mut self, term: u64, actions: &mut Vec<LedgerAction>) {
-        if !self.obeys(term) {
+        if !self.accepts_term(term) {
             return;
         }
         if self.is_complete() {
             actions.push(self.inventory());
         } else {
-            self.inventory_owed = true;
+            self.inventory_requested = true;
         }
     }
 
@@ -32,57 +32,58 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.obeys(start.term) || !self.is_complete() {
+        if !self.accepts_term(start.term) || !self.is_complete() {
             return;
         }
-        if self.knows(&start.job, start.epoch) {
+        if self.knows_epoch(&start.job, start.epoch) {
             self.counters.stale_epochs += 1;
-            self.learn_need(&start);
+            self.record_need(&start);
             self.repeat_report(&start.job, start.epoch, actions);
-        } else if self.has_unsized() {
-            // The order is repeated; what the VM holds is not known before all sizes are.
-        } else if !self.hold.covers(start.term, now) {
-            self.counters.without_hold += 1;
-        } else if let Some(reason) = self.reason_to_refuse(&start) {
+        } else if self.has_task_without_size() {
+            // The planner repeats the order. The free resources are unknown until the size of every
+            // task is known.
+        } else if !self.lease.covers(start.term, now) {
+            self.counters.without_lease += 1;
+        } else if let Some(reason) = self.refusal_reason(&start) {
             self.refuse(&start, reason, now, actions);
         } else {
             self.reserve_and_start(start, now, actions);
         }
     }
 
-    fn knows(&self, job: &Name, epoch: u64) -> bool {
-        self.epochs.get(job).is_some_and(|&(known, _)| epoch <= known)
+    fn knows_epoch(&self, job: &Name, epoch: u64) -> bool {
+        self.known_epochs.get(job).is_some_and(|&(known, _)| epoch <= known)
     }
 
-    /// Takes the declared size of an adopted task from the planner's repeated order.
-    fn learn_need(&mut self, start: &StartTask) {
+    /// Records the declared size of an adopted task from the planner's repeated order.
+    fn record_need(&mut self, start: &StartTask) {
         if let Some(task) = self.run(&start.job, start.epoch) {
             task.need.get_or_insert(start.need);
         }
     }
 
-    /// The planner repeats a start until it hears of the run, so it is told again.
+    /// Reports the run again, because the planner repeats a start until it receives a report.
     fn repeat_report(&self, job: &Name, epoch: u64, actions: &mut Vec<LedgerAction>) {
         if let Some(task) = self.tasks.get(job).filter(|task| task.epoch == epoch) {
             actions.push(LedgerAction::Report(task.report()));
         }
     }
 
-    fn reason_to_refuse(&mut self, start: &StartTask) -> Option<&'static str> {
+    fn refusal_reason(&mut self, start: &StartTask) -> Option<&'static str> {
         if self.draining {
             return Some("the VM is leaving");
         }
         if self.tasks.get(&start.job).is_some_and(|task| task.phase.is_live()) {
             return Some("an earlier run of the job has not ended");
         }
-        if !self.has_room(start.need) {
+        if !self.has_capacity(start.need) {
             self.counters.too_large += 1;
             return Some("the VM has no room");
         }
         None
     }
 
-    /// Keeps the refusal as a run that ended, so that a repeat of the order can't start it later.
+    /// Records the refusal as an ended run, so that a repeated order cannot start it later.
     fn refuse(
         &mut self,
         start: &StartTask,
@@ -91,7 +92,7 @@
         actions: &mut Vec<LedgerAction>,
     ) {
         if self.tasks.get(&start.job).is_some_and(|task| task.phase.is_live()) {
-            actions.push(LedgerAction::Report(bare_report(
+            actions.push(LedgerAction::Report(report_without_task(
                 &start.job,
                 start.epoch,
                 TaskState::Refused,
@@ -102,7 +103,7 @@
         let phase = Phase::Ended(TaskState::Refused);
         let mut task = Task::new(start.job.clone(), start.epoch, Some(start.need), phase, now);
         reason.clone_into(&mut task.result);
-        self.remember(&start.job, start.epoch, now);
+        self.record_epoch(&start.job, start.epoch, now);
         actions.push(LedgerAction::Report(task.report()));
         self.tasks.insert(start.job.clone(), task);
     }
@@ -119,7 +120,7 @@
         task.lease_until = now.plus(self.config.worker_lease_ms);
         task.order = Some(start.clone());
         task.start = StartCall::Open(now);
-        self.remember(&start.job, start.epoch, now);
+        self.record_epoch(&start.job, start.epoch, now);
         actions.push(LedgerAction::Report(task.report()));
         self.tasks.insert(start.job.clone(), task);
         actions.push(LedgerAction::Start(start));
@@ -131,16 +132,16 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.obeys(order.term) || !self.is_complete() {
+        if !self.accepts_term(order.term) || !self.is_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
-            return self.bar(order, now, actions);
+            return self.block_start(order, now, actions);
         };
         let (job, epoch) = (order.job.clone(), order.epoch);
         match task.phase {
             Phase::Running => {
-                task.enter(Phase::Checkpointing, now);
+                task.enter_phase(Phase::Checkpointing, now);
                 actions.push(LedgerAction::Checkpoint { job, epoch });
             }
             Phase::Starting => {
@@ -159,11 +160,11 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.obeys(order.term) || !self.is_complete() {
+        if !self.accepts_term(order.term) || !self.is_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
-            return self.bar(order, now, actions);
+            return self.block_start(order, now, actions);
         };
         if task.is_ended() {
             actions.push(LedgerAction::Report(task.report()));
@@ -175,27 +176,27 @@
         }
     }
 
-    /// Promises that a run unknown here will never start, however late its order arrives.
-    fn bar(&mut self, order: &TaskRef, now: Millis, actions: &mut Vec<LedgerAction>) {
-        self.remember(&order.job, order.epoch, now);
+    /// Guarantees that a run unknown to this agent never starts, however late its order arrives.
+    fn block_start(&mut self, order: &TaskRef, now: Millis, actions: &mut Vec<LedgerAction>) {
+        self.record_epoch(&order.job, order.epoch, now);
         let reason = "the run is not here and will not start";
-        let report = bare_report(&order.job, order.epoch, TaskState::Stopped, reason);
+        let report = report_without_task(&order.job, order.epoch, TaskState::Stopped, reason);
         actions.push(LedgerAction::Report(report));
     }
 
     pub(super) fn on_throttle(&mut self, order: &Throttle, actions: &mut Vec<LedgerAction>) {
-        if !self.obeys(order.term) {
+        if !self.accepts_term(order.term) {
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
-        if task.is_some_and(|task| task.phase.goes_on()) {
+        if task.is_some_and(|task| task.phase.should_continue()) {
             let (job, epoch) = (order.job.clone(), order.epoch);
             actions.push(LedgerAction::Throttle { job, epoch, permille: order.permille });
         }
     }
 
     pub(super) fn on_settled(&mut self, order: &TaskRef, actions: &mut Vec<LedgerAction>) {
-        if !self.obeys(order.term) {
+        if !self.accepts_term(order.term) {
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
@@ -207,7 +208,7 @@
     }
 }
 
-fn bare_report(job: &Name, epoch: u64, state: TaskState, reason: &str) -> TaskReport {
+fn report_without_task(job: &Name, epoch: u64, state: TaskState, reason: &str) -> TaskReport {
     TaskReport {
         job: job.clone(),
         epoch,
--- a/crates/geraniumpost-core/src/jobs/ledger/phase.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/phase.rs
@@ -1,33 +1,34 @@
 use geraniumpost_schema::TaskState;
 
-/// What the ledger is doing with a task.
+/// Phase of a task in the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The worker was asked to start it; the answer is awaited.
+    /// The start was sent to the worker and has not been confirmed.
     Starting,
-    /// The worker runs it.
+    /// The worker runs the task.
     Running,
-    /// The worker was asked for a checkpoint before an eviction.
+    /// The worker writes a checkpoint before an eviction.
     Checkpointing,
-    /// The worker was asked to end it; the word is awaited. The state says how it then ends.
+    /// The task is being stopped and the worker has not confirmed it. The value is the final state
+    /// to be reported.
     Stopping(TaskState),
-    /// It ended; the report is repeated until it is settled.
+    /// The task ended in this state. The report is repeated until the planner settles it.
     Ended(TaskState),
 }
 
 impl Phase {
-    /// Returns whether the task may still be using the VM.
+    /// Returns whether the task may still use resources of the VM.
     pub(super) const fn is_live(self) -> bool {
         !matches!(self, Self::Ended(_))
     }
 
-    /// Returns whether the task is meant to go on, so that its lease is renewed.
-    pub(super) const fn goes_on(self) -> bool {
+    /// Returns whether the task is meant to continue, so that its lease is renewed.
+    pub(super) const fn should_continue(self) -> bool {
         matches!(self, Self::Starting | Self::Running | Self::Checkpointing)
     }
 
-    /// Returns the state to report.
-    pub(super) const fn report(self) -> TaskState {
+    /// Returns the state that is reported to the planner.
+    pub(super) const fn reported_state(self) -> TaskState {
         match self {
             Self::Starting => TaskState::Starting,
             Self::Running | Self::Checkpointing | Self::Stopping(_) => TaskState::Running,
--- a/crates/geraniumpost-core/src/jobs/ledger/start_call.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/start_call.rs
@@ -1,24 +1,24 @@
 use crate::Millis;
 
-/// How far the call that starts a task at the worker has come.
+/// Progress of the call that starts a task at the worker.
 ///
-/// Until it is settled, a stop could overtake it: the worker would say that there is no such task, and
-/// begin it a moment later.
+/// Until the call is settled, a stop could overtake it: the worker would respond that there is no
+/// such task, and start it shortly afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartCall {
-    /// Made at this time; no answer yet.
+    /// The call was made at this instant and has not been answered.
     Open(Millis),
-    /// Its answer was lost at this time; it may still be on its way to the worker.
+    /// The response was lost at this instant; the call may still be on its way to the worker.
     Lost(Millis),
-    /// The worker has the task, or never will.
+    /// The worker has the task, or will never start it.
     Settled,
 }
 
 impl StartCall {
-    /// Returns whether the call may still have its effect.
-    pub(super) fn may_arrive(self, now: Millis, settle_ms: u64, longest_ms: u64) -> bool {
+    /// Returns whether the call may still take effect.
+    pub(super) fn may_take_effect(self, now: Millis, settle_ms: u64, timeout_ms: u64) -> bool {
         match self {
-            Self::Open(since) => now < since.plus(longest_ms),
+            Self::Open(since) => now < since.plus(timeout_ms),
             Self::Lost(since) => now < since.plus(settle_ms),
             Self::Settled => false,
         }
--- a/crates/geraniumpost-core/src/jobs/ledger/task.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/task.rs
@@ -3,36 +3,37 @@
 use super::{LedgerConfig, Phase, StartCall};
 use crate::{Millis, placement::amounts::component_max};
 
-/// One run in the ledger.
+/// A run of a job in the ledger.
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) job: Name,
     pub(super) epoch: u64,
-    /// Declared size; of an adopted task it is not known until the planner tells it again.
+    /// Declared size. For an adopted task it is unknown until the planner sends it again.
     pub(super) need: Option<Resources>,
     pub(super) usage: Resources,
     pub(super) peak: Resources,
     pub(super) phase: Phase,
     pub(super) checkpoint: Name,
     pub(super) result: String,
-    /// When the phase began.
-    pub(super) since: Millis,
-    /// When a call was last made or a report last sent for this phase.
+    /// Start of the current phase.
+    pub(super) phase_since: Millis,
+    /// Time of the last call to the worker in the current phase.
     pub(super) last_call: Millis,
     pub(super) last_report: Millis,
     pub(super) last_renewal: Millis,
-    /// When a checkpoint was last asked for while it ran.
+    /// Time of the last request for a periodic checkpoint.
     pub(super) last_checkpoint: Millis,
-    /// When the worker will surely have ended the task by itself.
+    /// Latest instant at which the worker's lease on the task expires.
     pub(super) lease_until: Millis,
     pub(super) failed_checkpoints: u32,
     pub(super) start: StartCall,
-    /// The last earlier call whose answer was lost. What the worker says of a repeat is no word on that
-    /// call: it may be refused, and the earlier one taken a moment later.
+    /// The previous start call, if its response was lost. The worker's response to a repeated call
+    /// does not settle the earlier one: the repeated call may be refused and the earlier one
+    /// accepted shortly afterwards.
     pub(super) earlier_start: StartCall,
-    /// Whether the worker was asked to end it in this phase.
+    /// Whether a stop was sent to the worker in the current phase.
     pub(super) stop_sent: bool,
-    /// The order, kept to repeat the call to the worker; none for an adopted task.
+    /// Start order, kept to repeat the call to the worker; `None` for an adopted task.
     pub(super) order: Option<StartTask>,
 }
 
@@ -53,7 +54,7 @@
             phase,
             checkpoint: Name::default(),
             result: String::new(),
-            since: now,
+            phase_since: now,
             last_call: now,
             last_report: now,
             last_renewal: now,
@@ -67,15 +68,15 @@
         }
     }
 
-    /// Returns what the task counts for: never below what was seen of it.
-    pub(super) fn size(&self) -> Resources {
+    /// Returns the resources allocated to the task, which are at least the highest usage observed.
+    pub(super) fn reserved_size(&self) -> Resources {
         let need = self.need.unwrap_or_default();
         if self.phase.is_live() { component_max(&need, &self.peak) } else { Resources::default() }
     }
 
-    pub(super) fn enter(&mut self, phase: Phase, now: Millis) {
+    pub(super) fn enter_phase(&mut self, phase: Phase, now: Millis) {
         self.phase = phase;
-        self.since = now;
+        self.phase_since = now;
         self.last_call = now;
     }
 
@@ -87,33 +88,33 @@
         }
     }
 
-    /// Returns whether a call that starts the task may still reach the worker and begin it.
-    pub(super) fn start_may_arrive(&self, now: Millis, config: &LedgerConfig) -> bool {
+    /// Returns whether a start call may still reach the worker and start the task.
+    pub(super) fn start_may_take_effect(&self, now: Millis, config: &LedgerConfig) -> bool {
         let calls = [self.start, self.earlier_start];
-        calls.iter().any(|call| call.may_arrive(now, config.settle_ms, config.call_timeout_ms))
+        calls.iter().any(|call| call.may_take_effect(now, config.settle_ms, config.call_timeout_ms))
     }
 
-    /// Takes note that the call that starts the task is made again.
-    pub(super) fn repeat_start(&mut self, now: Millis) {
+    /// Records that the start call is repeated.
+    pub(super) fn retry_start(&mut self, now: Millis) {
         self.earlier_start = std::mem::replace(&mut self.start, StartCall::Open(now));
         self.last_call = now;
     }
 
-    /// Takes note that the worker has the task, so that calls that still arrive begin nothing.
-    pub(super) const fn start_is_settled(&mut self) {
+    /// Records that the worker has the task, so that start calls which arrive later have no effect.
+    pub(super) const fn settle_start(&mut self) {
         self.start = StartCall::Settled;
         self.earlier_start = StartCall::Settled;
     }
 
-    /// Begins to end the task and returns whether the worker can be told so at once.
+    /// Begins to stop the task and returns whether a stop may be sent to the worker immediately.
     pub(super) fn begin_stop(
         &mut self,
         state: TaskState,
         now: Millis,
         config: &LedgerConfig,
     ) -> bool {
-        self.enter(Phase::Stopping(state), now);
-        self.stop_sent = !self.start_may_arrive(now, config);
+        self.enter_phase(Phase::Stopping(state), now);
+        self.stop_sent = !self.start_may_take_effect(now, config);
         self.stop_sent
     }
 
@@ -121,7 +122,7 @@
         TaskReport {
             job: self.job.clone(),
             epoch: self.epoch,
-            state: self.phase.report(),
+            state: self.phase.reported_state(),
             checkpoint: self.checkpoint.clone(),
             result: self.result.clone(),
             usage: self.usage,
@@ -132,7 +133,7 @@
         matches!(self.phase, Phase::Ended(_))
     }
 
-    /// Returns how the task ends once the worker's word is there.
+    /// Returns the final state to be reported once the worker confirms the end.
     pub(super) const fn end_state(&self) -> TaskState {
         match self.phase {
             Phase::Stopping(state) | Phase::Ended(state) => state,
--- a/crates/geraniumpost-core/src/jobs/ledger/tick.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/tick.rs
@@ -1,4 +1,4 @@
-//! What time brings: renewals, repeats, and the lapse of the hold.
+//! Periodic work: renewals, retries, checkpoints, and stops after the agent lease expired.
 
 use geraniumpost_schema::{Name, TaskState};
 
@@ -8,17 +8,17 @@
 impl VmLedger {
     pub(super) fn on_tick(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         self.list_if_due(now, actions);
-        if self.hold.is_valid(now) {
+        if self.lease.is_valid(now) {
             self.renew(now, actions);
-            self.repeat_starts(now, actions);
+            self.retry_starts(now, actions);
             self.checkpoint(now, actions);
-        } else if self.hold.was_granted() {
-            self.lapse(now, actions);
+        } else if self.lease.was_granted() {
+            self.stop_without_lease(now, actions);
         }
-        self.repeat_stops(now, actions);
+        self.retry_stops(now, actions);
         self.end_expired(now, actions);
         self.repeat_reports(now, actions);
-        self.ask_for_sizes(now, actions);
+        self.request_sizes(now, actions);
         self.forget_epochs(now);
     }
 
@@ -31,7 +31,7 @@
 
     fn renew(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let interval = self.config.worker_lease_ms / 3;
-        for task in self.tasks.values_mut().filter(|task| task.phase.goes_on()) {
+        for task in self.tasks.values_mut().filter(|task| task.phase.should_continue()) {
             if task.phase != Phase::Starting && now.since(task.last_renewal) >= interval {
                 task.last_renewal = now;
                 actions.push(LedgerAction::Renew { job: task.job.clone(), epoch: task.epoch });
@@ -39,15 +39,18 @@
         }
     }
 
-    /// Has running tasks write checkpoints, now and then and shortly before the hold ends.
+    /// Requests checkpoints of running tasks periodically and once in the second half of the agent
+    /// lease.
     ///
-    /// A VM may be lost at any time, and when no planner extends the hold its tasks are stopped. The
-    /// work since the last checkpoint is then done again, which nobody sees but in studies that miss
-    /// their deadline. A planner that comes back in time costs one checkpoint too many.
+    /// A VM may be lost at any time, and tasks are stopped when no planner extends the lease. The
+    /// work since the last checkpoint is then repeated, which may cause a study to miss its
+    /// deadline. If a planner renews the lease after all, only one additional checkpoint was
+    /// written.
     fn checkpoint(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let interval = self.config.checkpoint_ms;
-        // Within a hold that fades, one checkpoint is enough.
-        let least = self.hold.fading(now).map_or(interval, |granted_ms| granted_ms.min(interval));
+        // One checkpoint is sufficient while the lease is near expiry.
+        let least =
+            self.lease.near_expiry(now).map_or(interval, |granted_ms| granted_ms.min(interval));
         for task in self.tasks.values_mut().filter(|task| task.phase == Phase::Running) {
             if now.since(task.last_checkpoint) >= least {
                 task.last_checkpoint = now;
@@ -57,40 +60,40 @@
         }
     }
 
-    /// Repeats a start whose answer was lost; the worker knows a repeat by job and epoch.
-    fn repeat_starts(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
+    /// Repeats a start whose response was lost; the worker recognizes a repeat by job and epoch.
+    fn retry_starts(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         for task in self.tasks.values_mut() {
             let due = now.since(task.last_call) >= self.config.repeat_ms;
             let open = matches!(task.start, StartCall::Open(_))
-                && task.start_may_arrive(now, &self.config);
+                && task.start_may_take_effect(now, &self.config);
             if task.phase == Phase::Starting
                 && due
                 && !open
                 && let Some(order) = task.order.clone()
             {
-                task.repeat_start(now);
+                task.retry_start(now);
                 task.lease_until = now.plus(self.config.worker_lease_ms);
                 actions.push(LedgerAction::Start(order));
             }
         }
     }
 
-    /// Stops everything once the planner's hold has lapsed.
+    /// Stops all tasks after the agent lease expired.
     ///
-    /// The next planner counts on it: it gives the jobs to other workers after that time.
-    fn lapse(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
-        for task in self.tasks.values_mut().filter(|task| task.phase.goes_on()) {
-            self.counters.lapsed += 1;
+    /// The next planner relies on this: it assigns the jobs to other workers after that time.
+    fn stop_without_lease(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
+        for task in self.tasks.values_mut().filter(|task| task.phase.should_continue()) {
+            self.counters.lease_expired += 1;
             if task.begin_stop(TaskState::Lapsed, now, &self.config) {
                 actions.push(LedgerAction::Stop { job: task.job.clone(), epoch: task.epoch });
             }
         }
     }
 
-    fn repeat_stops(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn retry_stops(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         for task in self.tasks.values_mut() {
             let due = now.since(task.last_call) >= self.config.repeat_ms;
-            let may_stop = !task.start_may_arrive(now, &self.config);
+            let may_stop = !task.start_may_take_effect(now, &self.config);
             if matches!(task.phase, Phase::Stopping(_)) && may_stop && (due || !task.stop_sent) {
                 task.last_call = now;
                 task.stop_sent = true;
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Ends stopping runs whose lease the worker has surely ended by now, in case it never answers.
+    /// Ends runs that are being stopped once the worker's lease must have expired, in case the
+    /// worker never responds.
     fn end_expired(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let margin = self.config.worker_lease_ms;
         let expired: Vec<Name> = self
@@ -107,7 +111,7 @@
             .values()
             .filter(|task| matches!(task.phase, Phase::Stopping(_)))
             .filter(|task| now >= task.lease_until.plus(margin))
-            .filter(|task| !task.start_may_arrive(now, &self.config))
+            .filter(|task| !task.start_may_take_effect(now, &self.config))
             .map(|task| task.job.clone())
             .collect();
         for job in expired {
@@ -127,11 +131,12 @@
         }
     }
 
-    /// Sends the inventory again while sizes are missing; the planner answers it with its orders.
-    fn ask_for_sizes(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
-        let due = now.since(self.last_unsized) >= self.config.repeat_ms;
-        if due && self.is_complete() && self.has_unsized() {
-            self.last_unsized = now;
+    /// Sends the inventory again while sizes of tasks are unknown; the planner responds with its
+    /// orders.
+    fn request_sizes(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
+        let due = now.since(self.last_size_request) >= self.config.repeat_ms;
+        if due && self.is_complete() && self.has_task_without_size() {
+            self.last_size_request = now;
             actions.push(self.inventory());
         }
     }
@@ -139,6 +144,7 @@
     fn forget_epochs(&mut self, now: Millis) {
         let keep = self.config.epoch_retention_ms;
         let tasks = &self.tasks;
-        self.epochs.retain(|job, (_, since)| tasks.contains_key(job) || now.since(*since) < keep);
+        self.known_epochs
+            .retain(|job, (_, since)| tasks.contains_key(job) || now.since(*since) < keep);
     }
 }
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -2,17 +2,19 @@
 
 use geraniumpost_schema::{Inventory, Name, Resources, TaskReport, TaskState};
 
-use super::{Adoption, Hold, LedgerAction, LedgerConfig, LedgerCounters, LedgerEvent, Phase, Task};
+use super::{
+    Adoption, AgentLease, LedgerAction, LedgerConfig, LedgerCounters, LedgerEvent, Phase, Task,
+};
 use crate::{
     Millis,
     placement::amounts::{self, fits, minus, plus},
 };
 
-/// The agent's account of its VM: what runs on it and what still fits.
+/// Tracks which tasks run on an agent's VM and which resources are free.
 ///
-/// It is the one authority on that. Planners propose; a start is reserved here before the worker
-/// hears of it, and refused if it doesn't fit, so that no race of planners, entries or restarts
-/// gives the VM more than it holds.
+/// The ledger is the only authority on these. Planners propose: a start is allocated here before
+/// the worker is called, and refused if it does not fit. No race between planners, entries or
+/// restarts can therefore overcommit the VM.
 ///
 /// # Example
 ///
@@ -31,19 +33,19 @@
     pub(super) reserve: Resources,
     pub(super) config: LedgerConfig,
     pub(super) term: u64,
-    pub(super) hold: Hold,
+    pub(super) lease: AgentLease,
     pub(super) adoption: Adoption,
-    pub(super) inventory_owed: bool,
+    pub(super) inventory_requested: bool,
     pub(super) draining: bool,
     pub(super) last_list: Option<Millis>,
-    pub(super) last_unsized: Millis,
+    pub(super) last_size_request: Millis,
     pub(super) tasks: BTreeMap<Name, Task>,
-    pub(super) epochs: BTreeMap<Name, (u64, Millis)>,
+    pub(super) known_epochs: BTreeMap<Name, (u64, Millis)>,
     pub(super) counters: LedgerCounters,
 }
 
 impl VmLedger {
-    /// Creates the ledger of an agent process that just started.
+    /// Creates the ledger of an agent process that has just started.
     pub fn new(incarnation: u64, capacity: Resources, config: LedgerConfig) -> Self {
         Self {
             incarnation,
@@ -51,23 +53,23 @@
             reserve: Resources::default(),
             config,
             term: 0,
-            hold: Hold::default(),
-            adoption: Adoption::Blank,
-            inventory_owed: false,
+            lease: AgentLease::default(),
+            adoption: Adoption::NotStarted,
+            inventory_requested: false,
             draining: false,
             last_list: None,
-            last_unsized: Millis(0),
+            last_size_request: Millis(0),
             tasks: BTreeMap::new(),
-            epochs: BTreeMap::new(),
+            known_epochs: BTreeMap::new(),
             counters: LedgerCounters::default(),
         }
     }
 
-    /// Takes one event in and returns what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn handle(&mut self, event: LedgerEvent, now: Millis) -> Vec<LedgerAction> {
         let mut actions = Vec::new();
         match event {
-            LedgerEvent::HeartbeatSent(sequence) => self.hold.sent(sequence, now),
+            LedgerEvent::HeartbeatSent(sequence) => self.lease.record_sent(sequence, now),
             LedgerEvent::Ack(ack) => self.on_ack(&ack),
             LedgerEvent::Start(start) => self.on_start(start, now, &mut actions),
             LedgerEvent::Evict(task) => self.on_evict(&task, now, &mut actions),
@@ -78,47 +80,47 @@
             LedgerEvent::Drain => self.draining = true,
             LedgerEvent::Reserve(reserve) => self.reserve = reserve,
             LedgerEvent::Tick => self.on_tick(now, &mut actions),
-            answer => self.on_worker(answer, now, &mut actions),
+            response => self.on_worker_response(response, now, &mut actions),
         }
         actions
     }
 
-    /// Returns whether a call that starts or renews a task may be made now.
+    /// Returns whether tasks may be started and renewed at `now`.
     pub fn may_run(&self, now: Millis) -> bool {
-        self.hold.is_valid(now)
+        self.lease.is_valid(now)
     }
 
-    /// Returns the highest planner term seen.
+    /// Returns the highest planner term received.
     pub const fn term(&self) -> u64 {
         self.term
     }
 
-    /// Returns what the VM offers to batch work in all.
+    /// Returns the resources of the VM that are available to batch tasks in total.
     pub const fn allocatable(&self) -> Resources {
         minus(&self.capacity, &self.reserve)
     }
 
-    /// Returns what live tasks hold.
+    /// Returns the resources that are allocated to live tasks.
     pub fn reserved(&self) -> Resources {
-        self.tasks.values().fold(amounts::NONE, |sum, task| plus(&sum, &task.size()))
+        self.tasks.values().fold(amounts::NONE, |sum, task| plus(&sum, &task.reserved_size()))
     }
 
-    /// Returns how many tasks may be using the VM.
+    /// Returns the number of tasks that may still use resources of the VM.
     pub fn live_tasks(&self) -> usize {
         self.tasks.values().filter(|task| task.phase.is_live()).count()
     }
 
-    /// Returns whether the ledger knows all that its worker runs.
+    /// Returns whether the adoption of the worker's tasks is complete.
     pub fn is_complete(&self) -> bool {
         self.adoption == Adoption::Complete
     }
 
-    /// Returns what was refused or noticed so far.
+    /// Returns the counters since the process started.
     pub const fn counters(&self) -> LedgerCounters {
         self.counters
     }
 
-    /// Returns the state of every run known.
+    /// Returns a report of every known run.
     pub fn reports(&self) -> Vec<TaskReport> {
         self.tasks.values().map(Task::report).collect()
     }
@@ -131,25 +133,25 @@
         })
     }
 
-    /// Returns whether a live task's declared size is not known, as after an adoption.
+    /// Returns whether the declared size of a live task is unknown, as after an adoption.
     ///
-    /// The worker's list has only lagged usage, which may be far below what the task was promised; a
-    /// start that fits beside the usage could overfill the VM a moment later.
-    pub(super) fn has_unsized(&self) -> bool {
+    /// The worker's list contains only delayed usage, which may be far below the declared size. A
+    /// start that fits beside that usage could overcommit the VM shortly afterwards.
+    pub(super) fn has_task_without_size(&self) -> bool {
         self.tasks.values().any(|task| task.phase.is_live() && task.need.is_none())
     }
 
-    /// Returns when the hold ends, for a check just before a call to the worker.
+    /// Returns when the agent lease expires, for a check immediately before a call to the worker.
     pub const fn lease_until(&self) -> Millis {
-        self.hold.until()
+        self.lease.until()
     }
 
-    pub(super) fn has_room(&self, need: Resources) -> bool {
+    pub(super) fn has_capacity(&self, need: Resources) -> bool {
         fits(&need, &minus(&self.allocatable(), &self.reserved()))
     }
 
-    /// Adopts a higher term and returns whether orders under `term` are obeyed.
-    pub(super) fn obeys(&mut self, term: u64) -> bool {
+    /// Records a higher term and returns whether orders under `term` are accepted.
+    pub(super) fn accepts_term(&mut self, term: u64) -> bool {
         if term < self.term {
             self.counters.stale_terms += 1;
             return false;
@@ -158,12 +160,12 @@
         true
     }
 
-    pub(super) fn remember(&mut self, job: &Name, epoch: u64, now: Millis) {
-        let known = self.epochs.entry(job.clone()).or_insert((epoch, now));
+    pub(super) fn record_epoch(&mut self, job: &Name, epoch: u64, now: Millis) {
+        let known = self.known_epochs.entry(job.clone()).or_insert((epoch, now));
         *known = (known.0.max(epoch), now);
     }
 
-    /// Ends a task and reports it.
+    /// Moves a task to its final state and reports it.
     pub(super) fn end(
         &mut self,
         job: &Name,
@@ -172,7 +174,7 @@
         actions: &mut Vec<LedgerAction>,
     ) {
         let Some(task) = self.tasks.get_mut(job) else { return };
-        task.enter(Phase::Ended(state), now);
+        task.enter_phase(Phase::Ended(state), now);
         task.last_report = now;
         actions.push(LedgerAction::Report(task.report()));
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
@@ -1,21 +1,21 @@
-//! What the worker answers to calls about one task.
+//! Responses of the worker to calls about one task.
 
 use geraniumpost_schema::{Name, TaskState};
 
 use super::{LedgerAction, LedgerEvent, Phase, StartCall, Task, VmLedger};
 use crate::Millis;
 
-/// Tries at a checkpoint before an eviction falls back on the latest one written.
-const CHECKPOINT_TRIES: u32 = 3;
+/// Attempts at a checkpoint before an eviction uses the latest one written.
+const MAX_CHECKPOINT_ATTEMPTS: u32 = 3;
 
 impl VmLedger {
-    pub(super) fn on_worker(
+    pub(super) fn on_worker_response(
         &mut self,
-        answer: LedgerEvent,
+        response: LedgerEvent,
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        match answer {
+        match response {
             LedgerEvent::Listed { asked, tasks } => self.on_listed(asked, tasks, now, actions),
             LedgerEvent::Started { job, epoch } => self.on_started(&job, epoch, now, actions),
             LedgerEvent::StartRefused { job, epoch, reason } => {
@@ -45,13 +45,14 @@
         let Some(task) = self.run(job, epoch) else { return };
         task.lease_until = task.lease_until.max(now.plus(config.worker_lease_ms));
         let first = task.start != StartCall::Settled;
-        task.start_is_settled();
+        task.settle_start();
         match task.phase {
             Phase::Starting => {
-                task.enter(Phase::Running, now);
+                task.enter_phase(Phase::Running, now);
                 actions.push(LedgerAction::Report(task.report()));
             }
-            // The stop was held back until now. A list asked for earlier doesn't count any more.
+            // The stop was delayed until the start was settled. A list requested earlier is no
+            // longer conclusive.
             Phase::Stopping(state) if first => {
                 task.begin_stop(state, now, &config);
                 actions.push(LedgerAction::Stop { job: job.clone(), epoch });
@@ -81,10 +82,11 @@
         let config = self.config;
         let Some(task) = self.run(job, epoch) else { return };
         task.start = StartCall::Settled;
-        let may_begin = task.start_may_arrive(now, &config);
+        let may_begin = task.start_may_take_effect(now, &config);
         match task.phase {
-            // The earlier call may still be taken. The run ends once a stop could follow it; were it told
-            // as refused now, the planner would begin the job elsewhere beside it.
+            // The earlier call may still take effect. If the run were reported as refused now, the
+            // planner could start the job elsewhere while this run starts as well. The run ends
+            // once the call can no longer overtake a stop.
             Phase::Starting if may_begin => {
                 task.result = reason;
                 task.begin_stop(TaskState::Refused, now, &config);
@@ -128,7 +130,7 @@
             return;
         }
         task.failed_checkpoints += 1;
-        if task.failed_checkpoints < CHECKPOINT_TRIES {
+        if task.failed_checkpoints < MAX_CHECKPOINT_ATTEMPTS {
             task.last_call = now;
             actions.push(LedgerAction::Checkpoint { job: job.clone(), epoch });
         } else {
@@ -140,7 +142,7 @@
         let config = self.config;
         let Some(task) = self.run(job, epoch) else { return };
         if let Phase::Stopping(state) = task.phase
-            && !task.start_may_arrive(now, &config)
+            && !task.start_may_take_effect(now, &config)
         {
             self.end(job, state, now, actions);
         }
@@ -155,6 +157,6 @@
 }
 
 fn stop_for_eviction(task: &mut Task, now: Millis, actions: &mut Vec<LedgerAction>) {
-    task.enter(Phase::Stopping(TaskState::Evicted), now);
+    task.enter_phase(Phase::Stopping(TaskState::Evicted), now);
     actions.push(LedgerAction::Stop { job: task.job.clone(), epoch: task.epoch });
 }
--- a/crates/geraniumpost-core/src/jobs/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/mod.rs
@@ -1,10 +1,11 @@
-//! Decisions on jobs: their life, their record in the store, who plans, and what a VM runs.
+//! Job lifecycle: records in the store, planner election, planning, and the tasks of a VM.
 //!
-//! * [`JobRecord`] is the life of one job as a state machine with named transitions.
-//! * [`Bucket`] is the store value that carries many records in one group commit.
-//! * [`PlannerLease`] decides who plans for a region.
+//! * [`JobRecord`] is the state machine of one job.
+//! * [`Bucket`] is the store value that holds many records, so that one write commits them
+//!   together.
+//! * [`PlannerLease`] elects the planner of a region.
 //! * [`Planner`] turns submissions, reports and placement decisions into commits and orders.
-//! * [`VmLedger`] is the agent's account of its VM.
+//! * [`VmLedger`] tracks the tasks and the allocated resources of an agent's VM.
 //!
 //! See `docs/design/0201-job-records.md` and `docs/design/0202-planner-and-holds.md`.
 
--- a/crates/geraniumpost-core/src/jobs/planner/agent_view.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agent_view.rs
@@ -1,32 +1,33 @@
 use crate::{Millis, placement::WorkerState};
 
-/// What the planner knows of an agent.
+/// State of an agent as known to the planner.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AgentView {
-    /// Incarnation at the other end of the link, if there is a link.
+    /// Incarnation of the linked agent process, `None` without a link.
     pub(super) link: Option<u64>,
-    /// Whether that incarnation has listed its runs under this planner's term.
-    pub(super) inventoried: bool,
-    pub(super) asked: Millis,
+    /// Whether that incarnation has sent its inventory under this planner's term.
+    pub(super) inventory_received: bool,
+    pub(super) inventory_requested_at: Millis,
     pub(super) draining: bool,
     pub(super) quarantined: bool,
-    /// When the last hold granted to it ends.
-    pub(super) hold_until: Millis,
-    /// State last shown to placement.
-    pub(super) shown: WorkerState,
+    /// End of the last lease granted to the agent.
+    pub(super) lease_until: Millis,
+    /// State last passed to placement.
+    pub(super) placement_state: WorkerState,
 }
 
 impl AgentView {
-    /// Returns the incarnation that orders may be sent to.
-    pub(super) const fn ready(&self) -> Option<u64> {
-        if self.inventoried { self.link } else { None }
+    /// Returns the incarnation that orders may be sent to, `None` before its inventory was
+    /// received.
+    pub(super) const fn ready_incarnation(&self) -> Option<u64> {
+        if self.inventory_received { self.link } else { None }
     }
 
-    /// Returns how placement is to see the worker.
+    /// Returns the state of the worker for placement.
     pub(super) fn worker_state(&self, now: Millis) -> WorkerState {
         if self.draining {
             WorkerState::Draining
-        } else if self.ready().is_none() || now >= self.hold_until {
+        } else if self.ready_incarnation().is_none() || now >= self.lease_until {
             WorkerState::Lost
         } else if self.quarantined {
             WorkerState::Quarantined
--- a/crates/geraniumpost-core/src/jobs/planner/agents.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agents.rs
@@ -1,8 +1,8 @@
-//! What agents announce, and the holds they are granted.
+//! Heartbeats, links and leases of agents.
 
 use geraniumpost_schema::{AgentState, Heartbeat, Name, ToAgent};
 
-use super::{Planner, PlannerAction, Wanted};
+use super::{Planner, PlannerAction, RunGoal};
 use crate::{
     Millis,
     jobs::{LeaseRole, Now, Transition},
@@ -10,38 +10,40 @@
 };
 
 impl Planner {
-    /// Takes in a heartbeat and returns the term and hold to answer with, both 0 for no hold.
+    /// Handles a heartbeat and returns the term and the lease duration in milliseconds to answer
+    /// with, both 0 if no lease is granted.
     ///
-    /// `hold_ms` is at least what the answer grants, see
-    /// [`PlannerLease::longest_agent_lease_ms`](crate::jobs::PlannerLease::longest_agent_lease_ms). The hold is counted here from the answer and at the agent from the heartbeat, which is earlier,
-    /// so that the agent always stops first.
+    /// `hold_ms` must be at least the duration granted by the answer, see
+    /// [`PlannerLease::longest_agent_lease_ms`](crate::jobs::PlannerLease::longest_agent_lease_ms).
+    /// The planner counts the lease from its answer and the agent from its heartbeat, which is
+    /// earlier, so the agent always stops first.
     pub fn heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         hold_ms: u64,
-        standing: LeaseRole,
+        role: LeaseRole,
         now: Millis,
     ) -> (u64, u64) {
-        if self.stepped_down || !standing.may_grant_leases() || !heartbeat.has_worker {
+        if self.stepped_down || !role.may_grant_leases() || !heartbeat.has_worker {
             return (0, 0);
         }
-        self.describe(heartbeat, now);
+        self.update_worker(heartbeat, now);
         let Some(view) = self.agents.get_mut(&heartbeat.agent) else { return (0, 0) };
-        view.hold_until = view.hold_until.max(now.plus(hold_ms));
+        view.lease_until = view.lease_until.max(now.plus(hold_ms));
         (self.term, hold_ms)
     }
 
-    /// Shows placement what the agent says of its VM.
-    fn describe(&mut self, heartbeat: &Heartbeat, now: Millis) {
+    /// Passes the agent's description of its VM to placement.
+    fn update_worker(&mut self, heartbeat: &Heartbeat, now: Millis) {
         let agent = &heartbeat.agent;
         let new = !self.agents.contains_key(agent);
         let view = self.agents.entry(agent.clone()).or_default();
         if new {
-            view.shown = WorkerState::Lost;
+            view.placement_state = WorkerState::Lost;
         }
-        let drains = heartbeat.state == AgentState::Draining;
-        let leaves = drains && !view.draining;
-        let shown = view.shown;
+        let draining = heartbeat.state == AgentState::Draining;
+        let starts_draining = draining && !view.draining;
+        let state = view.placement_state;
         let reserve = self.reserves.get(&heartbeat.service).copied().unwrap_or_default();
         let mut worker = WorkerView::new(
             agent.clone(),
@@ -50,7 +52,7 @@
             heartbeat.capacity,
         )
         .reserve(reserve)
-        .state(shown);
+        .state(state);
         if !heartbeat.service.is_empty() {
             worker = worker.service(heartbeat.service.clone());
         }
@@ -60,8 +62,8 @@
         }
         let busy = heartbeat.load.in_flight.saturating_mul(1000) / heartbeat.slots.max(1);
         self.fleet.set_load(agent, busy, heartbeat.load.p99_us);
-        if leaves {
-            self.on_leaving(agent, Now { clock: now, ..Now::default() });
+        if starts_draining {
+            self.on_draining(agent, Now { clock: now, ..Now::default() });
         }
     }
 
@@ -69,7 +71,7 @@
         &mut self,
         agent: &Name,
         incarnation: u64,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let view = self.agents.entry(agent.clone()).or_default();
@@ -77,8 +79,8 @@
             view.draining = false;
         }
         view.link = Some(incarnation);
-        view.inventoried = false;
-        view.asked = moment.clock;
+        view.inventory_received = false;
+        view.inventory_requested_at = now.clock;
         self.send_supersede(agent, actions);
     }
 
@@ -86,48 +88,48 @@
         let Some(view) = self.agents.get_mut(agent) else { return };
         if view.link == Some(incarnation) {
             view.link = None;
-            view.inventoried = false;
+            view.inventory_received = false;
         }
     }
 
-    /// Moves what can be moved off a VM that leaves.
-    pub(super) fn on_leaving(&mut self, agent: &Name, _moment: Now) {
+    /// Marks the agent as draining and evicts the evictable runs from its VM.
+    pub(super) fn on_draining(&mut self, agent: &Name, _now: Now) {
         let Some(view) = self.agents.get_mut(agent) else { return };
         view.draining = true;
-        let moving: Vec<Name> = self
+        let evicted: Vec<Name> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.agent == *agent && run.wanted == Wanted::Run)
+            .filter(|(_, run)| run.agent == *agent && run.goal == RunGoal::Run)
             .map(|(job, _)| job.clone())
             .collect();
-        for job in moving {
-            self.want_evicted(&job);
+        for job in evicted {
+            self.request_eviction(&job);
         }
     }
 
-    /// Asks for the eviction of a run, if its class allows that.
-    pub(super) fn want_evicted(&mut self, job: &Name) -> bool {
+    /// Requests the eviction of a run if its class is evictable, and returns whether it did.
+    pub(super) fn request_eviction(&mut self, job: &Name) -> bool {
         let class = self.record(job).map(|record| record.spec().class.clone());
         let evictable =
             class.and_then(|class| self.classes.get(&class)).is_none_or(|class| class.evictable);
         let Some(run) = self.runs.get_mut(job) else { return false };
-        if !evictable || run.wanted != Wanted::Run {
+        if !evictable || run.goal != RunGoal::Run {
             return false;
         }
-        run.wanted = Wanted::Evict;
-        run.last_order = None;
-        self.restless.insert(job.clone());
+        run.goal = RunGoal::Evict;
+        run.last_order_at = None;
+        self.unsettled_runs.insert(job.clone());
         true
     }
 
-    /// Asks again for an inventory whose request or answer was lost.
-    pub(super) fn ask_inventories(&mut self, now: Millis, actions: &mut Vec<PlannerAction>) {
+    /// Requests again the inventories whose request or response was lost.
+    pub(super) fn request_inventories(&mut self, now: Millis, actions: &mut Vec<PlannerAction>) {
         let resend_ms = self.config.resend_ms;
         let mut due = Vec::new();
         for (agent, view) in &mut self.agents {
-            let waits = view.link.is_some() && !view.inventoried;
-            if waits && now.since(view.asked) >= resend_ms {
-                view.asked = now;
+            let missing = view.link.is_some() && !view.inventory_received;
+            if missing && now.since(view.inventory_requested_at) >= resend_ms {
+                view.inventory_requested_at = now;
                 due.push(agent.clone());
             }
         }
@@ -141,53 +143,55 @@
         actions.push(PlannerAction::Send { agent: agent.clone(), frame });
     }
 
-    /// Lets placement see which workers may be given work.
-    pub(super) fn show_workers(&mut self, now: Millis) {
+    /// Passes the states of all workers to placement.
+    pub(super) fn update_worker_states(&mut self, now: Millis) {
         for (agent, view) in &mut self.agents {
             let state = view.worker_state(now);
-            if state != view.shown && self.fleet.set_state(agent, state) {
-                view.shown = state;
+            if state != view.placement_state && self.fleet.set_state(agent, state) {
+                view.placement_state = state;
             }
         }
     }
 
-    /// Returns when every run on an agent has surely ended, whatever became of the agent.
+    /// Returns the instant by which every run on an agent must have ended, whatever happened to the
+    /// agent.
     ///
-    /// The agent stops renewing when its last hold ends, by then at the latest; a renewal already
-    /// under way may extend a worker's lease once more, and that lease then has to run out. The
-    /// clocks of the VMs may also run at slightly different speeds.
-    fn surely_lapsed_at(&self, agent: &Name, now: Millis) -> Millis {
-        let granted = self.agents.get(agent).map_or(Millis(0), |view| view.hold_until);
-        let held = granted.max(self.predecessors.hold_until());
+    /// The agent stops renewing at the latest when its last lease expires. A renewal that is
+    /// already under way may extend a worker's lease once more, and that lease then has to expire.
+    /// In addition, the clocks of the VMs may run at slightly different speeds.
+    fn runs_ended_by(&self, agent: &Name, now: Millis) -> Millis {
+        let granted = self.agents.get(agent).map_or(Millis(0), |view| view.lease_until);
+        let leases_until = granted.max(self.predecessors.leases_until());
         let lease = 2 * self.config.worker_lease_ms;
-        let drift = held.since(now) / 100 + lease / 100 + self.config.drift_margin_ms;
-        held.plus(lease + drift)
+        let drift = leases_until.since(now) / 100 + lease / 100 + self.config.drift_margin_ms;
+        leases_until.plus(lease + drift)
     }
 
-    /// Gives back the jobs of agents whose runs have surely ended.
-    pub(super) fn lose_lapsed(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
-        let now = moment.clock;
-        let mut lapsed = Vec::new();
-        let mut gone = Vec::new();
+    /// Requeues the jobs of agents whose runs must have ended, and removes agents that have been
+    /// unreachable for long after that.
+    pub(super) fn lose_expired_runs(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
+        let clock = now.clock;
+        let mut expired = Vec::new();
+        let mut departed = Vec::new();
         for (agent, view) in &self.agents {
-            let at = self.surely_lapsed_at(agent, now);
-            if now >= at {
-                lapsed.push(agent.clone());
+            let at = self.runs_ended_by(agent, clock);
+            if clock >= at {
+                expired.push(agent.clone());
             }
-            if view.link.is_none() && now >= at.plus(self.config.forget_agent_ms) {
-                gone.push(agent.clone());
+            if view.link.is_none() && clock >= at.plus(self.config.agent_retention_ms) {
+                departed.push(agent.clone());
             }
         }
-        if !lapsed.is_empty() {
-            self.lose_runs_of(&lapsed, moment, actions);
+        if !expired.is_empty() {
+            self.lose_runs_of(&expired, now, actions);
         }
-        for agent in gone {
+        for agent in departed {
             self.agents.remove(&agent);
             self.fleet.remove_worker(&agent);
         }
     }
 
-    fn lose_runs_of(&mut self, agents: &[Name], moment: Now, actions: &mut Vec<PlannerAction>) {
+    fn lose_runs_of(&mut self, agents: &[Name], now: Now, actions: &mut Vec<PlannerAction>) {
         let lost: Vec<Name> = self
             .runs
             .iter()
@@ -195,20 +199,20 @@
             .map(|(job, _)| job.clone())
             .collect();
         for job in lost {
-            self.lose(&job, &Name::default(), moment, actions);
+            self.lose_run(&job, &Name::default(), now, actions);
         }
     }
 
-    pub(super) fn lose(
+    pub(super) fn lose_run(
         &mut self,
         job: &Name,
         checkpoint: &Name,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        self.observe_end(job, crate::placement::RunOutcome::Lost, moment, actions);
+        self.observe_end(job, crate::placement::RunOutcome::Lost, now, actions);
         let step = Transition::Lost { checkpoint: checkpoint.clone() };
-        if self.change(job, step, moment).is_ok() {
+        if self.apply_transition(job, step, now).is_ok() {
             self.counters.lost_runs += 1;
         }
     }
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -2,42 +2,42 @@
 
 use geraniumpost_schema::{Name, TaskRef, ToAgent};
 
-use super::{Effect, Planner, PlannerAction, Stage, Wanted};
+use super::{Effect, Planner, PlannerAction, RunGoal, Stage};
 use crate::{
     Millis,
     jobs::{Bucket, JobRecord, Now},
 };
 
 impl Planner {
-    pub(super) fn read_unknown(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
+    pub(super) fn read_unknown_buckets(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
         let retry_ms = self.config.store_retry_ms;
         for (bucket, slot) in self.slots.iter_mut().enumerate() {
-            let paced = slot.last_call.0 == 0 || moment.clock.since(slot.last_call) >= retry_ms;
+            let paced = slot.last_call.0 == 0 || now.clock.since(slot.last_call) >= retry_ms;
             if slot.stage == Stage::Unknown && paced {
                 slot.stage = Stage::Reading;
-                slot.last_call = moment.clock;
+                slot.last_call = now.clock;
                 self.counters.reads += 1;
                 actions.push(PlannerAction::Read { bucket });
             }
         }
     }
 
-    /// Sends every commit that is due.
-    pub(super) fn flush(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
-        if !self.standing.may_assign() || self.stepped_down {
+    /// Sends all commits that are due.
+    pub(super) fn send_commits(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
+        if !self.role.may_assign() || self.stepped_down {
             return;
         }
-        let (commit_ms, lazy_ms) = (self.config.commit_ms, self.config.lazy_commit_ms);
+        let (commit_ms, checkpoint_ms) = (self.config.commit_ms, self.config.checkpoint_commit_ms);
         for (bucket, slot) in self.slots.iter_mut().enumerate() {
-            if !slot.is_due(moment.clock, commit_ms, lazy_ms) {
+            if !slot.is_due(now.clock, commit_ms, checkpoint_ms) {
                 continue;
             }
             slot.stage = Stage::Writing;
             slot.sequence += 1;
             slot.dirty = false;
-            slot.lazy_since = None;
-            slot.last_call = moment.clock;
-            slot.flying.append(&mut slot.waiting);
+            slot.checkpoint_since = None;
+            slot.last_call = now.clock;
+            slot.committing.append(&mut slot.queued);
             let value = slot.bucket.encode(self.term, slot.sequence);
             self.counters.commits += 1;
             actions.push(PlannerAction::Commit { bucket, expected: slot.revision, value });
@@ -48,7 +48,7 @@
         &mut self,
         bucket: usize,
         revision: u64,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
@@ -58,19 +58,19 @@
         slot.stage = Stage::Ready;
         slot.revision = Some(revision);
         slot.fenced = true;
-        for effect in std::mem::take(&mut slot.flying) {
-            self.release(effect, moment.clock, actions);
+        for effect in std::mem::take(&mut slot.committing) {
+            self.apply_effect(effect, now.clock, actions);
         }
     }
 
-    /// Reads a bucket back after a commit of which it is not known whether it took effect.
+    /// Reads a bucket back after a commit whose outcome is unknown.
     ///
-    /// A conflict is no clearer than a lost reply: an earlier commit of this planner, thought lost,
-    /// may have arrived in between.
+    /// A conflict is as inconclusive as a lost response: an earlier commit of this planner that was
+    /// considered lost may have taken effect in between.
     pub(super) fn on_commit_unclear(
         &mut self,
         bucket: usize,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
@@ -78,17 +78,17 @@
             return;
         }
         slot.stage = Stage::Reading;
-        slot.last_call = moment.clock;
+        slot.last_call = now.clock;
         self.counters.commits_unclear += 1;
         self.counters.reads += 1;
         actions.push(PlannerAction::Read { bucket });
     }
 
-    pub(super) fn on_read_failed(&mut self, bucket: usize, moment: Now) {
+    pub(super) fn on_read_failed(&mut self, bucket: usize, now: Now) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
         if slot.stage == Stage::Reading {
             slot.stage = Stage::Unknown;
-            slot.last_call = moment.clock;
+            slot.last_call = now.clock;
         }
     }
 
@@ -96,39 +96,39 @@
         &mut self,
         bucket: usize,
         found: Option<(u64, Vec<u8>)>,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         if self.slots.get(bucket).is_none_or(|slot| slot.stage != Stage::Reading) {
             return;
         }
         let (revision, read) = match found.map(|(at, value)| (at, Bucket::decode(&value))) {
-            Some((_, Err(_))) => return self.step_down("a bucket can't be read", actions),
+            Some((_, Err(_))) => return self.step_down("a job bucket cannot be decoded", actions),
             Some((revision, Ok(read))) => (Some(revision), read),
             None => (None, Bucket::default()),
         };
         let slot = &self.slots[bucket];
         if read.term() > self.term {
-            self.step_down("a later planner wrote a bucket", actions);
+            self.step_down("a planner with a later term wrote a bucket", actions);
         } else if read.term() == self.term && read.sequence() == slot.sequence {
             let revision = revision.unwrap_or_default();
-            self.on_commit_done(bucket, revision, moment, actions);
+            self.on_commit_done(bucket, revision, now, actions);
         } else if read.term() == self.term && read.sequence() > slot.sequence {
             self.step_down("another planner wrote under the same term", actions);
         } else if slot.fenced && read.term() < self.term {
             self.step_down("a bucket was rolled back", actions);
         } else {
-            self.take_in(bucket, revision, read, moment);
+            self.load_bucket(bucket, revision, read, now);
         }
     }
 
-    /// Takes over a value that the open commit has not replaced.
-    fn take_in(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, moment: Now) {
+    /// Loads a stored value that the open commit has not replaced.
+    fn load_bucket(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, now: Now) {
         let own = read.term() == self.term;
         let slot = &mut self.slots[bucket];
         slot.stage = Stage::Ready;
         slot.revision = revision;
-        slot.take_back();
+        slot.requeue_effects();
         if own || slot.fenced {
             return;
         }
@@ -136,20 +136,20 @@
         slot.bucket = read;
         let new: Vec<JobRecord> = slot.bucket.records().cloned().collect();
         for record in &old {
-            self.forget(record);
+            self.forget_record(record);
         }
         for record in &new {
-            self.index(record);
+            self.add_to_index(record);
             if record.state().is_placed() {
-                self.inherit(record, moment.clock);
+                self.add_predecessor_run(record, now.clock);
             }
         }
     }
 
-    fn forget(&mut self, record: &JobRecord) {
+    fn forget_record(&mut self, record: &JobRecord) {
         self.pending.remove(record.id());
         if self.runs.remove(record.id()).is_some() {
-            self.restless.remove(record.id());
+            self.unsettled_runs.remove(record.id());
             self.fleet.remove_task(record.id());
         }
         if !record.state().is_final()
@@ -159,13 +159,13 @@
         }
     }
 
-    pub(super) fn step_down(&mut self, why: &'static str, actions: &mut Vec<PlannerAction>) {
+    pub(super) fn step_down(&mut self, reason: &'static str, actions: &mut Vec<PlannerAction>) {
         self.stepped_down = true;
-        actions.push(PlannerAction::StepDown(why));
+        actions.push(PlannerAction::StepDown(reason));
     }
 
-    /// Carries out what had waited for a commit.
-    pub(super) fn release(
+    /// Applies an effect after its commit.
+    pub(super) fn apply_effect(
         &mut self,
         effect: Effect,
         now: Millis,
@@ -175,21 +175,23 @@
             Effect::Reply { reply, answer } => {
                 actions.push(PlannerAction::Reply { reply, answer });
             }
-            Effect::Assigned { job, epoch } => {
+            Effect::SendStart { job, epoch } => {
                 if let Some(run) = self.runs.get_mut(&job).filter(|run| run.epoch == epoch) {
                     run.committed = true;
-                    self.drive(&job, now, actions);
+                    self.send_order(&job, now, actions);
                 }
             }
-            Effect::CancelWanted { job } => {
+            Effect::SendStop { job } => {
                 if let Some(run) = self.runs.get_mut(&job) {
-                    run.wanted = Wanted::Stop;
-                    run.last_order = None;
-                    self.restless.insert(job.clone());
-                    self.drive(&job, now, actions);
+                    run.goal = RunGoal::Stop;
+                    run.last_order_at = None;
+                    self.unsettled_runs.insert(job.clone());
+                    self.send_order(&job, now, actions);
                 }
             }
-            Effect::Settled { agent, job, epoch } => self.send_settled(agent, job, epoch, actions),
+            Effect::SendSettled { agent, job, epoch } => {
+                self.send_settled(agent, job, epoch, actions);
+            }
         }
     }
 
@@ -198,9 +200,10 @@
         actions.push(PlannerAction::Send { agent, frame: ToAgent::Settled(order) });
     }
 
-    /// Replaces records of jobs that finished long ago by tombstones, with the next commit.
-    pub(super) fn bury_finished(&mut self, moment: Now) {
-        let before = moment.wall_ms.saturating_sub(self.config.finished_retention_ms);
+    /// Replaces records whose retention period has passed by tombstones, as part of the next
+    /// commit.
+    pub(super) fn drop_finished(&mut self, now: Now) {
+        let before = now.wall_ms.saturating_sub(self.config.finished_retention_ms);
         for slot in &mut self.slots {
             if slot.dirty {
                 slot.bucket.drop_finished_before(before);
--- a/crates/geraniumpost-core/src/jobs/planner/effect.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/effect.rs
@@ -2,15 +2,15 @@
 
 use super::JobResponse;
 
-/// What may only happen once a bucket's change is in the store.
+/// An effect that must not happen before a bucket's change is in the store.
 #[derive(Debug, Clone)]
 pub(super) enum Effect {
-    /// Answers a submitter or canceller.
+    /// Responds to a submission or cancellation.
     Reply { reply: u64, answer: JobResponse },
-    /// Lets the order to start go out.
-    Assigned { job: Name, epoch: u64 },
-    /// Lets the order to stop go out.
-    CancelWanted { job: Name },
-    /// Lets the agent forget a final report.
-    Settled { agent: Name, job: Name, epoch: u64 },
+    /// Sends the order to start a run.
+    SendStart { job: Name, epoch: u64 },
+    /// Sends the order to stop a run.
+    SendStop { job: Name },
+    /// Tells the agent that a final report is recorded and the task may be deleted.
+    SendSettled { agent: Name, job: Name, epoch: u64 },
 }
--- a/crates/geraniumpost-core/src/jobs/planner/job_view.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/job_view.rs
@@ -1,14 +1,14 @@
 use crate::jobs::JobRecord;
 
-/// A job as an operator sees it.
+/// State of a job as shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobView {
-    /// The record.
+    /// Record of the job.
     pub record: JobRecord,
-    /// Whether the store has the record as it is.
+    /// Whether the store contains the record in this form.
     pub committed: bool,
-    /// Whether an agent has said that the current run is under way.
+    /// Whether the agent has reported the current run as starting or running.
     pub running: bool,
-    /// Whether the current run is being evicted.
+    /// Whether the planner has requested the eviction of the current run.
     pub evicting: bool,
 }
--- a/crates/geraniumpost-core/src/jobs/planner/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/mod.rs
@@ -1,7 +1,8 @@
-//! The planner of a region; see `docs/design/0202-planner-and-holds.md`.
+//! The planner of a region, see `docs/design/0202-planner-and-holds.md`.
 
 mod agent_view;
 mod agents;
+mod bucket_slot;
 mod commits;
 mod effect;
 mod job_response;
@@ -18,11 +19,11 @@
 mod reports;
 mod requests;
 mod run;
+mod run_goal;
 mod runs;
-mod slot;
-mod wanted;
 
 use agent_view::AgentView;
+use bucket_slot::{BucketSlot, Stage};
 use effect::Effect;
 pub use job_response::JobResponse;
 pub use job_view::JobView;
@@ -33,5 +34,4 @@
 pub use planner_event::PlannerEvent;
 use predecessors::Predecessors;
 use run::Run;
-use slot::{Slot, Stage};
-use wanted::Wanted;
+use run_goal::RunGoal;
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -1,4 +1,4 @@
-//! Carrying out placement decisions.
+//! Execution of placement decisions.
 
 use geraniumpost_schema::{Name, Priority, Resources, Throttle, ToAgent};
 
@@ -10,70 +10,69 @@
 };
 
 impl Planner {
-    /// Lets `decide` place what waits, and carries its decisions out.
+    /// Has `decide` place the pending jobs and executes its decisions.
     ///
-    /// `decide` is the placement policy; it also logs its decisions. A start is only committed here:
-    /// its order goes out when the commit is known to be in the store.
+    /// `decide` is the placement policy, which also logs its decisions. A start is only committed
+    /// here; its order is sent once the commit is known to be in the store.
     pub fn place(
         &mut self,
-        standing: LeaseRole,
-        moment: Now,
+        role: LeaseRole,
+        now: Now,
         decide: impl FnOnce(Millis, &[PlacementRequest], &Fleet) -> Vec<Decision>,
     ) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
-        self.standing = standing;
-        if !standing.may_assign() || !self.is_ready() || self.stepped_down {
+        self.role = role;
+        if !role.may_assign() || !self.is_ready() || self.stepped_down {
             return actions;
         }
-        self.show_workers(moment.clock);
-        let wishes = self.wishes(moment);
-        let decisions = decide(moment.clock, &wishes, &self.fleet);
+        self.update_worker_states(now.clock);
+        let requests = self.placement_requests(now);
+        let decisions = decide(now.clock, &requests, &self.fleet);
         let impossible = |job: &Name| {
-            let is =
-                |d: &Decision| matches!(d, Decision::Impossible { job: other, .. } if other == job);
-            decisions.iter().any(is)
+            let is_impossible = |decision: &Decision| matches!(decision, Decision::Impossible { job: other, .. } if other == job);
+            decisions.iter().any(is_impossible)
         };
         self.impossible.retain(|job, _| impossible(job));
         for decision in decisions {
-            self.carry_out(decision, moment, &mut actions);
+            self.apply_decision(decision, now, &mut actions);
         }
-        self.flush(moment, &mut actions);
+        self.send_commits(now, &mut actions);
         actions
     }
 
-    fn wishes(&self, moment: Now) -> Vec<PlacementRequest> {
+    fn placement_requests(&self, now: Now) -> Vec<PlacementRequest> {
         self.pending
             .iter()
             .filter_map(|job| self.record(job))
-            .map(|record| self.wish(record, moment))
+            .map(|record| self.placement_request(record, now))
             .collect()
     }
 
-    fn wish(&self, record: &JobRecord, moment: Now) -> PlacementRequest {
+    fn placement_request(&self, record: &JobRecord, now: Now) -> PlacementRequest {
         let spec = record.spec();
         let class = self.classes.get(&spec.class);
         PlacementRequest::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need)
             .priority(class.map_or(Priority::Normal, |class| class.priority))
-            .submitted(on_clock(record.submitted_ms(), moment))
-            .not_before(on_clock(record.not_before_ms(), moment))
+            .submitted(to_clock(record.submitted_ms(), now))
+            .not_before(to_clock(record.not_before_ms(), now))
     }
 
-    fn carry_out(&mut self, decision: Decision, moment: Now, actions: &mut Vec<PlannerAction>) {
+    fn apply_decision(&mut self, decision: Decision, now: Now, actions: &mut Vec<PlannerAction>) {
         match decision {
             Decision::Start { job, worker, need, .. } => {
-                self.assign(&job, &worker, need, moment, actions);
+                self.assign(&job, &worker, need, now, actions);
             }
             Decision::Evict { job, .. } => {
-                self.want_evicted(&job);
+                self.request_eviction(&job);
             }
             Decision::Throttle { job, permille, .. } => {
-                self.throttle(&job, permille, moment, actions);
+                self.throttle(&job, permille, now, actions);
             }
             Decision::Impossible { job, reason, .. } => {
-                self.doubt(&job, reason.to_string(), moment);
+                self.count_impossible(&job, reason.to_string(), now);
             }
             Decision::GiveUp { job, reason } => {
-                self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), moment);
+                self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), now);
             }
             Decision::Quarantine { worker, .. } => self.quarantine(&worker, true),
             Decision::Release { worker, .. } => self.quarantine(&worker, false),
@@ -86,28 +85,22 @@
         job: &Name,
         worker: &Name,
         need: Resources,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let step = Transition::Assign { worker: worker.clone() };
-        if self.change(job, step, moment).is_err() {
+        if self.apply_transition(job, step, now).is_err() {
             return;
         }
         let Some(record) = self.record(job).cloned() else { return };
         let epoch = record.epoch();
-        self.add_run(&record, Run::new(worker.clone(), epoch, need), moment.clock);
-        let effect = Effect::Assigned { job: job.clone(), epoch };
-        self.after_commit(job, effect, moment, actions);
+        self.add_run(&record, Run::new(worker.clone(), epoch, need), now.clock);
+        let effect = Effect::SendStart { job: job.clone(), epoch };
+        self.after_commit(job, effect, now, actions);
     }
 
-    fn throttle(
-        &mut self,
-        job: &Name,
-        permille: u32,
-        moment: Now,
-        actions: &mut Vec<PlannerAction>,
-    ) {
-        let Some(run) = self.runs.get(job).filter(|run| run.seen) else { return };
+    fn throttle(&mut self, job: &Name, permille: u32, now: Now, actions: &mut Vec<PlannerAction>) {
+        let Some(run) = self.runs.get(job).filter(|run| run.reported) else { return };
         let (agent, epoch) = (run.agent.clone(), run.epoch);
         self.fleet.update_task(job, |task| task.permille(permille));
         let order = Throttle { term: self.term, job: job.clone(), epoch, permille };
@@ -115,23 +108,23 @@
             job: job.clone(),
             worker: agent.clone(),
             permille,
-            at: moment.clock,
+            at: now.clock,
         }));
         actions.push(PlannerAction::Send { agent, frame: ToAgent::Throttle(order) });
     }
 
-    /// Gives a job up once it has been impossible for a while, so that no job that was accepted is
-    /// failed because its worker, or all workers, were out of sight for a moment.
-    fn doubt(&mut self, job: &Name, reason: String, moment: Now) {
-        let since = *self.impossible.entry(job.clone()).or_insert(moment.clock);
-        if moment.clock.since(since) >= self.config.impossible_ms {
-            self.give_up(job, codes::IMPOSSIBLE, reason, moment);
+    /// Fails a job that has been impossible for the configured time. An accepted job must not fail
+    /// because its worker, or all workers, were unreachable for a short time.
+    fn count_impossible(&mut self, job: &Name, reason: String, now: Now) {
+        let since = *self.impossible.entry(job.clone()).or_insert(now.clock);
+        if now.clock.since(since) >= self.config.impossible_timeout_ms {
+            self.give_up(job, codes::IMPOSSIBLE, reason, now);
         }
     }
 
-    fn give_up(&mut self, job: &Name, code: u16, reason: String, moment: Now) {
-        // Only a job that was running or finished in the meantime refuses this, rightly.
-        let _ = self.change(job, Transition::GiveUp { code, reason }, moment);
+    fn give_up(&mut self, job: &Name, code: u16, reason: String, now: Now) {
+        // The transition is rejected only if the job was assigned or finished in the meantime.
+        let _ = self.apply_transition(job, Transition::GiveUp { code, reason }, now);
     }
 
     fn quarantine(&mut self, worker: &Name, quarantined: bool) {
@@ -141,11 +134,11 @@
     }
 }
 
-/// Returns a wall time of a record as an instant of this process's clock.
-const fn on_clock(wall_ms: u64, moment: Now) -> Millis {
-    if wall_ms >= moment.wall_ms {
-        moment.clock.plus(wall_ms - moment.wall_ms)
+/// Converts a recorded wall time to an instant of this process's monotonic clock.
+const fn to_clock(wall_ms: u64, now: Now) -> Millis {
+    if wall_ms >= now.wall_ms {
+        now.clock.plus(wall_ms - now.wall_ms)
     } else {
-        Millis(moment.clock.0.saturating_sub(moment.wall_ms - wall_ms))
+        Millis(now.clock.0.saturating_sub(now.wall_ms - wall_ms))
     }
 }
--- a/crates/geraniumpost-core/src/jobs/planner/planner.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner.rs
@@ -3,8 +3,8 @@
 use geraniumpost_schema::{Document, JobClass, Name, Resources};
 
 use super::{
-    AgentView, JobView, PlannerAction, PlannerConfig, PlannerCounters, PlannerEvent, Predecessors,
-    Run, Slot, Wanted,
+    AgentView, BucketSlot, JobView, PlannerAction, PlannerConfig, PlannerCounters, PlannerEvent,
+    Predecessors, Run, RunGoal,
 };
 use crate::{
     jobs::{BUCKETS, JobRecord, LeaseRole, Now, Takeover, bucket_of},
@@ -13,9 +13,9 @@
 
 /// The planner of a region for one term.
 ///
-/// It keeps the records of all jobs in memory, decides on them at once, and writes what changed in
-/// group commits. Nothing leaves the process that the store doesn't have yet: answers, starts and
-/// settlements wait as effects of the bucket's next commit.
+/// It keeps the records of all jobs in memory, decides on them immediately, and writes changes in
+/// group commits. Responses, starts and settlements are queued as effects of the bucket's next
+/// commit, so that nothing leaves the process before it is in the store.
 ///
 /// # Example
 ///
@@ -25,8 +25,8 @@
 /// let record = TermRecord::first(holder, &LeaseConfig::default());
 /// let takeover = Takeover::new(&record, Millis(0));
 /// let mut planner = Planner::new(&takeover, PlannerConfig::default());
-/// let moment = Now::new(Millis(1), 0, 0);
-/// let actions = planner.handle(PlannerEvent::Tick, LeaseRole::Leader { term: 1 }, moment);
+/// let now = Now::new(Millis(1), 0, 0);
+/// let actions = planner.handle(PlannerEvent::Tick, LeaseRole::Leader { term: 1 }, now);
 /// let read = |action: &&PlannerAction| matches!(action, PlannerAction::Read { .. });
 /// assert_eq!(actions.iter().filter(read).count(), BUCKETS);
 /// ```
@@ -37,24 +37,24 @@
     pub(super) classes: BTreeMap<Name, JobClass>,
     pub(super) job_quotas: BTreeMap<Name, u32>,
     pub(super) reserves: BTreeMap<Name, Resources>,
-    pub(super) slots: Vec<Slot>,
+    pub(super) slots: Vec<BucketSlot>,
     pub(super) pending: BTreeSet<Name>,
     pub(super) runs: BTreeMap<Name, Run>,
-    pub(super) restless: BTreeSet<Name>,
+    pub(super) unsettled_runs: BTreeSet<Name>,
     pub(super) agents: BTreeMap<Name, AgentView>,
     pub(super) unfinished: BTreeMap<Name, u32>,
     pub(super) fleet: Fleet,
     pub(super) predecessors: Predecessors,
     pub(super) impossible: BTreeMap<Name, crate::Millis>,
     pub(super) settling_until: crate::Millis,
-    /// As told with the event in hand.
-    pub(super) standing: LeaseRole,
+    /// Role passed with the event that is being handled.
+    pub(super) role: LeaseRole,
     pub(super) stepped_down: bool,
     pub(super) counters: PlannerCounters,
 }
 
 impl Planner {
-    /// Creates the planner of a new term; it reads the records at its first tick.
+    /// Creates the planner of a new term. It reads the records at its first tick.
     pub fn new(takeover: &Takeover, config: PlannerConfig) -> Self {
         let mut fleet = Fleet::default();
         fleet.set_awaiting_workers(true);
@@ -64,23 +64,23 @@
             classes: BTreeMap::new(),
             job_quotas: BTreeMap::new(),
             reserves: BTreeMap::new(),
-            slots: (0..BUCKETS).map(|_| Slot::new()).collect(),
+            slots: (0..BUCKETS).map(|_| BucketSlot::new()).collect(),
             pending: BTreeSet::new(),
             runs: BTreeMap::new(),
-            restless: BTreeSet::new(),
+            unsettled_runs: BTreeSet::new(),
             agents: BTreeMap::new(),
             unfinished: BTreeMap::new(),
             fleet,
             predecessors: Predecessors::new(takeover),
             impossible: BTreeMap::new(),
             settling_until: takeover.at.plus(config.settling_ms),
-            standing: LeaseRole::Follower,
+            role: LeaseRole::Follower,
             stepped_down: false,
             counters: PlannerCounters::default(),
         }
     }
 
-    /// Takes over what the configuration says of classes, quotas and reserves.
+    /// Applies the job classes, job quotas and service reserves of the configuration.
     pub fn configure(&mut self, document: &Document) {
         self.classes.clone_from(&document.classes);
         self.job_quotas = document
@@ -100,115 +100,111 @@
             .collect();
     }
 
-    /// Takes one event in and returns what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     ///
-    /// `standing` must be asked of the lease at the same instant as `moment`, because a planner that
-    /// was paused may have been superseded in the meantime.
-    pub fn handle(
-        &mut self,
-        event: PlannerEvent,
-        standing: LeaseRole,
-        moment: Now,
-    ) -> Vec<PlannerAction> {
+    /// `role` must be read from the lease at the instant `now`, because a planner that was paused
+    /// may have been superseded in the meantime.
+    pub fn handle(&mut self, event: PlannerEvent, role: LeaseRole, now: Now) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
         if self.stepped_down {
             return actions;
         }
-        self.standing = standing;
+        self.role = role;
         match event {
             PlannerEvent::Submit { spec, reply } => {
-                self.on_submit(spec, reply, moment, &mut actions);
+                self.on_submit(spec, reply, now, &mut actions);
             }
             PlannerEvent::Cancel { job, customer, reply } => {
-                self.on_cancel(&job, &customer, reply, moment, &mut actions);
+                self.on_cancel(&job, &customer, reply, now, &mut actions);
             }
             PlannerEvent::Report { agent, report } => {
-                self.on_report(&agent, &report, moment, &mut actions);
+                self.on_report(&agent, &report, now, &mut actions);
             }
             PlannerEvent::Inventory { agent, inventory } => {
-                self.on_inventory(&agent, &inventory, moment, &mut actions);
+                self.on_inventory(&agent, &inventory, now, &mut actions);
             }
             PlannerEvent::PredecessorStopped(holder) => {
-                self.predecessors.gone(&holder, moment.clock)
+                self.predecessors.mark_stopped(&holder, now.clock);
             }
-            PlannerEvent::Tick => self.on_tick(moment, &mut actions),
-            event => self.on_link_or_store(event, moment, &mut actions),
+            PlannerEvent::Tick => self.on_tick(now, &mut actions),
+            event => self.on_link_or_store(event, now, &mut actions),
         }
-        self.flush(moment, &mut actions);
+        self.send_commits(now, &mut actions);
         actions
     }
 
     fn on_link_or_store(
         &mut self,
         event: PlannerEvent,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         match event {
             PlannerEvent::LinkUp { agent, incarnation } => {
-                self.on_link_up(&agent, incarnation, moment, actions);
+                self.on_link_up(&agent, incarnation, now, actions);
             }
             PlannerEvent::LinkDown { agent, incarnation } => {
                 self.on_link_down(&agent, incarnation);
             }
-            PlannerEvent::Draining { agent } => self.on_leaving(&agent, moment),
+            PlannerEvent::Draining { agent } => self.on_draining(&agent, now),
             PlannerEvent::CommitDone { bucket, revision } => {
-                self.on_commit_done(bucket, revision, moment, actions);
+                self.on_commit_done(bucket, revision, now, actions);
             }
             PlannerEvent::CommitConflict { bucket } | PlannerEvent::CommitUnknown { bucket } => {
-                self.on_commit_unclear(bucket, moment, actions);
+                self.on_commit_unclear(bucket, now, actions);
             }
             PlannerEvent::ReadDone { bucket, found } => {
-                self.on_read(bucket, found, moment, actions);
+                self.on_read(bucket, found, now, actions);
             }
-            PlannerEvent::ReadFailed { bucket } => self.on_read_failed(bucket, moment),
+            PlannerEvent::ReadFailed { bucket } => self.on_read_failed(bucket, now),
             _ => {}
         }
     }
 
-    fn on_tick(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
-        let now = moment.clock;
-        self.read_unknown(moment, actions);
-        if self.predecessors.newly_settled(now) {
+    fn on_tick(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
+        let clock = now.clock;
+        self.read_unknown_buckets(now, actions);
+        if self.predecessors.newly_expired(clock) {
             actions.push(PlannerAction::PredecessorsExpired);
         }
-        self.show_workers(now);
-        self.fleet.set_awaiting_workers(self.is_settling(now));
-        self.ask_inventories(now, actions);
+        self.update_worker_states(clock);
+        self.fleet.set_awaiting_workers(self.is_settling(clock));
+        self.request_inventories(clock, actions);
         if self.is_ready() {
-            self.lose_lapsed(moment, actions);
-            self.bury_finished(moment);
+            self.lose_expired_runs(now, actions);
+            self.drop_finished(now);
         }
-        self.drive_all(now, actions);
+        self.send_due_orders(clock, actions);
     }
 
-    /// Returns whether workers may be missing from view, so that nothing can be called impossible.
+    /// Returns whether workers may be missing, because the term has just begun or no worker is
+    /// healthy. No job may be considered impossible then.
     fn is_settling(&self, now: crate::Millis) -> bool {
-        let healthy = |view: &AgentView| view.shown == WorkerState::Healthy;
+        let healthy = |view: &AgentView| view.placement_state == WorkerState::Healthy;
         now < self.settling_until || !self.agents.values().any(healthy)
     }
 
-    /// Returns whether all records are read and fenced, so that work is taken.
+    /// Returns whether all buckets are read and fenced, so that requests are accepted.
     pub fn is_ready(&self) -> bool {
         self.slots.iter().all(|slot| slot.fenced)
     }
 
-    /// Returns the term.
+    /// Returns the term of this planner.
     pub const fn term(&self) -> u64 {
         self.term
     }
 
-    /// Returns the workers and tasks as placement sees them.
+    /// Returns the workers and tasks as seen by placement.
     pub const fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns what was done and refused so far.
+    /// Returns the counters since the term began.
     pub const fn counters(&self) -> PlannerCounters {
         self.counters
     }
 
-    /// Returns a job, if its record is still kept.
+    /// Returns the state of a job if its record is still kept.
     pub fn job(&self, job: &str) -> Option<JobView> {
         let slot = &self.slots[bucket_of(job)];
         let record = slot.bucket.get(job)?.clone();
@@ -216,17 +212,17 @@
         Some(JobView {
             record,
             committed: slot.is_committed(),
-            running: run.is_some_and(|run| run.seen),
-            evicting: run.is_some_and(|run| run.wanted == Wanted::Evict),
+            running: run.is_some_and(|run| run.reported),
+            evicting: run.is_some_and(|run| run.goal == RunGoal::Evict),
         })
     }
 
-    /// Returns the records of all jobs that are still kept.
+    /// Returns all records that are still kept.
     pub fn records(&self) -> impl Iterator<Item = &JobRecord> {
         self.slots.iter().flat_map(|slot| slot.bucket.records())
     }
 
-    /// Returns how many records are in each state, in the order of
+    /// Returns the number of records in each state, in the order of
     /// [`JobState::ALL`](crate::jobs::JobState::ALL).
     pub fn count_by_state(&self) -> [u64; 6] {
         let mut counts = [0; 6];
@@ -236,7 +232,7 @@
         counts
     }
 
-    /// Returns how many jobs wait and how many are assigned.
+    /// Returns the number of pending jobs and the number of assigned jobs.
     pub fn queue_lengths(&self) -> (usize, usize) {
         (self.pending.len(), self.runs.len())
     }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
@@ -3,41 +3,42 @@
 use super::JobResponse;
 use crate::placement::Observation;
 
-/// What a [`Planner`](super::Planner) asks the shell to do.
+/// An action that a [`Planner`](super::Planner) requests from the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannerAction {
-    /// Write a bucket if it still has the expected revision.
+    /// Write a bucket if it has the expected revision.
     Commit {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
-        /// Revision it must have, none if it must be absent.
+        /// Expected revision, `None` if the bucket must be absent.
         expected: Option<u64>,
-        /// The value.
+        /// Encoded bucket.
         value: Vec<u8>,
     },
-    /// Read a bucket.
+    /// Read a bucket from the store.
     Read {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
     },
-    /// Send a frame to an agent; it may be dropped if there is no link.
+    /// Send a message to an agent. It may be dropped if there is no link.
     Send {
-        /// The agent.
+        /// Name of the agent.
         agent: Name,
-        /// The frame.
+        /// Message to the agent.
         frame: ToAgent,
     },
-    /// Answer a submitter or canceller.
+    /// Respond to a submission or cancellation.
     Reply {
-        /// The number given with the event.
+        /// Number passed with the event.
         reply: u64,
-        /// The answer.
+        /// Response to the request.
         answer: JobResponse,
     },
-    /// Let the placer learn.
+    /// Pass an observation to the placer.
     Observe(Observation),
-    /// Tell the lease that no earlier holder grants holds any more.
+    /// Notify the lease that no earlier holder can grant agent leases any longer.
     PredecessorsExpired,
-    /// Stop planning: another planner has taken over, or the records can't be read.
+    /// Stop planning because another planner has taken over or the records cannot be read. The text
+    /// is the reason for the log.
     StepDown(&'static str),
 }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_counters.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_counters.rs
@@ -1,19 +1,19 @@
-/// What a [`Planner`](super::Planner) did or refused, for metrics.
+/// Events counted by a [`Planner`](super::Planner), for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PlannerCounters {
     /// Commits sent to the store.
     pub commits: u64,
-    /// Reads sent to the store.
+    /// Bucket reads sent to the store.
     pub reads: u64,
-    /// Commits whose reply was lost or that conflicted.
+    /// Commits that conflicted or whose response was lost.
     pub commits_unclear: u64,
-    /// Jobs recorded.
+    /// Jobs accepted.
     pub accepted: u64,
     /// Jobs completed.
     pub completed: u64,
-    /// Results that came after the job had ended or its run was over.
+    /// Results discarded because the job had ended or the run was superseded.
     pub late_results: u64,
-    /// Runs stopped because the job had moved on.
+    /// Runs stopped because they were no longer the current run of their job.
     pub late_runs: u64,
     /// Runs evicted.
     pub evicted: u64,
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -2,89 +2,90 @@
 
 use crate::jobs::{JobSpec, LeaseHolder};
 
-/// What a [`Planner`](super::Planner) is told.
+/// An input of a [`Planner`](super::Planner).
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannerEvent {
     /// A customer submits a job.
     Submit {
-        /// The job.
+        /// Submitted job.
         spec: JobSpec,
-        /// Names the submitter in the answer.
+        /// Number that identifies the request in the response.
         reply: u64,
     },
     /// A customer or operator cancels a job.
     Cancel {
-        /// The job's id.
+        /// Id of the job.
         job: Name,
-        /// The customer, empty for an operator, who may cancel any job.
+        /// Customer that requests it, empty for an operator, who may cancel any job.
         customer: Name,
-        /// Names the canceller in the answer.
+        /// Number that identifies the request in the response.
         reply: u64,
     },
-    /// A link to an agent is up.
+    /// A link to an agent was established.
     LinkUp {
-        /// The agent.
+        /// Name of the agent.
         agent: Name,
-        /// Its incarnation.
+        /// Incarnation of the agent.
         incarnation: u64,
     },
-    /// The last link to an agent's incarnation is gone.
+    /// The last link to an incarnation of an agent was closed.
     LinkDown {
-        /// The agent.
+        /// Name of the agent.
         agent: Name,
-        /// Its incarnation.
+        /// Incarnation of the agent.
         incarnation: u64,
     },
-    /// An agent announced that it leaves.
+    /// An agent announced that it accepts no new work and will shut down.
     Draining {
-        /// The agent.
+        /// Name of the agent.
         agent: Name,
     },
-    /// An agent reports a run.
+    /// An agent reported the state of a run.
     Report {
-        /// The agent.
+        /// Name of the agent.
         agent: Name,
-        /// The report.
+        /// Report of one task.
         report: TaskReport,
     },
-    /// An agent lists all runs.
+    /// An agent reported all of its runs.
     Inventory {
-        /// The agent.
+        /// Name of the agent.
         agent: Name,
-        /// The list.
+        /// List of its tasks.
         inventory: Inventory,
     },
     /// A commit took effect.
     CommitDone {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
-        /// Its new revision.
+        /// New revision of the bucket.
         revision: u64,
     },
-    /// A commit found another revision than it expected.
+    /// A commit found a revision other than the expected one.
     CommitConflict {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
     },
-    /// A commit failed or its answer was lost; it may have taken effect.
+    /// A commit failed or its response was lost; it may have taken effect.
     CommitUnknown {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
     },
-    /// The store's value of a bucket.
+    /// A bucket was read from the store.
     ReadDone {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
-        /// Revision and value, if there is one.
+        /// Revision and value, `None` if the bucket is absent.
         found: Option<(u64, Vec<u8>)>,
     },
-    /// A read failed.
+    /// A read of a bucket failed.
     ReadFailed {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: usize,
     },
-    /// An earlier holder is known not to grant holds any more: its entry said so, or restarted.
+    /// An earlier planner no longer grants agent leases, as its entry reported or proved by
+    /// restarting.
     PredecessorStopped(LeaseHolder),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
