--- a/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
@@ -3,11 +3,11 @@
     jobs::{LeaseHolder, Takeover},
 };
 
-/// How long earlier planners may keep agents going that this one cannot reach.
+/// How long earlier planners may extend the leases of agents that this planner cannot reach.
 ///
-/// A planner that loses the store goes on granting holds, so that a store outage alone stops no
-/// running work. The price is paid here: runs on an agent out of reach are given away only when the
-/// last possible hold has run out, unless each earlier planner is known to have stopped.
+/// A planner that loses the store continues to grant agent leases, so that a store outage alone
+/// does not stop running tasks. In return, runs on an unreachable agent are reassigned only after
+/// the last possible lease has expired, unless every earlier planner is known to have stopped.
 #[derive(Debug, Clone)]
 pub(super) struct Predecessors {
     earlier: Vec<LeaseHolder>,
@@ -19,8 +19,8 @@
 
 impl Predecessors {
     pub(super) fn new(takeover: &Takeover) -> Self {
-        let some = takeover.earlier_dropped || !takeover.earlier.is_empty();
-        let wait = if some { takeover.outage_hold_ms } else { 0 };
+        let any = takeover.earlier_dropped || !takeover.earlier.is_empty();
+        let wait = if any { takeover.outage_hold_ms } else { 0 };
         Self {
             earlier: takeover.earlier.clone(),
             earlier_dropped: takeover.earlier_dropped,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Takes in the proof that one of them has stopped.
-    pub(super) fn gone(&mut self, holder: &LeaseHolder, now: Millis) {
+    /// Records that an earlier planner has stopped.
+    pub(super) fn mark_stopped(&mut self, holder: &LeaseHolder, now: Millis) {
         let known = self.earlier.len();
         self.earlier.retain(|other| other != holder);
         if self.earlier.len() < known && self.earlier.is_empty() && !self.earlier_dropped {
@@ -39,20 +39,20 @@
         }
     }
 
-    /// Returns when the last hold that they may have granted ends.
-    pub(super) fn hold_until(&self) -> Millis {
+    /// Returns when the last lease that they may have granted expires.
+    pub(super) fn leases_until(&self) -> Millis {
         self.grants_until.plus(self.hold_ms)
     }
 
-    /// Returns true once, when none of them can grant holds any more.
-    pub(super) fn newly_settled(&mut self, now: Millis) -> bool {
+    /// Returns true once, as soon as none of them can grant leases any longer.
+    pub(super) fn newly_expired(&mut self, now: Millis) -> bool {
         let settled = !self.reported && now >= self.grants_until;
         self.reported |= settled;
         settled
     }
 }
 
-/// Adds what a clock may lose over a long wait.
+/// Adds the drift of a slow clock over a long time, one percent.
 const fn with_drift(ms: u64) -> u64 {
     ms + ms / 100
 }
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -1,4 +1,4 @@
-//! Changes of records and of what is derived from them.
+//! Changes to records and to the indexes derived from them.
 
 use geraniumpost_schema::{Name, Priority, Resources};
 
@@ -14,27 +14,28 @@
         self.slots[bucket_of(job)].bucket.get(job)
     }
 
-    /// Applies a step to a record, if it has one, and marks its bucket for the next commit.
-    pub(super) fn change(
+    /// Applies a transition to a job's record, if there is one, and marks its bucket for the next
+    /// commit.
+    pub(super) fn apply_transition(
         &mut self,
         job: &Name,
         step: Transition,
-        moment: Now,
+        now: Now,
     ) -> Result<JobState, TransitionError> {
         let slot = &mut self.slots[bucket_of(job)];
         let Some(mut record) = slot.bucket.get(job).cloned() else {
             return Err(TransitionError::Finished);
         };
         let before = record.state();
-        let after = record.apply(step, moment.wall_ms)?;
+        let after = record.apply(step, now.wall_ms)?;
         slot.dirty = true;
         slot.bucket.put(record.clone());
-        self.unindex(&record, before);
-        self.index(&record);
+        self.remove_from_index(&record, before);
+        self.add_to_index(&record);
         Ok(after)
     }
 
-    fn unindex(&mut self, record: &JobRecord, before: JobState) {
+    fn remove_from_index(&mut self, record: &JobRecord, before: JobState) {
         let job = record.id();
         let stays_placed = before.is_placed() && record.state().is_placed();
         match before {
@@ -43,7 +44,7 @@
             }
             JobState::Assigned | JobState::Cancelling if !stays_placed => {
                 self.runs.remove(job);
-                self.restless.remove(job);
+                self.unsettled_runs.remove(job);
                 self.fleet.remove_task(job);
             }
             _ => {}
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Enters a record into the queue, the counts, and the load of its worker.
-    pub(super) fn index(&mut self, record: &JobRecord) {
+    /// Adds an unfinished record to the count of its customer and, if pending, to the queue.
+    pub(super) fn add_to_index(&mut self, record: &JobRecord) {
         if record.state().is_final() {
             return;
         }
@@ -66,26 +67,26 @@
         }
     }
 
-    /// Enters a run that is in the store, as its assignment by an earlier planner was.
-    pub(super) fn inherit(&mut self, record: &JobRecord, now: Millis) {
+    /// Adds a run that an earlier planner assigned and committed.
+    pub(super) fn add_predecessor_run(&mut self, record: &JobRecord, now: Millis) {
         let need = record.spec().need;
-        let mut run = Run::inherited(record.worker().clone(), record.epoch(), need);
+        let mut run = Run::from_predecessor(record.worker().clone(), record.epoch(), need);
         if record.state() == JobState::Cancelling {
-            run.wanted = super::Wanted::Stop;
+            run.goal = super::RunGoal::Stop;
         }
         self.add_run(record, run, now);
     }
 
     pub(super) fn add_run(&mut self, record: &JobRecord, run: Run, now: Millis) {
-        self.know_worker(&run.agent);
+        self.ensure_worker(&run.agent);
         let task = self.task_view(record, run.need, now);
         self.fleet.add_task(&run.agent, task);
-        self.restless.insert(record.id().clone());
+        self.unsettled_runs.insert(record.id().clone());
         self.runs.insert(record.id().clone(), run);
     }
 
-    /// Makes room for the runs of an agent that has not announced itself.
-    fn know_worker(&mut self, agent: &Name) {
+    /// Creates the worker of an agent that has not registered, so that runs can be added to it.
+    fn ensure_worker(&mut self, agent: &Name) {
         if self.fleet.worker(agent).is_none() {
             let none = Name::default();
             let view = WorkerView::new(agent.clone(), none.clone(), none, amounts::NONE)
@@ -94,11 +95,11 @@
         }
         let view = self.agents.entry(agent.clone()).or_default();
         if view.link.is_none() {
-            view.shown = WorkerState::Lost;
+            view.placement_state = WorkerState::Lost;
         }
     }
 
-    /// Returns the runs of an agent as placement sees them.
+    /// Returns the runs of an agent in the form used by placement.
     pub(super) fn tasks_of(&self, agent: &Name, now: Millis) -> Vec<TaskView> {
         self.runs
             .iter()
@@ -116,21 +117,22 @@
             .evictable(class.is_none_or(|class| class.evictable))
     }
 
-    /// Does something once the store has all that is now known of a job.
+    /// Applies an effect once the store contains the present state of the job's bucket.
     pub(super) fn after_commit(
         &mut self,
         job: &str,
         effect: Effect,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let slot = &mut self.slots[bucket_of(job)];
         if slot.is_committed() {
-            self.release(effect, moment.clock, actions);
+            self.apply_effect(effect, now.clock, actions);
         } else {
-            // What is in memory may be newer than the open commit, so the effect waits for the next.
+            // The state in memory may be newer than the open commit, so the effect is queued for
+            // the next one.
             slot.dirty = true;
-            slot.waiting.push(effect);
+            slot.queued.push(effect);
         }
     }
 }
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -1,22 +1,22 @@
-//! What agents say of runs.
+//! Reports and inventories of agents.
 
 use geraniumpost_schema::{Inventory, Name, TaskRef, TaskReport, TaskState, ToAgent};
 
-use super::{Effect, Planner, PlannerAction, Wanted};
+use super::{Effect, Planner, PlannerAction, RunGoal};
 use crate::{
     jobs::{JobRecord, JobState, Now, Transition, bucket_of},
     placement::{Observation, RunOutcome},
 };
 
-/// Shortest pause after a refused run.
-const REFUSED_MS: u64 = 300;
+/// Minimum delay before the next run after a refusal.
+const REFUSAL_BACKOFF_MS: u64 = 300;
 
 impl Planner {
     pub(super) fn on_inventory(
         &mut self,
         agent: &Name,
         inventory: &Inventory,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(view) = self.agents.get_mut(agent) else { return };
@@ -24,23 +24,26 @@
             return;
         }
         if !self.is_ready() {
-            // Asked for again: before the records are read, nothing can be told from the list.
+            // The inventory is requested again later. It cannot be evaluated before all records are
+            // read.
             return;
         }
         if let Some(view) = self.agents.get_mut(agent) {
-            view.inventoried = true;
+            view.inventory_received = true;
         }
         for report in &inventory.tasks {
-            self.on_report(agent, report, moment, actions);
+            self.on_report(agent, report, now, actions);
         }
-        self.bar_missing(agent, inventory);
+        self.reconcile_missing(agent, inventory);
     }
 
-    /// Sees to the runs that the agent should have but has not, and tells the sizes of the others.
+    /// Handles the runs that are missing from the agent's inventory, and sends the sizes of the
+    /// others.
     ///
-    /// A start that is merely lost is sent again. In any other case the run may have begun: the agent
-    /// is told to bar it, and the job waits for that word.
-    fn bar_missing(&mut self, agent: &Name, inventory: &Inventory) {
+    /// A lost start is sent again if it cannot have taken effect. In all other cases the run may
+    /// have begun: the agent is ordered to prevent its start, and the job waits for the
+    /// confirmation.
+    fn reconcile_missing(&mut self, agent: &Name, inventory: &Inventory) {
         let listed = |job: &Name, epoch: u64| {
             inventory.tasks.iter().any(|task| task.job == *job && task.epoch == epoch)
         };
@@ -48,16 +51,16 @@
             if !run.committed {
                 continue;
             }
-            run.last_order = None;
-            self.restless.insert(job.clone());
+            run.last_order_at = None;
+            self.unsettled_runs.insert(job.clone());
             if listed(job, run.epoch) {
-                run.sized = false;
+                run.size_sent = false;
                 continue;
             }
-            if run.seen || !run.may_start(inventory.incarnation) {
-                run.wanted = Wanted::Stop;
+            if run.reported || !run.may_start(inventory.incarnation) {
+                run.goal = RunGoal::Stop;
             }
-            run.seen = false;
+            run.reported = false;
         }
     }
 
@@ -65,11 +68,11 @@
         &mut self,
         agent: &Name,
         report: &TaskReport,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         if !self.slots[bucket_of(&report.job)].fenced {
-            // The agent repeats it; before the record is read, nothing can be told from it.
+            // The agent repeats the report. It cannot be evaluated before the record is read.
             return;
         }
         let current = self
@@ -77,20 +80,20 @@
             .get(&report.job)
             .is_some_and(|run| run.epoch == report.epoch && run.agent == *agent);
         if !current {
-            self.on_stale(agent, report, moment, actions);
+            self.on_stale(agent, report, now, actions);
         } else if matches!(report.state, TaskState::Starting | TaskState::Running) {
-            self.on_progress(report, moment, actions);
+            self.on_progress(report, now, actions);
         } else {
-            self.on_end(agent, report, moment, actions);
+            self.on_end(agent, report, now, actions);
         }
     }
 
-    /// Answers a report of a run that is over, or that belongs to no known job.
+    /// Handles a report of a run that is not the current one of its job, or of an unknown job.
     fn on_stale(
         &mut self,
         agent: &Name,
         report: &TaskReport,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let (job, epoch) = (report.job.clone(), report.epoch);
@@ -108,35 +111,35 @@
                 if state == TaskState::Done && !counted {
                     self.counters.late_results += 1;
                 }
-                let effect = Effect::Settled { agent: agent.clone(), job: job.clone(), epoch };
-                self.after_commit(&job, effect, moment, actions);
+                let effect = Effect::SendSettled { agent: agent.clone(), job: job.clone(), epoch };
+                self.after_commit(&job, effect, now, actions);
             }
         }
     }
 
-    fn on_progress(&mut self, report: &TaskReport, moment: Now, actions: &mut Vec<PlannerAction>) {
+    fn on_progress(&mut self, report: &TaskReport, now: Now, actions: &mut Vec<PlannerAction>) {
         let job = &report.job;
         let usage = report.usage;
         self.fleet.update_task(job, |task| task.usage(usage));
-        self.observe_usage(report, moment, actions);
+        self.observe_usage(report, now, actions);
         let Some(run) = self.runs.get_mut(job) else { return };
-        let first = !std::mem::replace(&mut run.seen, true);
+        let first = !std::mem::replace(&mut run.reported, true);
         if run.is_settled() {
-            self.restless.remove(job);
+            self.unsettled_runs.remove(job);
         }
         if first {
-            self.observe_start(job, moment, actions);
+            self.observe_start(job, now, actions);
         }
-        self.note_checkpoint(report, moment);
+        self.record_checkpoint(report, now);
     }
 
-    /// Keeps a newer checkpoint's name, to be written with the next change of its bucket.
-    fn note_checkpoint(&mut self, report: &TaskReport, moment: Now) {
+    /// Records the name of a newer checkpoint, to be written with the next commit of its bucket.
+    fn record_checkpoint(&mut self, report: &TaskReport, now: Now) {
         let slot = &mut self.slots[bucket_of(&report.job)];
         let Some(mut record) = slot.bucket.get(&report.job).cloned() else { return };
-        if record.note_checkpoint(&report.checkpoint) {
+        if record.record_checkpoint(&report.checkpoint) {
             slot.bucket.put(record);
-            slot.lazy_since.get_or_insert(moment.clock);
+            slot.checkpoint_since.get_or_insert(now.clock);
         }
     }
 
@@ -144,36 +147,36 @@
         &mut self,
         agent: &Name,
         report: &TaskReport,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let (job, epoch) = (&report.job, report.epoch);
         let was = self.record(job).map(JobRecord::state);
-        self.observe_end(job, outcome(report.state), moment, actions);
-        let step = self.ending(report, moment);
-        if self.change(job, step, moment).is_ok() {
+        self.observe_end(job, run_outcome(report.state), now, actions);
+        let step = self.end_transition(report, now);
+        if self.apply_transition(job, step, now).is_ok() {
             self.count_end(report.state, was == Some(JobState::Cancelling));
         }
-        let effect = Effect::Settled { agent: agent.clone(), job: job.clone(), epoch };
-        self.after_commit(job, effect, moment, actions);
+        let effect = Effect::SendSettled { agent: agent.clone(), job: job.clone(), epoch };
+        self.after_commit(job, effect, now, actions);
     }
 
-    fn ending(&self, report: &TaskReport, moment: Now) -> Transition {
+    fn end_transition(&self, report: &TaskReport, now: Now) -> Transition {
         let checkpoint = report.checkpoint.clone();
         match report.state {
             TaskState::Done => Transition::Complete { result: report.result.clone() },
-            TaskState::Failed => self.failure(report, moment),
+            TaskState::Failed => self.failure_transition(report, now),
             TaskState::Evicted => Transition::Evicted { checkpoint },
             TaskState::Refused => {
-                let wait = moment.jitter(REFUSED_MS, REFUSED_MS);
-                Transition::Refused { not_before_ms: moment.wall_ms + wait }
+                let wait = now.jitter(REFUSAL_BACKOFF_MS, REFUSAL_BACKOFF_MS);
+                Transition::Refused { not_before_ms: now.wall_ms + wait }
             }
             TaskState::Stopped => Transition::Stopped { checkpoint },
             _ => Transition::Lost { checkpoint },
         }
     }
 
-    fn failure(&self, report: &TaskReport, moment: Now) -> Transition {
+    fn failure_transition(&self, report: &TaskReport, now: Now) -> Transition {
         let record = self.record(&report.job);
         let class = record.and_then(|record| self.classes.get(&record.spec().class));
         let attempts = record.map_or(0, JobRecord::attempts);
@@ -182,7 +185,7 @@
         Transition::RunFailed {
             reason: report.result.clone(),
             max_attempts: class.map_or(3, |class| class.max_attempts),
-            not_before_ms: moment.wall_ms + moment.jitter(wait / 2, wait),
+            not_before_ms: now.wall_ms + now.jitter(wait / 2, wait),
         }
     }
 
@@ -198,7 +201,7 @@
         }
     }
 
-    fn observe_start(&self, job: &Name, moment: Now, actions: &mut Vec<PlannerAction>) {
+    fn observe_start(&self, job: &Name, now: Now, actions: &mut Vec<PlannerAction>) {
         let Some(record) = self.record(job) else { return };
         actions.push(PlannerAction::Observe(Observation::Started {
             job: job.clone(),
@@ -206,11 +209,11 @@
             class: record.spec().class.clone(),
             worker: record.worker().clone(),
             need: record.spec().need,
-            at: moment.clock,
+            at: now.clock,
         }));
     }
 
-    fn observe_usage(&self, report: &TaskReport, moment: Now, actions: &mut Vec<PlannerAction>) {
+    fn observe_usage(&self, report: &TaskReport, now: Now, actions: &mut Vec<PlannerAction>) {
         let Some(record) = self.record(&report.job) else { return };
         if report.usage == crate::placement::amounts::NONE {
             return;
@@ -221,7 +224,7 @@
             class: record.spec().class.clone(),
             need: record.spec().need,
             usage: report.usage,
-            at: moment.clock,
+            at: now.clock,
         }));
     }
 
@@ -229,7 +232,7 @@
         &self,
         job: &Name,
         outcome: RunOutcome,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(run) = self.runs.get(job) else { return };
@@ -237,12 +240,12 @@
             job: job.clone(),
             worker: run.agent.clone(),
             outcome,
-            at: moment.clock,
+            at: now.clock,
         }));
     }
 }
 
-const fn outcome(state: TaskState) -> RunOutcome {
+const fn run_outcome(state: TaskState) -> RunOutcome {
     match state {
         TaskState::Done => RunOutcome::Completed,
         TaskState::Failed => RunOutcome::Failed,
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -1,4 +1,4 @@
-//! What customers and operators ask for.
+//! Requests of customers and operators.
 
 use geraniumpost_schema::Name;
 
@@ -8,47 +8,47 @@
     placement::{WorkerView, amounts},
 };
 
-/// When to come back if no planner is ready.
-const RETRY_SOON_MS: u64 = 1_000;
-/// When to come back if the records are full.
+/// Time after which to retry when no planner is ready.
+const RETRY_NO_PLANNER_MS: u64 = 1_000;
+/// Time after which to retry when the bucket is full.
 const RETRY_FULL_MS: u64 = 30_000;
-/// Shortest time that a finished record is kept when room is needed.
-const KEEP_WHEN_FULL_MS: u64 = 60_000;
+/// Minimum retention of a finished record in a full bucket.
+const MIN_RETENTION_WHEN_FULL_MS: u64 = 60_000;
 
 impl Planner {
     pub(super) fn on_submit(
         &mut self,
         spec: JobSpec,
         reply: u64,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if let Some(answer) = self.not_recording().or_else(|| self.refusal(&spec, moment)) {
+        if let Some(answer) = self.unavailable_response().or_else(|| self.rejection(&spec, now)) {
             return actions.push(PlannerAction::Reply { reply, answer });
         }
         let job = spec.id.clone();
-        let answer = self.known(&spec).unwrap_or_else(|| self.accept(spec, moment));
-        self.after_commit(&job, Effect::Reply { reply, answer }, moment, actions);
+        let answer = self.repeat_response(&spec).unwrap_or_else(|| self.accept(spec, now));
+        self.after_commit(&job, Effect::Reply { reply, answer }, now, actions);
     }
 
-    fn not_recording(&self) -> Option<JobResponse> {
-        let code = match self.standing {
+    fn unavailable_response(&self) -> Option<JobResponse> {
+        let code = match self.role {
             LeaseRole::Leader { .. } if self.is_ready() => return None,
             LeaseRole::Disconnected { .. } => codes::NOT_RECORDED,
             _ => codes::NOT_PLANNER,
         };
-        Some(JobResponse::new(code).retry_after_ms(RETRY_SOON_MS))
+        Some(JobResponse::new(code).retry_after_ms(RETRY_NO_PLANNER_MS))
     }
 
-    /// Returns the answer to a submission that repeats an earlier one.
-    fn known(&self, spec: &JobSpec) -> Option<JobResponse> {
+    /// Returns the response to a submission that repeats an earlier one.
+    fn repeat_response(&self, spec: &JobSpec) -> Option<JobResponse> {
         let record = self.record(&spec.id)?;
         let code =
             if record.state().is_final() { codes::FINISHED } else { codes::ALREADY_ACCEPTED };
         Some(JobResponse::new(code).state(record.state()).detail(record.result()))
     }
 
-    fn refusal(&mut self, spec: &JobSpec, moment: Now) -> Option<JobResponse> {
+    fn rejection(&mut self, spec: &JobSpec, now: Now) -> Option<JobResponse> {
         if !spec.has_valid_id() {
             return Some(JobResponse::new(codes::BAD_ID));
         }
@@ -58,10 +58,10 @@
         if self.slots[bucket_of(&spec.id)].bucket.has_tombstone(&spec.id) {
             return Some(JobResponse::new(codes::FINISHED).detail("its record was dropped"));
         }
-        self.refusal_of_new(spec).or_else(|| self.refusal_for_room(spec, moment))
+        self.new_job_rejection(spec).or_else(|| self.bucket_full_rejection(spec, now))
     }
 
-    fn refusal_of_new(&self, spec: &JobSpec) -> Option<JobResponse> {
+    fn new_job_rejection(&self, spec: &JobSpec) -> Option<JobResponse> {
         if !spec.has_valid_command() {
             return Some(JobResponse::new(codes::COMMAND_TOO_LONG));
         }
@@ -74,11 +74,11 @@
             let detail = format!("{unfinished} unfinished jobs of {quota}");
             return Some(JobResponse::new(codes::TOO_MANY_JOBS).detail(detail));
         }
-        self.impossible(spec)
+        self.impossible_rejection(spec)
     }
 
-    /// Refuses at once what no worker could ever hold, naming the resource and the largest worker.
-    fn impossible(&self, spec: &JobSpec) -> Option<JobResponse> {
+    /// Rejects a job that is larger than any worker, naming the resource and the largest worker.
+    fn impossible_rejection(&self, spec: &JobSpec) -> Option<JobResponse> {
         let fits = |worker: &WorkerView| amounts::fits(&spec.need, &worker.allowance());
         if self.fleet.awaiting_workers() || self.fleet.workers().any(fits) {
             return None;
@@ -94,25 +94,25 @@
         Some(JobResponse::new(codes::IMPOSSIBLE).detail(detail))
     }
 
-    /// Refuses while the store value is nearly full, after dropping finished records early.
-    fn refusal_for_room(&mut self, spec: &JobSpec, moment: Now) -> Option<JobResponse> {
+    /// Rejects a job while its bucket is nearly full, after dropping finished records early.
+    fn bucket_full_rejection(&mut self, spec: &JobSpec, now: Now) -> Option<JobResponse> {
         let size = spec.command.len() + 512;
         let slot = &mut self.slots[bucket_of(&spec.id)];
         if !slot.bucket.is_full(size) {
             return None;
         }
-        let before = moment.wall_ms.saturating_sub(KEEP_WHEN_FULL_MS);
+        let before = now.wall_ms.saturating_sub(MIN_RETENTION_WHEN_FULL_MS);
         slot.bucket.drop_finished_before(before);
         let full = slot.bucket.is_full(size);
         full.then(|| JobResponse::new(codes::RECORDS_FULL).retry_after_ms(RETRY_FULL_MS))
     }
 
-    fn accept(&mut self, spec: JobSpec, moment: Now) -> JobResponse {
-        let record = JobRecord::new(spec, moment.wall_ms);
+    fn accept(&mut self, spec: JobSpec, now: Now) -> JobResponse {
+        let record = JobRecord::new(spec, now.wall_ms);
         let slot = &mut self.slots[bucket_of(record.id())];
         slot.dirty = true;
         slot.bucket.put(record.clone());
-        self.index(&record);
+        self.add_to_index(&record);
         self.counters.accepted += 1;
         JobResponse::new(codes::ACCEPTED).state(JobState::Pending)
     }
@@ -122,31 +122,33 @@
         job: &Name,
         customer: &Name,
         reply: u64,
-        moment: Now,
+        now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if let Some(answer) = self.not_recording().or_else(|| self.not_cancellable(job, customer)) {
+        if let Some(answer) =
+            self.unavailable_response().or_else(|| self.cancel_rejection(job, customer))
+        {
             return actions.push(PlannerAction::Reply { reply, answer });
         }
-        let answer = self.cancel(job, moment);
+        let answer = self.cancel(job, now);
         if answer.state == Some(JobState::Cancelling) {
-            self.after_commit(job, Effect::CancelWanted { job: job.clone() }, moment, actions);
+            self.after_commit(job, Effect::SendStop { job: job.clone() }, now, actions);
         }
-        self.after_commit(job, Effect::Reply { reply, answer }, moment, actions);
+        self.after_commit(job, Effect::Reply { reply, answer }, now, actions);
     }
 
-    fn not_cancellable(&self, job: &Name, customer: &Name) -> Option<JobResponse> {
+    fn cancel_rejection(&self, job: &Name, customer: &Name) -> Option<JobResponse> {
         let Some(record) = self.record(job) else {
-            let buried = self.slots[bucket_of(job)].bucket.has_tombstone(job);
-            let code = if buried { codes::FINISHED_BEFORE_CANCEL } else { codes::UNKNOWN_JOB };
+            let dropped = self.slots[bucket_of(job)].bucket.has_tombstone(job);
+            let code = if dropped { codes::FINISHED_BEFORE_CANCEL } else { codes::UNKNOWN_JOB };
             return Some(JobResponse::new(code));
         };
         let foreign = !customer.is_empty() && *customer != record.spec().customer;
         foreign.then(|| JobResponse::new(codes::UNKNOWN_JOB))
     }
 
-    fn cancel(&mut self, job: &Name, moment: Now) -> JobResponse {
-        if let Ok(state) = self.change(job, Transition::Cancel, moment) {
+    fn cancel(&mut self, job: &Name, now: Now) -> JobResponse {
+        if let Ok(state) = self.apply_transition(job, Transition::Cancel, now) {
             return JobResponse::new(codes::CANCELLED).state(state);
         }
         let state = self.record(job).map_or(JobState::Cancelled, JobRecord::state);
--- a/crates/geraniumpost-core/src/jobs/planner/run.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/run.rs
@@ -1,29 +1,29 @@
 use geraniumpost_schema::{Name, Resources};
 
-use super::Wanted;
+use super::RunGoal;
 use crate::Millis;
 
-/// What the planner knows of the current run of a job beside its record.
+/// State of a job's current run in addition to its record.
 ///
-/// It is not stored: a new planner learns it from the agent's inventory.
+/// It is not stored, because a new planner receives it with the agent's inventory.
 #[derive(Debug, Clone)]
 pub(super) struct Run {
     pub(super) agent: Name,
     pub(super) epoch: u64,
-    /// What the agent is to reserve, at least the declared need.
+    /// Resources that the agent has to allocate, at least the declared need.
     pub(super) need: Resources,
     /// Whether the assignment is in the store, so that the start may be sent.
     pub(super) committed: bool,
-    pub(super) wanted: Wanted,
-    /// Incarnation of the agent that a start was sent to.
-    pub(super) sent_to: Option<u64>,
-    /// Whether an earlier planner assigned it and may have sent a start.
-    pub(super) inherited: bool,
-    /// Whether the agent has said that it runs.
-    pub(super) seen: bool,
-    /// Whether the agent's process knows the run's size, which only a start tells.
-    pub(super) sized: bool,
-    pub(super) last_order: Option<Millis>,
+    pub(super) goal: RunGoal,
+    /// Incarnation of the agent to which a start was sent.
+    pub(super) start_sent_to: Option<u64>,
+    /// Whether an earlier planner assigned the run and may have sent a start.
+    pub(super) from_predecessor: bool,
+    /// Whether the agent has reported the run as starting or running.
+    pub(super) reported: bool,
+    /// Whether the agent's process knows the size of the run, which only a start order contains.
+    pub(super) size_sent: bool,
+    pub(super) last_order_at: Option<Millis>,
 }
 
 impl Run {
@@ -33,33 +33,34 @@
             epoch,
             need,
             committed: false,
-            wanted: Wanted::Run,
-            sent_to: None,
-            inherited: false,
-            seen: false,
-            sized: true,
-            last_order: None,
+            goal: RunGoal::Run,
+            start_sent_to: None,
+            from_predecessor: false,
+            reported: false,
+            size_sent: true,
+            last_order_at: None,
         }
     }
 
-    pub(super) const fn inherited(agent: Name, epoch: u64, need: Resources) -> Self {
+    pub(super) const fn from_predecessor(agent: Name, epoch: u64, need: Resources) -> Self {
         let mut run = Self::new(agent, epoch, need);
         run.committed = true;
-        run.inherited = true;
+        run.from_predecessor = true;
         run
     }
 
-    /// Returns whether nothing more has to be ordered.
+    /// Returns whether no order is needed.
     pub(super) const fn is_settled(&self) -> bool {
-        self.seen && self.sized && matches!(self.wanted, Wanted::Run)
+        self.reported && self.size_sent && matches!(self.goal, RunGoal::Run)
     }
 
     /// Returns whether a start may still be sent to this incarnation of the agent.
     ///
-    /// Once a start went to an earlier incarnation, or from an earlier planner, the run may have
-    /// begun and ended unseen. A second start would run the same epoch twice, so that such a run is
-    /// barred instead and the job gets a new epoch.
+    /// After a start was sent to an earlier incarnation, or by an earlier planner, the run may have
+    /// begun and ended without a report. A second start could run the same epoch twice. Such a run
+    /// is blocked at the agent instead, and the job gets a new epoch.
     pub(super) fn may_start(&self, incarnation: u64) -> bool {
-        !self.inherited && self.sent_to.is_none_or(|sent_to| sent_to == incarnation)
+        !self.from_predecessor
+            && self.start_sent_to.is_none_or(|start_sent_to| start_sent_to == incarnation)
     }
 }
--- a/crates/geraniumpost-core/src/jobs/planner/runs.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/runs.rs
@@ -1,48 +1,48 @@
-//! Orders that are sent until they have had their effect.
+//! Orders to agents, repeated until they take effect.
 
 use geraniumpost_schema::{Name, StartTask, TaskRef, ToAgent};
 
-use super::{AgentView, Planner, PlannerAction, Wanted};
+use super::{AgentView, Planner, PlannerAction, RunGoal};
 use crate::Millis;
 
 impl Planner {
-    /// Sends every order that is due.
+    /// Sends all orders that are due.
     ///
-    /// Agents treat a repeat of an order as the same order, so that a lost one is simply sent again.
-    pub(super) fn drive_all(&mut self, now: Millis, actions: &mut Vec<PlannerAction>) {
+    /// Agents treat a repeated order as the same order, so a lost order is sent again unchanged.
+    pub(super) fn send_due_orders(&mut self, now: Millis, actions: &mut Vec<PlannerAction>) {
         if self.stepped_down {
             return;
         }
-        let restless: Vec<Name> = self.restless.iter().cloned().collect();
-        for job in restless {
-            self.drive(&job, now, actions);
+        let unsettled_runs: Vec<Name> = self.unsettled_runs.iter().cloned().collect();
+        for job in unsettled_runs {
+            self.send_order(&job, now, actions);
         }
     }
 
-    /// Sends the order that one run needs, if it is due.
-    pub(super) fn drive(&mut self, job: &Name, now: Millis, actions: &mut Vec<PlannerAction>) {
+    /// Sends the order that a run needs, if it is due.
+    pub(super) fn send_order(&mut self, job: &Name, now: Millis, actions: &mut Vec<PlannerAction>) {
         let Some(run) = self.runs.get(job) else { return };
         if run.is_settled() {
-            self.restless.remove(job);
+            self.unsettled_runs.remove(job);
             return;
         }
         let resend_ms = self.config.resend_ms;
-        let paced = run.last_order.is_none_or(|last| now.since(last) >= resend_ms);
-        let ready = self.agents.get(&run.agent).and_then(AgentView::ready);
+        let paced = run.last_order_at.is_none_or(|last| now.since(last) >= resend_ms);
+        let ready = self.agents.get(&run.agent).and_then(AgentView::ready_incarnation);
         let (Some(incarnation), true, true) = (ready, run.committed, paced) else { return };
-        let frame = match run.wanted {
-            Wanted::Run if !self.standing.may_assign() => return,
-            Wanted::Run if run.seen || run.may_start(incarnation) => self.start_order(job),
-            Wanted::Evict => Some(ToAgent::Evict(self.task_ref(job, run.epoch))),
-            Wanted::Run | Wanted::Stop => Some(ToAgent::Stop(self.task_ref(job, run.epoch))),
+        let frame = match run.goal {
+            RunGoal::Run if !self.role.may_assign() => return,
+            RunGoal::Run if run.reported || run.may_start(incarnation) => self.start_order(job),
+            RunGoal::Evict => Some(ToAgent::Evict(self.task_ref(job, run.epoch))),
+            RunGoal::Run | RunGoal::Stop => Some(ToAgent::Stop(self.task_ref(job, run.epoch))),
         };
         let Some(frame) = frame else { return };
         let starts = matches!(frame, ToAgent::Start(_));
         let Some(run) = self.runs.get_mut(job) else { return };
-        run.last_order = Some(now);
+        run.last_order_at = Some(now);
         if starts {
-            run.sent_to = Some(incarnation);
-            run.sized = true;
+            run.start_sent_to = Some(incarnation);
+            run.size_sent = true;
         }
         actions.push(PlannerAction::Send { agent: run.agent.clone(), frame });
     }
--- a/crates/geraniumpost-core/src/jobs/store/bucket.rs
+++ b/crates/geraniumpost-core/src/jobs/store/bucket.rs
@@ -6,19 +6,21 @@
 use super::{BucketError, Stored, Tombstones};
 use crate::jobs::{JobRecord, JobState};
 
-/// Version of the encoding.
+/// Version of the stored encoding.
 const FORMAT: u32 = 1;
-/// Largest value in bytes; the store takes a megabyte, and runs of accepted jobs still grow.
+/// Maximum size of a value. The store accepts one megabyte, and the records of accepted jobs still
+/// grow.
 const MAX_BYTES: usize = 900_000;
-/// Bytes that an unfinished record may still grow by: its result and a checkpoint's name.
-const GROWTH_BYTES: usize = 700;
-/// Encoded bytes of one tombstone with its comma.
+/// Bytes by which an unfinished record may still grow: its result and the name of a checkpoint.
+const MAX_GROWTH_BYTES: usize = 700;
+/// Encoded size of a tombstone with its comma.
 const TOMBSTONE_BYTES: usize = 21;
 
-/// The job records of one store value.
+/// The job records in one store value.
 ///
-/// The head names the planner's term and the number of the commit. They tell a planner whose reply
-/// was lost whether its own write, or another planner's, is in the store.
+/// The header contains the planner's term and the sequence number of the commit. They tell a
+/// planner whose response was lost whether the stored value was written by itself or by another
+/// planner.
 #[derive(Debug, Clone, Default)]
 pub struct Bucket {
     term: u64,
@@ -39,11 +41,11 @@
 }
 
 impl Bucket {
-    /// Reads a store value.
+    /// Decodes a store value.
     ///
     /// # Errors
     ///
-    /// Returns an error if the value is no bucket of this format.
+    /// Returns an error if the value is not a bucket of the supported format.
     pub fn decode(value: &[u8]) -> Result<Self, BucketError> {
         let value: Value = serde_json::from_slice(value)?;
         if value.format != FORMAT {
@@ -61,7 +63,7 @@
         Ok(bucket)
     }
 
-    /// Returns the store value under a term and commit number.
+    /// Encodes the bucket under a term and a commit sequence number.
     pub fn encode(&mut self, term: u64, sequence: u64) -> Vec<u8> {
         self.term = term;
         self.sequence = sequence;
@@ -85,12 +87,12 @@
         self.term
     }
 
-    /// Returns the number of the commit that wrote the value, counted by that planner.
+    /// Returns the sequence number of the commit that wrote the value, counted by that planner.
     pub const fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Returns the record of a job.
+    /// Returns the record of a job, if it is in this bucket.
     pub fn get(&self, job: &str) -> Option<&JobRecord> {
         self.jobs.get(job).map(Stored::record)
     }
@@ -101,57 +103,57 @@
         self.bytes += stored.encoded().len() + 1;
         self.unfinished += usize::from(!stored.record().state().is_final());
         if let Some(old) = self.jobs.insert(stored.record().id().clone(), stored) {
-            self.discount(&old);
+            self.subtract(&old);
         }
     }
 
-    fn discount(&mut self, old: &Stored) {
+    fn subtract(&mut self, old: &Stored) {
         self.bytes -= old.encoded().len() + 1;
         self.unfinished -= usize::from(!old.record().state().is_final());
     }
 
-    /// Returns all records by id.
+    /// Returns all records in the order of their ids.
     pub fn records(&self) -> impl Iterator<Item = &JobRecord> {
         self.jobs.values().map(Stored::record)
     }
 
-    /// Returns whether the job finished so long ago that its record was dropped.
+    /// Returns whether the job finished and its record was dropped.
     pub fn has_tombstone(&self, job: &str) -> bool {
         self.tombstones.contains(job)
     }
 
-    /// Replaces the records that finished before `wall_ms` by tombstones and returns how many.
+    /// Replaces records that finished before `wall_ms` by tombstones and returns their number.
     pub fn drop_finished_before(&mut self, wall_ms: u64) -> usize {
         let old = |record: &&JobRecord| record.state().is_final() && record.finished_ms() < wall_ms;
         let ids: Vec<Name> = self.records().filter(old).map(|record| record.id().clone()).collect();
         for id in &ids {
-            self.bury(id);
+            self.replace_by_tombstone(id);
         }
         ids.len()
     }
 
-    fn bury(&mut self, job: &Name) {
+    fn replace_by_tombstone(&mut self, job: &Name) {
         if let Some(old) = self.jobs.remove(job) {
-            self.discount(&old);
+            self.subtract(&old);
             self.tombstones.insert(job);
         }
     }
 
-    /// Returns the size of the encoded value in bytes, to within its short head.
+    /// Returns the size of the encoded value in bytes, without its short header.
     pub fn bytes(&self) -> usize {
         self.bytes + self.tombstones.len() * TOMBSTONE_BYTES
     }
 
-    /// Returns whether another `more` bytes of records would bring the value near its bound.
+    /// Returns whether `additional` bytes of records would exceed the limit for new submissions.
     ///
-    /// Submissions stop here and not at the bound itself, because a job already accepted must always
-    /// be able to record its checkpoint and result.
-    pub fn is_full(&self, more: usize) -> bool {
-        let growth = (self.unfinished + 1) * GROWTH_BYTES;
-        self.bytes() + more + growth > MAX_BYTES
+    /// This limit is below the maximum size, because a job that was accepted must always be able to
+    /// record its checkpoint and result.
+    pub fn is_full(&self, additional: usize) -> bool {
+        let growth = (self.unfinished + 1) * MAX_GROWTH_BYTES;
+        self.bytes() + additional + growth > MAX_BYTES
     }
 
-    /// Returns how many records are in a state.
+    /// Returns the number of records in a state.
     pub fn count(&self, state: JobState) -> usize {
         self.records().filter(|record| record.state() == state).count()
     }
--- a/crates/geraniumpost-core/src/jobs/store/bucket_error.rs
+++ b/crates/geraniumpost-core/src/jobs/store/bucket_error.rs
@@ -1,15 +1,15 @@
 use derive_more::{Display, Error, From};
 
-/// Why a store value could not be read as a [`Bucket`](super::Bucket).
+/// The reason why a store value could not be decoded as a [`Bucket`](super::Bucket).
 ///
-/// A planner that meets one must not write over the value: jobs would be lost.
+/// The planner must not overwrite such a value, because jobs would be lost.
 #[derive(Debug, Display, Error, From)]
 pub enum BucketError {
-    /// The value is no bucket.
-    #[display("the value is no bucket of jobs: {_0}")]
+    /// The value is not an encoded bucket.
+    #[display("invalid job bucket: {_0}")]
     Malformed(serde_json::Error),
-    /// The value was written by a version that this one doesn't know.
-    #[display("the bucket has the unknown format {_0}")]
+    /// The value has a format version that this program does not support.
+    #[display("unsupported job bucket format {_0}")]
     #[from(skip)]
     Format(#[error(not(source))] u32),
 }
--- a/crates/geraniumpost-core/src/jobs/store/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/store/mod.rs
@@ -1,4 +1,4 @@
-//! How job records lie in the store; see `docs/design/0201-job-records.md`.
+//! Encoding of job records in the store; see `docs/design/0201-job-records.md`.
 
 mod bucket;
 mod bucket_error;
--- a/crates/geraniumpost-core/src/jobs/store/stored.rs
+++ b/crates/geraniumpost-core/src/jobs/store/stored.rs
@@ -1,6 +1,6 @@
 use crate::jobs::JobRecord;
 
-/// A record with its encoding, kept so that a commit only encodes what changed.
+/// A record with its cached encoding, so that a commit encodes only changed records.
 #[derive(Debug, Clone)]
 pub(super) struct Stored {
     record: JobRecord,
--- a/crates/geraniumpost-core/src/jobs/transition.rs
+++ b/crates/geraniumpost-core/src/jobs/transition.rs
@@ -1,55 +1,56 @@
 use geraniumpost_schema::Name;
 
-/// A named step in a job's life.
+/// A transition of a job's state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
-    /// Gives a pending job to a worker's agent.
+    /// A pending job is assigned to a worker's agent.
     Assign {
-        /// The agent.
+        /// Name of the agent that the job is assigned to.
         worker: Name,
     },
-    /// The run was checkpointed and stopped to make room.
+    /// The run was checkpointed and stopped to free its resources.
     Evicted {
-        /// Checkpoint the next run resumes from, empty to keep the recorded one.
+        /// Checkpoint that the next run resumes from, empty to keep the recorded one.
         checkpoint: Name,
     },
-    /// The agent refused the run, which truly never started.
+    /// The agent refused the run, which is guaranteed not to have started.
     Refused {
-        /// Wall time before which the next run must not start. Without a pause, a job that one agent
-        /// refuses again and again would take several commits a second.
+        /// Wall time before which the next run must not start. Without this delay, a job that one
+        /// agent refuses repeatedly would cause several commits a second.
         not_before_ms: u64,
     },
-    /// The run was stopped on order, or barred before it began.
+    /// The run was stopped by an order, or was prevented from starting.
     Stopped {
-        /// Latest checkpoint known, empty to keep the recorded one.
+        /// Latest known checkpoint, empty to keep the recorded one.
         checkpoint: Name,
     },
-    /// The run ended without a result: its worker, or the agent's hold on it, was lost.
+    /// The run ended without a result because its worker was lost or the agent's lease expired.
     Lost {
-        /// Latest checkpoint known, empty to keep the recorded one.
+        /// Latest known checkpoint, empty to keep the recorded one.
         checkpoint: Name,
     },
-    /// The run ended with a failure of its own.
+    /// The run failed by an error of its own.
     RunFailed {
-        /// What the worker said.
+        /// Text reported by the worker.
         reason: String,
-        /// Failed runs that the job's class allows.
+        /// Number of failed runs after which the job fails, from its class.
         max_attempts: u32,
         /// Wall time before which the next run must not start.
         not_before_ms: u64,
     },
     /// The run completed.
     Complete {
-        /// What the worker said.
+        /// Text reported by the worker.
         result: String,
     },
-    /// The customer or an operator cancels.
+    /// The customer or an operator cancels the job.
     Cancel,
-    /// A pending job is given up, as no worker could ever hold it or as it fails everywhere.
+    /// A pending job fails permanently, because no worker is large enough or because it fails on
+    /// every worker.
     GiveUp {
-        /// Result code of the end.
+        /// Final result code.
         code: u16,
-        /// What the customer is told, such as the resource and the largest worker.
+        /// Explanation for the customer, such as the insufficient resource and the largest worker.
         reason: String,
     },
 }
--- a/crates/geraniumpost-core/src/lib.rs
+++ b/crates/geraniumpost-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scheduling decisions as plain state machines without I/O.
+//! Scheduling decisions as state machines without I/O.
 //!
-//! Every decision has the shape `(state, event, now, random numbers) -> actions`. No clock, socket,
-//! thread or global is read here, so a decision can be compared with a naive twin, replayed from
-//! a seed and measured by itself. See `ARCHITECTURE.md` for how the shell drives this crate.
+//! Every decision has the shape `(state, event, now, random numbers) -> actions`. This crate reads
+//! no clock, socket, thread or global, so that a decision can be compared with a naive
+//! implementation, replayed from a seed and benchmarked in isolation. `ARCHITECTURE.md` describes
+//! how the shell drives this crate.
 
 pub mod config;
 pub mod jobs;
--- a/crates/geraniumpost-core/src/result_code.rs
+++ b/crates/geraniumpost-core/src/result_code.rs
@@ -1,9 +1,9 @@
 use derive_more::Display;
 
-/// Numbered result of a request, told to the caller in `X-Result-Code`.
+/// Numbered result of a request, returned to the caller in `X-Result-Code`.
 ///
-/// A number stays what it means for good. Codes that say "not run" are a promise: see
-/// [`Self::is_not_run`]. The table in `docs/RESULT_CODES.md` is checked against this type.
+/// The meaning of a number never changes. Codes that say "not run" are a guarantee: see
+/// [`Self::is_not_run`]. A test checks the table in `docs/RESULT_CODES.md` against this type.
 ///
 /// # Example
 ///
@@ -20,35 +20,35 @@
 pub enum ResultCode {
     /// The minion answered.
     Answered = 2000,
-    /// All agents tried are overloaded.
+    /// Every agent tried is overloaded.
     Overloaded = 2001,
-    /// The deadline cannot be met.
+    /// The request cannot be answered before its deadline.
     DeadlineTooShort = 2002,
     /// No agent of the service accepts work.
     NoAgent = 2003,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     OutcomeUnknown = 2004,
-    /// The minion failed while it ran.
+    /// The minion failed while it processed the request.
     MinionFailed = 2005,
-    /// The minion's answer was cut short.
+    /// The minion's response was truncated.
     AnswerTruncated = 2006,
-    /// It ran into its deadline.
+    /// The request was started and exceeded its deadline.
     TimedOut = 2007,
     /// The customer has too many requests in flight.
     CustomerLimit = 2008,
     /// The bearer token is missing or unknown.
     BadToken = 2009,
-    /// No such service.
+    /// The path names no known service.
     UnknownService = 2010,
     /// The body is larger than the service allows.
     BodyTooLarge = 2011,
-    /// The request cannot be read.
+    /// The request cannot be parsed.
     Malformed = 2012,
-    /// The key cannot be claimed because the store is down.
+    /// The idempotency key cannot be claimed because the store is unavailable.
     StoreDown = 2013,
-    /// The first request with the key ran, and its answer is not kept any more.
+    /// The first request with the idempotency key ran, and its response is no longer kept.
     FirstAnswerLost = 2014,
-    /// The entry is being stopped.
+    /// The entry is shutting down.
     EntryLeaving = 2015,
 }
 
@@ -73,12 +73,13 @@
         Self::EntryLeaving,
     ];
 
-    /// The code's number.
+    /// Returns the number in `X-Result-Code`.
     pub const fn number(self) -> u16 {
         self as u16
     }
 
-    /// HTTP status that goes with the code; an answered request has its minion's own status.
+    /// Returns the HTTP status for the code. For an answered request the minion's own status is
+    /// used instead.
     pub const fn http_status(self) -> u16 {
         match self {
             Self::Answered => 200,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Whether the code promises that the request did not run and never will.
+    /// Returns whether the code guarantees that the request did not run and never will.
     pub const fn is_not_run(self) -> bool {
         !matches!(
             self,
@@ -111,7 +112,7 @@
         )
     }
 
-    /// What happened, in one sentence.
+    /// Returns what happened, in one sentence.
     pub const fn meaning(self) -> &'static str {
         match self {
             Self::Answered => "The minion answered; the status and body are its own.",
@@ -135,7 +136,7 @@
         }
     }
 
-    /// What the caller should do, in one sentence.
+    /// Returns what the caller should do, in one sentence.
     pub const fn advice(self) -> &'static str {
         match self {
             Self::Answered => "Nothing.",
--- a/crates/geraniumpost-core/src/time.rs
+++ b/crates/geraniumpost-core/src/time.rs
@@ -1,16 +1,16 @@
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on the process's own monotonic clock, handed in by the shell.
+/// Milliseconds on the process's monotonic clock, passed in by the shell.
 ///
-/// Values of two processes are never compared: each has its own origin.
+/// Values of two processes are never compared, because each clock has its own origin.
 ///
 /// # Example
 ///
 /// ```
 /// use geraniumpost_core::Millis;
-/// let lapse = Millis(100).plus(50);
-/// assert_eq!(lapse.since(Millis(120)), 30);
+/// let expiry = Millis(100).plus(50);
+/// assert_eq!(expiry.since(Millis(120)), 30);
 /// ```
 #[derive(
     Debug,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A span of microseconds, the unit of service times.
+/// A duration in microseconds, the unit of service times.
 #[derive(
     Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, From, Into,
 )]
