--- a/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
@@ -20,8 +20,10 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, jobs::{LeaseHolder, LeaseAction, LeaseConfig, LeaseEvent, PlannerLease}};
-/// let mut lease = PlannerLease::new(LeaseHolder::new("entry-1".into(), 7), LeaseConfig::default());
+/// use geraniumpost_core::Millis;
+/// use geraniumpost_core::jobs::{LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, PlannerLease};
+/// let holder = LeaseHolder::new("entry-1".into(), 7);
+/// let mut lease = PlannerLease::new(holder, LeaseConfig::default());
 /// assert_eq!(lease.handle(LeaseEvent::Tick, Millis(0)), [LeaseAction::ReadAlive]);
 /// let ttl_ms = LeaseConfig::default().ttl_ms;
 /// let free = lease.handle(LeaseEvent::AliveRead(None), Millis(2));
--- a/crates/geraniumpost-core/src/jobs/ledger/tick.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/tick.rs
@@ -19,7 +19,7 @@
         self.end_expired(now, actions);
         self.repeat_reports(now, actions);
         self.request_sizes(now, actions);
-        self.forget_epochs(now);
+        self.expire_epochs(now);
     }
 
     fn list_if_due(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
@@ -49,10 +49,10 @@
     fn checkpoint(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let interval = self.config.checkpoint_ms;
         // One checkpoint is sufficient while the lease is near expiry.
-        let least =
+        let min_interval =
             self.lease.near_expiry(now).map_or(interval, |granted_ms| granted_ms.min(interval));
         for task in self.tasks.values_mut().filter(|task| task.phase == Phase::Running) {
-            if now.since(task.last_checkpoint) >= least {
+            if now.since(task.last_checkpoint) >= min_interval {
                 task.last_checkpoint = now;
                 let (job, epoch) = (task.job.clone(), task.epoch);
                 actions.push(LedgerAction::Checkpoint { job, epoch });
@@ -141,7 +141,7 @@
         }
     }
 
-    fn forget_epochs(&mut self, now: Millis) {
+    fn expire_epochs(&mut self, now: Millis) {
         let keep = self.config.epoch_retention_ms;
         let tasks = &self.tasks;
         self.known_epochs
--- a/crates/geraniumpost-core/src/jobs/planner/agents.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agents.rs
@@ -167,8 +167,8 @@
         leases_until.plus(lease + drift)
     }
 
-    /// Requeues the jobs of agents whose runs must have ended, and removes agents that have been
-    /// unreachable for long after that.
+    /// Requeues the jobs of agents whose runs must have ended, and removes agents that have no link
+    /// for the retention period after that.
     pub(super) fn lose_expired_runs(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
         let clock = now.clock;
         let mut expired = Vec::new();
@@ -211,8 +211,8 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         self.observe_end(job, crate::placement::RunOutcome::Lost, now, actions);
-        let step = Transition::Lost { checkpoint: checkpoint.clone() };
-        if self.apply_transition(job, step, now).is_ok() {
+        let transition = Transition::Lost { checkpoint: checkpoint.clone() };
+        if self.apply_transition(job, transition, now).is_ok() {
             self.counters.lost_runs += 1;
         }
     }
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -29,8 +29,9 @@
         let requests = self.placement_requests(now);
         let decisions = decide(now.clock, &requests, &self.fleet);
         let impossible = |job: &Name| {
-            let is_impossible = |decision: &Decision| matches!(decision, Decision::Impossible { job: other, .. } if other == job);
-            decisions.iter().any(is_impossible)
+            let matches_job =
+                |d: &Decision| matches!(d, Decision::Impossible { job: other, .. } if other == job);
+            decisions.iter().any(matches_job)
         };
         self.impossible.retain(|job, _| impossible(job));
         for decision in decisions {
@@ -69,7 +70,7 @@
                 self.throttle(&job, permille, now, actions);
             }
             Decision::Impossible { job, reason, .. } => {
-                self.count_impossible(&job, reason.to_string(), now);
+                self.on_impossible(&job, reason.to_string(), now);
             }
             Decision::GiveUp { job, reason } => {
                 self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), now);
@@ -88,8 +89,8 @@
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        let step = Transition::Assign { worker: worker.clone() };
-        if self.apply_transition(job, step, now).is_err() {
+        let transition = Transition::Assign { worker: worker.clone() };
+        if self.apply_transition(job, transition, now).is_err() {
             return;
         }
         let Some(record) = self.record(job).cloned() else { return };
@@ -115,7 +116,7 @@
 
     /// Fails a job that has been impossible for the configured time. An accepted job must not fail
     /// because its worker, or all workers, were unreachable for a short time.
-    fn count_impossible(&mut self, job: &Name, reason: String, now: Now) {
+    fn on_impossible(&mut self, job: &Name, reason: String, now: Now) {
         let since = *self.impossible.entry(job.clone()).or_insert(now.clock);
         if now.clock.since(since) >= self.config.impossible_timeout_ms {
             self.give_up(job, codes::IMPOSSIBLE, reason, now);
--- a/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
@@ -46,9 +46,9 @@
 
     /// Returns true once, as soon as none of them can grant leases any longer.
     pub(super) fn newly_expired(&mut self, now: Millis) -> bool {
-        let settled = !self.reported && now >= self.grants_until;
-        self.reported |= settled;
-        settled
+        let expired = !self.reported && now >= self.grants_until;
+        self.reported |= expired;
+        expired
     }
 }
 
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -19,7 +19,7 @@
     pub(super) fn apply_transition(
         &mut self,
         job: &Name,
-        step: Transition,
+        transition: Transition,
         now: Now,
     ) -> Result<JobState, TransitionError> {
         let slot = &mut self.slots[bucket_of(job)];
@@ -27,7 +27,7 @@
             return Err(TransitionError::Finished);
         };
         let before = record.state();
-        let after = record.apply(step, now.wall_ms)?;
+        let after = record.apply(transition, now.wall_ms)?;
         slot.dirty = true;
         slot.bucket.put(record.clone());
         self.remove_from_index(&record, before);
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -151,11 +151,11 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         let (job, epoch) = (&report.job, report.epoch);
-        let was = self.record(job).map(JobRecord::state);
+        let state_before = self.record(job).map(JobRecord::state);
         self.observe_end(job, run_outcome(report.state), now, actions);
-        let step = self.end_transition(report, now);
-        if self.apply_transition(job, step, now).is_ok() {
-            self.count_end(report.state, was == Some(JobState::Cancelling));
+        let transition = self.end_transition(report, now);
+        if self.apply_transition(job, transition, now).is_ok() {
+            self.count_end(report.state, state_before == Some(JobState::Cancelling));
         }
         let effect = Effect::SendSettled { agent: agent.clone(), job: job.clone(), epoch };
         self.after_commit(job, effect, now, actions);
