--- a/crates/geraniumpost-bench/src/placement_bench/contender.rs
+++ b/crates/geraniumpost-bench/src/placement_bench/contender.rs
@@ -1,9 +1,9 @@
 use geraniumpost_core::Millis;
-use geraniumpost_core::placement::{Decision, Fleet, Observation, Wish};
+use geraniumpost_core::placement::{Decision, Fleet, Observation, PlacementRequest};
 use rand::rngs::StdRng;
 
 /// What a policy decides.
-pub type Decide = Box<dyn FnMut(Millis, &[Wish], &Fleet, &mut StdRng) -> Vec<Decision>>;
+pub type Decide = Box<dyn FnMut(Millis, &[PlacementRequest], &Fleet, &mut StdRng) -> Vec<Decision>>;
 /// What a policy learns from.
 pub type Learn = Box<dyn FnMut(Millis, &Observation)>;
 
--- a/crates/geraniumpost-bench/src/placement_bench/naive.rs
+++ b/crates/geraniumpost-bench/src/placement_bench/naive.rs
@@ -1,7 +1,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use geraniumpost_core::Millis;
-use geraniumpost_core::placement::{Decision, Fleet, Reason, Wish, amounts};
+use geraniumpost_core::placement::{Decision, Fleet, PlacementRequest, Reason, amounts};
 use geraniumpost_schema::{Document, Name, Priority, Resources};
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -38,7 +38,7 @@
 /// One customer's part of the queue.
 struct Queue<'a> {
     customer: Name,
-    wishes: VecDeque<&'a Wish>,
+    wishes: VecDeque<&'a PlacementRequest>,
     /// What the order goes by; the least is next.
     share: f64,
     /// What it grows by for each share of the fleet.
@@ -53,16 +53,16 @@
 }
 
 impl<'a> Lane<'a> {
-    fn next(&mut self) -> Option<&'a Wish> {
+    fn next(&mut self) -> Option<&'a PlacementRequest> {
         let open = (0..self.queues.len()).filter(|i| !self.queues[*i].wishes.is_empty());
         let share = |i: &usize| self.queues[*i].share;
         self.last = open.min_by(|a, b| share(a).total_cmp(&share(b)))?;
         self.queues[self.last].wishes.pop_front()
     }
 
-    fn took(&mut self, wish: &Wish, fleet: &Fleet) {
+    fn took(&mut self, wish: &PlacementRequest, fleet: &Fleet) {
         let queue = &mut self.queues[self.last];
-        queue.share += queue.per_share * amounts::dominant(wish.need(), fleet.total());
+        queue.share += queue.per_share * amounts::dominant_share(wish.need(), fleet.total());
     }
 }
 
@@ -87,15 +87,15 @@
     pub fn place(
         &mut self,
         now: Millis,
-        wishes: &[Wish],
+        wishes: &[PlacementRequest],
         fleet: &Fleet,
         rng: &mut StdRng,
     ) -> Vec<Decision> {
         let mut free: Vec<(Name, Resources)> =
             fleet.workers().map(|worker| (worker.name().clone(), worker.free())).collect();
-        let mut left: Vec<&Wish> =
+        let mut left: Vec<&PlacementRequest> =
             wishes.iter().filter(|wish| wish.earliest_start() <= now).collect();
-        left.sort_by_key(|wish| (rank(wish.urgency()), wish.submitted_at()));
+        left.sort_by_key(|wish| (rank(wish.requested_priority()), wish.submitted_at()));
         let mut decisions = self.preempt(now, &left, fleet);
         let mut too_large: Vec<Resources> = Vec::new();
         for mut lane in self.lanes(now, &left, fleet) {
@@ -113,7 +113,7 @@
                     worker,
                     need: *wish.need(),
                     score: 0.0,
-                    why: Reason::Settling,
+                    reason: Reason::AwaitingWorkers,
                 });
             }
         }
@@ -121,10 +121,15 @@
     }
 
     /// Splits the queue by priority and, unless it is first come first served, by customer.
-    fn lanes<'a>(&self, now: Millis, left: &[&'a Wish], fleet: &Fleet) -> Vec<Lane<'a>> {
+    fn lanes<'a>(
+        &self,
+        now: Millis,
+        left: &[&'a PlacementRequest],
+        fleet: &Fleet,
+    ) -> Vec<Lane<'a>> {
         let mut lanes: Vec<Lane<'a>> = (0..3).map(|_| Lane::default()).collect();
         for wish in left {
-            let lane = &mut lanes[usize::from(rank(wish.urgency()))];
+            let lane = &mut lanes[usize::from(rank(wish.requested_priority()))];
             let owner = wish.customer();
             let same = |queue: &Queue| self.order == Order::Fifo || queue.customer == *owner;
             let at = lane.queues.iter().position(same).unwrap_or_else(|| {
@@ -147,7 +152,8 @@
         Queue {
             customer: customer.clone(),
             wishes: VecDeque::new(),
-            share: part * amounts::dominant(&fleet.holding(customer), fleet.total()) / weight
+            share: part * amounts::dominant_share(&fleet.allocated_to(customer), fleet.total())
+                / weight
                 + held / weight,
             per_share: part / weight,
         }
@@ -155,7 +161,7 @@
 
     fn choose(
         &self,
-        wish: &Wish,
+        wish: &PlacementRequest,
         free: &mut [(Name, Resources)],
         rng: &mut StdRng,
     ) -> Option<Name> {
@@ -171,7 +177,7 @@
     }
 
     /// Evicts as the paper says: once waiting outweighs running, whatever ran for long.
-    fn preempt(&mut self, now: Millis, left: &[&Wish], fleet: &Fleet) -> Vec<Decision> {
+    fn preempt(&mut self, now: Millis, left: &[&PlacementRequest], fleet: &Fleet) -> Vec<Decision> {
         if self.order != Order::Sidrf || now.since(self.checked) < SIDRF_GAMMA_MS {
             return Vec::new();
         }
@@ -196,7 +202,7 @@
                     job: task.job().clone(),
                     worker: worker.name().clone(),
                     for_job: Name::default(),
-                    why: Reason::Settling,
+                    reason: Reason::AwaitingWorkers,
                 });
             }
         }
--- a/crates/geraniumpost-bench/src/placement_bench/timing.rs
+++ b/crates/geraniumpost-bench/src/placement_bench/timing.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::placement::{
-    Decision, Fleet, Observation, Placer, TaskView, Wish, WorkerView,
+    Decision, Fleet, Observation, PlacementRequest, Placer, TaskView, WorkerView,
 };
 use geraniumpost_schema::{Name, Resources};
 use rand::rngs::StdRng;
@@ -34,7 +34,7 @@
         let mut times: Vec<f64> =
             (0..DECISIONS).map(|i| time(&mut placer, &mut fleet, i, &mut rng)).collect();
         times.sort_by(f64::total_cmp);
-        let wishes: Vec<Wish> =
+        let wishes: Vec<PlacementRequest> =
             (0..STARTS_PER_SECOND).map(|i| wish(1_000_000 + i, &mut rng)).collect();
         let begun = Instant::now();
         let decided = placer.place(Millis(9_000_000), &wishes, &fleet, &mut rng);
@@ -77,9 +77,14 @@
     let large = |i| {
         let need = Resources { milli_cpus: 0, memory_mb: 190_000, accelerators: 0 };
         let milli_cpus = rng.random_range(1000..40_000);
-        Wish::new(format!("large-{i}"), "entel", "study", Resources { milli_cpus, ..need })
+        PlacementRequest::new(
+            format!("large-{i}"),
+            "entel",
+            "study",
+            Resources { milli_cpus, ..need },
+        )
     };
-    let wishes: Vec<Wish> = (0..LONG_QUEUE).map(large).collect();
+    let wishes: Vec<PlacementRequest> = (0..LONG_QUEUE).map(large).collect();
     let begun = Instant::now();
     let decided = placer.place(Millis(100_000), &wishes, fleet, rng);
     let taken = begun.elapsed().as_secs_f64() * 1e3;
@@ -87,12 +92,12 @@
     taken
 }
 
-fn wish(number: usize, rng: &mut StdRng) -> Wish {
+fn wish(number: usize, rng: &mut StdRng) -> PlacementRequest {
     let milli_cpus = rng.random_range(500..4000);
     let need = Resources { milli_cpus, memory_mb: milli_cpus * 2, accelerators: 0 };
     let class = ["study", "logs", "encode", "index"][rng.random_range(0..4)];
     let customer = ["entel", "claro", "bitel"][rng.random_range(0..3)];
-    Wish::new(format!("new-{number}"), customer, class, need)
+    PlacementRequest::new(format!("new-{number}"), customer, class, need)
 }
 
 fn fleet(workers: usize, tasks: usize, rng: &mut StdRng) -> Fleet {
--- a/crates/geraniumpost-bench/src/placement_bench/world.rs
+++ b/crates/geraniumpost-bench/src/placement_bench/world.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::placement::{
-    Decision, Fleet, Observation, RunOutcome, TaskView, Wish, WorkerView,
+    Decision, Fleet, Observation, PlacementRequest, RunOutcome, TaskView, WorkerView,
 };
 use geraniumpost_schema::{Name, Resources};
 use rand::rngs::StdRng;
@@ -358,16 +358,21 @@
         self.give_up();
     }
 
-    fn wishes(&self) -> Vec<Wish> {
+    fn wishes(&self) -> Vec<PlacementRequest> {
         let mut jobs: Vec<_> = self.waiting.iter().collect();
         jobs.sort_by_key(|(job, _)| **job);
         let wish = |(job, waiting): (&usize, &Waiting)| {
             let truth = &self.scenario.jobs[*job];
             let class = &self.scenario.classes[truth.class];
-            Wish::new(truth.name.clone(), truth.customer.clone(), class.name, truth.declared)
-                .priority(class.priority)
-                .submitted(Millis(waiting.since))
-                .not_before(Millis(waiting.not_before))
+            PlacementRequest::new(
+                truth.name.clone(),
+                truth.customer.clone(),
+                class.name,
+                truth.declared,
+            )
+            .priority(class.priority)
+            .submitted(Millis(waiting.since))
+            .not_before(Millis(waiting.not_before))
         };
         jobs.into_iter().map(wish).collect()
     }
@@ -418,7 +423,7 @@
             truth.declared,
             Millis(now),
         );
-        let added = self.fleet.add_task(worker, view.priority(class.priority).learned(need));
+        let added = self.fleet.add_task(worker, view.priority(class.priority).reserved(need));
         assert!(added, "{job} was started twice or on an unknown worker {worker}");
         let worker_at = self.worker_index[worker];
         self.running.push(Running {
--- a/crates/geraniumpost-bench/src/routing_bench/contender.rs
+++ b/crates/geraniumpost-bench/src/routing_bench/contender.rs
@@ -1,4 +1,6 @@
-use geraniumpost_core::requests::{BaselineRouter, Choice, NoAgent, RouteAsk, Router, ServiceView};
+use geraniumpost_core::requests::{
+    BaselineRouter, NoAgent, Router, RoutingDecision, RoutingQuery, ServiceView,
+};
 use rand::rngs::SmallRng;
 
 /// A routing policy that takes part in the comparison.
@@ -70,9 +72,9 @@
     pub fn choose(
         &mut self,
         service: &ServiceView,
-        ask: &RouteAsk<'_>,
+        ask: &RoutingQuery<'_>,
         rng: &mut SmallRng,
-    ) -> Result<Choice, NoAgent> {
+    ) -> Result<RoutingDecision, NoAgent> {
         match self {
             Self::Router(router) => router.choose(service, ask, rng),
             Self::Baseline(router) => router.choose(service, ask, rng),
--- a/crates/geraniumpost-bench/src/routing_bench/fleet_model.rs
+++ b/crates/geraniumpost-bench/src/routing_bench/fleet_model.rs
@@ -3,7 +3,7 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::requests::{
-    AgentView, EjectionChange, Ejector, InFlight, Place, RouteAsk, Snapshot,
+    AgentView, EjectionChange, Ejector, InFlightGuard, Location, RoutingQuery, Snapshot,
 };
 use geraniumpost_schema::{Load, Name};
 use rand::rngs::SmallRng;
@@ -55,7 +55,7 @@
     failed: bool,
     near: bool,
     load: Load,
-    guard: Option<InFlight>,
+    guard: Option<InFlightGuard>,
 }
 
 /// A minion with its slots and the queue before it.
@@ -68,7 +68,7 @@
 }
 
 struct Entry {
-    place: Place,
+    place: Location,
     snapshot: Snapshot,
     policy: Policy,
     ejector: Ejector,
@@ -113,10 +113,12 @@
 }
 
 fn entry(number: usize, scenario: &Scenario, contender: Contender, seed: u64) -> Entry {
-    let place = Place::new("lima", DOMAINS[number % DOMAINS.len()]);
+    let place = Location::new("lima", DOMAINS[number % DOMAINS.len()]);
     let views = (0..scenario.agents).map(|n| {
         let domain = DOMAINS[n % DOMAINS.len()];
-        AgentView::new(n.to_string(), 1).service("filing").place(Place::new("lima", domain))
+        AgentView::new(n.to_string(), 1)
+            .service("filing")
+            .at_location(Location::new("lima", domain))
     });
     Entry {
         snapshot: Snapshot::new(views, &place),
@@ -184,12 +186,12 @@
 
     /// Routes one attempt and returns its number.
     fn send(&mut self, number: usize, came_us: u64, inherent_us: u64, tried: &[Name]) -> u64 {
-        let ask = RouteAsk::new(self.now()).harmless(true).tried(tried);
+        let ask = RoutingQuery::new(self.now()).retryable(true).tried(tried);
         let entry = &mut self.entries[number];
         let service = entry.snapshot.service("filing").expect("agents never die here");
         let choice = entry.policy.choose(service, &ask, &mut entry.rng).expect("some are ready");
         let view = choice.agent();
-        let near = view.located() == &entry.place;
+        let near = view.location() == &entry.place;
         let job = Job {
             entry: number,
             agent: view.name().parse().expect("agents are named by number"),
@@ -199,7 +201,7 @@
             failed: false,
             near,
             load: Load::default(),
-            guard: Some(view.counters().begin()),
+            guard: Some(view.counters().begin_request()),
         };
         self.order += 1;
         let id = self.order;
@@ -293,9 +295,9 @@
         let name = job.agent.to_string();
         let view = entry.snapshot.agent(&name).expect("agents never die here");
         if self.scenario.load_on_answers {
-            view.counters().report(&job.load, now);
+            view.counters().record_load(&job.load, now);
         }
-        if self.contender.ejects() && view.counters().note(!job.failed) {
+        if self.contender.ejects() && view.counters().record_result(!job.failed) {
             let service = entry.snapshot.service("filing").expect("agents never die here");
             let change = entry.ejector.record(service, view, !job.failed, now);
             if matches!(change, EjectionChange::Ejected { .. } | EjectionChange::Restored) {
@@ -325,7 +327,7 @@
         let (load, now, name) = (self.load(agent), self.now(), agent.to_string());
         for entry in &self.entries {
             let view = entry.snapshot.agent(&name).expect("agents never die here");
-            view.counters().report(&load, now);
+            view.counters().record_load(&load, now);
         }
         self.push(self.scenario.beat_us, Event::Beat(agent));
     }
--- a/crates/geraniumpost-bench/src/routing_bench/timing.rs
+++ b/crates/geraniumpost-bench/src/routing_bench/timing.rs
@@ -2,7 +2,7 @@
 use std::time::Instant;
 
 use geraniumpost_core::Millis;
-use geraniumpost_core::requests::{AgentView, Place, RouteAsk, Snapshot};
+use geraniumpost_core::requests::{AgentView, Location, RoutingQuery, Snapshot};
 use geraniumpost_schema::Load;
 use rand::rngs::SmallRng;
 use rand::{RngCore, SeedableRng};
@@ -39,15 +39,16 @@
     let domains = ["miraflores", "surco", "callao", "ate"];
     let views: Vec<AgentView> = (0..agents)
         .map(|n| {
-            let place = Place::new("lima", domains[n % domains.len()]);
-            let view = AgentView::new(format!("a{n}"), n as u64).service("filing").place(place);
+            let place = Location::new("lima", domains[n % domains.len()]);
+            let view =
+                AgentView::new(format!("a{n}"), n as u64).service("filing").at_location(place);
             let in_flight = rng.next_u32() % 8;
             let load = Load { in_flight, service_us: 5_000, ..Load::default() };
-            view.counters().report(&load, Millis(0));
+            view.counters().record_load(&load, Millis(0));
             view
         })
         .collect();
-    Snapshot::new(views, &Place::new("lima", "surco"))
+    Snapshot::new(views, &Location::new("lima", "surco"))
 }
 
 /// Returns the nanoseconds per decision of each batch.
@@ -59,9 +60,9 @@
         let start = Instant::now();
         for _ in 0..BATCH {
             let service = snapshot.service("filing").expect("the fleet serves it");
-            let ask = RouteAsk::new(Millis(100));
+            let ask = RoutingQuery::new(Millis(100));
             let choice = policy.choose(service, &ask, &mut rng).expect("all are ready");
-            black_box(choice.agent().counters().begin());
+            black_box(choice.agent().counters().begin_request());
         }
         start.elapsed().as_nanos() as u64 / BATCH
     });
--- a/crates/geraniumpost-core/src/config/adoption.rs
+++ b/crates/geraniumpost-core/src/config/adoption.rs
@@ -19,10 +19,10 @@
 ///
 /// let mut adoption = Adoption::new(500);
 /// let now = Millis(0);
-/// assert_eq!(adoption.on(AdoptionEvent::Started, now), vec![AdoptionAction::AskAll]);
+/// assert_eq!(adoption.handle(AdoptionEvent::Started, now), vec![AdoptionAction::FetchAll]);
 /// let event = AdoptionEvent::Received { source: Source::Store, revision: 7, document: "d" };
 /// let adopt = AdoptionAction::Adopt { revision: 7, document: "d" };
-/// assert_eq!(adoption.on(event, now), vec![adopt]);
+/// assert_eq!(adoption.handle(event, now), vec![adopt]);
 /// assert_eq!(adoption.in_force(), 7);
 /// ```
 #[derive(Debug, Clone)]
@@ -61,7 +61,7 @@
     }
 
     /// Takes one event and returns what is to be done.
-    pub fn on(&mut self, event: AdoptionEvent<T>, now: Millis) -> Vec<AdoptionAction<T>> {
+    pub fn handle(&mut self, event: AdoptionEvent<T>, now: Millis) -> Vec<AdoptionAction<T>> {
         match event {
             AdoptionEvent::Started => self.start(now),
             AdoptionEvent::Offered { source, revision } => self.offered(source, revision, now),
@@ -78,7 +78,7 @@
         let until = now.plus(self.gather_ms);
         let asked_again = now.plus(FETCH_MS);
         self.gathering = Some(Gathering { until, asked_again, held: None });
-        vec![AdoptionAction::AskAll]
+        vec![AdoptionAction::FetchAll]
     }
 
     fn offered(&mut self, source: Source, revision: u64, now: Millis) -> Vec<AdoptionAction<T>> {
@@ -127,7 +127,7 @@
         }
         if gathering.held.is_none() && now >= gathering.asked_again {
             gathering.asked_again = now.plus(FETCH_MS);
-            return vec![AdoptionAction::AskAll];
+            return vec![AdoptionAction::FetchAll];
         }
         Vec::new()
     }
--- a/crates/geraniumpost-core/src/config/adoption_action.rs
+++ b/crates/geraniumpost-core/src/config/adoption_action.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdoptionAction<T> {
     /// Ask the store and every peer for what they hold.
-    AskAll,
+    FetchAll,
     /// Ask one source for its document.
     Fetch {
         /// Whom to ask.
--- a/crates/geraniumpost-core/src/config/change_protocol.rs
+++ b/crates/geraniumpost-core/src/config/change_protocol.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes the store's answer to the last call and returns what to do next.
-    pub fn on(&mut self, event: ChangeEvent) -> ChangeAction {
+    pub fn handle(&mut self, event: ChangeEvent) -> ChangeAction {
         match event {
             ChangeEvent::Read(current) => self.read(current),
             ChangeEvent::Written(revision) => {
@@ -50,7 +50,7 @@
         let revision = current.as_ref().map_or(0, |(revision, _)| *revision);
         let stored = current.as_ref().map(|(_, stored)| stored);
         if revision == self.change.based_on {
-            let value = StoredDocument::after(stored, &self.change);
+            let value = StoredDocument::from_change(stored, &self.change);
             return self.call(ChangeAction::Write { expected: revision, value });
         }
         match stored.and_then(|stored| stored.changes_since(self.change.based_on)) {
--- a/crates/geraniumpost-core/src/config/stored_document.rs
+++ b/crates/geraniumpost-core/src/config/stored_document.rs
@@ -26,7 +26,7 @@
 impl StoredDocument {
     /// Creates the value that `change` writes in place of `current`.
     #[must_use]
-    pub fn after(current: Option<&Self>, change: &Change) -> Self {
+    pub fn from_change(current: Option<&Self>, change: &Change) -> Self {
         let before = current.map_or(&Value::Null, |current| &current.document);
         let mut paths = differing_paths(before, &change.document);
         paths.truncate(PATHS);
--- a/crates/geraniumpost-core/src/jobs/job_record.rs
+++ b/crates/geraniumpost-core/src/jobs/job_record.rs
@@ -85,7 +85,7 @@
                 return Err(TransitionError::Finished);
             }
             (JobState::Pending, Transition::Assign { worker }) => self.assign(worker),
-            (JobState::Pending | JobState::CancelWanted, Transition::Cancel) => {
+            (JobState::Pending | JobState::Cancelling, Transition::Cancel) => {
                 self.cancel_at(wall_ms);
             }
             (JobState::Pending, Transition::GiveUp { code, reason }) => {
@@ -95,8 +95,8 @@
             (_, Transition::Assign { .. } | Transition::GiveUp { .. }) => {
                 return Err(TransitionError::NotPending);
             }
-            (JobState::Assigned, Transition::Cancel) => self.state = JobState::CancelWanted,
-            (JobState::CancelWanted, _) => {
+            (JobState::Assigned, Transition::Cancel) => self.state = JobState::Cancelling,
+            (JobState::Cancelling, _) => {
                 self.finish(JobState::Cancelled, codes::CANCELLED, String::new(), wall_ms);
             }
             (JobState::Assigned, end) => self.end_run(end, wall_ms),
--- a/crates/geraniumpost-core/src/jobs/job_state.rs
+++ b/crates/geraniumpost-core/src/jobs/job_state.rs
@@ -17,7 +17,7 @@
     Assigned,
     /// Cancelled while assigned; the word that its run ended is awaited.
     #[serde(rename = "w")]
-    CancelWanted,
+    Cancelling,
     /// Completed; the one result is recorded.
     #[serde(rename = "d")]
     Done,
@@ -34,7 +34,7 @@
     pub const ALL: [Self; 6] = [
         Self::Pending,
         Self::Assigned,
-        Self::CancelWanted,
+        Self::Cancelling,
         Self::Done,
         Self::Failed,
         Self::Cancelled,
@@ -47,6 +47,6 @@
 
     /// Returns whether a worker may be running the job.
     pub const fn is_placed(self) -> bool {
-        matches!(self, Self::Assigned | Self::CancelWanted)
+        matches!(self, Self::Assigned | Self::Cancelling)
     }
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
@@ -39,7 +39,7 @@
         lease: u64,
     },
     /// This process now plans: load the records.
-    Became(Takeover),
+    Acquired(Takeover),
     /// This process no longer plans: drop the planner and stop granting holds.
     Lost(&'static str),
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
@@ -20,7 +20,7 @@
     /// The call failed or its answer was lost; it may have taken effect.
     CallFailed,
     /// The planner is sure that no earlier holder grants holds any more.
-    EarlierSettled,
+    PredecessorsExpired,
     /// The configuration changed.
     Configure(LeaseConfig),
     /// The planner has found that another one took over, or that it can't go on.
--- a/crates/geraniumpost-core/src/jobs/lease/holder.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_holder.rs
@@ -5,7 +5,7 @@
 /// One process that plans or has planned.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, Constructor)]
 #[display("{name}#{incarnation}")]
-pub struct Holder {
+pub struct LeaseHolder {
     /// Name of the entry.
     pub name: Name,
     /// Random number drawn at the entry's start.
--- a/crates/geraniumpost-core/src/jobs/lease/standing.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_role.rs
@@ -2,7 +2,7 @@
 
 /// What a process may do as planner at this instant.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseRole {
     /// It doesn't plan.
     #[display("follows")]
     Follower,
@@ -14,20 +14,20 @@
     },
     /// It is cut from the store: it may only keep running tasks going.
     #[display("cut from the store in term {term}")]
-    Cut {
+    Disconnected {
         /// Its term.
         term: u64,
     },
 }
 
-impl Standing {
+impl LeaseRole {
     /// Returns whether new work may be assigned and started.
     pub const fn may_assign(self) -> bool {
         matches!(self, Self::Leader { .. })
     }
 
     /// Returns whether holds may be granted to agents.
-    pub const fn may_hold(self) -> bool {
+    pub const fn may_grant_leases(self) -> bool {
         !matches!(self, Self::Follower)
     }
 }
--- a/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
@@ -1,7 +1,8 @@
 use geraniumpost_schema::Name;
 
 use super::{
-    Holder, LeaseAction, LeaseConfig, LeaseEvent, Standing, Step, Takeover, Tenure, TermRecord,
+    LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, Step, Takeover, Tenure,
+    TermRecord,
 };
 use crate::Millis;
 
@@ -13,13 +14,13 @@
 /// A key attached to a store lease says that somebody plans; a second key, which never lapses, holds
 /// the growing term. The lease alone would not do: a holder that was paused doesn't know that its
 /// lease lapsed. Therefore the holder counts from the moment it *sent* its last successful renewal,
-/// on its own clock, and asks [`PlannerLease::standing`] before each thing it does.
+/// on its own clock, and asks [`PlannerLease::role`] before each thing it does.
 ///
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, jobs::{Holder, LeaseAction, LeaseConfig, LeaseEvent, PlannerLease}};
-/// let mut lease = PlannerLease::new(Holder::new("entry-1".into(), 7), LeaseConfig::default());
+/// use geraniumpost_core::{Millis, jobs::{LeaseHolder, LeaseAction, LeaseConfig, LeaseEvent, PlannerLease}};
+/// let mut lease = PlannerLease::new(LeaseHolder::new("entry-1".into(), 7), LeaseConfig::default());
 /// assert_eq!(lease.handle(LeaseEvent::Tick, Millis(0)), [LeaseAction::ReadAlive]);
 /// let ttl_ms = LeaseConfig::default().ttl_ms;
 /// let free = lease.handle(LeaseEvent::AliveRead(None), Millis(2));
@@ -27,7 +28,7 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct PlannerLease {
-    me: Holder,
+    me: LeaseHolder,
     config: LeaseConfig,
     step: Option<(Step, Millis)>,
     next: Millis,
@@ -44,7 +45,7 @@
 
 impl PlannerLease {
     /// Creates a candidate that doesn't plan yet.
-    pub const fn new(me: Holder, config: LeaseConfig) -> Self {
+    pub const fn new(me: LeaseHolder, config: LeaseConfig) -> Self {
         Self {
             me,
             config,
@@ -63,33 +64,33 @@
     }
 
     /// Returns what this process may do now.
-    pub fn standing(&self, now: Millis) -> Standing {
-        let Some(tenure) = &self.tenure else { return Standing::Follower };
+    pub fn role(&self, now: Millis) -> LeaseRole {
+        let Some(tenure) = &self.tenure else { return LeaseRole::Follower };
         let term = tenure.record.term;
         if now < self.valid_until {
-            Standing::Leader { term }
+            LeaseRole::Leader { term }
         } else if now < self.hold_until {
-            Standing::Cut { term }
+            LeaseRole::Disconnected { term }
         } else {
-            Standing::Follower
+            LeaseRole::Follower
         }
     }
 
     /// Returns when this process must stop granting holds if nothing else happens.
-    pub fn hold_until(&self) -> Millis {
+    pub fn may_grant_until(&self) -> Millis {
         if self.tenure.is_some() { self.hold_until.max(self.valid_until) } else { Millis(0) }
     }
 
     /// Returns the longest hold granted of late, by which holds are to be counted.
     ///
     /// An answer to a heartbeat may have gone out just before the configuration was lowered.
-    pub fn longest_hold_ms(&self) -> u64 {
+    pub fn longest_agent_lease_ms(&self) -> u64 {
         self.tenure.as_ref().map_or(0, |tenure| tenure.record.hold_ms)
     }
 
     /// Returns the longest hold that may be granted, which the next planner is sure to wait out.
-    pub fn hold_ms(&self) -> u64 {
-        self.longest_hold_ms().min(self.config.hold_ms)
+    pub fn agent_lease_ms(&self) -> u64 {
+        self.longest_agent_lease_ms().min(self.config.hold_ms)
     }
 
     /// Takes one event in and returns what is to be done, in order.
@@ -98,7 +99,7 @@
         self.notice_lapse(now, &mut actions);
         match event {
             LeaseEvent::Tick => self.on_tick(now, &mut actions),
-            LeaseEvent::EarlierSettled => self.settled = true,
+            LeaseEvent::PredecessorsExpired => self.settled = true,
             LeaseEvent::Configure(config) => self.configure(config, now),
             LeaseEvent::StepDown => self.step_down(now, &mut actions),
             LeaseEvent::Resign => self.resign(&mut actions),
@@ -152,7 +153,7 @@
         if self.step.is_some() || now < self.next || self.resigned {
             return;
         }
-        if !self.standing(now).may_assign() {
+        if !self.role(now).may_assign() {
             self.call(Step::Look, LeaseAction::ReadAlive, now, actions);
         } else if let Some(record) = self.rewritten(now) {
             self.rewrite(record, now, actions);
@@ -238,10 +239,10 @@
 
     /// Waits before the next try; a holder retries its renewal sooner than others look.
     fn rest(&mut self, now: Millis) {
-        let wait = if self.standing(now).may_assign() {
+        let wait = if self.role(now).may_assign() {
             self.config.ttl_ms / (RENEWALS * 4)
         } else {
-            self.config.look_ms
+            self.config.poll_ms
         };
         self.next = now.plus(wait);
     }
@@ -328,7 +329,7 @@
         let resumed = self.tenure.as_ref().is_some_and(|own| own.record.term == record.term);
         if !resumed {
             self.lose("another process has planned", actions);
-            actions.push(LeaseAction::Became(Takeover::new(&record, now)));
+            actions.push(LeaseAction::Acquired(Takeover::new(&record, now)));
         }
         self.tenure = Some(Tenure { record, revision });
         self.on_renewed(self.claimed_at);
@@ -387,7 +388,7 @@
     }
 
     /// Returns this process as a holder.
-    pub const fn holder(&self) -> &Holder {
+    pub const fn holder(&self) -> &LeaseHolder {
         &self.me
     }
 
--- a/crates/geraniumpost-core/src/jobs/lease/takeover.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/takeover.rs
@@ -1,4 +1,4 @@
-use super::{Holder, TermRecord};
+use super::{LeaseHolder, TermRecord};
 use crate::Millis;
 
 /// What a new planner knows of those before it.
@@ -9,7 +9,7 @@
     /// When it had the lease, which no earlier holder had from then on.
     pub at: Millis,
     /// Earlier holders that may still grant holds.
-    pub earlier: Vec<Holder>,
+    pub earlier: Vec<LeaseHolder>,
     /// Whether there are more, so that no proof of the named ones is enough.
     pub earlier_dropped: bool,
     /// Longest time that an earlier holder grants holds after it lost the store.
--- a/crates/geraniumpost-core/src/jobs/lease/term_record.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/term_record.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-use super::{Holder, LeaseConfig};
+use super::{LeaseConfig, LeaseHolder};
 
 /// Most earlier holders that are told apart.
 const MAX_EARLIER: usize = 8;
@@ -25,9 +25,9 @@
     /// Grows with each holder.
     pub term: u64,
     /// Who plans.
-    pub holder: Holder,
+    pub holder: LeaseHolder,
     /// Who planned before and may not know that it no longer does.
-    pub earlier: Vec<Holder>,
+    pub earlier: Vec<LeaseHolder>,
     /// Whether there were more of them than are told apart.
     pub earlier_dropped: bool,
     /// Longest time that any of these grants holds after it lost the store.
@@ -40,7 +40,7 @@
 
 impl TermRecord {
     /// Returns the record of the first holder.
-    pub fn first(holder: Holder, config: &LeaseConfig) -> Self {
+    pub fn first(holder: LeaseHolder, config: &LeaseConfig) -> Self {
         Self {
             term: 1,
             holder,
@@ -54,7 +54,7 @@
 
     /// Returns the record of the next holder.
     #[must_use]
-    pub fn next(&self, holder: Holder, config: &LeaseConfig) -> Self {
+    pub fn next(&self, holder: LeaseHolder, config: &LeaseConfig) -> Self {
         let mut earlier = self.earlier.clone();
         earlier.push(self.holder.clone());
         earlier.retain(|other| *other != holder);
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_config.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_config.rs
@@ -13,11 +13,11 @@
     /// process may reach the worker within it.
     pub settle_ms: u64,
     /// Longest time that a call to the worker is open.
-    pub longest_call_ms: u64,
+    pub call_timeout_ms: u64,
     /// Interval of checkpoints of a running task: the most work that the loss of its VM costs.
     pub checkpoint_ms: u64,
     /// How long the epoch of a settled run is remembered, so that a delayed order for it is refused.
-    pub remember_ms: u64,
+    pub epoch_retention_ms: u64,
 }
 
 impl Default for LedgerConfig {
@@ -28,9 +28,9 @@
             repeat_ms: 1_000,
             usage_ms: 10_000,
             settle_ms: 1_000,
-            longest_call_ms: 10_000,
+            call_timeout_ms: 10_000,
             checkpoint_ms: 120_000,
-            remember_ms: 600_000,
+            epoch_retention_ms: 600_000,
         }
     }
 }
--- a/crates/geraniumpost-core/src/jobs/ledger/task.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/task.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::{Name, Resources, StartTask, TaskReport, TaskState};
 
 use super::{LedgerConfig, Phase, StartCall};
-use crate::{Millis, placement::amounts::larger};
+use crate::{Millis, placement::amounts::component_max};
 
 /// One run in the ledger.
 #[derive(Debug, Clone)]
@@ -70,7 +70,7 @@
     /// Returns what the task counts for: never below what was seen of it.
     pub(super) fn size(&self) -> Resources {
         let need = self.need.unwrap_or_default();
-        if self.phase.is_live() { larger(&need, &self.peak) } else { Resources::default() }
+        if self.phase.is_live() { component_max(&need, &self.peak) } else { Resources::default() }
     }
 
     pub(super) fn enter(&mut self, phase: Phase, now: Millis) {
@@ -81,7 +81,7 @@
 
     pub(super) fn observe(&mut self, usage: Resources, checkpoint: &Name) {
         self.usage = usage;
-        self.peak = larger(&self.peak, &usage);
+        self.peak = component_max(&self.peak, &usage);
         if !checkpoint.is_empty() {
             self.checkpoint = checkpoint.clone();
         }
@@ -90,7 +90,7 @@
     /// Returns whether a call that starts the task may still reach the worker and begin it.
     pub(super) fn start_may_arrive(&self, now: Millis, config: &LedgerConfig) -> bool {
         let calls = [self.start, self.earlier_start];
-        calls.iter().any(|call| call.may_arrive(now, config.settle_ms, config.longest_call_ms))
+        calls.iter().any(|call| call.may_arrive(now, config.settle_ms, config.call_timeout_ms))
     }
 
     /// Takes note that the call that starts the task is made again.
--- a/crates/geraniumpost-core/src/jobs/ledger/tick.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/tick.rs
@@ -137,7 +137,7 @@
     }
 
     fn forget_epochs(&mut self, now: Millis) {
-        let keep = self.config.remember_ms;
+        let keep = self.config.epoch_retention_ms;
         let tasks = &self.tasks;
         self.epochs.retain(|job, (_, since)| tasks.contains_key(job) || now.since(*since) < keep);
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns what the VM offers to batch work in all.
-    pub const fn offered(&self) -> Resources {
+    pub const fn allocatable(&self) -> Resources {
         minus(&self.capacity, &self.reserve)
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Returns how many tasks may be using the VM.
-    pub fn live(&self) -> usize {
+    pub fn live_tasks(&self) -> usize {
         self.tasks.values().filter(|task| task.phase.is_live()).count()
     }
 
@@ -140,12 +140,12 @@
     }
 
     /// Returns when the hold ends, for a check just before a call to the worker.
-    pub const fn hold_until(&self) -> Millis {
+    pub const fn lease_until(&self) -> Millis {
         self.hold.until()
     }
 
     pub(super) fn has_room(&self, need: Resources) -> bool {
-        fits(&need, &minus(&self.offered(), &self.reserved()))
+        fits(&need, &minus(&self.allocatable(), &self.reserved()))
     }
 
     /// Adopts a higher term and returns whether orders under `term` are obeyed.
--- a/crates/geraniumpost-core/src/jobs/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/mod.rs
@@ -14,7 +14,7 @@
 mod job_state;
 mod lease;
 mod ledger;
-mod moment;
+mod now;
 mod planner;
 mod store;
 mod transition;
@@ -24,13 +24,13 @@
 pub use job_spec::JobSpec;
 pub use job_state::JobState;
 pub use lease::{
-    Holder, LeaseAction, LeaseConfig, LeaseEvent, PlannerLease, Standing, Takeover, TermRecord,
-    alive_key, term_key,
+    LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, PlannerLease, Takeover,
+    TermRecord, alive_key, term_key,
 };
 pub use ledger::{LedgerAction, LedgerConfig, LedgerCounters, LedgerEvent, VmLedger, WorkerTask};
-pub use moment::Moment;
+pub use now::Now;
 pub use planner::{
-    JobAnswer, JobView, Planner, PlannerAction, PlannerConfig, PlannerCounters, PlannerEvent,
+    JobResponse, JobView, Planner, PlannerAction, PlannerConfig, PlannerCounters, PlannerEvent,
 };
 pub use store::{BUCKETS, Bucket, BucketError, Tombstones, bucket_key, bucket_of};
 pub use transition::Transition;
--- a/crates/geraniumpost-core/src/jobs/moment.rs
+++ b/crates/geraniumpost-core/src/jobs/now.rs
@@ -7,12 +7,12 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, jobs::Moment};
-/// let moment = Moment::new(Millis(5), 1_700_000_000_000, 42);
+/// use geraniumpost_core::{Millis, jobs::Now};
+/// let moment = Now::new(Millis(5), 1_700_000_000_000, 42);
 /// assert_eq!(moment.jitter(100, 50), 142);
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Constructor)]
-pub struct Moment {
+pub struct Now {
     /// The process's monotonic clock; all leases and holds are judged by it.
     pub clock: Millis,
     /// Milliseconds since the Unix epoch, for records that another process reads. Clocks of two
@@ -22,7 +22,7 @@
     pub random: u64,
 }
 
-impl Moment {
+impl Now {
     /// Returns `base` plus a random part below `spread`, so that retries don't come in step.
     #[must_use]
     pub const fn jitter(&self, base: u64, spread: u64) -> u64 {
--- a/crates/geraniumpost-core/src/jobs/planner/agents.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agents.rs
@@ -5,7 +5,7 @@
 use super::{Planner, PlannerAction, Wanted};
 use crate::{
     Millis,
-    jobs::{Moment, Standing, Transition},
+    jobs::{LeaseRole, Now, Transition},
     placement::{WorkerState, WorkerView},
 };
 
@@ -13,16 +13,16 @@
     /// Takes in a heartbeat and returns the term and hold to answer with, both 0 for no hold.
     ///
     /// `hold_ms` is at least what the answer grants, see
-    /// [`PlannerLease::longest_hold_ms`](crate::jobs::PlannerLease::longest_hold_ms). The hold is counted here from the answer and at the agent from the heartbeat, which is earlier,
+    /// [`PlannerLease::longest_agent_lease_ms`](crate::jobs::PlannerLease::longest_agent_lease_ms). The hold is counted here from the answer and at the agent from the heartbeat, which is earlier,
     /// so that the agent always stops first.
     pub fn heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         hold_ms: u64,
-        standing: Standing,
+        standing: LeaseRole,
         now: Millis,
     ) -> (u64, u64) {
-        if self.stepped_down || !standing.may_hold() || !heartbeat.has_worker {
+        if self.stepped_down || !standing.may_grant_leases() || !heartbeat.has_worker {
             return (0, 0);
         }
         self.describe(heartbeat, now);
@@ -61,7 +61,7 @@
         let busy = heartbeat.load.in_flight.saturating_mul(1000) / heartbeat.slots.max(1);
         self.fleet.set_load(agent, busy, heartbeat.load.p99_us);
         if leaves {
-            self.on_leaving(agent, Moment { clock: now, ..Moment::default() });
+            self.on_leaving(agent, Now { clock: now, ..Now::default() });
         }
     }
 
@@ -69,7 +69,7 @@
         &mut self,
         agent: &Name,
         incarnation: u64,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let view = self.agents.entry(agent.clone()).or_default();
@@ -91,7 +91,7 @@
     }
 
     /// Moves what can be moved off a VM that leaves.
-    pub(super) fn on_leaving(&mut self, agent: &Name, _moment: Moment) {
+    pub(super) fn on_leaving(&mut self, agent: &Name, _moment: Now) {
         let Some(view) = self.agents.get_mut(agent) else { return };
         view.draining = true;
         let moving: Vec<Name> = self
@@ -165,7 +165,7 @@
     }
 
     /// Gives back the jobs of agents whose runs have surely ended.
-    pub(super) fn lose_lapsed(&mut self, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    pub(super) fn lose_lapsed(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
         let now = moment.clock;
         let mut lapsed = Vec::new();
         let mut gone = Vec::new();
@@ -187,7 +187,7 @@
         }
     }
 
-    fn lose_runs_of(&mut self, agents: &[Name], moment: Moment, actions: &mut Vec<PlannerAction>) {
+    fn lose_runs_of(&mut self, agents: &[Name], moment: Now, actions: &mut Vec<PlannerAction>) {
         let lost: Vec<Name> = self
             .runs
             .iter()
@@ -203,7 +203,7 @@
         &mut self,
         job: &Name,
         checkpoint: &Name,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         self.observe_end(job, crate::placement::RunOutcome::Lost, moment, actions);
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -5,11 +5,11 @@
 use super::{Effect, Planner, PlannerAction, Stage, Wanted};
 use crate::{
     Millis,
-    jobs::{Bucket, JobRecord, Moment},
+    jobs::{Bucket, JobRecord, Now},
 };
 
 impl Planner {
-    pub(super) fn read_unknown(&mut self, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    pub(super) fn read_unknown(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
         let retry_ms = self.config.store_retry_ms;
         for (bucket, slot) in self.slots.iter_mut().enumerate() {
             let paced = slot.last_call.0 == 0 || moment.clock.since(slot.last_call) >= retry_ms;
@@ -23,7 +23,7 @@
     }
 
     /// Sends every commit that is due.
-    pub(super) fn flush(&mut self, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    pub(super) fn flush(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
         if !self.standing.may_assign() || self.stepped_down {
             return;
         }
@@ -48,7 +48,7 @@
         &mut self,
         bucket: usize,
         revision: u64,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
@@ -70,7 +70,7 @@
     pub(super) fn on_commit_unclear(
         &mut self,
         bucket: usize,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
@@ -84,7 +84,7 @@
         actions.push(PlannerAction::Read { bucket });
     }
 
-    pub(super) fn on_read_failed(&mut self, bucket: usize, moment: Moment) {
+    pub(super) fn on_read_failed(&mut self, bucket: usize, moment: Now) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
         if slot.stage == Stage::Reading {
             slot.stage = Stage::Unknown;
@@ -96,7 +96,7 @@
         &mut self,
         bucket: usize,
         found: Option<(u64, Vec<u8>)>,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         if self.slots.get(bucket).is_none_or(|slot| slot.stage != Stage::Reading) {
@@ -123,7 +123,7 @@
     }
 
     /// Takes over a value that the open commit has not replaced.
-    fn take_in(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, moment: Moment) {
+    fn take_in(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, moment: Now) {
         let own = read.term() == self.term;
         let slot = &mut self.slots[bucket];
         slot.stage = Stage::Ready;
@@ -199,11 +199,11 @@
     }
 
     /// Replaces records of jobs that finished long ago by tombstones, with the next commit.
-    pub(super) fn bury_finished(&mut self, moment: Moment) {
-        let before = moment.wall_ms.saturating_sub(self.config.keep_finished_ms);
+    pub(super) fn bury_finished(&mut self, moment: Now) {
+        let before = moment.wall_ms.saturating_sub(self.config.finished_retention_ms);
         for slot in &mut self.slots {
             if slot.dirty {
-                slot.bucket.bury_finished_before(before);
+                slot.bucket.drop_finished_before(before);
             }
         }
     }
--- a/crates/geraniumpost-core/src/jobs/planner/job_answer.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/job_response.rs
@@ -2,7 +2,7 @@
 
 /// What a submitter or canceller is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JobAnswer {
+pub struct JobResponse {
     /// Result code, see [`codes::TABLE`].
     pub code: u16,
     /// The job's state, if it has a record.
@@ -13,7 +13,7 @@
     pub detail: String,
 }
 
-impl JobAnswer {
+impl JobResponse {
     /// Creates an answer without a state or detail.
     pub const fn new(code: u16) -> Self {
         Self { code, state: None, retry_after_ms: 0, detail: String::new() }
--- a/crates/geraniumpost-core/src/jobs/planner/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/mod.rs
@@ -4,7 +4,7 @@
 mod agents;
 mod commits;
 mod effect;
-mod job_answer;
+mod job_response;
 mod job_view;
 mod placing;
 #[expect(clippy::module_inception, reason = "the type gives the folder its name")]
@@ -24,7 +24,7 @@
 
 use agent_view::AgentView;
 use effect::Effect;
-pub use job_answer::JobAnswer;
+pub use job_response::JobResponse;
 pub use job_view::JobView;
 pub use planner::Planner;
 pub use planner_action::PlannerAction;
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -5,8 +5,8 @@
 use super::{Effect, Planner, PlannerAction, Run};
 use crate::{
     Millis,
-    jobs::{JobRecord, Moment, Standing, Transition, codes},
-    placement::{Decision, Fleet, Observation, Wish},
+    jobs::{JobRecord, LeaseRole, Now, Transition, codes},
+    placement::{Decision, Fleet, Observation, PlacementRequest},
 };
 
 impl Planner {
@@ -16,9 +16,9 @@
     /// its order goes out when the commit is known to be in the store.
     pub fn place(
         &mut self,
-        standing: Standing,
-        moment: Moment,
-        decide: impl FnOnce(Millis, &[Wish], &Fleet) -> Vec<Decision>,
+        standing: LeaseRole,
+        moment: Now,
+        decide: impl FnOnce(Millis, &[PlacementRequest], &Fleet) -> Vec<Decision>,
     ) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
         self.standing = standing;
@@ -41,7 +41,7 @@
         actions
     }
 
-    fn wishes(&self, moment: Moment) -> Vec<Wish> {
+    fn wishes(&self, moment: Now) -> Vec<PlacementRequest> {
         self.pending
             .iter()
             .filter_map(|job| self.record(job))
@@ -49,16 +49,16 @@
             .collect()
     }
 
-    fn wish(&self, record: &JobRecord, moment: Moment) -> Wish {
+    fn wish(&self, record: &JobRecord, moment: Now) -> PlacementRequest {
         let spec = record.spec();
         let class = self.classes.get(&spec.class);
-        Wish::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need)
+        PlacementRequest::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need)
             .priority(class.map_or(Priority::Normal, |class| class.priority))
             .submitted(on_clock(record.submitted_ms(), moment))
             .not_before(on_clock(record.not_before_ms(), moment))
     }
 
-    fn carry_out(&mut self, decision: Decision, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    fn carry_out(&mut self, decision: Decision, moment: Now, actions: &mut Vec<PlannerAction>) {
         match decision {
             Decision::Start { job, worker, need, .. } => {
                 self.assign(&job, &worker, need, moment, actions);
@@ -69,11 +69,11 @@
             Decision::Throttle { job, permille, .. } => {
                 self.throttle(&job, permille, moment, actions);
             }
-            Decision::Impossible { job, why, .. } => {
-                self.doubt(&job, why.to_string(), moment);
+            Decision::Impossible { job, reason, .. } => {
+                self.doubt(&job, reason.to_string(), moment);
             }
-            Decision::GiveUp { job, why } => {
-                self.give_up(&job, codes::FAILED_TOO_OFTEN, why.to_string(), moment);
+            Decision::GiveUp { job, reason } => {
+                self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), moment);
             }
             Decision::Quarantine { worker, .. } => self.quarantine(&worker, true),
             Decision::Release { worker, .. } => self.quarantine(&worker, false),
@@ -86,7 +86,7 @@
         job: &Name,
         worker: &Name,
         need: Resources,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let step = Transition::Assign { worker: worker.clone() };
@@ -104,7 +104,7 @@
         &mut self,
         job: &Name,
         permille: u32,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(run) = self.runs.get(job).filter(|run| run.seen) else { return };
@@ -122,14 +122,14 @@
 
     /// Gives a job up once it has been impossible for a while, so that no job that was accepted is
     /// failed because its worker, or all workers, were out of sight for a moment.
-    fn doubt(&mut self, job: &Name, reason: String, moment: Moment) {
+    fn doubt(&mut self, job: &Name, reason: String, moment: Now) {
         let since = *self.impossible.entry(job.clone()).or_insert(moment.clock);
         if moment.clock.since(since) >= self.config.impossible_ms {
             self.give_up(job, codes::IMPOSSIBLE, reason, moment);
         }
     }
 
-    fn give_up(&mut self, job: &Name, code: u16, reason: String, moment: Moment) {
+    fn give_up(&mut self, job: &Name, code: u16, reason: String, moment: Now) {
         // Only a job that was running or finished in the meantime refuses this, rightly.
         let _ = self.change(job, Transition::GiveUp { code, reason }, moment);
     }
@@ -142,7 +142,7 @@
 }
 
 /// Returns a wall time of a record as an instant of this process's clock.
-const fn on_clock(wall_ms: u64, moment: Moment) -> Millis {
+const fn on_clock(wall_ms: u64, moment: Now) -> Millis {
     if wall_ms >= moment.wall_ms {
         moment.clock.plus(wall_ms - moment.wall_ms)
     } else {
--- a/crates/geraniumpost-core/src/jobs/planner/planner.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner.rs
@@ -7,7 +7,7 @@
     Run, Slot, Wanted,
 };
 use crate::{
-    jobs::{BUCKETS, JobRecord, Moment, Standing, Takeover, bucket_of},
+    jobs::{BUCKETS, JobRecord, LeaseRole, Now, Takeover, bucket_of},
     placement::{Fleet, WorkerState},
 };
 
@@ -21,12 +21,12 @@
 ///
 /// ```
 /// use geraniumpost_core::{Millis, jobs::*};
-/// let holder = Holder::new("entry-1".into(), 7);
+/// let holder = LeaseHolder::new("entry-1".into(), 7);
 /// let record = TermRecord::first(holder, &LeaseConfig::default());
 /// let takeover = Takeover::new(&record, Millis(0));
 /// let mut planner = Planner::new(&takeover, PlannerConfig::default());
-/// let moment = Moment::new(Millis(1), 0, 0);
-/// let actions = planner.handle(PlannerEvent::Tick, Standing::Leader { term: 1 }, moment);
+/// let moment = Now::new(Millis(1), 0, 0);
+/// let actions = planner.handle(PlannerEvent::Tick, LeaseRole::Leader { term: 1 }, moment);
 /// let read = |action: &&PlannerAction| matches!(action, PlannerAction::Read { .. });
 /// assert_eq!(actions.iter().filter(read).count(), BUCKETS);
 /// ```
@@ -48,7 +48,7 @@
     pub(super) impossible: BTreeMap<Name, crate::Millis>,
     pub(super) settling_until: crate::Millis,
     /// As told with the event in hand.
-    pub(super) standing: Standing,
+    pub(super) standing: LeaseRole,
     pub(super) stepped_down: bool,
     pub(super) counters: PlannerCounters,
 }
@@ -57,7 +57,7 @@
     /// Creates the planner of a new term; it reads the records at its first tick.
     pub fn new(takeover: &Takeover, config: PlannerConfig) -> Self {
         let mut fleet = Fleet::default();
-        fleet.set_settling(true);
+        fleet.set_awaiting_workers(true);
         Self {
             term: takeover.term,
             config,
@@ -74,7 +74,7 @@
             predecessors: Predecessors::new(takeover),
             impossible: BTreeMap::new(),
             settling_until: takeover.at.plus(config.settling_ms),
-            standing: Standing::Follower,
+            standing: LeaseRole::Follower,
             stepped_down: false,
             counters: PlannerCounters::default(),
         }
@@ -107,8 +107,8 @@
     pub fn handle(
         &mut self,
         event: PlannerEvent,
-        standing: Standing,
-        moment: Moment,
+        standing: LeaseRole,
+        moment: Now,
     ) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
         if self.stepped_down {
@@ -128,7 +128,9 @@
             PlannerEvent::Inventory { agent, inventory } => {
                 self.on_inventory(&agent, &inventory, moment, &mut actions);
             }
-            PlannerEvent::HolderGone(holder) => self.predecessors.gone(&holder, moment.clock),
+            PlannerEvent::PredecessorStopped(holder) => {
+                self.predecessors.gone(&holder, moment.clock)
+            }
             PlannerEvent::Tick => self.on_tick(moment, &mut actions),
             event => self.on_link_or_store(event, moment, &mut actions),
         }
@@ -139,7 +141,7 @@
     fn on_link_or_store(
         &mut self,
         event: PlannerEvent,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         match event {
@@ -149,7 +151,7 @@
             PlannerEvent::LinkDown { agent, incarnation } => {
                 self.on_link_down(&agent, incarnation);
             }
-            PlannerEvent::Leaving { agent } => self.on_leaving(&agent, moment),
+            PlannerEvent::Draining { agent } => self.on_leaving(&agent, moment),
             PlannerEvent::CommitDone { bucket, revision } => {
                 self.on_commit_done(bucket, revision, moment, actions);
             }
@@ -164,14 +166,14 @@
         }
     }
 
-    fn on_tick(&mut self, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    fn on_tick(&mut self, moment: Now, actions: &mut Vec<PlannerAction>) {
         let now = moment.clock;
         self.read_unknown(moment, actions);
         if self.predecessors.newly_settled(now) {
-            actions.push(PlannerAction::EarlierSettled);
+            actions.push(PlannerAction::PredecessorsExpired);
         }
         self.show_workers(now);
-        self.fleet.set_settling(self.is_settling(now));
+        self.fleet.set_awaiting_workers(self.is_settling(now));
         self.ask_inventories(now, actions);
         if self.is_ready() {
             self.lose_lapsed(moment, actions);
@@ -235,7 +237,7 @@
     }
 
     /// Returns how many jobs wait and how many are assigned.
-    pub fn queue(&self) -> (usize, usize) {
+    pub fn queue_lengths(&self) -> (usize, usize) {
         (self.pending.len(), self.runs.len())
     }
 }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::{Name, ToAgent};
 
-use super::JobAnswer;
+use super::JobResponse;
 use crate::placement::Observation;
 
 /// What a [`Planner`](super::Planner) asks the shell to do.
@@ -32,12 +32,12 @@
         /// The number given with the event.
         reply: u64,
         /// The answer.
-        answer: JobAnswer,
+        answer: JobResponse,
     },
     /// Let the placer learn.
     Observe(Observation),
     /// Tell the lease that no earlier holder grants holds any more.
-    EarlierSettled,
+    PredecessorsExpired,
     /// Stop planning: another planner has taken over, or the records can't be read.
     StepDown(&'static str),
 }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
@@ -21,7 +21,7 @@
     /// a planner that is cut from its agents sees none that could run anything.
     pub impossible_ms: u64,
     /// How long the record of a finished job is kept.
-    pub keep_finished_ms: u64,
+    pub finished_retention_ms: u64,
     /// Back-off after the first failed run; doubled with each further one.
     pub backoff_ms: u64,
     /// Longest back-off.
@@ -40,7 +40,7 @@
             settling_ms: 5_000,
             forget_agent_ms: 600_000,
             impossible_ms: 60_000,
-            keep_finished_ms: 86_400_000,
+            finished_retention_ms: 86_400_000,
             backoff_ms: 1_000,
             max_backoff_ms: 60_000,
         }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::{Inventory, Name, TaskReport};
 
-use crate::jobs::{Holder, JobSpec};
+use crate::jobs::{JobSpec, LeaseHolder};
 
 /// What a [`Planner`](super::Planner) is told.
 #[derive(Debug, Clone, PartialEq)]
@@ -36,7 +36,7 @@
         incarnation: u64,
     },
     /// An agent announced that it leaves.
-    Leaving {
+    Draining {
         /// The agent.
         agent: Name,
     },
@@ -84,7 +84,7 @@
         bucket: usize,
     },
     /// An earlier holder is known not to grant holds any more: its entry said so, or restarted.
-    HolderGone(Holder),
+    PredecessorStopped(LeaseHolder),
     /// Time passed.
     Tick,
 }
--- a/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
@@ -1,6 +1,6 @@
 use crate::{
     Millis,
-    jobs::{Holder, Takeover},
+    jobs::{LeaseHolder, Takeover},
 };
 
 /// How long earlier planners may keep agents going that this one cannot reach.
@@ -10,7 +10,7 @@
 /// last possible hold has run out, unless each earlier planner is known to have stopped.
 #[derive(Debug, Clone)]
 pub(super) struct Predecessors {
-    earlier: Vec<Holder>,
+    earlier: Vec<LeaseHolder>,
     earlier_dropped: bool,
     grants_until: Millis,
     hold_ms: u64,
@@ -31,7 +31,7 @@
     }
 
     /// Takes in the proof that one of them has stopped.
-    pub(super) fn gone(&mut self, holder: &Holder, now: Millis) {
+    pub(super) fn gone(&mut self, holder: &LeaseHolder, now: Millis) {
         let known = self.earlier.len();
         self.earlier.retain(|other| other != holder);
         if self.earlier.len() < known && self.earlier.is_empty() && !self.earlier_dropped {
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -5,7 +5,7 @@
 use super::{Effect, Planner, PlannerAction, Run};
 use crate::{
     Millis,
-    jobs::{JobRecord, JobState, Moment, Transition, TransitionError, bucket_of},
+    jobs::{JobRecord, JobState, Now, Transition, TransitionError, bucket_of},
     placement::{TaskView, WorkerState, WorkerView, amounts},
 };
 
@@ -19,7 +19,7 @@
         &mut self,
         job: &Name,
         step: Transition,
-        moment: Moment,
+        moment: Now,
     ) -> Result<JobState, TransitionError> {
         let slot = &mut self.slots[bucket_of(job)];
         let Some(mut record) = slot.bucket.get(job).cloned() else {
@@ -41,7 +41,7 @@
             JobState::Pending => {
                 self.pending.remove(job);
             }
-            JobState::Assigned | JobState::CancelWanted if !stays_placed => {
+            JobState::Assigned | JobState::Cancelling if !stays_placed => {
                 self.runs.remove(job);
                 self.restless.remove(job);
                 self.fleet.remove_task(job);
@@ -70,7 +70,7 @@
     pub(super) fn inherit(&mut self, record: &JobRecord, now: Millis) {
         let need = record.spec().need;
         let mut run = Run::inherited(record.worker().clone(), record.epoch(), need);
-        if record.state() == JobState::CancelWanted {
+        if record.state() == JobState::Cancelling {
             run.wanted = super::Wanted::Stop;
         }
         self.add_run(record, run, now);
@@ -111,7 +111,7 @@
         let spec = record.spec();
         let class = self.classes.get(&spec.class);
         TaskView::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need, now)
-            .learned(need)
+            .reserved(need)
             .priority(class.map_or(Priority::Normal, |class| class.priority))
             .evictable(class.is_none_or(|class| class.evictable))
     }
@@ -121,7 +121,7 @@
         &mut self,
         job: &str,
         effect: Effect,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let slot = &mut self.slots[bucket_of(job)];
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -4,7 +4,7 @@
 
 use super::{Effect, Planner, PlannerAction, Wanted};
 use crate::{
-    jobs::{JobRecord, JobState, Moment, Transition, bucket_of},
+    jobs::{JobRecord, JobState, Now, Transition, bucket_of},
     placement::{Observation, RunOutcome},
 };
 
@@ -16,7 +16,7 @@
         &mut self,
         agent: &Name,
         inventory: &Inventory,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(view) = self.agents.get_mut(agent) else { return };
@@ -65,7 +65,7 @@
         &mut self,
         agent: &Name,
         report: &TaskReport,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         if !self.slots[bucket_of(&report.job)].fenced {
@@ -90,7 +90,7 @@
         &mut self,
         agent: &Name,
         report: &TaskReport,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let (job, epoch) = (report.job.clone(), report.epoch);
@@ -114,12 +114,7 @@
         }
     }
 
-    fn on_progress(
-        &mut self,
-        report: &TaskReport,
-        moment: Moment,
-        actions: &mut Vec<PlannerAction>,
-    ) {
+    fn on_progress(&mut self, report: &TaskReport, moment: Now, actions: &mut Vec<PlannerAction>) {
         let job = &report.job;
         let usage = report.usage;
         self.fleet.update_task(job, |task| task.usage(usage));
@@ -136,7 +131,7 @@
     }
 
     /// Keeps a newer checkpoint's name, to be written with the next change of its bucket.
-    fn note_checkpoint(&mut self, report: &TaskReport, moment: Moment) {
+    fn note_checkpoint(&mut self, report: &TaskReport, moment: Now) {
         let slot = &mut self.slots[bucket_of(&report.job)];
         let Some(mut record) = slot.bucket.get(&report.job).cloned() else { return };
         if record.note_checkpoint(&report.checkpoint) {
@@ -149,7 +144,7 @@
         &mut self,
         agent: &Name,
         report: &TaskReport,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let (job, epoch) = (&report.job, report.epoch);
@@ -157,13 +152,13 @@
         self.observe_end(job, outcome(report.state), moment, actions);
         let step = self.ending(report, moment);
         if self.change(job, step, moment).is_ok() {
-            self.count_end(report.state, was == Some(JobState::CancelWanted));
+            self.count_end(report.state, was == Some(JobState::Cancelling));
         }
         let effect = Effect::Settled { agent: agent.clone(), job: job.clone(), epoch };
         self.after_commit(job, effect, moment, actions);
     }
 
-    fn ending(&self, report: &TaskReport, moment: Moment) -> Transition {
+    fn ending(&self, report: &TaskReport, moment: Now) -> Transition {
         let checkpoint = report.checkpoint.clone();
         match report.state {
             TaskState::Done => Transition::Complete { result: report.result.clone() },
@@ -178,7 +173,7 @@
         }
     }
 
-    fn failure(&self, report: &TaskReport, moment: Moment) -> Transition {
+    fn failure(&self, report: &TaskReport, moment: Now) -> Transition {
         let record = self.record(&report.job);
         let class = record.and_then(|record| self.classes.get(&record.spec().class));
         let attempts = record.map_or(0, JobRecord::attempts);
@@ -203,7 +198,7 @@
         }
     }
 
-    fn observe_start(&self, job: &Name, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    fn observe_start(&self, job: &Name, moment: Now, actions: &mut Vec<PlannerAction>) {
         let Some(record) = self.record(job) else { return };
         actions.push(PlannerAction::Observe(Observation::Started {
             job: job.clone(),
@@ -215,7 +210,7 @@
         }));
     }
 
-    fn observe_usage(&self, report: &TaskReport, moment: Moment, actions: &mut Vec<PlannerAction>) {
+    fn observe_usage(&self, report: &TaskReport, moment: Now, actions: &mut Vec<PlannerAction>) {
         let Some(record) = self.record(&report.job) else { return };
         if report.usage == crate::placement::amounts::NONE {
             return;
@@ -234,7 +229,7 @@
         &self,
         job: &Name,
         outcome: RunOutcome,
-        moment: Moment,
+        moment: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(run) = self.runs.get(job) else { return };
--- a/crates/geraniumpost-core/src/jobs/store/bucket.rs
+++ b/crates/geraniumpost-core/src/jobs/store/bucket.rs
@@ -116,12 +116,12 @@
     }
 
     /// Returns whether the job finished so long ago that its record was dropped.
-    pub fn is_buried(&self, job: &str) -> bool {
+    pub fn has_tombstone(&self, job: &str) -> bool {
         self.tombstones.contains(job)
     }
 
     /// Replaces the records that finished before `wall_ms` by tombstones and returns how many.
-    pub fn bury_finished_before(&mut self, wall_ms: u64) -> usize {
+    pub fn drop_finished_before(&mut self, wall_ms: u64) -> usize {
         let old = |record: &&JobRecord| record.state().is_final() && record.finished_ms() < wall_ms;
         let ids: Vec<Name> = self.records().filter(old).map(|record| record.id().clone()).collect();
         for id in &ids {
--- a/crates/geraniumpost-core/src/placement/amounts.rs
+++ b/crates/geraniumpost-core/src/placement/amounts.rs
@@ -16,10 +16,10 @@
 /// use geraniumpost_schema::Resources;
 /// let room = Resources { milli_cpus: 500, memory_mb: 100, accelerators: 0 };
 /// let need = Resources { milli_cpus: 500, memory_mb: 101, accelerators: 0 };
-/// assert_eq!(amounts::excess(&need, &room), Some(Resource::Memory));
+/// assert_eq!(amounts::exceeded_resource(&need, &room), Some(Resource::Memory));
 /// ```
 #[must_use]
-pub const fn excess(need: &Resources, room: &Resources) -> Option<Resource> {
+pub const fn exceeded_resource(need: &Resources, room: &Resources) -> Option<Resource> {
     if need.accelerators > room.accelerators {
         Some(Resource::Accelerators)
     } else if need.memory_mb > room.memory_mb {
@@ -34,7 +34,7 @@
 /// Returns whether `need` fits into `room`.
 #[must_use]
 pub const fn fits(need: &Resources, room: &Resources) -> bool {
-    excess(need, room).is_none()
+    exceeded_resource(need, room).is_none()
 }
 
 /// Returns the sum.
@@ -59,7 +59,7 @@
 
 /// Returns the larger amount of each resource.
 #[must_use]
-pub fn larger(a: &Resources, b: &Resources) -> Resources {
+pub fn component_max(a: &Resources, b: &Resources) -> Resources {
     Resources {
         milli_cpus: a.milli_cpus.max(b.milli_cpus),
         memory_mb: a.memory_mb.max(b.memory_mb),
@@ -69,7 +69,7 @@
 
 /// Returns the smaller amount of each resource.
 #[must_use]
-pub fn smaller(a: &Resources, b: &Resources) -> Resources {
+pub fn component_min(a: &Resources, b: &Resources) -> Resources {
     Resources {
         milli_cpus: a.milli_cpus.min(b.milli_cpus),
         memory_mb: a.memory_mb.min(b.memory_mb),
@@ -86,10 +86,10 @@
 /// use geraniumpost_schema::Resources;
 /// let total = Resources { milli_cpus: 1000, memory_mb: 100, accelerators: 0 };
 /// let part = Resources { milli_cpus: 100, memory_mb: 50, accelerators: 0 };
-/// assert!((amounts::dominant(&part, &total) - 0.5).abs() < 1e-9);
+/// assert!((amounts::dominant_share(&part, &total) - 0.5).abs() < 1e-9);
 /// ```
 #[must_use]
-pub fn dominant(part: &Resources, total: &Resources) -> f64 {
+pub fn dominant_share(part: &Resources, total: &Resources) -> f64 {
     let share = |part: u64, total: u64| part as f64 / total.max(1) as f64;
     share(part.milli_cpus, total.milli_cpus)
         .max(share(part.memory_mb, total.memory_mb))
--- a/crates/geraniumpost-core/src/placement/blame.rs
+++ b/crates/geraniumpost-core/src/placement/blame.rs
@@ -165,10 +165,10 @@
     let worker = worker.clone();
     match standing {
         Standing::Quarantined { until, .. } => {
-            let why = Reason::FailsJobs { jobs: record.failed_jobs(), until: *until };
-            Decision::Quarantine { worker, why }
+            let reason = Reason::FailsJobs { jobs: record.failed_jobs(), until: *until };
+            Decision::Quarantine { worker, reason }
         }
-        Standing::Probing { .. } => Decision::Release { worker, why: Reason::Probed },
-        Standing::Trusted => Decision::Release { worker, why: Reason::Sound },
+        Standing::Probing { .. } => Decision::Release { worker, reason: Reason::Probed },
+        Standing::Trusted => Decision::Release { worker, reason: Reason::Sound },
     }
 }
--- a/crates/geraniumpost-core/src/placement/deciding.rs
+++ b/crates/geraniumpost-core/src/placement/deciding.rs
@@ -5,7 +5,7 @@
 use super::nearness::Nearness;
 use super::scan::{Found, Scan, Scored};
 use super::turn::Turn;
-use super::{Candidate, Decision, Fleet, Placer, Reason, Wish, WorkerKey, amounts};
+use super::{Candidate, Decision, Fleet, PlacementRequest, Placer, Reason, WorkerKey, amounts};
 use crate::Millis;
 
 /// Predicted p99, in targets, over which a job rather waits.
@@ -26,7 +26,7 @@
     pub(super) fn decide<R: Rng + ?Sized>(
         &mut self,
         now: Millis,
-        wish: &Wish,
+        wish: &PlacementRequest,
         fleet: &Fleet,
         draft: &mut Draft,
         rng: &mut R,
@@ -38,9 +38,9 @@
             return vec![wait(wish, Reason::BackOff { until: wish.not_before })];
         }
         let turn = Turn { now, wish, need: self.size(wish, fleet), fleet };
-        if let Some(why) = self.over_quota(&turn, draft) {
+        if let Some(reason) = self.over_quota(&turn, draft) {
             self.give_up_hold(wish, draft);
-            return vec![wait(wish, why)];
+            return vec![wait(wish, reason)];
         }
         if self.is_hopeless(&turn, draft) {
             return vec![self.starve(&turn, draft)];
@@ -54,18 +54,18 @@
 
     /// Returns what to reserve for a job: never less than declared, never more than a worker has
     /// or the quota allows.
-    fn size(&self, wish: &Wish, fleet: &Fleet) -> Resources {
+    fn size(&self, wish: &PlacementRequest, fleet: &Fleet) -> Resources {
         let Some(largest) = fleet.largest_for(&wish.need) else { return wish.need };
         let quota = self.policy.customer(&wish.customer).map_or(largest, |share| share.quota);
-        self.sizes.learned(wish, &amounts::smaller(&largest, &quota))
+        self.sizes.learned(wish, &amounts::component_min(&largest, &quota))
     }
 
     fn over_quota(&self, turn: &Turn<'_>, draft: &Draft) -> Option<Reason> {
         let customer = &turn.wish.customer;
         let quota = self.policy.customer(customer)?.quota;
         let own = self.holds.of(&turn.wish.job).map_or(amounts::NONE, |hold| hold.need);
-        let held = amounts::minus(&draft.holding(customer, turn.fleet), &own);
-        let resource = amounts::excess(&amounts::plus(&held, &turn.need), &quota)?;
+        let held = amounts::minus(&draft.allocated_to(customer, turn.fleet), &own);
+        let resource = amounts::exceeded_resource(&amounts::plus(&held, &turn.need), &quota)?;
         Some(Reason::OverQuota { customer: customer.clone(), resource })
     }
 
@@ -131,7 +131,7 @@
         explore(&mut named, rng);
         let chosen = named[0];
         let candidates = named.iter().map(|s| Candidate { worker: name(s), score: s.score });
-        let why = Reason::LeastHarm { weighed: found.weighed, best: candidates.collect() };
+        let reason = Reason::LeastHarm { weighed: found.weighed, best: candidates.collect() };
         let worker = name(&chosen);
         draft.start(chosen.at, wish, &turn.need, chosen.added);
         self.give_up_hold(wish, draft);
@@ -139,7 +139,7 @@
             self.urgent_demand.note(turn.now, &turn.need);
         }
         let (job, need, score) = (wish.job.clone(), turn.need, chosen.score);
-        Decision::Start { job, worker, need, score, why }
+        Decision::Start { job, worker, need, score, reason }
     }
 }
 
@@ -148,7 +148,7 @@
     turn.wish.excluded.iter().filter_map(|name| turn.fleet.key(name)).collect()
 }
 
-fn is_too_harmful(now: Millis, wish: &Wish, best: &Scored) -> bool {
+fn is_too_harmful(now: Millis, wish: &PlacementRequest, best: &Scored) -> bool {
     let patience = match wish.priority {
         Priority::Urgent => return false,
         Priority::Normal => NORMAL_PATIENCE_MS,
@@ -170,6 +170,6 @@
 }
 
 /// Keeps a job waiting.
-pub(super) fn wait(wish: &Wish, why: Reason) -> Decision {
-    Decision::Wait { job: wish.job.clone(), why }
+pub(super) fn wait(wish: &PlacementRequest, reason: Reason) -> Decision {
+    Decision::Wait { job: wish.job.clone(), reason }
 }
--- a/crates/geraniumpost-core/src/placement/decision.rs
+++ b/crates/geraniumpost-core/src/placement/decision.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Decision {
     /// Start a job on a worker.
-    #[display("start job={job} worker={worker} score={score:.4} why={why}")]
+    #[display("start job={job} worker={worker} score={score:.4} why={reason}")]
     Start {
         /// The job.
         job: Name,
@@ -18,10 +18,10 @@
         /// Predicted harm plus tie-breakers; lower is better.
         score: f64,
         /// Why there.
-        why: Reason,
+        reason: Reason,
     },
     /// Checkpoint and stop a task; its room is free only after the agent's word.
-    #[display("evict job={job} worker={worker} for={for_job} why={why}")]
+    #[display("evict job={job} worker={worker} for={for_job} why={reason}")]
     Evict {
         /// The job that yields.
         job: Name,
@@ -30,10 +30,10 @@
         /// The job it yields to, empty if it yields to the worker's service.
         for_job: Name,
         /// Why this one.
-        why: Reason,
+        reason: Reason,
     },
     /// Set the share of its processors that a task may use.
-    #[display("throttle job={job} worker={worker} permille={permille} why={why}")]
+    #[display("throttle job={job} worker={worker} permille={permille} why={reason}")]
     Throttle {
         /// The job.
         job: Name,
@@ -42,18 +42,18 @@
         /// Share in thousandths; 1000 lifts the throttle.
         permille: u32,
         /// Why.
-        why: Reason,
+        reason: Reason,
     },
     /// Keep a job waiting.
-    #[display("wait job={job} why={why}")]
+    #[display("wait job={job} why={reason}")]
     Wait {
         /// The job.
         job: Name,
         /// Why.
-        why: Reason,
+        reason: Reason,
     },
     /// Refuse a job that cannot run on any worker, however long it waits.
-    #[display("impossible job={job} resource={resource} largest={largest} why={why}")]
+    #[display("impossible job={job} resource={resource} largest={largest} why={reason}")]
     Impossible {
         /// The job.
         job: Name,
@@ -62,31 +62,31 @@
         /// The worker that offers most of that resource, empty if the quota forbids the job.
         largest: Name,
         /// By how much.
-        why: Reason,
+        reason: Reason,
     },
     /// Fail a job that failed on several sound workers.
-    #[display("give up job={job} why={why}")]
+    #[display("give up job={job} why={reason}")]
     GiveUp {
         /// The job.
         job: Name,
         /// Why.
-        why: Reason,
+        reason: Reason,
     },
     /// Give a worker no work but probes, as it failed several different jobs.
-    #[display("quarantine worker={worker} why={why}")]
+    #[display("quarantine worker={worker} why={reason}")]
     Quarantine {
         /// The worker.
         worker: Name,
         /// Why.
-        why: Reason,
+        reason: Reason,
     },
     /// Give a worker work again.
-    #[display("release worker={worker} why={why}")]
+    #[display("release worker={worker} why={reason}")]
     Release {
         /// The worker.
         worker: Name,
         /// Why.
-        why: Reason,
+        reason: Reason,
     },
 }
 
--- a/crates/geraniumpost-core/src/placement/draft.rs
+++ b/crates/geraniumpost-core/src/placement/draft.rs
@@ -4,7 +4,7 @@
 
 use super::group::Group;
 use super::holds::Hold;
-use super::{Decision, Fleet, Wish, WorkerKey, amounts};
+use super::{Decision, Fleet, PlacementRequest, WorkerKey, amounts};
 
 /// Room and holdings as they will be once this call's decisions are carried out.
 #[derive(Debug, Default)]
@@ -78,7 +78,7 @@
     }
 
     /// Takes a job's start into account.
-    pub fn start(&mut self, at: usize, wish: &Wish, need: &Resources, added: f64) {
+    pub fn start(&mut self, at: usize, wish: &PlacementRequest, need: &Resources, added: f64) {
         let row = &mut self.rows[at];
         row.free = amounts::minus(&row.free, need);
         row.forecast += added;
@@ -116,13 +116,13 @@
     }
 
     /// Returns what a customer will hold.
-    pub fn holding(&self, customer: &Name, fleet: &Fleet) -> Resources {
+    pub fn allocated_to(&self, customer: &Name, fleet: &Fleet) -> Resources {
         let drafted = self.holdings.get(customer).copied().unwrap_or(amounts::NONE);
-        amounts::plus(&fleet.holding(customer), &drafted)
+        amounts::plus(&fleet.allocated_to(customer), &drafted)
     }
 
     /// Returns where this call starts tasks of the same customer and class.
-    pub fn group(&self, wish: &Wish) -> Option<&Group> {
+    pub fn group(&self, wish: &PlacementRequest) -> Option<&Group> {
         if self.groups.is_empty() {
             return None;
         }
--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -28,7 +28,7 @@
 /// fleet.put_worker(WorkerView::new("w1", "surco", "rack-1", capacity));
 /// let worker = Name::from("w1");
 /// assert!(fleet.add_task(&worker, TaskView::new("j1", "entel", "study", need, Millis(0))));
-/// assert_eq!(fleet.holding(&Name::from("entel")), need);
+/// assert_eq!(fleet.allocated_to(&Name::from("entel")), need);
 /// assert!(fleet.remove_task(&Name::from("j1")).is_some());
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -44,7 +44,7 @@
     total: Resources,
     shapes: Vec<(Resources, usize)>,
     version: u64,
-    settling: bool,
+    awaiting_workers: bool,
 }
 
 impl Fleet {
@@ -52,13 +52,13 @@
     ///
     /// A planner that has just taken over knows no worker yet. Without this every job would look
     /// impossible for a second, and customers would be told so.
-    pub const fn set_settling(&mut self, settling: bool) {
-        self.settling = settling;
+    pub const fn set_awaiting_workers(&mut self, awaiting_workers: bool) {
+        self.awaiting_workers = awaiting_workers;
     }
 
     /// Returns whether workers may still be about to announce themselves.
-    pub const fn settling(&self) -> bool {
-        self.settling
+    pub const fn awaiting_workers(&self) -> bool {
+        self.awaiting_workers
     }
 
     /// Adds a worker, or replaces the one of that name together with its tasks.
@@ -104,7 +104,7 @@
         if self.by_job.contains_key(&task.job) {
             return false;
         }
-        let held = task.held();
+        let held = task.allocated();
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
         let holding = self.holdings.entry(task.customer.clone()).or_insert(amounts::NONE);
         *holding = amounts::plus(holding, &held);
@@ -124,7 +124,7 @@
         let task = tasks.swap_remove(at);
         self.refresh(key);
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
-        self.release(&task.customer, &task.held());
+        self.release(&task.customer, &task.allocated());
         let of = (task.customer.clone(), task.class.clone());
         if let Some(group) = self.groups.get_mut(&of) {
             group.remove(rack, domain);
@@ -141,9 +141,9 @@
         let Some(task) = self.workers[key].tasks.iter_mut().find(|task| task.job == *job) else {
             return false;
         };
-        let before = task.held();
+        let before = task.allocated();
         *task = change(task.clone());
-        let (after, customer) = (task.held(), task.customer.clone());
+        let (after, customer) = (task.allocated(), task.customer.clone());
         self.release(&customer, &before);
         let holding = self.holdings.entry(customer).or_insert(amounts::NONE);
         *holding = amounts::plus(holding, &after);
@@ -185,7 +185,7 @@
     }
 
     /// Returns what a customer's tasks hold.
-    pub fn holding(&self, customer: &Name) -> Resources {
+    pub fn allocated_to(&self, customer: &Name) -> Resources {
         self.holdings.get(customer).copied().unwrap_or(amounts::NONE)
     }
 
--- a/crates/geraniumpost-core/src/placement/forecasts.rs
+++ b/crates/geraniumpost-core/src/placement/forecasts.rs
@@ -4,7 +4,7 @@
 use slotmap::SecondaryMap;
 
 use super::gauge::Gauge;
-use super::harm_model::HarmModel;
+use super::interference_model::InterferenceModel;
 use super::{Fleet, WorkerKey, WorkerView};
 
 /// Predicted p99 of each worker's service, remade only where something has changed.
@@ -26,7 +26,7 @@
         key: WorkerKey,
         version: u64,
         fleet: &Fleet,
-        model: &HarmModel,
+        model: &InterferenceModel,
         gauges: &BTreeMap<Name, Gauge>,
     ) -> f64 {
         if let Some(known) = self.known.get(key).filter(|known| known.version == version) {
@@ -41,7 +41,7 @@
 }
 
 /// Returns what the model says of a worker's service with the tasks it has now.
-fn predict(view: &WorkerView, model: &HarmModel) -> f64 {
+fn predict(view: &WorkerView, model: &InterferenceModel) -> f64 {
     let Some(service) = &view.service else { return 0.0 };
     let load = f64::from(view.load_permille) / 1000.0;
     let ran: Vec<(usize, f64)> =
--- a/crates/geraniumpost-core/src/placement/harm_model.rs
+++ b/crates/geraniumpost-core/src/placement/interference_model.rs
@@ -27,7 +27,7 @@
 /// that runs beside it. A pair rarely seen is drawn towards its class's mean over all services,
 /// and a class rarely seen towards the mean of all classes.
 #[derive(Debug, Clone, Default)]
-pub struct HarmModel {
+pub struct InterferenceModel {
     classes: Interner,
     services: BTreeMap<Name, ServiceModel>,
     class_means: Vec<f64>,
@@ -48,7 +48,7 @@
     0.3 + 0.7 * load
 }
 
-impl HarmModel {
+impl InterferenceModel {
     /// Returns the number of a class.
     pub fn class(&mut self, class: &Name) -> usize {
         self.classes.intern(class).min(CLASSES) as usize
@@ -169,7 +169,7 @@
 
 fn add_classes(inputs: &mut Vec<Input>, load: f64, ran: &[(usize, f64)]) {
     for (class, cpus) in ran {
-        let value = HarmModel::strength(*cpus, load);
+        let value = InterferenceModel::strength(*cpus, load);
         match inputs.iter_mut().find(|input| input.at == ALONE + class) {
             Some(input) => input.value += value,
             None => inputs.push(Input { at: ALONE + class, value }),
--- a/crates/geraniumpost-core/src/placement/wish.rs
+++ b/crates/geraniumpost-core/src/placement/placement_request.rs
@@ -7,16 +7,16 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, placement::Wish};
+/// use geraniumpost_core::{Millis, placement::PlacementRequest};
 /// use geraniumpost_schema::{Name, Priority, Resources};
 /// let need = Resources { milli_cpus: 4000, memory_mb: 8192, accelerators: 0 };
-/// let wish = Wish::new("study-7", "entel", "coordination", need)
+/// let wish = PlacementRequest::new("study-7", "entel", "coordination", need)
 ///     .priority(Priority::Urgent)
 ///     .submitted(Millis(5));
 /// assert_eq!(wish.job(), &Name::from("study-7"));
 /// ```
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
+pub struct PlacementRequest {
     pub(super) job: Name,
     pub(super) customer: Name,
     pub(super) class: Name,
@@ -27,7 +27,7 @@
     pub(super) excluded: Vec<Name>,
 }
 
-impl Wish {
+impl PlacementRequest {
     /// Creates a wish of normal priority that has waited since the clock's origin.
     pub fn new(
         job: impl Into<Name>,
@@ -96,7 +96,7 @@
     }
 
     /// Returns the priority.
-    pub const fn urgency(&self) -> Priority {
+    pub const fn requested_priority(&self) -> Priority {
         self.priority
     }
 
--- a/crates/geraniumpost-core/src/placement/placer.rs
+++ b/crates/geraniumpost-core/src/placement/placer.rs
@@ -9,13 +9,13 @@
 use super::explanations::Explanations;
 use super::forecasts::Forecasts;
 use super::gauge::Gauge;
-use super::harm_model::HarmModel;
 use super::history::History;
 use super::holds::Holds;
+use super::interference_model::InterferenceModel;
 use super::queue::Queue;
 use super::sizes::Sizes;
 use super::urgent_demand::UrgentDemand;
-use super::{Decision, Fleet, PlacementPolicy, Wish, amounts};
+use super::{Decision, Fleet, PlacementPolicy, PlacementRequest, amounts};
 use crate::Millis;
 
 /// Decides what starts where, what yields and what cannot run.
@@ -23,7 +23,7 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, placement::{Decision, Fleet, Placer, Wish, WorkerView}};
+/// use geraniumpost_core::{Millis, placement::{Decision, Fleet, Placer, PlacementRequest, WorkerView}};
 /// use geraniumpost_schema::{Document, Resources};
 /// use rand::{SeedableRng, rngs::StdRng};
 /// let document: Document = serde_json::from_value(serde_json::json!({
@@ -33,7 +33,7 @@
 /// let capacity = Resources { milli_cpus: 8000, memory_mb: 8192, accelerators: 0 };
 /// let mut fleet = Fleet::default();
 /// fleet.put_worker(WorkerView::new("w1", "surco", "rack-1", capacity));
-/// let wish = Wish::new("study-7", "entel", "coordination", capacity);
+/// let wish = PlacementRequest::new("study-7", "entel", "coordination", capacity);
 /// let mut placer = Placer::new(&document);
 /// let mut rng = StdRng::seed_from_u64(1);
 /// let decisions = placer.place(Millis(0), &[wish], &fleet, &mut rng);
@@ -44,7 +44,7 @@
     pub(super) policy: PlacementPolicy,
     pub(super) sizes: Sizes,
     pub(super) history: History,
-    pub(super) model: HarmModel,
+    pub(super) model: InterferenceModel,
     pub(super) gauges: BTreeMap<Name, Gauge>,
     pub(super) measured: BTreeSet<Name>,
     pub(super) forecasts: Forecasts,
@@ -70,7 +70,7 @@
             policy: document.into(),
             sizes: Sizes::default(),
             history: History::default(),
-            model: HarmModel::default(),
+            model: InterferenceModel::default(),
             gauges: BTreeMap::new(),
             measured: BTreeSet::new(),
             forecasts: Forecasts::default(),
@@ -106,7 +106,7 @@
     pub fn place<R: Rng + ?Sized>(
         &mut self,
         now: Millis,
-        wishes: &[Wish],
+        wishes: &[PlacementRequest],
         fleet: &Fleet,
         rng: &mut R,
     ) -> Vec<Decision> {
@@ -139,7 +139,7 @@
     }
 
     /// Forgets what concerns jobs and workers that are gone.
-    fn review(&mut self, now: Millis, wishes: &[Wish], fleet: &Fleet) {
+    fn review(&mut self, now: Millis, wishes: &[PlacementRequest], fleet: &Fleet) {
         // VMs are replaced at any time and under new names; what is known of the old
         // ones would pile up.
         if self.gauges.len() > fleet.rows().len() * 2 + MANY_GAUGES {
--- a/crates/geraniumpost-core/src/placement/pressure.rs
+++ b/crates/geraniumpost-core/src/placement/pressure.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::{Name, Priority};
 
 use super::gauge::Gauge;
-use super::harm_model::HarmModel;
+use super::interference_model::InterferenceModel;
 use super::task_view::FULL_SPEED;
 use super::{Decision, Reason, TaskView, WorkerView};
 use crate::Millis;
@@ -32,7 +32,7 @@
     /// Its service's latency.
     pub gauge: &'a Gauge,
     /// What harms whom.
-    pub model: &'a HarmModel,
+    pub model: &'a InterferenceModel,
 }
 
 impl<'a> Pressure<'a> {
@@ -61,8 +61,8 @@
         if task.more_milli_cpus(permille) > self.view.free().milli_cpus {
             return None;
         }
-        let why = Reason::Calm { p99_permille: permille_of(self.gauge.smoothed) };
-        Some(self.throttle(task, permille, why))
+        let reason = Reason::Calm { p99_permille: permille_of(self.gauge.smoothed) };
+        Some(self.throttle(task, permille, reason))
     }
 
     /// Evicts the most harmful task if slowing did not help.
@@ -73,7 +73,7 @@
             return None;
         }
         let (harm, task) = self.worst(|task| task.evictable && task.permille <= SLOWEST)?;
-        let why = Reason::Pressed {
+        let reason = Reason::Pressed {
             p99_permille: permille_of(self.gauge.smoothed),
             harm_permille: permille_of(harm),
         };
@@ -81,18 +81,18 @@
             job: task.job.clone(),
             worker: self.view.name.clone(),
             for_job: Name::default(),
-            why,
+            reason,
         })
     }
 
     fn slow(&self) -> Option<Decision> {
         let (harm, task) = self.worst(|task| task.permille > SLOWEST)?;
-        let why = Reason::Pressed {
+        let reason = Reason::Pressed {
             p99_permille: permille_of(self.gauge.smoothed),
             harm_permille: permille_of(harm),
         };
         let permille = (task.permille / 2).max(SLOWEST);
-        Some(self.throttle(task, permille, why))
+        Some(self.throttle(task, permille, reason))
     }
 
     fn worst(&self, may: impl Fn(&TaskView) -> bool) -> Option<(f64, &'a TaskView)> {
@@ -108,13 +108,13 @@
         let Some(service) = &self.view.service else { return 0.0 };
         let class = self.model.known_class(&task.class);
         let load = f64::from(self.view.load_permille) / 1000.0;
-        let strength = HarmModel::strength(task.active_milli_cpus(), load);
+        let strength = InterferenceModel::strength(task.active_milli_cpus(), load);
         self.model.slope(service, class) * strength
     }
 
-    fn throttle(&self, task: &TaskView, permille: u32, why: Reason) -> Decision {
+    fn throttle(&self, task: &TaskView, permille: u32, reason: Reason) -> Decision {
         let (job, worker) = (task.job.clone(), self.view.name.clone());
-        Decision::Throttle { job, worker, permille, why }
+        Decision::Throttle { job, worker, permille, reason }
     }
 }
 
--- a/crates/geraniumpost-core/src/placement/reason.rs
+++ b/crates/geraniumpost-core/src/placement/reason.rs
@@ -43,7 +43,7 @@
     },
     /// Workers may still be about to announce themselves.
     #[display("workers are still announcing themselves")]
-    Settling,
+    AwaitingWorkers,
     /// No worker is large enough.
     #[display("needs {needed} of {resource}, the largest worker {largest} offers {offered}")]
     TooLarge {
--- a/crates/geraniumpost-core/src/placement/relieving.rs
+++ b/crates/geraniumpost-core/src/placement/relieving.rs
@@ -78,8 +78,8 @@
     let allowed = allowed(view);
     let none = amounts::NONE;
     let used = view.tasks.iter().fold(none, |sum, task| amounts::plus(&sum, &task.usage));
-    let resource = amounts::excess(&used, &allowed)?;
-    let why =
+    let resource = amounts::exceeded_resource(&used, &allowed)?;
+    let reason =
         Reason::Outgrown { resource, used: resource.of(&used), allowed: resource.of(&allowed) };
     let over = |task: &TaskView| over(resource, &task.usage, &task.need);
     let batch = view.tasks.iter().filter(|task| task.priority != Priority::Urgent);
@@ -87,10 +87,10 @@
     if resource == Resource::Processors {
         let task = batch.filter(|task| task.permille == FULL_SPEED).max_by_key(|t| over(t))?;
         let permille = FULL_SPEED / 2;
-        return Some(Decision::Throttle { job: job(task), worker, permille, why });
+        return Some(Decision::Throttle { job: job(task), worker, permille, reason });
     }
     let task = batch.filter(|task| task.evictable).max_by_key(|task| over(task))?;
-    Some(Decision::Evict { job: job(task), worker, for_job: Name::default(), why })
+    Some(Decision::Evict { job: job(task), worker, for_job: Name::default(), reason })
 }
 
 /// Returns what a VM's tasks may use now: of the service's processors also those that it leaves
--- a/crates/geraniumpost-core/src/placement/scan.rs
+++ b/crates/geraniumpost-core/src/placement/scan.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::Resources;
 
 use super::draft::{Draft, DraftRow};
-use super::harm_model::pressing;
+use super::interference_model::pressing;
 use super::nearness::Nearness;
 use super::row::NO_SERVICE;
 use super::{WorkerKey, amounts};
@@ -90,7 +90,7 @@
     fn score(&self, at: usize, row: &DraftRow) -> Scored {
         let added = self.added(row);
         let after = row.forecast + added;
-        let left = 1.0 - amounts::dominant(self.need, &row.free);
+        let left = 1.0 - amounts::dominant_share(self.need, &row.free);
         let score =
             harm(after) - harm(row.forecast) + PACKING * left + SPREADING * self.nearness.of(row);
         Scored { at, score, added, after }
--- a/crates/geraniumpost-core/src/placement/sizes.rs
+++ b/crates/geraniumpost-core/src/placement/sizes.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::{Name, Resources};
 
 use super::size_sample::SizeSample;
-use super::{Wish, amounts};
+use super::{PlacementRequest, amounts};
 
 /// Learns how far a customer's jobs of a class outgrow what they declare.
 ///
@@ -31,9 +31,12 @@
 
     /// Returns what to reserve for a wish: never less than declared, and never more than `bound`
     /// unless declared, as what was learned must not make a job impossible.
-    pub fn learned(&self, wish: &Wish, bound: &Resources) -> Resources {
+    pub fn learned(&self, wish: &PlacementRequest, bound: &Resources) -> Resources {
         let of = (wish.customer.clone(), wish.class.clone());
         let Some(sample) = self.samples.get(&of) else { return wish.need };
-        amounts::larger(&wish.need, &amounts::smaller(&sample.grown(&wish.need), bound))
+        amounts::component_max(
+            &wish.need,
+            &amounts::component_min(&sample.grown(&wish.need), bound),
+        )
     }
 }
--- a/crates/geraniumpost-core/src/placement/task_view.rs
+++ b/crates/geraniumpost-core/src/placement/task_view.rs
@@ -15,7 +15,7 @@
     pub(super) customer: Name,
     pub(super) class: Name,
     pub(super) need: Resources,
-    pub(super) learned: Resources,
+    pub(super) reserved: Resources,
     pub(super) usage: Resources,
     pub(super) priority: Priority,
     pub(super) started: Millis,
@@ -38,7 +38,7 @@
             customer: customer.into(),
             class: class.into(),
             need,
-            learned: need,
+            reserved: need,
             usage: amounts::NONE,
             priority: Priority::Normal,
             started,
@@ -50,8 +50,8 @@
 
     /// Sets what the planner reserved, which is the `need` of the start decision.
     #[must_use]
-    pub const fn learned(mut self, learned: Resources) -> Self {
-        self.learned = learned;
+    pub const fn reserved(mut self, reserved: Resources) -> Self {
+        self.reserved = reserved;
         self
     }
 
@@ -109,7 +109,7 @@
     pub(super) fn full_milli_cpus(&self) -> u64 {
         let seen = self.need.milli_cpus.max(self.usage.milli_cpus);
         if self.permille < FULL_SPEED || self.usage.milli_cpus == 0 {
-            return seen.max(self.learned.milli_cpus);
+            return seen.max(self.reserved.milli_cpus);
         }
         seen
     }
@@ -129,8 +129,11 @@
     ///
     /// Declared sizes are far off. A task that outgrew its size would otherwise let a second one
     /// in, and the VM would hold more than it has.
-    pub fn held(&self) -> Resources {
-        let held = amounts::larger(&amounts::larger(&self.need, &self.learned), &self.usage);
+    pub fn allocated(&self) -> Resources {
+        let held = amounts::component_max(
+            &amounts::component_max(&self.need, &self.reserved),
+            &self.usage,
+        );
         let milli_cpus = if self.permille < FULL_SPEED {
             held.milli_cpus * u64::from(self.permille) / u64::from(FULL_SPEED)
         } else if self.usage.milli_cpus > 0 {
--- a/crates/geraniumpost-core/src/placement/turn.rs
+++ b/crates/geraniumpost-core/src/placement/turn.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::Resources;
 
-use super::{Fleet, Wish};
+use super::{Fleet, PlacementRequest};
 use crate::Millis;
 
 /// A job's turn in the queue.
@@ -9,7 +9,7 @@
     /// The present.
     pub now: Millis,
     /// The job.
-    pub wish: &'a Wish,
+    pub wish: &'a PlacementRequest,
     /// What to reserve for it.
     pub need: Resources,
     /// The workers.
--- a/crates/geraniumpost-core/src/placement/urgent_demand.rs
+++ b/crates/geraniumpost-core/src/placement/urgent_demand.rs
@@ -37,6 +37,8 @@
 
     /// Returns the size of a room: enough for any of the latest urgent jobs.
     pub fn room(&self) -> Resources {
-        self.starts.iter().fold(amounts::NONE, |room, (_, need)| amounts::larger(&room, need))
+        self.starts
+            .iter()
+            .fold(amounts::NONE, |room, (_, need)| amounts::component_max(&room, need))
     }
 }
--- a/crates/geraniumpost-core/src/placement/urgent_room.rs
+++ b/crates/geraniumpost-core/src/placement/urgent_room.rs
@@ -102,7 +102,7 @@
 }
 
 fn victim(now: Millis, task: &TaskView) -> Victim {
-    let held = task.held();
+    let held = task.allocated();
     let lost_ms = now.since(task.checkpointed.max(task.started));
     let cost = lost_ms as f64 * held.milli_cpus as f64 + EACH;
     Victim { job: task.job.clone(), lost_ms, held, cost }
--- a/crates/geraniumpost-core/src/placement/waiting.rs
+++ b/crates/geraniumpost-core/src/placement/waiting.rs
@@ -5,7 +5,7 @@
 use super::holds::Hold;
 use super::turn::Turn;
 use super::urgent_room::UrgentRoom;
-use super::{Decision, Placer, Reason, Wish, WorkerKey, amounts};
+use super::{Decision, PlacementRequest, Placer, Reason, WorkerKey, amounts};
 
 /// How long room is kept for an urgent job while evicted tasks stop; then another place is tried.
 const URGENT_HOLD_MS: u64 = 5_000;
@@ -63,8 +63,9 @@
         for victim in room.victims {
             self.note_eviction(turn.now, &victim.job);
             let (for_job, worker) = (for_job.clone(), worker.clone());
-            let why = Reason::RoomForUrgent { for_job: for_job.clone(), lost_ms: victim.lost_ms };
-            decisions.push(Decision::Evict { job: victim.job, worker, for_job, why });
+            let reason =
+                Reason::RoomForUrgent { for_job: for_job.clone(), lost_ms: victim.lost_ms };
+            decisions.push(Decision::Evict { job: victim.job, worker, for_job, reason });
         }
         decisions.push(wait(turn.wish, Reason::AwaitsEviction { worker }));
         decisions
@@ -99,7 +100,7 @@
         let open =
             draft.rows.iter().filter(|row| !row.is_held() && row.limit > 0 && could(row.key));
         let short = |row: &super::draft::DraftRow| {
-            amounts::dominant(&amounts::minus(&turn.need, &row.free), &turn.need)
+            amounts::dominant_share(&amounts::minus(&turn.need, &row.free), &turn.need)
         };
         open.min_by(|a, b| short(a).total_cmp(&short(b))).map(|row| row.key)
     }
@@ -110,7 +111,7 @@
     }
 
     /// Gives up what is kept for a job, if anything is.
-    pub(super) fn give_up_hold(&mut self, wish: &Wish, draft: &mut Draft) {
+    pub(super) fn give_up_hold(&mut self, wish: &PlacementRequest, draft: &mut Draft) {
         if let Some(hold) = self.holds.drop(&wish.job) {
             draft.release(&hold);
         }
--- a/crates/geraniumpost-core/src/placement/worker_view.rs
+++ b/crates/geraniumpost-core/src/placement/worker_view.rs
@@ -113,12 +113,15 @@
     }
 
     /// Returns what the tasks hold together.
-    pub fn held(&self) -> Resources {
-        self.tasks.iter().fold(amounts::NONE, |sum, task| amounts::plus(&sum, &task.held()))
+    pub fn allocated(&self) -> Resources {
+        self.tasks.iter().fold(amounts::NONE, |sum, task| amounts::plus(&sum, &task.allocated()))
     }
 
     /// Returns what is free for batch work, by the planner's count and by the ledger's.
     pub fn free(&self) -> Resources {
-        amounts::minus(&self.allowance(), &amounts::larger(&self.held(), &self.reserved))
+        amounts::minus(
+            &self.allowance(),
+            &amounts::component_max(&self.allocated(), &self.reserved),
+        )
     }
 }
--- a/crates/geraniumpost-core/src/requests/agent_gauge.rs
+++ b/crates/geraniumpost-core/src/requests/agent_gauge.rs
@@ -3,7 +3,7 @@
 
 use geraniumpost_schema::Load;
 
-use super::InFlight;
+use super::InFlightGuard;
 use crate::Millis;
 
 /// Value of `probe_at` of an agent that is not ejected.
@@ -40,9 +40,9 @@
     /// A guard rather than a pair of calls, because a caller who leaves drops the request's future
     /// at any point; a count that is never taken back would keep work from the agent for good.
     #[must_use]
-    pub fn begin(self: &Arc<Self>) -> InFlight {
+    pub fn begin_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Relaxed);
-        InFlight::new(Arc::clone(self))
+        InFlightGuard::new(Arc::clone(self))
     }
 
     pub(super) fn end(&self) {
@@ -55,7 +55,7 @@
     }
 
     /// Takes in a load that the agent reported in a heartbeat, a pong or an answer.
-    pub fn report(&self, load: &Load, now: Millis) {
+    pub fn record_load(&self, load: &Load, now: Millis) {
         let total = load.in_flight.saturating_add(load.queued);
         self.reported.store(load.in_flight, Relaxed);
         self.queued.store(load.queued, Relaxed);
@@ -86,7 +86,7 @@
     ///
     /// What the report counted beyond this entry's own requests belongs to other entries; this
     /// entry's own are counted as they are now.
-    pub fn others(&self) -> u32 {
+    pub fn others_in_flight(&self) -> u32 {
         self.others.load(Relaxed)
     }
 
@@ -103,7 +103,7 @@
     /// Counts an attempt that succeeded or failed; returns whether the [`super::Ejector`] must be
     /// told. An agent without failures needs no lock at all on its requests' path.
     #[must_use]
-    pub fn note(&self, success: bool) -> bool {
+    pub fn record_result(&self, success: bool) -> bool {
         if success {
             self.successes.fetch_add(1, Relaxed);
             return self.troubled.load(Relaxed);
--- a/crates/geraniumpost-core/src/requests/agent_view.rs
+++ b/crates/geraniumpost-core/src/requests/agent_view.rs
@@ -2,15 +2,15 @@
 
 use geraniumpost_schema::{AgentState, Heartbeat, Name};
 
-use super::{AgentGauge, Place};
+use super::{AgentGauge, Location};
 
 /// One incarnation of an agent as a [`super::Snapshot`] shows it.
 ///
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::requests::{AgentView, Place};
-/// let view = AgentView::new("a1", 7).service("filing").place(Place::new("lima", "surco")).slots(8);
+/// use geraniumpost_core::requests::{AgentView, Location};
+/// let view = AgentView::new("a1", 7).service("filing").at_location(Location::new("lima", "surco")).slots(8);
 /// assert!(view.is_routable());
 /// assert!(!view.connected(false).is_routable());
 /// ```
@@ -19,7 +19,7 @@
     name: Name,
     incarnation: u64,
     service: Name,
-    place: Place,
+    location: Location,
     address: Name,
     state: AgentState,
     slots: u32,
@@ -34,7 +34,7 @@
             name: name.into(),
             incarnation,
             service: Name::default(),
-            place: Place::default(),
+            location: Location::default(),
             address: Name::default(),
             state: AgentState::Ready,
             slots: 8,
@@ -52,8 +52,8 @@
 
     /// Sets where the agent runs.
     #[must_use]
-    pub fn place(mut self, place: Place) -> Self {
-        self.place = place;
+    pub fn at_location(mut self, location: Location) -> Self {
+        self.location = location;
         self
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// Where the agent runs.
-    pub const fn located(&self) -> &Place {
-        &self.place
+    pub const fn location(&self) -> &Location {
+        &self.location
     }
 
     /// TCP address of the agent as IP:port.
@@ -138,10 +138,10 @@
 
 impl From<&Heartbeat> for AgentView {
     fn from(beat: &Heartbeat) -> Self {
-        let place = Place::new(beat.region.clone(), beat.domain.clone());
+        let place = Location::new(beat.region.clone(), beat.domain.clone());
         let mut view = Self::new(beat.agent.clone(), beat.incarnation)
             .service(beat.service.clone())
-            .place(place)
+            .at_location(place)
             .slots(beat.slots)
             .state(beat.state)
             .connected(false);
--- a/crates/geraniumpost-core/src/requests/attempt_event.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_event.rs
@@ -17,7 +17,7 @@
     /// The link was lost after a byte of the request was written.
     LinkLost,
     /// The link does not answer pings.
-    Silent,
+    LinkUnresponsive,
     /// The agent's answer to a question.
     Verdict(AskVerdict),
     /// The question could not be put or was not answered in time.
--- a/crates/geraniumpost-core/src/requests/attempt_ledger.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_ledger.rs
@@ -70,7 +70,7 @@
 
     /// Takes in an attempt that arrives; `key` is empty if the caller gave none.
     pub fn admit(&mut self, id: RequestId, key: &Name, now: Millis) -> Admission<A> {
-        self.drop_old_answers(now);
+        self.expire_answers(now);
         if let Some(record) = self.records.get(&id) {
             let barred = matches!(record.state, AttemptState::Barred);
             return if barred { Admission::Barred } else { Admission::Duplicate };
@@ -109,7 +109,7 @@
     /// The key stays barred because the entry now moves the key's claim to another agent; a repeat
     /// that another entry sent here under the old claim would otherwise run a second time.
     #[must_use]
-    pub fn not_run(&mut self, id: RequestId) -> Vec<RequestId> {
+    pub fn mark_not_run(&mut self, id: RequestId) -> Vec<RequestId> {
         match self.records.get(&id) {
             Some(AttemptRecord { state: AttemptState::Queued, .. }) => self.bar(id),
             _ => Vec::new(),
@@ -134,7 +134,7 @@
         self.kept.push_back(Kept { id, bytes, since: now });
         self.kept_bytes += bytes;
         self.end(id, &joined);
-        self.drop_old_answers(now);
+        self.expire_answers(now);
         joined
     }
 
@@ -142,7 +142,7 @@
     /// it has not started. A `NeverStarted` one must also be taken out of the queue.
     #[must_use]
     pub fn ask(&mut self, id: RequestId, incarnation: u64, now: Millis) -> AskReply<A> {
-        self.drop_old_answers(now);
+        self.expire_answers(now);
         if incarnation != self.incarnation {
             return AskReply::Unknown;
         }
@@ -168,7 +168,7 @@
         incarnation: u64,
         now: Millis,
     ) -> AskReply<A> {
-        self.drop_old_answers(now);
+        self.expire_answers(now);
         if incarnation != self.incarnation {
             return AskReply::Unknown;
         }
@@ -188,7 +188,7 @@
 
     /// Drops answers that are too old. [`Self::admit`] and the questions do so, too; a call now and
     /// then frees the memory of an agent that gets no requests.
-    pub fn drop_old_answers(&mut self, now: Millis) {
+    pub fn expire_answers(&mut self, now: Millis) {
         while let Some(&Kept { id, bytes, since }) = self.kept.front() {
             let within = self.kept.len() <= self.limits.answers
                 && self.kept_bytes <= self.limits.answer_bytes
--- a/crates/geraniumpost-core/src/requests/baseline_router.rs
+++ b/crates/geraniumpost-core/src/requests/baseline_router.rs
@@ -2,7 +2,9 @@
 
 use rand::{Rng, RngCore};
 
-use super::{AgentView, Choice, NoAgent, Peers, RouteAsk, Router, ServiceView, Why};
+use super::{
+    AgentView, NoAgent, PeerLoad, Router, RoutingDecision, RoutingQuery, RoutingReason, ServiceView,
+};
 
 /// Policies that the [`Router`] is measured against in benches and tests; none is used in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,9 +28,9 @@
     pub fn choose(
         &mut self,
         service: &ServiceView,
-        ask: &RouteAsk<'_>,
+        ask: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
-    ) -> Result<Choice, NoAgent> {
+    ) -> Result<RoutingDecision, NoAgent> {
         let usable: Vec<&Arc<AgentView>> = usable(service, ask);
         if usable.is_empty() {
             return Err(NoAgent::NoneReady);
@@ -39,11 +41,11 @@
             Self::LeastReported => least(&usable, reported),
             Self::WeightedRandom => weighted(&usable, ask, rng),
         };
-        Ok(Choice::of(agent, Why::Baseline))
+        Ok(RoutingDecision::of(agent, RoutingReason::Baseline))
     }
 }
 
-fn usable<'a>(service: &'a ServiceView, ask: &RouteAsk<'_>) -> Vec<&'a Arc<AgentView>> {
+fn usable<'a>(service: &'a ServiceView, ask: &RoutingQuery<'_>) -> Vec<&'a Arc<AgentView>> {
     let agents = service.agents().iter();
     agents.filter(|agent| agent.is_routable() && !ask.tried.contains(agent.name())).collect()
 }
@@ -61,7 +63,7 @@
 }
 
 fn load(agent: &AgentView) -> u32 {
-    agent.counters().others() + agent.counters().in_flight()
+    agent.counters().others_in_flight() + agent.counters().in_flight()
 }
 
 fn reported(agent: &AgentView) -> u32 {
@@ -71,10 +73,11 @@
 
 fn weighted<'a>(
     usable: &[&'a Arc<AgentView>],
-    ask: &RouteAsk<'_>,
+    ask: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
 ) -> &'a Arc<AgentView> {
-    let (router, peers) = (Router::default(), Peers::of(usable.iter().map(|agent| &***agent)));
+    let (router, peers) =
+        (Router::default(), PeerLoad::from_agents(usable.iter().map(|agent| &***agent)));
     let weight = |agent: &AgentView| 1.0 / (router.cost_us(agent, &peers, ask) + 1) as f64;
     let total: f64 = usable.iter().map(|agent| weight(agent)).sum();
     let mut left = rng.random::<f64>() * total;
--- a/crates/geraniumpost-core/src/requests/considered.rs
+++ b/crates/geraniumpost-core/src/requests/candidate.rs
@@ -7,12 +7,12 @@
 /// An agent that a routing decision weighed.
 #[derive(Debug, Display, Clone)]
 #[display("{}:{cost_us}us", agent.name())]
-pub struct Considered {
+pub struct Candidate {
     pub(super) agent: Arc<AgentView>,
     pub(super) cost_us: u64,
 }
 
-impl Considered {
+impl Candidate {
     /// The agent.
     pub const fn agent(&self) -> &Arc<AgentView> {
         &self.agent
--- a/crates/geraniumpost-core/src/requests/customer_gate.rs
+++ b/crates/geraniumpost-core/src/requests/customer_limiter.rs
@@ -5,12 +5,12 @@
 
 /// Bound on the requests that one customer has in flight at an entry.
 #[derive(Debug)]
-pub struct CustomerGate {
+pub struct CustomerLimiter {
     in_flight: AtomicU32,
     most: AtomicU32,
 }
 
-impl CustomerGate {
+impl CustomerLimiter {
     /// Returns a gate that lets `most` requests in at once.
     pub const fn new(most: u32) -> Self {
         Self { in_flight: AtomicU32::new(0), most: AtomicU32::new(most) }
@@ -20,10 +20,10 @@
     ///
     /// Counts first and takes back on refusal, so that two requests can never both take the last
     /// place.
-    pub fn enter(self: &Arc<Self>) -> Option<Permit> {
+    pub fn try_acquire(self: &Arc<Self>) -> Option<Permit> {
         let before = self.in_flight.fetch_add(1, Relaxed);
         if before >= self.most.load(Relaxed) {
-            self.leave();
+            self.release();
             return None;
         }
         Some(Permit::new(Arc::clone(self)))
@@ -34,7 +34,7 @@
         self.in_flight.load(Relaxed)
     }
 
-    pub(super) fn leave(&self) {
+    pub(super) fn release(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -29,10 +29,10 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::requests::{AgentView, EjectionChange, Ejector, Place, Snapshot};
+/// use geraniumpost_core::requests::{AgentView, EjectionChange, Ejector, Location, Snapshot};
 /// use geraniumpost_core::Millis;
 /// let agents = ["a1", "a2"].map(|name| AgentView::new(name, 1).service("filing"));
-/// let snapshot = Snapshot::new(agents, &Place::default());
+/// let snapshot = Snapshot::new(agents, &Location::default());
 /// let service = snapshot.service("filing").unwrap();
 /// let (mut ejector, agent) = (Ejector::default(), snapshot.agent("a1").unwrap());
 /// for _ in 0..4 {
@@ -55,7 +55,7 @@
 
     /// Takes in whether an attempt at `agent` succeeded.
     ///
-    /// Call it when [`super::AgentGauge::note`] says so, and publish a new snapshot if the result
+    /// Call it when [`super::AgentGauge::record_result`] says so, and publish a new snapshot if the result
     /// is `Ejected` or `Restored`.
     pub fn record(
         &mut self,
--- a/crates/geraniumpost-core/src/requests/entry_limits.rs
+++ b/crates/geraniumpost-core/src/requests/entry_limits.rs
@@ -3,7 +3,7 @@
 
 use geraniumpost_schema::Name;
 
-use super::{CustomerGate, Permit};
+use super::{CustomerLimiter, Permit};
 use crate::ResultCode;
 
 /// Bounds on what an entry carries for each customer.
@@ -16,14 +16,14 @@
 /// ```
 /// use geraniumpost_core::{ResultCode, requests::EntryLimits};
 /// let limits = EntryLimits::default().updated([("conida".into(), 1)]);
-/// let first = limits.enter("conida").unwrap();
-/// assert_eq!(limits.enter("conida").unwrap_err(), ResultCode::CustomerLimit);
+/// let first = limits.try_acquire("conida").unwrap();
+/// assert_eq!(limits.try_acquire("conida").unwrap_err(), ResultCode::CustomerLimit);
 /// drop(first);
-/// assert!(limits.enter("conida").is_ok());
+/// assert!(limits.try_acquire("conida").is_ok());
 /// ```
 #[derive(Debug, Default)]
 pub struct EntryLimits {
-    gates: HashMap<Name, Arc<CustomerGate>>,
+    gates: HashMap<Name, Arc<CustomerLimiter>>,
 }
 
 impl EntryLimits {
@@ -35,7 +35,7 @@
     pub fn updated(&self, customers: impl IntoIterator<Item = (Name, u32)>) -> Self {
         let gate = |(name, most): (Name, u32)| {
             let gate = self.gates.get(&name).map_or_else(
-                || Arc::new(CustomerGate::new(most)),
+                || Arc::new(CustomerLimiter::new(most)),
                 |g| {
                     g.set_most(most);
                     Arc::clone(g)
@@ -52,9 +52,9 @@
     ///
     /// Returns [`ResultCode::CustomerLimit`] if the customer has its most in flight and
     /// [`ResultCode::BadToken`] if there is no such customer.
-    pub fn enter(&self, customer: &str) -> Result<Permit, ResultCode> {
+    pub fn try_acquire(&self, customer: &str) -> Result<Permit, ResultCode> {
         let gate = self.gates.get(customer).ok_or(ResultCode::BadToken)?;
-        gate.enter().ok_or(ResultCode::CustomerLimit)
+        gate.try_acquire().ok_or(ResultCode::CustomerLimit)
     }
 
     /// Requests of `customer` in flight.
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -6,7 +6,7 @@
 use super::flow::Flow;
 use super::service_times::ServiceTimes;
 use super::slot_reserve::{SlotReserve, SlotUse};
-use super::{QueueAction, QueueLimits, Refusal, Waiting};
+use super::{QueueAction, QueueLimits, QueuedRequest, Refusal};
 use crate::{Micros, Millis};
 
 new_key_type! {
@@ -46,13 +46,13 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, Micros, requests::{FairQueue, QueueAction, QueueLimits, Waiting}};
+/// use geraniumpost_core::{Millis, Micros, requests::{FairQueue, QueueAction, QueueLimits, QueuedRequest}};
 /// use geraniumpost_schema::RequestId;
 /// let mut queue = FairQueue::new(QueueLimits::new().slots(1));
 /// let id = |sequence| RequestId { entry: 1, sequence };
-/// let first = queue.offer(Waiting::new(id(1), "a", Millis(500), ()), Millis(0));
+/// let first = queue.offer(QueuedRequest::new(id(1), "a", Millis(500), ()), Millis(0));
 /// assert!(matches!(first[..], [QueueAction::Run(_)]));
-/// assert!(queue.offer(Waiting::new(id(2), "a", Millis(500), ()), Millis(0)).is_empty());
+/// assert!(queue.offer(QueuedRequest::new(id(2), "a", Millis(500), ()), Millis(0)).is_empty());
 /// let next = queue.finish(id(1), Micros(4_000), true, Millis(4));
 /// assert!(matches!(next[..], [QueueAction::Run(_)]));
 /// ```
@@ -122,7 +122,7 @@
     }
 
     /// Takes in a request. It waits if no action names it.
-    pub fn offer(&mut self, waiting: Waiting<T>, now: Millis) -> Vec<QueueAction<T>> {
+    pub fn offer(&mut self, waiting: QueuedRequest<T>, now: Millis) -> Vec<QueueAction<T>> {
         if self.draining {
             return vec![refuse(waiting, Refusal::Draining, 0)];
         }
@@ -171,7 +171,7 @@
     }
 
     /// Takes a waiting request out because its caller left; returns it if it was waiting.
-    pub fn cancel(&mut self, id: RequestId) -> Option<Waiting<T>> {
+    pub fn cancel(&mut self, id: RequestId) -> Option<QueuedRequest<T>> {
         let flow = self.waiting.remove(&id)?;
         let queue = &mut self.flows[flow].queue;
         let index = queue.iter().position(|waiting| waiting.id() == id)?;
@@ -204,14 +204,14 @@
         all.filter(move |(flow, w)| flow.misses(w.deadline(), now)).map(|(_, w)| w.id())
     }
 
-    fn flow_of(&mut self, waiting: &Waiting<T>, now: Millis) -> FlowKey {
+    fn flow_of(&mut self, waiting: &QueuedRequest<T>, now: Millis) -> FlowKey {
         self.now = now;
         let key = match self.by_customer.get(waiting.customer()) {
             Some(&key) => key,
             None => self.add_flow(waiting.customer().clone()),
         };
         let flow = &mut self.flows[key];
-        flow.weight = waiting.share();
+        flow.weight = waiting.share_weight();
         flow.used_at = now;
         self.reserve.note(flow.service.mean_us());
         key
@@ -236,7 +236,7 @@
         self.flows[key].wake(self.virtual_time, recent_us.min(most_us));
     }
 
-    fn enqueue(&mut self, key: FlowKey, waiting: Waiting<T>) {
+    fn enqueue(&mut self, key: FlowKey, waiting: QueuedRequest<T>) {
         self.waiting.insert(waiting.id(), key);
         if self.flows[key].queue.is_empty() {
             self.wake(key);
@@ -245,7 +245,7 @@
         self.flows[key].queue.push_back(waiting);
     }
 
-    fn run(&mut self, key: FlowKey, waiting: Waiting<T>) -> QueueAction<T> {
+    fn run(&mut self, key: FlowKey, waiting: QueuedRequest<T>) -> QueueAction<T> {
         self.virtual_time = self.virtual_time.max(self.flows[key].virtual_time);
         let charged = self.reorder(key, Flow::charge);
         self.running.insert(waiting.id(), Running { flow: key, charged });
@@ -298,7 +298,7 @@
 
     /// Takes the newest waiting request of the customer furthest over its share, if that customer
     /// is further over than `comer` would be with one more.
-    fn displace(&mut self, comer: FlowKey) -> Option<Waiting<T>> {
+    fn displace(&mut self, comer: FlowKey) -> Option<QueuedRequest<T>> {
         let listed = self.order.iter().map(|&(_, key)| key);
         let most = listed.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
         if self.flows[most].occupancy(0) <= self.flows[comer].occupancy(1) {
@@ -382,7 +382,7 @@
     }
 }
 
-fn refuse<T>(waiting: Waiting<T>, refusal: Refusal, wait_us: u64) -> QueueAction<T> {
+fn refuse<T>(waiting: QueuedRequest<T>, refusal: Refusal, wait_us: u64) -> QueueAction<T> {
     let retry_after_ms = wait_us.div_ceil(1000).max(1);
-    QueueAction::Refuse { waiting, refusal, retry_after_ms }
+    QueueAction::Refuse { request: waiting, refusal, retry_after_ms }
 }
--- a/crates/geraniumpost-core/src/requests/flow.rs
+++ b/crates/geraniumpost-core/src/requests/flow.rs
@@ -1,6 +1,6 @@
 use std::collections::VecDeque;
 
-use super::Waiting;
+use super::QueuedRequest;
 use super::slot_reserve::{ACTIVE_MS, SlotUse};
 use super::smoothed::Smoothed;
 use crate::{Micros, Millis};
@@ -13,7 +13,7 @@
 pub(super) struct Flow<T> {
     pub(super) weight: u32,
     pub(super) virtual_time: u64,
-    pub(super) queue: VecDeque<Waiting<T>>,
+    pub(super) queue: VecDeque<QueuedRequest<T>>,
     pub(super) running: usize,
     pub(super) service: Smoothed,
     pub(super) used_at: Millis,
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -30,7 +30,7 @@
 impl Member {
     pub(super) fn new(beat: &Heartbeat, now: Millis) -> Self {
         let gauge = AgentGauge::default();
-        gauge.report(&beat.load, now);
+        gauge.record_load(&beat.load, now);
         Self {
             beat: beat.clone(),
             heard_at: now,
@@ -57,7 +57,7 @@
             || next.slots != self.beat.slots;
         self.beat = next;
         self.heard_at = now;
-        self.gauge.report(&beat.load, now);
+        self.gauge.record_load(&beat.load, now);
         changed
     }
 
--- a/crates/geraniumpost-core/src/requests/membership.rs
+++ b/crates/geraniumpost-core/src/requests/membership.rs
@@ -4,7 +4,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::member::Member;
-use super::{Heard, MembershipLimits, Place, Snapshot};
+use super::{Location, MembershipChange, MembershipLimits, Snapshot};
 use crate::Millis;
 
 new_key_type! {
@@ -23,7 +23,7 @@
 /// See `docs/design/0102-membership.md`.
 #[derive(Debug)]
 pub struct Membership {
-    here: Place,
+    here: Location,
     limits: MembershipLimits,
     members: SlotMap<MemberKey, Member>,
     by_name: HashMap<Name, MemberKey>,
@@ -31,16 +31,16 @@
 
 impl Membership {
     /// Returns a membership without agents, as seen from `here`.
-    pub fn new(here: Place, limits: MembershipLimits) -> Self {
+    pub fn new(here: Location, limits: MembershipLimits) -> Self {
         Self { here, limits, members: SlotMap::with_key(), by_name: HashMap::new() }
     }
 
     /// Takes in a heartbeat.
-    pub fn heard(&mut self, beat: &Heartbeat, now: Millis) -> Heard {
+    pub fn record_heartbeat(&mut self, beat: &Heartbeat, now: Millis) -> MembershipChange {
         let Some(member) = self.find(&beat.agent) else {
             let key = self.members.insert(Member::new(beat, now));
             self.by_name.insert(beat.agent.clone(), key);
-            return Heard::Joined;
+            return MembershipChange::Joined;
         };
         if member.beat.incarnation == beat.incarnation {
             heard_again(member, beat, now)
@@ -51,7 +51,7 @@
 
     /// Takes in a word that incarnation `incarnation` of `agent` is leaving, received over a link;
     /// returns whether a new snapshot must be published.
-    pub fn leaving(&mut self, agent: &str, incarnation: u64) -> bool {
+    pub fn mark_draining(&mut self, agent: &str, incarnation: u64) -> bool {
         let Some(member) = self.incarnation(agent, incarnation) else { return false };
         let before = std::mem::replace(&mut member.beat.state, AgentState::Draining);
         before != AgentState::Draining
@@ -59,7 +59,7 @@
 
     /// Takes in whether a link to incarnation `incarnation` of `agent` is up; returns whether a new
     /// snapshot must be published.
-    pub fn connected(&mut self, agent: &str, incarnation: u64, connected: bool) -> bool {
+    pub fn set_connected(&mut self, agent: &str, incarnation: u64, connected: bool) -> bool {
         let Some(member) = self.incarnation(agent, incarnation) else { return false };
         std::mem::replace(&mut member.connected, connected) != connected
     }
@@ -71,7 +71,7 @@
         let limits = self.limits;
         let mut dead = Vec::new();
         for member in self.members.values_mut() {
-            let silent = now.since(member.heard_at) > limits.dead_after_ms;
+            let silent = now.since(member.heard_at) > limits.failed_after_ms;
             if member.alive && silent {
                 member.alive = false;
                 dead.push(member.beat.agent.clone());
@@ -90,7 +90,7 @@
     }
 
     /// Returns the last heartbeat of each live agent, for placement and the console.
-    pub fn beats(&self) -> impl Iterator<Item = &Heartbeat> {
+    pub fn heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
         self.members.values().filter(|member| member.alive).map(|member| &member.beat)
     }
 
@@ -103,7 +103,7 @@
     }
 }
 
-fn heard_again(member: &mut Member, beat: &Heartbeat, now: Millis) -> Heard {
+fn heard_again(member: &mut Member, beat: &Heartbeat, now: Millis) -> MembershipChange {
     if beat.sequence <= member.beat.sequence {
         return sticky_drain(member, beat);
     }
@@ -112,31 +112,31 @@
     let changed = member.refresh(beat, now);
     let draining = member.beat.state == AgentState::Draining;
     match (was_alive, draining && !was_draining, changed) {
-        (false, _, _) => Heard::Joined,
-        (true, true, _) => Heard::Draining,
-        (true, false, true) => Heard::Changed,
-        (true, false, false) => Heard::Refreshed,
+        (false, _, _) => MembershipChange::Joined,
+        (true, true, _) => MembershipChange::Draining,
+        (true, false, true) => MembershipChange::Changed,
+        (true, false, false) => MembershipChange::Refreshed,
     }
 }
 
 /// A late heartbeat is ignored but for one thing: leaving is final, so it is believed whenever it
 /// arrives.
-fn sticky_drain(member: &mut Member, beat: &Heartbeat) -> Heard {
+fn sticky_drain(member: &mut Member, beat: &Heartbeat) -> MembershipChange {
     let news = beat.state == AgentState::Draining && member.beat.state == AgentState::Ready;
     if !news {
-        return Heard::Stale;
+        return MembershipChange::Stale;
     }
     member.beat.state = AgentState::Draining;
-    Heard::Draining
+    MembershipChange::Draining
 }
 
-fn heard_other(member: &mut Member, beat: &Heartbeat, now: Millis) -> Heard {
+fn heard_other(member: &mut Member, beat: &Heartbeat, now: Millis) -> MembershipChange {
     let known = member.retired.iter().find(|known| known.incarnation == beat.incarnation);
     let comes_back = known.is_none_or(|known| !member.alive && beat.sequence > known.sequence);
     if !comes_back {
-        return Heard::Stale;
+        return MembershipChange::Stale;
     }
     let was = member.beat.incarnation;
     member.supersede(beat, now);
-    Heard::Restarted { was }
+    MembershipChange::Restarted { was }
 }
--- a/crates/geraniumpost-core/src/requests/heard.rs
+++ b/crates/geraniumpost-core/src/requests/membership_change.rs
@@ -2,7 +2,7 @@
 
 /// What a heartbeat told the [`super::Membership`].
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum MembershipChange {
     /// An agent not known before, or dead until now.
     #[display("joined")]
     Joined,
@@ -26,7 +26,7 @@
     Stale,
 }
 
-impl Heard {
+impl MembershipChange {
     /// Whether a new snapshot must be published.
     pub const fn needs_snapshot(self) -> bool {
         !matches!(self, Self::Refreshed | Self::Stale)
--- a/crates/geraniumpost-core/src/requests/membership_limits.rs
+++ b/crates/geraniumpost-core/src/requests/membership_limits.rs
@@ -1,7 +1,7 @@
 /// When an agent counts as dead, and when it is forgotten.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipLimits {
-    pub(super) dead_after_ms: u64,
+    pub(super) failed_after_ms: u64,
     pub(super) forget_after_ms: u64,
 }
 
@@ -10,13 +10,13 @@
     ///
     /// Three heartbeats may be lost and the next half an interval late: 1,750 ms at 500 ms.
     pub const fn new(heartbeat_ms: u64) -> Self {
-        Self { dead_after_ms: heartbeat_ms * 7 / 2, forget_after_ms: 600_000 }
+        Self { failed_after_ms: heartbeat_ms * 7 / 2, forget_after_ms: 600_000 }
     }
 
     /// Sets the silence after which an agent counts as dead.
     #[must_use]
-    pub const fn dead_after_ms(mut self, ms: u64) -> Self {
-        self.dead_after_ms = ms;
+    pub const fn failed_after_ms(mut self, ms: u64) -> Self {
+        self.failed_after_ms = ms;
         self
     }
 
--- a/crates/geraniumpost-core/src/requests/peers.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -6,19 +6,19 @@
 /// What the agents that a routing decision weighs have in common, by which doubtful reports of one
 /// of them are replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Peers {
+pub struct PeerLoad {
     others: u64,
     service_us: u64,
 }
 
-impl Peers {
+impl PeerLoad {
     /// Takes the mean number of other entries' requests and the shortest known service time.
-    pub fn of<'a>(agents: impl Iterator<Item = &'a AgentView>) -> Self {
+    pub fn from_agents<'a>(agents: impl Iterator<Item = &'a AgentView>) -> Self {
         let (mut count, mut others, mut shortest) = (0, 0, u64::MAX);
         for agent in agents {
             let gauge = agent.counters();
             count += 1;
-            others += u64::from(gauge.others());
+            others += u64::from(gauge.others_in_flight());
             let known = gauge.service_us();
             shortest = if known > 0 { shortest.min(known) } else { shortest };
         }
@@ -27,7 +27,7 @@
     }
 
     /// Requests of other entries at an agent whose own report is too old.
-    pub const fn others(&self) -> u64 {
+    pub const fn others_in_flight(&self) -> u64 {
         self.others
     }
 
--- a/crates/geraniumpost-core/src/requests/waiting.rs
+++ b/crates/geraniumpost-core/src/requests/queued_request.rs
@@ -7,14 +7,14 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::{Millis, requests::Waiting};
+/// use geraniumpost_core::{Millis, requests::QueuedRequest};
 /// use geraniumpost_schema::RequestId;
 /// let id = RequestId { entry: 1, sequence: 2 };
-/// let waiting = Waiting::new(id, "conida", Millis(2_000), "body").weight(3);
+/// let waiting = QueuedRequest::new(id, "conida", Millis(2_000), "body").weight(3);
 /// assert_eq!(waiting.into_payload(), "body");
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     id: RequestId,
     customer: Name,
     weight: u32,
@@ -22,7 +22,7 @@
     payload: T,
 }
 
-impl<T> Waiting<T> {
+impl<T> QueuedRequest<T> {
     /// Returns a request of `customer` that is of no use after `deadline`, with weight 1.
     pub fn new(id: RequestId, customer: impl Into<Name>, deadline: Millis, payload: T) -> Self {
         Self { id, customer: customer.into(), weight: 1, deadline, payload }
@@ -46,7 +46,7 @@
     }
 
     /// Share weight of the customer, at least 1.
-    pub const fn share(&self) -> u32 {
+    pub const fn share_weight(&self) -> u32 {
         self.weight
     }
 
--- a/crates/geraniumpost-core/src/requests/retry_budget.rs
+++ b/crates/geraniumpost-core/src/requests/retry_budget.rs
@@ -15,11 +15,11 @@
 /// ```
 /// use geraniumpost_core::requests::RetryBudget;
 /// let budget = RetryBudget::new(500, 1);
-/// assert!(budget.take());
-/// assert!(!budget.take());
-/// budget.pay();
-/// budget.pay();
-/// assert!(budget.take());
+/// assert!(budget.try_withdraw());
+/// assert!(!budget.try_withdraw());
+/// budget.deposit();
+/// budget.deposit();
+/// assert!(budget.try_withdraw());
 /// ```
 #[derive(Debug)]
 pub struct RetryBudget {
@@ -42,7 +42,7 @@
     }
 
     /// Pays in for one request.
-    pub fn pay(&self) {
+    pub fn deposit(&self) {
         let paid = self.permille.load(Relaxed);
         let add = |tokens: u64| Some(tokens.saturating_add(paid).min(self.burst));
         let _ = self.tokens.fetch_update(Relaxed, Relaxed, add);
@@ -50,7 +50,7 @@
 
     /// Takes one retry out, if there is one.
     #[must_use]
-    pub fn take(&self) -> bool {
+    pub fn try_withdraw(&self) -> bool {
         let less = |tokens: u64| tokens.checked_sub(WHOLE);
         self.tokens.fetch_update(Relaxed, Relaxed, less).is_ok()
     }
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -28,10 +28,10 @@
 /// use geraniumpost_core::requests::{AttemptEvent, NextStep, RequestKind, RetryLimits, RetryPolicy};
 /// let mut policy = RetryPolicy::new(RequestKind::Once, Millis(2_000), RetryLimits::default());
 /// let now = Millis(10);
-/// assert_eq!(policy.step(AttemptEvent::LinkLost, now, || true), NextStep::Ask { after_ms: 0 });
+/// assert_eq!(policy.on_event(AttemptEvent::LinkLost, now, || true), NextStep::Ask { after_ms: 0 });
 /// let code = ResultCode::OutcomeUnknown;
 /// let answer = NextStep::Answer { code, retry_after_ms: 0 };
-/// assert_eq!(policy.step(AttemptEvent::AgentRestarted, now, || true), answer);
+/// assert_eq!(policy.on_event(AttemptEvent::AgentRestarted, now, || true), answer);
 /// ```
 #[derive(Debug, Clone)]
 pub struct RetryPolicy {
@@ -74,7 +74,7 @@
     /// `budget` is asked at most once, and only when a retry would make minions work more; it takes
     /// from the [`super::RetryBudget`].
     #[must_use]
-    pub fn step(
+    pub fn on_event(
         &mut self,
         event: AttemptEvent,
         now: Millis,
@@ -86,7 +86,7 @@
             AttemptEvent::Outcome { outcome, retry_after_ms } => {
                 self.outcome(outcome, retry_after_ms, now, budget)
             }
-            AttemptEvent::LinkLost | AttemptEvent::Silent => self.lost(now, budget),
+            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => self.lost(now, budget),
             AttemptEvent::Verdict(verdict) => self.verdict(verdict, now, budget),
             AttemptEvent::AskFailed => self.ask_failed(now, budget),
             AttemptEvent::AgentRestarted => self.doubtful(now, budget),
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -3,7 +3,8 @@
 use rand::RngCore;
 
 use super::{
-    AgentView, Choice, Considered, NoAgent, Peers, RouteAsk, RouterTuning, ServiceView, Why,
+    AgentView, Candidate, NoAgent, PeerLoad, RouterTuning, RoutingDecision, RoutingQuery,
+    RoutingReason, ServiceView,
 };
 
 /// Agents weighed from the nearest tier that has any, and again from the next one.
@@ -21,16 +22,16 @@
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::requests::{AgentView, Place, RouteAsk, Router, Snapshot};
+/// use geraniumpost_core::requests::{AgentView, Location, RoutingQuery, Router, Snapshot};
 /// use geraniumpost_core::Millis;
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// let here = Place::new("lima", "surco");
-/// let agents = [AgentView::new("a1", 7).service("filing").place(here.clone())];
+/// let here = Location::new("lima", "surco");
+/// let agents = [AgentView::new("a1", 7).service("filing").at_location(here.clone())];
 /// let snapshot = Snapshot::new(agents, &here);
 /// let service = snapshot.service("filing").unwrap();
-/// let ask = RouteAsk::new(Millis(0));
+/// let ask = RoutingQuery::new(Millis(0));
 /// let choice = Router::default().choose(service, &ask, &mut SmallRng::seed_from_u64(1)).unwrap();
-/// let guard = choice.agent().counters().begin();
+/// let guard = choice.agent().counters().begin_request();
 /// assert_eq!(choice.agent().counters().in_flight(), 1);
 /// drop(guard);
 /// ```
@@ -53,19 +54,20 @@
     pub fn choose(
         &self,
         service: &ServiceView,
-        ask: &RouteAsk<'_>,
+        ask: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
-    ) -> Result<Choice, NoAgent> {
+    ) -> Result<RoutingDecision, NoAgent> {
         if let Some(agent) = probe(service, ask) {
-            return Ok(Choice::of(agent, Why::Probe));
+            return Ok(RoutingDecision::of(agent, RoutingReason::Probe));
         }
         let considered = self.draw(service, ask, rng);
         let cheapest = considered.iter().flatten().min_by_key(|seen| seen.cost_us);
         let Some(agent) = cheapest.map(|seen| Arc::clone(&seen.agent)) else {
             return last_resort(service, ask);
         };
-        let why = if considered[1].is_some() { Why::Cheapest } else { Why::Only };
-        Ok(Choice { agent, considered, why })
+        let why =
+            if considered[1].is_some() { RoutingReason::Cheapest } else { RoutingReason::Only };
+        Ok(RoutingDecision { agent, considered, why })
     }
 
     /// Expected cost of one more request at `agent`, in microseconds of waiting.
@@ -73,11 +75,12 @@
     /// The number of other entries' requests in a report is believed less and less until the report
     /// is `fresh_ms` old, and their usual number takes its place. Otherwise all entries would send
     /// their requests to whoever reported "idle" last until its next report, again and again.
-    pub fn cost_us(&self, agent: &AgentView, peers: &Peers, ask: &RouteAsk<'_>) -> u64 {
+    pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, ask: &RoutingQuery<'_>) -> u64 {
         let gauge = agent.counters();
         let fresh_ms = self.tuning.fresh_ms;
         let age = gauge.report_age(ask.now).min(fresh_ms);
-        let others = u64::from(gauge.others()) * (fresh_ms - age) + peers.others() * age;
+        let others =
+            u64::from(gauge.others_in_flight()) * (fresh_ms - age) + peers.others_in_flight() * age;
         let own = u64::from(gauge.in_flight()) + 1;
         let service_us = peers.service_us(gauge.service_us());
         let busy = service_us.saturating_mul(own * fresh_ms + others) / fresh_ms;
@@ -88,19 +91,19 @@
     fn draw(
         &self,
         service: &ServiceView,
-        ask: &RouteAsk<'_>,
+        ask: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
-    ) -> [Option<Considered>; Choice::MOST] {
-        let mut considered = [const { None }; Choice::MOST];
+    ) -> [Option<Candidate>; RoutingDecision::MAX_CANDIDATES] {
+        let mut considered = [const { None }; RoutingDecision::MAX_CANDIDATES];
         let mut len = 0;
         for tier in 0..ServiceView::TIERS {
             for index in draw_tier(service, tier, ask, rng).into_iter().flatten() {
                 let agent = Arc::clone(service.agent(index));
                 let cost_us = self.tuning.tier_cost_us(tier);
-                considered[len] = Some(Considered { agent, cost_us });
+                considered[len] = Some(Candidate { agent, cost_us });
                 len += 1;
             }
-            if len + PER_TIER > Choice::MOST {
+            if len + PER_TIER > RoutingDecision::MAX_CANDIDATES {
                 break;
             }
         }
@@ -109,8 +112,12 @@
     }
 
     /// Adds to each drawn agent's surcharge what waiting there costs.
-    fn weigh(&self, ask: &RouteAsk<'_>, considered: &mut [Option<Considered>; Choice::MOST]) {
-        let peers = Peers::of(considered.iter().flatten().map(|one| &*one.agent));
+    fn weigh(
+        &self,
+        ask: &RoutingQuery<'_>,
+        considered: &mut [Option<Candidate>; RoutingDecision::MAX_CANDIDATES],
+    ) {
+        let peers = PeerLoad::from_agents(considered.iter().flatten().map(|one| &*one.agent));
         for one in considered.iter_mut().flatten() {
             one.cost_us = one.cost_us.saturating_add(self.cost_us(&one.agent, &peers, ask));
         }
@@ -121,7 +128,7 @@
 fn draw_tier(
     service: &ServiceView,
     tier: usize,
-    ask: &RouteAsk<'_>,
+    ask: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
 ) -> [Option<u32>; PER_TIER] {
     let indexes = service.tier(tier);
@@ -143,21 +150,21 @@
     [first, second].map(|position| position.map(|position| indexes[position]))
 }
 
-fn usable(agent: &AgentView, ask: &RouteAsk<'_>) -> bool {
+fn usable(agent: &AgentView, ask: &RoutingQuery<'_>) -> bool {
     !agent.counters().is_ejected() && !ask.tried.contains(agent.name())
 }
 
-fn probe<'a>(service: &'a ServiceView, ask: &RouteAsk<'_>) -> Option<&'a Arc<AgentView>> {
+fn probe<'a>(service: &'a ServiceView, ask: &RoutingQuery<'_>) -> Option<&'a Arc<AgentView>> {
     let mut due = service.ejected().filter(|agent| !ask.tried.contains(agent.name()));
-    due.find(|agent| agent.counters().claim_probe(ask.now, ask.harmless))
+    due.find(|agent| agent.counters().claim_probe(ask.now, ask.retryable))
 }
 
-fn last_resort(service: &ServiceView, ask: &RouteAsk<'_>) -> Result<Choice, NoAgent> {
+fn last_resort(service: &ServiceView, ask: &RoutingQuery<'_>) -> Result<RoutingDecision, NoAgent> {
     let mut ejected = service.ejected().filter(|agent| !ask.tried.contains(agent.name()));
     if let Some(agent) = ejected.next() {
-        return Ok(Choice::of(agent, Why::LastResort));
+        return Ok(RoutingDecision::of(agent, RoutingReason::LastResort));
     }
-    let none_ready = service.routable() == 0 && service.ejected().next().is_none();
+    let none_ready = service.routable_count() == 0 && service.ejected().next().is_none();
     Err(if none_ready { NoAgent::NoneReady } else { NoAgent::AllTried })
 }
 
--- a/crates/geraniumpost-core/src/requests/choice.rs
+++ b/crates/geraniumpost-core/src/requests/routing_decision.rs
@@ -1,22 +1,22 @@
 use std::fmt;
 use std::sync::Arc;
 
-use super::{AgentView, Considered, Why};
+use super::{AgentView, Candidate, RoutingReason};
 
 /// A routing decision; its `Display` is the decision's log line.
 #[derive(Debug, Clone)]
-pub struct Choice {
+pub struct RoutingDecision {
     pub(super) agent: Arc<AgentView>,
-    pub(super) considered: [Option<Considered>; Self::MOST],
-    pub(super) why: Why,
+    pub(super) considered: [Option<Candidate>; Self::MAX_CANDIDATES],
+    pub(super) why: RoutingReason,
 }
 
-impl Choice {
+impl RoutingDecision {
     /// Most agents that one decision weighs: two near ones and two farther ones.
-    pub const MOST: usize = 4;
+    pub const MAX_CANDIDATES: usize = 4;
 
-    pub(super) fn of(agent: &Arc<AgentView>, why: Why) -> Self {
-        Self { agent: Arc::clone(agent), considered: [const { None }; Self::MOST], why }
+    pub(super) fn of(agent: &Arc<AgentView>, why: RoutingReason) -> Self {
+        Self { agent: Arc::clone(agent), considered: [const { None }; Self::MAX_CANDIDATES], why }
     }
 
     /// The chosen agent.
@@ -25,22 +25,22 @@
     }
 
     /// The agents weighed, in the order drawn.
-    pub fn considered(&self) -> impl Iterator<Item = &Considered> {
+    pub fn candidates(&self) -> impl Iterator<Item = &Candidate> {
         self.considered.iter().flatten()
     }
 
     /// Why the agent was chosen.
-    pub const fn why(&self) -> Why {
+    pub const fn reason(&self) -> RoutingReason {
         self.why
     }
 }
 
-impl fmt::Display for Choice {
+impl fmt::Display for RoutingDecision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let agent = &self.agent;
         write!(f, "agent={} incarnation={:x}", agent.name(), agent.incarnation())?;
-        write!(f, " domain={} why={} considered=[", agent.located().domain(), self.why)?;
-        for (index, considered) in self.considered().enumerate() {
+        write!(f, " domain={} why={} considered=[", agent.location().domain(), self.why)?;
+        for (index, considered) in self.candidates().enumerate() {
             let gap = if index == 0 { "" } else { " " };
             write!(f, "{gap}{considered}")?;
         }
--- a/crates/geraniumpost-core/src/requests/route_ask.rs
+++ b/crates/geraniumpost-core/src/requests/routing_query.rs
@@ -4,16 +4,16 @@
 
 /// What a routing decision must know of a request.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RouteAsk<'a> {
+pub struct RoutingQuery<'a> {
     pub(super) now: Millis,
     pub(super) tried: &'a [Name],
-    pub(super) harmless: bool,
+    pub(super) retryable: bool,
 }
 
-impl<'a> RouteAsk<'a> {
+impl<'a> RoutingQuery<'a> {
     /// Returns the question at instant `now` for a request that was sent nowhere yet.
     pub const fn new(now: Millis) -> Self {
-        Self { now, tried: &[], harmless: false }
+        Self { now, tried: &[], retryable: false }
     }
 
     /// Sets the agents that earlier attempts of the request went to; none of them is chosen.
@@ -25,8 +25,8 @@
 
     /// Sets whether the request may be sent again if it fails, so that it may serve as a probe.
     #[must_use]
-    pub const fn harmless(mut self, harmless: bool) -> Self {
-        self.harmless = harmless;
+    pub const fn retryable(mut self, retryable: bool) -> Self {
+        self.retryable = retryable;
         self
     }
 }
--- a/crates/geraniumpost-core/src/requests/why.rs
+++ b/crates/geraniumpost-core/src/requests/routing_reason.rs
@@ -2,7 +2,7 @@
 
 /// Why an agent was chosen.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum RoutingReason {
     /// It was the cheapest of those drawn.
     #[display("cheapest")]
     Cheapest,
--- a/crates/geraniumpost-core/src/requests/service_view.rs
+++ b/crates/geraniumpost-core/src/requests/service_view.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use super::{AgentView, Place};
+use super::{AgentView, Location};
 
 /// The agents of one service, sorted by how near they are to this entry.
 #[derive(Debug, Default)]
@@ -18,12 +18,12 @@
     ///
     /// Agents that may not be routed to are left out of the tiers, so that a decision draws from
     /// usable agents only and takes as long among 570 agents as among 11.
-    pub fn new(agents: Vec<Arc<AgentView>>, here: &Place) -> Self {
+    pub fn new(agents: Vec<Arc<AgentView>>, here: &Location) -> Self {
         let mut view = Self::default();
         for (index, agent) in agents.iter().enumerate() {
             let index = index as u32;
             if agent.is_routable() {
-                view.tiers[tier(agent.located(), here)].push(index);
+                view.tiers[tier(agent.location(), here)].push(index);
             } else if agent.is_connected() && !agent.is_draining() {
                 view.ejected.push(index);
             }
@@ -50,12 +50,12 @@
     }
 
     /// Agents that ordinary requests may go to when the view was made.
-    pub fn routable(&self) -> usize {
+    pub fn routable_count(&self) -> usize {
         self.tiers.iter().map(Vec::len).sum()
     }
 }
 
-fn tier(place: &Place, here: &Place) -> usize {
+fn tier(place: &Location, here: &Location) -> usize {
     if place.region() != here.region() {
         return 2;
     }
--- a/crates/geraniumpost-core/src/requests/snapshot.rs
+++ b/crates/geraniumpost-core/src/requests/snapshot.rs
@@ -3,15 +3,15 @@
 
 use geraniumpost_schema::Name;
 
-use super::{AgentView, Place, ServiceView};
+use super::{AgentView, Location, ServiceView};
 
 /// All live agents by service, immutable, replaced as a whole when the set changes.
 ///
 /// # Example
 ///
 /// ```
-/// use geraniumpost_core::requests::{AgentView, Place, Snapshot};
-/// let here = Place::new("lima", "surco");
+/// use geraniumpost_core::requests::{AgentView, Location, Snapshot};
+/// let here = Location::new("lima", "surco");
 /// let snapshot = Snapshot::new([AgentView::new("a1", 7).service("filing")], &here);
 /// assert_eq!(snapshot.service("filing").unwrap().agents().len(), 1);
 /// assert!(snapshot.service("kiosk").is_none());
@@ -24,7 +24,7 @@
 
 impl Snapshot {
     /// Sorts `agents` by service and by distance from `here`.
-    pub fn new(agents: impl IntoIterator<Item = AgentView>, here: &Place) -> Self {
+    pub fn new(agents: impl IntoIterator<Item = AgentView>, here: &Location) -> Self {
         let mut groups: HashMap<Name, Vec<Arc<AgentView>>> = HashMap::new();
         let mut by_name = HashMap::new();
         for agent in agents.into_iter().map(Arc::new) {
--- a/crates/geraniumpost-core/tests/config_adoption.rs
+++ b/crates/geraniumpost-core/tests/config_adoption.rs
@@ -80,7 +80,7 @@
         let mut now = 0;
         let mut adoption = Adoption::new(GATHER_MS);
         let mut naive = Naive::default();
-        adoption.on(AdoptionEvent::Started, Millis(now));
+        adoption.handle(AdoptionEvent::Started, Millis(now));
         for heard in script {
             match heard {
                 Heard::Wait(ms) => {
@@ -94,12 +94,12 @@
             }
             let Some(event) = as_event(&heard) else {
                 adoption = Adoption::new(GATHER_MS);
-                adoption.on(AdoptionEvent::Started, Millis(now));
+                adoption.handle(AdoptionEvent::Started, Millis(now));
                 naive = Naive { started: now, ..Naive::default() };
                 continue;
             };
             let before = adoption.in_force();
-            for action in adoption.on(event, Millis(now)) {
+            for action in adoption.handle(event, Millis(now)) {
                 if let AdoptionAction::Adopt { revision, document } = action {
                     prop_assert!(revision > before, "never a lower revision");
                     prop_assert_eq!(revision, document);
@@ -147,11 +147,11 @@
         let mut cluster = Self { nodes: Vec::new(), now: 0 };
         for &revision in revisions {
             let mut node = Adoption::new(GATHER_MS);
-            node.on(AdoptionEvent::Started, Millis(0));
+            node.handle(AdoptionEvent::Started, Millis(0));
             if revision > 0 {
                 let source = Source::Store;
                 let event = AdoptionEvent::Received { source, revision, document: revision };
-                node.on(event, Millis(0));
+                node.handle(event, Millis(0));
             }
             cluster.nodes.push(node);
         }
@@ -164,7 +164,7 @@
         let holders = self.nodes.iter().filter(|node| node.in_force() == highest).count();
         if self.nodes[index].in_force() < highest || holders > 1 {
             self.nodes[index] = Adoption::new(GATHER_MS);
-            self.nodes[index].on(AdoptionEvent::Started, Millis(self.now));
+            self.nodes[index].handle(AdoptionEvent::Started, Millis(self.now));
         }
     }
 
@@ -178,13 +178,13 @@
                 }
                 let source = Source::Peer(Name::from(from.to_string()));
                 let offer = AdoptionEvent::Offered { source: source.clone(), revision };
-                let wanted = self.nodes[to].on(offer, Millis(self.now));
+                let wanted = self.nodes[to].handle(offer, Millis(self.now));
                 if !wanted.is_empty() && !lost() {
                     let event = AdoptionEvent::Received { source, revision, document: revision };
-                    self.nodes[to].on(event, Millis(self.now));
+                    self.nodes[to].handle(event, Millis(self.now));
                 }
             }
-            self.nodes[to].on(AdoptionEvent::Tick, Millis(self.now));
+            self.nodes[to].handle(AdoptionEvent::Tick, Millis(self.now));
         }
     }
 }
@@ -194,17 +194,17 @@
 #[test]
 fn a_restart_in_an_outage_takes_the_highest_of_its_peers() {
     let mut adoption = Adoption::new(GATHER_MS);
-    assert_eq!(adoption.on(AdoptionEvent::Started, Millis(0)), vec![AdoptionAction::AskAll]);
+    assert_eq!(adoption.handle(AdoptionEvent::Started, Millis(0)), vec![AdoptionAction::FetchAll]);
     let received = |number, revision| AdoptionEvent::Received {
         source: peer(number),
         revision,
         document: revision,
     };
-    assert_eq!(adoption.on(received(1, 5), Millis(10)), vec![]);
-    assert_eq!(adoption.on(received(2, 7), Millis(20)), vec![]);
+    assert_eq!(adoption.handle(received(1, 5), Millis(10)), vec![]);
+    assert_eq!(adoption.handle(received(2, 7), Millis(20)), vec![]);
     let adopt = AdoptionAction::Adopt { revision: 7, document: 7 };
-    assert_eq!(adoption.on(AdoptionEvent::Tick, Millis(500)), vec![adopt]);
-    assert_eq!(adoption.on(received(1, 5), Millis(600)), vec![]);
+    assert_eq!(adoption.handle(AdoptionEvent::Tick, Millis(500)), vec![adopt]);
+    assert_eq!(adoption.handle(received(1, 5), Millis(600)), vec![]);
 }
 
 /// A newer program has written a document that this one cannot read. Fetching it at each heartbeat
@@ -213,10 +213,10 @@
 fn an_unreadable_revision_is_not_fetched_again() {
     let mut adoption: Adoption<u64> = Adoption::new(GATHER_MS);
     let offer = |revision| AdoptionEvent::Offered { source: peer(1), revision };
-    assert_eq!(adoption.on(offer(9), Millis(0)).len(), 1);
-    adoption.on(AdoptionEvent::Unreadable { revision: 9 }, Millis(1));
-    assert_eq!(adoption.on(offer(9), Millis(5000)), vec![]);
-    assert_eq!(adoption.on(offer(10), Millis(5000)).len(), 1);
+    assert_eq!(adoption.handle(offer(9), Millis(0)).len(), 1);
+    adoption.handle(AdoptionEvent::Unreadable { revision: 9 }, Millis(1));
+    assert_eq!(adoption.handle(offer(9), Millis(5000)), vec![]);
+    assert_eq!(adoption.handle(offer(10), Millis(5000)).len(), 1);
 }
 
 /// The answer to a fetch is lost; without a time limit the revision would never be asked for again.
@@ -224,16 +224,16 @@
 fn a_lost_fetch_is_repeated() {
     let mut adoption: Adoption<u64> = Adoption::new(GATHER_MS);
     let offer = || AdoptionEvent::Offered { source: peer(1), revision: 9 };
-    assert_eq!(adoption.on(offer(), Millis(0)).len(), 1);
-    assert_eq!(adoption.on(offer(), Millis(999)), vec![]);
-    assert_eq!(adoption.on(offer(), Millis(1000)).len(), 1);
+    assert_eq!(adoption.handle(offer(), Millis(0)).len(), 1);
+    assert_eq!(adoption.handle(offer(), Millis(999)), vec![]);
+    assert_eq!(adoption.handle(offer(), Millis(1000)).len(), 1);
 }
 
 /// Nobody answers a starting process; it must go on asking.
 #[test]
 fn a_process_without_any_answer_asks_again() {
     let mut adoption: Adoption<u64> = Adoption::new(GATHER_MS);
-    adoption.on(AdoptionEvent::Started, Millis(0));
-    assert_eq!(adoption.on(AdoptionEvent::Tick, Millis(600)), vec![]);
-    assert_eq!(adoption.on(AdoptionEvent::Tick, Millis(1000)), vec![AdoptionAction::AskAll]);
+    adoption.handle(AdoptionEvent::Started, Millis(0));
+    assert_eq!(adoption.handle(AdoptionEvent::Tick, Millis(600)), vec![]);
+    assert_eq!(adoption.handle(AdoptionEvent::Tick, Millis(1000)), vec![AdoptionAction::FetchAll]);
 }
--- a/crates/geraniumpost-core/tests/config_change.rs
+++ b/crates/geraniumpost-core/tests/config_change.rs
@@ -103,7 +103,7 @@
 
     fn step(&mut self, store: &mut NaiveStore, treatment: Treatment) -> Option<ChangeOutcome> {
         let event = store.call(&self.next, treatment);
-        self.next = self.protocol.on(event);
+        self.next = self.protocol.handle(event);
         match &self.next {
             ChangeAction::Done(outcome) => Some(outcome.clone()),
             _ => None,
--- a/crates/geraniumpost-core/tests/jobs_lease.rs
+++ b/crates/geraniumpost-core/tests/jobs_lease.rs
@@ -3,14 +3,15 @@
 use assert_matches::assert_matches;
 use geraniumpost_core::Millis;
 use geraniumpost_core::jobs::{
-    Holder, LeaseAction, LeaseConfig, LeaseEvent, PlannerLease, Standing, Takeover, TermRecord,
+    LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, PlannerLease, Takeover,
+    TermRecord,
 };
 
 const CONFIG: LeaseConfig =
-    LeaseConfig { ttl_ms: 6_000, look_ms: 2_000, outage_hold_ms: 60_000, hold_ms: 10_000 };
+    LeaseConfig { ttl_ms: 6_000, poll_ms: 2_000, outage_hold_ms: 60_000, hold_ms: 10_000 };
 
-fn holder(number: u64) -> Holder {
-    Holder::new(format!("entry-{number}").into(), number)
+fn holder(number: u64) -> LeaseHolder {
+    LeaseHolder::new(format!("entry-{number}").into(), number)
 }
 
 fn value(record: &TermRecord) -> Vec<u8> {
@@ -28,7 +29,7 @@
     let write = lease.handle(LeaseEvent::TermRead(found), now);
     assert_matches!(&write[..], [LeaseAction::WriteTerm { .. }]);
     let became = lease.handle(LeaseEvent::TermWritten(Some(10)), now);
-    assert_matches!(&became[..], [LeaseAction::Became(takeover)] => takeover.clone())
+    assert_matches!(&became[..], [LeaseAction::Acquired(takeover)] => takeover.clone())
 }
 
 fn leader() -> PlannerLease {
@@ -43,7 +44,7 @@
     let before = TermRecord::first(holder(1), &CONFIG);
     let takeover = take(&mut lease, Some(&before), 1_000);
     assert_eq!((takeover.term, takeover.earlier), (2, vec![holder(1)]));
-    assert_eq!(lease.standing(Millis(1_000)), Standing::Leader { term: 2 });
+    assert_eq!(lease.role(Millis(1_000)), LeaseRole::Leader { term: 2 });
 }
 
 // The holder's VM is paused for a while. Its clock is all it has: if it acted before it looked at it,
@@ -51,9 +52,9 @@
 #[test]
 fn a_paused_holder_notices_its_lapse() {
     let mut lease = leader();
-    assert_eq!(lease.standing(Millis(6_999)), Standing::Leader { term: 1 });
-    assert_eq!(lease.standing(Millis(7_000)), Standing::Cut { term: 1 });
-    assert_eq!(lease.standing(Millis(61_000)), Standing::Follower);
+    assert_eq!(lease.role(Millis(6_999)), LeaseRole::Leader { term: 1 });
+    assert_eq!(lease.role(Millis(7_000)), LeaseRole::Disconnected { term: 1 });
+    assert_eq!(lease.role(Millis(61_000)), LeaseRole::Follower);
     let woken = lease.handle(LeaseEvent::Tick, Millis(500_000));
     assert_matches!(&woken[..], [LeaseAction::Lost(_), LeaseAction::ReadAlive]);
 }
@@ -66,8 +67,8 @@
     let renewal = lease.handle(LeaseEvent::Tick, Millis(3_000));
     assert_eq!(renewal, [LeaseAction::KeepAlive { lease: 5 }]);
     lease.handle(LeaseEvent::KeptAlive(true), Millis(6_500));
-    assert_eq!(lease.standing(Millis(8_999)), Standing::Leader { term: 1 });
-    assert_eq!(lease.standing(Millis(9_000)), Standing::Cut { term: 1 });
+    assert_eq!(lease.role(Millis(8_999)), LeaseRole::Leader { term: 1 });
+    assert_eq!(lease.role(Millis(9_000)), LeaseRole::Disconnected { term: 1 });
 }
 
 // The store forgets the lease while the holder still believes in it, as after an outage of its own.
@@ -77,7 +78,7 @@
     let mut lease = leader();
     lease.handle(LeaseEvent::Tick, Millis(3_000));
     lease.handle(LeaseEvent::KeptAlive(false), Millis(3_100));
-    assert_eq!(lease.standing(Millis(3_100)), Standing::Cut { term: 1 });
+    assert_eq!(lease.role(Millis(3_100)), LeaseRole::Disconnected { term: 1 });
 }
 
 // The store is out for longer than the lease. Nobody took over, so the holder goes on under its term,
@@ -95,7 +96,7 @@
     assert_matches!(&write[..], [LeaseAction::WriteTerm { expected: Some(10), record }]
         if record.term == 1);
     assert_eq!(lease.handle(LeaseEvent::TermWritten(Some(11)), at), []);
-    assert_eq!(lease.standing(at), Standing::Leader { term: 1 });
+    assert_eq!(lease.role(at), LeaseRole::Leader { term: 1 });
 }
 
 // The last hold runs out while the holder, back from an outage, rewrites its term. The driver found
@@ -113,7 +114,7 @@
     lease.handle(LeaseEvent::TermRead(Some((10, value(&own)))), at);
     let late = lease.handle(LeaseEvent::TermWritten(Some(11)), Millis(61_500));
     assert_matches!(&late[..], [LeaseAction::Lost(_)]);
-    assert_eq!(lease.standing(Millis(61_500)), Standing::Follower);
+    assert_eq!(lease.role(Millis(61_500)), LeaseRole::Follower);
 }
 
 // Another entry took over while the holder was cut off. It must learn that from the first look and
@@ -124,7 +125,7 @@
     lease.handle(LeaseEvent::Tick, Millis(30_000));
     let seen = lease.handle(LeaseEvent::AliveRead(Some(b"entry-2#2 8".to_vec())), Millis(30_000));
     assert_matches!(&seen[..], [LeaseAction::Lost(_)]);
-    assert_eq!(lease.standing(Millis(30_000)), Standing::Follower);
+    assert_eq!(lease.role(Millis(30_000)), LeaseRole::Follower);
 }
 
 // The answer to the claim is lost after it took effect. Without reading back, the region would have
@@ -154,7 +155,7 @@
     lease.handle(LeaseEvent::Claimed(true), now);
     lease.handle(LeaseEvent::TermRead(None), now);
     assert_eq!(lease.handle(LeaseEvent::TermWritten(Some(10)), Millis(7_000)), []);
-    assert_eq!(lease.standing(Millis(7_000)), Standing::Follower);
+    assert_eq!(lease.role(Millis(7_000)), LeaseRole::Follower);
 }
 
 // An operator lengthens the hold. The next planner waits as long as the record says, so that a longer
@@ -164,17 +165,17 @@
     let mut lease = leader();
     let longer = LeaseConfig { hold_ms: 50_000, ..CONFIG };
     lease.handle(LeaseEvent::Configure(longer), Millis(1_500));
-    assert_eq!(lease.hold_ms(), 10_000);
+    assert_eq!(lease.agent_lease_ms(), 10_000);
     let write = lease.handle(LeaseEvent::Tick, Millis(3_000));
     assert_matches!(&write[..], [LeaseAction::WriteTerm { record, .. }] if record.hold_ms == 50_000);
     lease.handle(LeaseEvent::TermWritten(Some(11)), Millis(3_010));
-    assert_eq!(lease.hold_ms(), 50_000);
+    assert_eq!(lease.agent_lease_ms(), 50_000);
     let shorter = LeaseConfig { hold_ms: 2_000, ..CONFIG };
     lease.handle(LeaseEvent::Configure(shorter), Millis(3_020));
-    assert_eq!(lease.hold_ms(), 2_000, "a shorter one is granted at once");
-    assert_eq!(lease.longest_hold_ms(), 50_000, "but what was granted before still counts");
-    lease.handle(LeaseEvent::EarlierSettled, Millis(3_030));
+    assert_eq!(lease.agent_lease_ms(), 2_000, "a shorter one is granted at once");
+    assert_eq!(lease.longest_agent_lease_ms(), 50_000, "but what was granted before still counts");
+    lease.handle(LeaseEvent::PredecessorsExpired, Millis(3_030));
     lease.handle(LeaseEvent::Tick, Millis(5_000));
     lease.handle(LeaseEvent::KeptAlive(true), Millis(5_010));
-    assert_eq!(lease.longest_hold_ms(), 50_000);
+    assert_eq!(lease.longest_agent_lease_ms(), 50_000);
 }
--- a/crates/geraniumpost-core/tests/jobs_ledger.rs
+++ b/crates/geraniumpost-core/tests/jobs_ledger.rs
@@ -500,7 +500,7 @@
             }
             let held: u64 = naive.live.values().map(|(_, size)| size).sum();
             prop_assert_eq!(bench.ledger.reserved().milli_cpus, held);
-            prop_assert_eq!(bench.ledger.live(), naive.live.len());
+            prop_assert_eq!(bench.ledger.live_tasks(), naive.live.len());
         }
     }
 }
--- a/crates/geraniumpost-core/tests/jobs_planner/bench.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/bench.rs
@@ -1,8 +1,8 @@
 use geraniumpost_core::Millis;
 use geraniumpost_core::jobs::{
-    BUCKETS, Bucket, Holder, JobAnswer, JobRecord, JobSpec, JobState, LeaseConfig, Moment, Planner,
-    PlannerAction, PlannerConfig, PlannerEvent, Standing, Takeover, TermRecord, Transition,
-    bucket_of,
+    BUCKETS, Bucket, JobRecord, JobResponse, JobSpec, JobState, LeaseConfig, LeaseHolder,
+    LeaseRole, Now, Planner, PlannerAction, PlannerConfig, PlannerEvent, Takeover, TermRecord,
+    Transition, bucket_of,
 };
 use geraniumpost_core::placement::{Decision, Reason};
 use geraniumpost_schema::{
@@ -38,7 +38,7 @@
     pub planner: Planner,
     pub now: u64,
     pub sent: Vec<(Name, ToAgent)>,
-    pub replies: Vec<JobAnswer>,
+    pub replies: Vec<JobResponse>,
     pub stepped_down: bool,
     pub commits: u64,
     pub reads: u64,
@@ -49,8 +49,8 @@
     pub fn new(records: &[JobRecord]) -> Self {
         let config =
             LeaseConfig { outage_hold_ms: OUTAGE_MS, hold_ms: HOLD_MS, ..Default::default() };
-        let first = TermRecord::first(Holder::new("entry-1".into(), 1), &config);
-        let second = first.next(Holder::new("entry-2".into(), 2), &config);
+        let first = TermRecord::first(LeaseHolder::new("entry-1".into(), 1), &config);
+        let second = first.next(LeaseHolder::new("entry-2".into(), 2), &config);
         let takeover = Takeover::new(&second, Millis(1_000));
         let mut planner = Planner::new(&takeover, PlannerConfig::default());
         planner.configure(&document());
@@ -78,12 +78,12 @@
         bench
     }
 
-    pub fn moment(&self) -> Moment {
-        Moment::new(Millis(self.now), 1_000_000 + self.now, 7)
+    pub fn moment(&self) -> Now {
+        Now::new(Millis(self.now), 1_000_000 + self.now, 7)
     }
 
     pub fn raw(&mut self, event: PlannerEvent) -> Vec<PlannerAction> {
-        self.planner.handle(event, Standing::Leader { term: 2 }, self.moment())
+        self.planner.handle(event, LeaseRole::Leader { term: 2 }, self.moment())
     }
 
     pub fn tell(&mut self, event: PlannerEvent) {
@@ -116,7 +116,7 @@
 
     pub fn beat(&mut self, agent: &str) {
         let beat = heartbeat(agent);
-        let leader = Standing::Leader { term: 2 };
+        let leader = LeaseRole::Leader { term: 2 };
         let hold = self.planner.heartbeat(&beat, HOLD_MS, leader, Millis(self.now));
         assert_eq!(hold, (2, HOLD_MS));
     }
@@ -138,9 +138,9 @@
             worker: worker.into(),
             need: NEED,
             score: 0.0,
-            why: Reason::Settling,
+            reason: Reason::AwaitingWorkers,
         };
-        let leader = Standing::Leader { term: 2 };
+        let leader = LeaseRole::Leader { term: 2 };
         let actions = self.planner.place(leader, self.moment(), |_, _, _| vec![start]);
         self.carry_out(actions);
     }
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -5,8 +5,8 @@
 use assert_matches::assert_matches;
 use bench::{Bench, HOLD_MS, LEASE_MS, NEED, OUTAGE_MS, assigned, report, spec};
 use geraniumpost_core::jobs::{
-    BUCKETS, Bucket, Holder, JobRecord, JobSpec, JobState, PlannerAction, PlannerEvent, Transition,
-    bucket_of, codes,
+    BUCKETS, Bucket, JobRecord, JobSpec, JobState, LeaseHolder, PlannerAction, PlannerEvent,
+    Transition, bucket_of, codes,
 };
 use geraniumpost_schema::{Name, Resources, TaskState, ToAgent};
 
@@ -18,7 +18,7 @@
 #[test]
 fn a_silent_agents_run_is_given_away_only_when_it_has_surely_ended() {
     let mut bench = Bench::new(&[assigned("study-1")]);
-    bench.tell(PlannerEvent::HolderGone(Holder::new("entry-1".into(), 1)));
+    bench.tell(PlannerEvent::PredecessorStopped(LeaseHolder::new("entry-1".into(), 1)));
     bench.beat("agent-1");
     bench.link("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     bench.now = 50_000;
@@ -46,7 +46,7 @@
 fn proof_that_the_planner_before_stopped_shortens_the_wait() {
     let mut bench = Bench::new(&[assigned("study-1")]);
     bench.now = 2_000;
-    bench.tell(PlannerEvent::HolderGone(Holder::new("entry-1".into(), 1)));
+    bench.tell(PlannerEvent::PredecessorStopped(LeaseHolder::new("entry-1".into(), 1)));
     bench.tick_at(2_000 + HOLD_MS + LEASES_MS - 1);
     assert_eq!(bench.state("study-1"), (JobState::Assigned, 1));
     bench.tick_at(2_000 + HOLD_MS + LEASES_MS);
@@ -151,7 +151,7 @@
     bench.tell(PlannerEvent::Submit { spec: spec("study-1"), reply: 1 });
     for second in 10..400 {
         bench.tick_at(second * 1_000);
-        assert!(bench.planner.fleet().settling());
+        assert!(bench.planner.fleet().awaiting_workers());
     }
     assert_eq!(bench.state("study-1"), (JobState::Pending, 1));
 }
@@ -270,6 +270,6 @@
     }
     let took = began.elapsed() / 100;
     println!("a tick takes {took:?}");
-    assert_eq!(bench.planner.queue(), (0, 5_200));
+    assert_eq!(bench.planner.queue_lengths(), (0, 5_200));
     assert!(took.as_millis() < 20, "{took:?}");
 }
--- a/crates/geraniumpost-core/tests/jobs_record.rs
+++ b/crates/geraniumpost-core/tests/jobs_record.rs
@@ -87,12 +87,12 @@
     let mut done = assigned();
     done.apply(Transition::Complete { result: String::new() }, 3_000).expect("assigned");
     bucket.put(done);
-    assert_eq!(bucket.bury_finished_before(3_000), 0);
-    assert_eq!(bucket.bury_finished_before(3_001), 1);
+    assert_eq!(bucket.drop_finished_before(3_000), 0);
+    assert_eq!(bucket.drop_finished_before(3_001), 1);
     let read = Bucket::decode(&bucket.encode(1, 1)).expect("own encoding");
     assert!(read.get("study-7").is_none());
-    assert!(read.is_buried("study-7"));
-    assert!(!read.is_buried("study-8"));
+    assert!(read.has_tombstone("study-7"));
+    assert!(!read.has_tombstone("study-8"));
 }
 
 // Submissions fill a store value until the store refuses it. From then on no result in it could be
@@ -171,7 +171,7 @@
     match state {
         JobState::Pending => "pending",
         JobState::Assigned => "assigned",
-        JobState::CancelWanted => "cancel wanted",
+        JobState::Cancelling => "cancel wanted",
         JobState::Done => "done",
         JobState::Failed => "failed",
         JobState::Cancelled => "cancelled",
--- a/crates/geraniumpost-core/tests/jobs_world/agent.rs
+++ b/crates/geraniumpost-core/tests/jobs_world/agent.rs
@@ -74,7 +74,7 @@
             has_worker: true,
             capacity: CAPACITY,
             reserved: self.ledger.reserved(),
-            tasks: self.ledger.live() as u32,
+            tasks: self.ledger.live_tasks() as u32,
         }
     }
 }
@@ -86,9 +86,9 @@
         repeat_ms: 300,
         usage_ms: 1_000,
         settle_ms: 500,
-        longest_call_ms: 1_000,
+        call_timeout_ms: 1_000,
         checkpoint_ms: 5_000,
-        remember_ms: 60_000,
+        epoch_retention_ms: 60_000,
     };
     VmLedger::new(incarnation, CAPACITY, config)
 }
--- a/crates/geraniumpost-core/tests/jobs_world/entry.rs
+++ b/crates/geraniumpost-core/tests/jobs_world/entry.rs
@@ -1,7 +1,7 @@
 use geraniumpost_core::Millis;
 use geraniumpost_core::jobs::{
-    Holder, LeaseAction, LeaseConfig, LeaseEvent, Moment, Planner, PlannerAction, PlannerConfig,
-    PlannerEvent, PlannerLease, Standing, Takeover,
+    LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, Now, Planner, PlannerAction,
+    PlannerConfig, PlannerEvent, PlannerLease, Takeover,
 };
 use geraniumpost_core::placement::Placer;
 use geraniumpost_schema::Document;
@@ -54,7 +54,7 @@
         let actions = self.lease.handle(event, Millis(now));
         for action in &actions {
             match action {
-                LeaseAction::Became(takeover) => self.plan(takeover),
+                LeaseAction::Acquired(takeover) => self.plan(takeover),
                 LeaseAction::Lost(_) => self.planner = None,
                 _ => {}
             }
@@ -69,7 +69,7 @@
             resend_ms: 300,
             drift_margin_ms: 200,
             settling_ms: 1_000,
-            keep_finished_ms: 10_000_000,
+            finished_retention_ms: 10_000_000,
             backoff_ms: 100,
             store_retry_ms: 200,
             ..PlannerConfig::default()
@@ -80,12 +80,12 @@
         self.links = [None; 3];
     }
 
-    pub fn standing(&self, now: u64) -> Standing {
-        self.lease.standing(Millis(now))
+    pub fn role(&self, now: u64) -> LeaseRole {
+        self.lease.role(Millis(now))
     }
 
-    pub fn plan_event(&mut self, event: PlannerEvent, moment: Moment) -> Vec<PlannerAction> {
-        let standing = self.lease.standing(moment.clock);
+    pub fn plan_event(&mut self, event: PlannerEvent, moment: Now) -> Vec<PlannerAction> {
+        let standing = self.lease.role(moment.clock);
         match &mut self.planner {
             Some(planner) => planner.handle(event, standing, moment),
             None => Vec::new(),
@@ -93,12 +93,12 @@
     }
 }
 
-pub fn holder(at: usize, incarnation: u64) -> Holder {
-    Holder::new(format!("entry-{at}").into(), incarnation)
+pub fn holder(at: usize, incarnation: u64) -> LeaseHolder {
+    LeaseHolder::new(format!("entry-{at}").into(), incarnation)
 }
 
 fn lease_config() -> LeaseConfig {
-    LeaseConfig { ttl_ms: 2_000, look_ms: 500, outage_hold_ms: OUTAGE_HOLD_MS, hold_ms: HOLD_MS }
+    LeaseConfig { ttl_ms: 2_000, poll_ms: 500, outage_hold_ms: OUTAGE_HOLD_MS, hold_ms: HOLD_MS }
 }
 
 pub fn document() -> Document {
--- a/crates/geraniumpost-core/tests/jobs_world/world/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_world/world/entries.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::jobs::{
-    JobAnswer, JobSpec, JobState, LeaseAction, LeaseEvent, LedgerEvent, PlannerAction,
+    JobResponse, JobSpec, JobState, LeaseAction, LeaseEvent, LedgerEvent, PlannerAction,
     PlannerEvent, alive_key, bucket_key, term_key,
 };
 use geraniumpost_core::placement::{Decision, Reason};
@@ -61,10 +61,10 @@
             return;
         }
         let current = other.incarnation;
-        let follows = !other.standing(self.now).may_hold();
+        let follows = !other.role(self.now).may_grant_leases();
         for incarnation in 1..=current {
             if incarnation < current || follows {
-                self.plan(at, PlannerEvent::HolderGone(holder(1 - at, incarnation)));
+                self.plan(at, PlannerEvent::PredecessorStopped(holder(1 - at, incarnation)));
             }
         }
     }
@@ -97,7 +97,7 @@
         let pick = self.rng.random::<u64>() as usize;
         let mut rng = StdRng::seed_from_u64(moment.random);
         let entry = &mut self.entries[at];
-        let standing = entry.standing(moment.clock.0);
+        let standing = entry.role(moment.clock.0);
         let Some(planner) = &mut entry.planner else { return };
         let running: Vec<Name> = planner
             .records()
@@ -112,7 +112,7 @@
                     job: running[pick % running.len()].clone(),
                     worker: Name::default(),
                     for_job: Name::default(),
-                    why: Reason::Settling,
+                    reason: Reason::AwaitingWorkers,
                 });
             }
             decisions
@@ -141,8 +141,8 @@
                 }
                 PlannerAction::Send { agent, frame } => self.send(at, &agent, frame),
                 PlannerAction::Reply { reply, answer } => self.on_reply(reply, &answer),
-                PlannerAction::EarlierSettled => {
-                    let actions = self.entries[at].lease(LeaseEvent::EarlierSettled, self.now);
+                PlannerAction::PredecessorsExpired => {
+                    let actions = self.entries[at].lease(LeaseEvent::PredecessorsExpired, self.now);
                     self.do_lease(at, actions);
                 }
                 PlannerAction::StepDown(_) => {
@@ -154,7 +154,7 @@
         }
     }
 
-    pub(super) fn on_reply(&mut self, reply: u64, answer: &JobAnswer) {
+    pub(super) fn on_reply(&mut self, reply: u64, answer: &JobResponse) {
         let Some((job, cancel)) = self.replies.remove(&reply) else { return };
         if answer.is_ok() && cancel {
             self.cancelled.insert(job);
@@ -182,7 +182,7 @@
                     let value = serde_json::to_vec(&record).expect("plain data");
                     Call::Put { key: term_key(&region), value, expected, lease: None }
                 }
-                LeaseAction::Became(_) | LeaseAction::Lost(_) => continue,
+                LeaseAction::Acquired(_) | LeaseAction::Lost(_) => continue,
             };
             self.call_store(at, Caller::Lease, call);
         }
@@ -283,8 +283,8 @@
         if !self.entries[entry].is_up(now) {
             return;
         }
-        let hold_ms = self.entries[entry].lease.hold_ms();
-        let standing = self.entries[entry].standing(now);
+        let hold_ms = self.entries[entry].lease.agent_lease_ms();
+        let standing = self.entries[entry].role(now);
         let Some(planner) = &mut self.entries[entry].planner else { return };
         let (term, hold_ms) = planner.heartbeat(&beat, hold_ms, standing, Millis(now));
         let ack = HeartbeatAck {
--- a/crates/geraniumpost-core/tests/jobs_world/world/mod.rs
+++ b/crates/geraniumpost-core/tests/jobs_world/world/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use geraniumpost_core::Millis;
-use geraniumpost_core::jobs::{Bucket, JobSpec, JobState, Moment};
+use geraniumpost_core::jobs::{Bucket, JobSpec, JobState, Now};
 use geraniumpost_core::placement::amounts;
 use geraniumpost_schema::{Name, Resources};
 use rand::rngs::StdRng;
@@ -140,8 +140,8 @@
         self.check();
     }
 
-    fn moment(&mut self) -> Moment {
-        Moment::new(Millis(self.now), self.now + 1_000_000, self.rng.random())
+    fn moment(&mut self) -> Now {
+        Now::new(Millis(self.now), self.now + 1_000_000, self.rng.random())
     }
 
     fn fly(&mut self, delay: u64, flight: Flight) {
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -4,7 +4,7 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::placement::{
-    Decision, Fleet, Placer, Reason, TaskView, Wish, WorkerState, WorkerView, amounts,
+    Decision, Fleet, PlacementRequest, Placer, Reason, TaskView, WorkerState, WorkerView, amounts,
 };
 use geraniumpost_schema::{Document, Name, Priority, Resources};
 use proptest::prelude::*;
@@ -93,7 +93,7 @@
             let state = states.get(view.name()).copied().unwrap_or_default();
             workers.insert(view.name().clone(), (view.allowance(), state));
             for task in view.running() {
-                let entry = (view.name().clone(), task.customer().clone(), task.held());
+                let entry = (view.name().clone(), task.customer().clone(), task.allocated());
                 tasks.insert(task.job().clone(), entry);
             }
         }
@@ -116,17 +116,21 @@
         open.filter(|(name, _)| amounts::fits(need, &self.free(name))).count()
     }
 
-    fn could_ever(&self, wish: &Wish) -> bool {
+    fn could_ever(&self, wish: &PlacementRequest) -> bool {
         amounts::fits(wish.need(), &QUOTA)
             && self.workers.values().any(|(room, _)| amounts::fits(wish.need(), room))
     }
 
-    fn within_quota(&self, wish: &Wish) -> bool {
+    fn within_quota(&self, wish: &PlacementRequest) -> bool {
         self.within_quota_beside(wish, std::iter::empty())
     }
 
     /// Tells whether the quota also lasts for other jobs that room is kept for.
-    fn within_quota_beside<'a>(&self, wish: &Wish, kept: impl Iterator<Item = &'a Wish>) -> bool {
+    fn within_quota_beside<'a>(
+        &self,
+        wish: &PlacementRequest,
+        kept: impl Iterator<Item = &'a PlacementRequest>,
+    ) -> bool {
         let others = kept.filter(|w| w.customer() == wish.customer() && w.job() != wish.job());
         let others = others.filter(|w| !self.tasks.contains_key(w.job()));
         let kept = others.fold(*wish.need(), |sum, other| amounts::plus(&sum, other.need()));
@@ -137,7 +141,7 @@
 /// Applies decisions to the twin one by one and checks each.
 fn check(
     decided: &[Decision],
-    wishes: &[Wish],
+    wishes: &[PlacementRequest],
     mut twin: Twin,
     holders: &BTreeSet<Name>,
 ) -> Result<(), TestCaseError> {
@@ -163,10 +167,10 @@
                 prop_assert!(!twin.could_ever(wish_of(job)), "{job} could run");
                 answered += 1;
             }
-            Decision::Wait { job, why } => {
+            Decision::Wait { job, reason } => {
                 let wish = wish_of(job);
                 prop_assert!(twin.could_ever(wish), "{job} is not told that it cannot run");
-                match why {
+                match reason {
                     Reason::OverQuota { .. } => {
                         let kept = wishes.iter().filter(|other| holders.contains(other.job()));
                         prop_assert!(!twin.within_quota_beside(wish, kept));
@@ -179,9 +183,11 @@
                         );
                     }
                     Reason::AwaitsEviction { .. } => {
-                        prop_assert_eq!(wish.urgency(), Priority::Urgent);
+                        prop_assert_eq!(wish.requested_priority(), Priority::Urgent);
+                    }
+                    Reason::Kept { .. } => {
+                        prop_assert_ne!(wish.requested_priority(), Priority::Urgent)
                     }
-                    Reason::Kept { .. } => prop_assert_ne!(wish.urgency(), Priority::Urgent),
                     other => prop_assert!(false, "unexpected {other}"),
                 }
                 answered += 1;
@@ -198,23 +204,24 @@
 
 /// Returns how many workers may have room and yet be closed to a job: those kept for jobs that say
 /// so and, unless it is urgent, one in four that may keep a room for urgent ones.
-fn kept(holders: &BTreeSet<Name>, wish: &Wish, twin: &Twin) -> usize {
-    let spare = if wish.urgency() == Priority::Urgent { 0 } else { twin.workers.len() / 4 };
+fn kept(holders: &BTreeSet<Name>, wish: &PlacementRequest, twin: &Twin) -> usize {
+    let spare =
+        if wish.requested_priority() == Priority::Urgent { 0 } else { twin.workers.len() / 4 };
     holders.len() + spare
 }
 
 /// Returns the jobs that are told that room is kept for them.
 fn holders(decided: &[Decision]) -> impl Iterator<Item = Name> {
     decided.iter().filter_map(|decision| match decision {
-        Decision::Wait { job, why: Reason::AwaitsEviction { .. } | Reason::Kept { .. } } => {
+        Decision::Wait { job, reason: Reason::AwaitsEviction { .. } | Reason::Kept { .. } } => {
             Some(job.clone())
         }
         _ => None,
     })
 }
 
-fn rank(wish: &Wish) -> u8 {
-    match wish.urgency() {
+fn rank(wish: &PlacementRequest) -> u8 {
+    match wish.requested_priority() {
         Priority::Urgent => 0,
         Priority::Normal => 1,
         Priority::Scavenger => 2,
@@ -228,7 +235,7 @@
     }
     for customer in CUSTOMERS {
         let customer = Name::from(customer);
-        prop_assert_eq!(fleet.holding(&customer), twin.holding(&customer));
+        prop_assert_eq!(fleet.allocated_to(&customer), twin.holding(&customer));
     }
     Ok(())
 }
@@ -238,7 +245,7 @@
     fleet: Fleet,
     placer: Placer,
     states: BTreeMap<Name, WorkerState>,
-    queue: Vec<Wish>,
+    queue: Vec<PlacementRequest>,
     now: u64,
     number: usize,
     holders: BTreeSet<Name>,
@@ -276,7 +283,7 @@
             Step::Submit { customer, class, need, priority } => {
                 let job = format!("job-{}", self.number);
                 self.number += 1;
-                let wish = Wish::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
+                let wish = PlacementRequest::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
                 self.queue.push(wish.priority(*priority).submitted(Millis(self.now)));
             }
             Step::EndOne(which) if !running.is_empty() => {
@@ -314,7 +321,7 @@
             let wish = self.queue.swap_remove(at);
             let (customer, class) = (wish.customer().clone(), wish.class().clone());
             let task = TaskView::new(job.clone(), customer, class, *wish.need(), Millis(self.now));
-            let task = task.learned(*need).priority(wish.urgency());
+            let task = task.reserved(*need).priority(wish.requested_priority());
             prop_assert!(self.fleet.add_task(worker, task));
         }
         Ok(decided)
--- a/crates/geraniumpost-core/tests/placement_faults.rs
+++ b/crates/geraniumpost-core/tests/placement_faults.rs
@@ -3,12 +3,12 @@
 mod placement_support;
 
 use assert_matches::assert_matches;
-use geraniumpost_core::placement::{Decision, Reason, RunOutcome, Wish};
+use geraniumpost_core::placement::{Decision, PlacementRequest, Reason, RunOutcome};
 use placement_support::{Site, amount, name, started, wish, worker};
 
 const TICK_MS: u64 = 1000;
 
-fn jobs(count: usize) -> Vec<Wish> {
+fn jobs(count: usize) -> Vec<PlacementRequest> {
     (0..count).map(|i| wish(&format!("job-{i}"), "study", amount(1000, 1000))).collect()
 }
 
@@ -16,12 +16,12 @@
 /// decided. Sound runs take a minute.
 fn run(
     site: &mut Site,
-    mut queue: Vec<Wish>,
+    mut queue: Vec<PlacementRequest>,
     ticks: u64,
     fails: fn(&str, &str) -> bool,
 ) -> Vec<Decision> {
     let mut all = Vec::new();
-    let mut running: Vec<(u64, Wish)> = Vec::new();
+    let mut running: Vec<(u64, PlacementRequest)> = Vec::new();
     for now in (0..ticks).map(|tick| tick * TICK_MS) {
         let (ended, on): (Vec<_>, Vec<_>) = running.into_iter().partition(|(since, wish)| {
             let on = site.fleet.worker_of(wish.job()).expect("running").name().clone();
@@ -83,21 +83,22 @@
     let decided = site.place(3000, &queue);
     assert_matches!(
         decided[0],
-        Decision::Quarantine { why: Reason::FailsJobs { jobs: 3, .. }, .. }
+        Decision::Quarantine { reason: Reason::FailsJobs { jobs: 3, .. }, .. }
     );
     assert_eq!(decided.iter().filter(|d| matches!(d, Decision::Start { .. })).count(), 0);
     let decided = site.place(34_000, &queue);
-    assert_matches!(decided[0], Decision::Release { why: Reason::Probed, .. });
+    assert_matches!(decided[0], Decision::Release { reason: Reason::Probed, .. });
     let probes: Vec<_> =
         queue.iter().filter(|wish| started(&decided, wish.job()).is_some()).collect();
     assert_eq!(probes.len(), 1, "a probe is one job");
-    let left: Vec<Wish> = queue.iter().filter(|w| w.job() != probes[0].job()).cloned().collect();
+    let left: Vec<PlacementRequest> =
+        queue.iter().filter(|w| w.job() != probes[0].job()).cloned().collect();
     assert_eq!(
         site.place(35_000, &left).iter().filter(|d| matches!(d, Decision::Start { .. })).count(),
         0
     );
     let decided = site.place(65_000, &left);
-    assert_matches!(decided[0], Decision::Release { why: Reason::Sound, .. });
+    assert_matches!(decided[0], Decision::Release { reason: Reason::Sound, .. });
     assert_eq!(decided.iter().filter(|d| matches!(d, Decision::Start { .. })).count(), 3);
 }
 
--- a/crates/geraniumpost-core/tests/placement_harm.rs
+++ b/crates/geraniumpost-core/tests/placement_harm.rs
@@ -77,7 +77,7 @@
             let mut placer = site.placer.clone();
             let mut rng = StdRng::seed_from_u64(1);
             match &placer.place(Millis(now), &study, &fleet, &mut rng)[0] {
-                Decision::Wait { why: Reason::TooHarmful { after_permille, .. }, .. } => {
+                Decision::Wait { reason: Reason::TooHarmful { after_permille, .. }, .. } => {
                     f64::from(*after_permille)
                 }
                 other => panic!("{other}"),
--- a/crates/geraniumpost-core/tests/placement_order.rs
+++ b/crates/geraniumpost-core/tests/placement_order.rs
@@ -6,7 +6,9 @@
 
 use assert_matches::assert_matches;
 use geraniumpost_core::Millis;
-use geraniumpost_core::placement::{Decision, Fleet, Reason, RunOutcome, TaskView, Wish};
+use geraniumpost_core::placement::{
+    Decision, Fleet, PlacementRequest, Reason, RunOutcome, TaskView,
+};
 use geraniumpost_schema::{Name, Priority};
 use placement_support::{Site, amount, evicted, name, started, urgent, wish, worker};
 
@@ -31,7 +33,7 @@
     assert_eq!(evicted(&site.place(60_000, &check)), [name("cheap")]);
     let decided = site.place(60_500, &check);
     assert_eq!(evicted(&decided), Vec::<Name>::new());
-    assert_matches!(decided[0], Decision::Wait { why: Reason::AwaitsEviction { .. }, .. });
+    assert_matches!(decided[0], Decision::Wait { reason: Reason::AwaitsEviction { .. }, .. });
     site.end(61_500, &name("cheap"), RunOutcome::Stopped);
     let batch = wish("late", "study", FULL).submitted(Millis(1));
     let decided = site.place(61_500, &[batch, check[0].clone()]);
@@ -62,7 +64,7 @@
     site.start(0, &fixed, &name("w1"), FULL);
     site.fleet.update_task(&name("fixed"), |task: TaskView| task.evictable(false));
     let decided = site.place(1000, &[urgent("second", amount(1000, 1000))]);
-    assert_matches!(decided[..], [Decision::Wait { why: Reason::NoRoom { .. }, .. }]);
+    assert_matches!(decided[..], [Decision::Wait { reason: Reason::NoRoom { .. }, .. }]);
 }
 
 /// Urgent jobs pour in. Evictions stay within the policy's bound a minute, else a burst of one
@@ -75,7 +77,7 @@
         let study = wish(&format!("study-{rack}"), "study", amount(16_000, 1000));
         site.start(0, &study, &name(&format!("on-{rack}")), amount(16_000, 1000));
     }
-    let checks: Vec<Wish> =
+    let checks: Vec<PlacementRequest> =
         (0..10).map(|i| urgent(&format!("check-{i}"), amount(9000, 1000))).collect();
     let first = evicted(&site.place(1000, &checks)).len();
     assert_eq!(first, 4, "the bound of the document");
@@ -91,7 +93,7 @@
     let check = urgent("check-0", amount(2000, 1000));
     assert!(started(&site.place(0, std::slice::from_ref(&check)), "check-0").is_some());
     site.end(1000, check.job(), RunOutcome::Completed);
-    let studies: Vec<Wish> = (0..40)
+    let studies: Vec<PlacementRequest> = (0..40)
         .map(|i| wish(&format!("study-{i}"), "study", amount(2000, 1000)).submitted(Millis(i)))
         .collect();
     site.place(2000, &studies);
@@ -110,8 +112,15 @@
         for (_, job) in ends.extract_if(.., |(at, _)| *at <= now) {
             site.end(now, &job, RunOutcome::Completed);
         }
-        let mut wishes: Vec<Wish> = (0..8)
-            .map(|i| Wish::new(format!("small-{now}-{i}"), "bitel", "logs", amount(4000, 100)))
+        let mut wishes: Vec<PlacementRequest> = (0..8)
+            .map(|i| {
+                PlacementRequest::new(
+                    format!("small-{now}-{i}"),
+                    "bitel",
+                    "logs",
+                    amount(4000, 100),
+                )
+            })
             .collect();
         if now >= 60_000 {
             wishes.push(large.clone());
@@ -133,8 +142,10 @@
 fn a_scavenger_does_not_starve() {
     let mut site = Site::new([worker("w1", "r1")]);
     let wishes = [
-        Wish::new("normal", "entel", "study", amount(16_000, 1)).submitted(Millis(700_000)),
-        Wish::new("scavenger", "entel", "study", amount(16_000, 1)).priority(Priority::Scavenger),
+        PlacementRequest::new("normal", "entel", "study", amount(16_000, 1))
+            .submitted(Millis(700_000)),
+        PlacementRequest::new("scavenger", "entel", "study", amount(16_000, 1))
+            .priority(Priority::Scavenger),
     ];
     assert_eq!(started(&site.clone_place(500_000, &wishes), "scavenger"), None);
     assert_eq!(started(&site.place(700_000, &wishes), "scavenger"), Some(name("w1")));
@@ -144,16 +155,16 @@
 #[test]
 fn room_is_shared_by_weight() {
     let mut site = Site::new((0..2).map(|i| worker(&format!("w{i}"), "r1")));
-    let wishes: Vec<Wish> = (0..64)
+    let wishes: Vec<PlacementRequest> = (0..64)
         .map(|i| {
             let customer = if i % 2 == 0 { "entel" } else { "bitel" };
-            Wish::new(format!("job-{i}"), customer, "study", amount(1000, 1000))
+            PlacementRequest::new(format!("job-{i}"), customer, "study", amount(1000, 1000))
         })
         .collect();
     site.place(0, &wishes[..16]);
     site.place(0, &wishes[16..]);
-    assert_eq!(site.fleet.holding(&name("entel")).milli_cpus, 8000);
-    assert_eq!(site.fleet.holding(&name("bitel")).milli_cpus, 24_000);
+    assert_eq!(site.fleet.allocated_to(&name("entel")).milli_cpus, 8000);
+    assert_eq!(site.fleet.allocated_to(&name("bitel")).milli_cpus, 24_000);
 }
 
 /// Replicas of one class land on different racks and domains, so that a lost rack takes one of
@@ -162,10 +173,10 @@
 fn replicas_are_spread_over_racks() {
     let places = [("a", "r1"), ("b", "r1"), ("c", "r1"), ("d", "r2"), ("e", "r2"), ("f", "r3")];
     let mut site = Site::new(places.map(|(on, rack)| worker(on, rack)));
-    let wishes: Vec<Wish> =
+    let wishes: Vec<PlacementRequest> =
         (0..3).map(|i| wish(&format!("replica-{i}"), "monitor", amount(1000, 1000))).collect();
     let decided = site.place(0, &wishes);
-    let rack = |wish: &Wish| {
+    let rack = |wish: &PlacementRequest| {
         let on = started(&decided, wish.job()).expect("started");
         places.iter().find(|(worker, _)| on.as_str() == *worker).expect("a place").1
     };
@@ -205,7 +216,7 @@
     ));
     site.fleet.put_worker(large.state(geraniumpost_core::placement::WorkerState::Lost));
     let study = [wish("study", "study", amount(8000, 1000))];
-    assert_matches!(site.place(0, &study)[0], Decision::Wait { why: Reason::NoRoom { .. }, .. });
+    assert_matches!(site.place(0, &study)[0], Decision::Wait { reason: Reason::NoRoom { .. }, .. });
     site.fleet.remove_worker(&name("large"));
     let decided = site.place(1000, &study);
     assert_matches!(&decided[0], Decision::Impossible { largest, .. } if largest == &name("small"));
--- a/crates/geraniumpost-core/tests/placement_support/mod.rs
+++ b/crates/geraniumpost-core/tests/placement_support/mod.rs
@@ -4,7 +4,7 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::placement::{
-    Decision, Fleet, Observation, Placer, RunOutcome, TaskView, Wish, WorkerView,
+    Decision, Fleet, Observation, PlacementRequest, Placer, RunOutcome, TaskView, WorkerView,
 };
 use geraniumpost_schema::{Document, Name, Priority, Resources};
 use rand::SeedableRng;
@@ -36,8 +36,8 @@
     WorkerView::new(text, format!("domain-of-{rack}"), rack, amount(16_000, 64_000))
 }
 
-pub fn wish(job: &str, class: &str, need: Resources) -> Wish {
-    Wish::new(job, "entel", class, need)
+pub fn wish(job: &str, class: &str, need: Resources) -> PlacementRequest {
+    PlacementRequest::new(job, "entel", class, need)
 }
 
 /// A planner's view of a few workers.
@@ -57,7 +57,7 @@
     }
 
     /// Decides and applies starts and throttles.
-    pub fn place(&mut self, now: u64, wishes: &[Wish]) -> Vec<Decision> {
+    pub fn place(&mut self, now: u64, wishes: &[PlacementRequest]) -> Vec<Decision> {
         let decided = self.placer.place(Millis(now), wishes, &self.fleet, &mut self.rng);
         for decision in &decided {
             match decision {
@@ -84,12 +84,12 @@
     }
 
     /// Starts a job by hand.
-    pub fn start(&mut self, now: u64, wish: &Wish, worker: &Name, need: Resources) {
+    pub fn start(&mut self, now: u64, wish: &PlacementRequest, worker: &Name, need: Resources) {
         let (customer, class) = (wish.customer().clone(), wish.class().clone());
         let job = wish.job().clone();
         let task =
             TaskView::new(job.clone(), customer.clone(), class.clone(), *wish.need(), Millis(now));
-        let task = task.learned(need).priority(wish.urgency());
+        let task = task.reserved(need).priority(wish.requested_priority());
         assert!(self.fleet.add_task(worker, task), "{job} is started twice");
         let (worker, at) = (worker.clone(), Millis(now));
         self.observe(now, Observation::Started { job, customer, class, worker, need, at });
@@ -116,7 +116,7 @@
     }
 
     /// Decides without taking anything over.
-    pub fn clone_place(&self, now: u64, wishes: &[Wish]) -> Vec<Decision> {
+    pub fn clone_place(&self, now: u64, wishes: &[PlacementRequest]) -> Vec<Decision> {
         let mut rng = StdRng::seed_from_u64(7);
         self.placer.clone().place(Millis(now), wishes, &self.fleet, &mut rng)
     }
@@ -151,6 +151,6 @@
     decided.iter().filter_map(of).collect()
 }
 
-pub fn urgent(job: &str, need: Resources) -> Wish {
+pub fn urgent(job: &str, need: Resources) -> PlacementRequest {
     wish(job, "check", need).priority(Priority::Urgent)
 }
