--- a/crates/geraniumpost-core/tests/requests_basics.rs
+++ b/crates/geraniumpost-core/tests/requests_basics.rs
@@ -4,9 +4,9 @@
 
 use assert_matches::assert_matches;
 use geraniumpost_core::requests::{
-    Admission, AgentView, AskReply, AttemptLedger, EjectionChange, Ejector, FairQueue, Heard,
-    LedgerLimits, Membership, MembershipLimits, NoAgent, Place, QueueAction, QueueLimits, Refusal,
-    RouteAsk, Router, Snapshot, Waiting,
+    Admission, AgentView, AskReply, AttemptLedger, EjectionChange, Ejector, FairQueue,
+    LedgerLimits, Location, Membership, MembershipChange, MembershipLimits, NoAgent, QueueAction,
+    QueueLimits, QueuedRequest, Refusal, Router, RoutingQuery, Snapshot,
 };
 use geraniumpost_core::{Micros, Millis};
 use geraniumpost_schema::{AgentState, Heartbeat, Name, RequestId};
@@ -18,9 +18,9 @@
 }
 
 fn agents(count: u64) -> Vec<AgentView> {
-    let place = || Place::new("lima", "surco");
+    let place = || Location::new("lima", "surco");
     (0..count)
-        .map(|n| AgentView::new(format!("a{n}"), n).service("filing").place(place()))
+        .map(|n| AgentView::new(format!("a{n}"), n).service("filing").at_location(place()))
         .collect()
 }
 
@@ -30,25 +30,25 @@
 
 #[test]
 fn a_request_never_goes_twice_to_one_agent() {
-    let snapshot = Snapshot::new(agents(3), &Place::new("lima", "surco"));
+    let snapshot = Snapshot::new(agents(3), &Location::new("lima", "surco"));
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut tried: Vec<Name> = Vec::new();
     for _ in 0..3 {
-        let ask = RouteAsk::new(Millis(0)).tried(&tried);
+        let ask = RoutingQuery::new(Millis(0)).tried(&tried);
         let choice = Router::default().choose(service, &ask, &mut rng).unwrap();
         assert!(!tried.contains(choice.agent().name()));
         tried.push(choice.agent().name().clone());
     }
-    let ask = RouteAsk::new(Millis(0)).tried(&tried);
+    let ask = RoutingQuery::new(Millis(0)).tried(&tried);
     assert_matches!(Router::default().choose(service, &ask, &mut rng), Err(NoAgent::AllTried));
 }
 
 #[test]
 fn the_log_line_names_who_was_weighed_and_why() {
-    let snapshot = Snapshot::new(agents(2), &Place::new("lima", "surco"));
+    let snapshot = Snapshot::new(agents(2), &Location::new("lima", "surco"));
     let service = snapshot.service("filing").unwrap();
-    let ask = RouteAsk::new(Millis(0));
+    let ask = RoutingQuery::new(Millis(0));
     let mut rng = SmallRng::seed_from_u64(3);
     let line = Router::default().choose(service, &ask, &mut rng).unwrap().to_string();
     assert!(line.starts_with("agent=a"), "{line}");
@@ -57,13 +57,16 @@
 
 #[test]
 fn an_agent_joins_leaves_and_dies() {
-    let here = Place::new("lima", "surco");
+    let here = Location::new("lima", "surco");
     let mut membership = Membership::new(here, MembershipLimits::new(500));
-    assert_eq!(membership.heard(&beat("a", 7, 1, AgentState::Ready), Millis(0)), Heard::Joined);
-    assert!(membership.connected("a", 7, true));
-    assert_eq!(membership.snapshot().service("filing").unwrap().routable(), 1);
-    assert!(membership.leaving("a", 7));
-    assert_eq!(membership.snapshot().service("filing").unwrap().routable(), 0);
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 7, 1, AgentState::Ready), Millis(0)),
+        MembershipChange::Joined
+    );
+    assert!(membership.set_connected("a", 7, true));
+    assert_eq!(membership.snapshot().service("filing").unwrap().routable_count(), 1);
+    assert!(membership.mark_draining("a", 7));
+    assert_eq!(membership.snapshot().service("filing").unwrap().routable_count(), 0);
     assert!(membership.tick(Millis(1_700)).is_empty());
     assert_eq!(membership.tick(Millis(1_800)), ["a".into()]);
     assert!(membership.snapshot().service("filing").is_none());
@@ -71,7 +74,7 @@
 
 #[test]
 fn an_ejected_agent_gets_one_probe_and_comes_back() {
-    let snapshot = Snapshot::new(agents(3), &Place::new("lima", "surco"));
+    let snapshot = Snapshot::new(agents(3), &Location::new("lima", "surco"));
     let service = snapshot.service("filing").unwrap();
     let agent = snapshot.agent("a0").unwrap();
     let mut ejector = Ejector::default();
@@ -91,7 +94,7 @@
 #[test]
 fn a_full_queue_refuses_with_the_time_to_come_back() {
     let mut queue = FairQueue::new(QueueLimits::new().slots(1).queue(1));
-    let ask = |n| Waiting::new(id(n), "a", Millis(9_000), ());
+    let ask = |n| QueuedRequest::new(id(n), "a", Millis(9_000), ());
     queue.offer(ask(1), Millis(0));
     queue.finish(id(1), Micros(20_000), true, Millis(20));
     queue.offer(ask(2), Millis(20));
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -2,7 +2,7 @@
 
 mod requests_support;
 
-use geraniumpost_core::requests::{FairQueue, QueueAction, QueueLimits, Refusal, Waiting};
+use geraniumpost_core::requests::{FairQueue, QueueAction, QueueLimits, QueuedRequest, Refusal};
 use geraniumpost_core::{Micros, Millis};
 use proptest::prelude::*;
 use requests_support::id;
@@ -48,7 +48,7 @@
 fn decided(actions: Vec<QueueAction<()>>) -> Vec<Decided> {
     let one = |action| match action {
         QueueAction::Run(waiting) => Decided::Run(waiting.id().sequence),
-        QueueAction::Refuse { waiting, refusal, retry_after_ms } => {
+        QueueAction::Refuse { request: waiting, refusal, retry_after_ms } => {
             Decided::Refuse(waiting.id().sequence, refusal, retry_after_ms)
         }
     };
@@ -68,7 +68,8 @@
         self.sequence += 1;
         let (sequence, deadline) = (self.sequence, self.now + patience_ms);
         let weight = customer as u32 % 3 + 1;
-        let waiting = Waiting::new(id(sequence), format!("c{customer}"), Millis(deadline), ());
+        let waiting =
+            QueuedRequest::new(id(sequence), format!("c{customer}"), Millis(deadline), ());
         let ours = self.queue.offer(waiting.weight(weight), Millis(self.now));
         let theirs = self.twin.offer(sequence, customer, u64::from(weight), deadline, self.now);
         [decided(ours), theirs]
@@ -150,7 +151,7 @@
         for n in 0..from_a + slots as u64 {
             sequence += 1;
             let name = if n < from_a { "a" } else { "b" };
-            let waiting = Waiting::new(id(sequence), name, Millis(now + 500), ());
+            let waiting = QueuedRequest::new(id(sequence), name, Millis(now + 500), ());
             actions.extend(queue.offer(waiting, Millis(now)));
         }
         for action in actions {
@@ -178,7 +179,7 @@
 fn idle_customers_are_forgotten() {
     let mut queue = FairQueue::new(QueueLimits::new());
     for n in 0..1_000 {
-        let waiting = Waiting::new(id(n), format!("c{n}"), Millis(n + 500), ());
+        let waiting = QueuedRequest::new(id(n), format!("c{n}"), Millis(n + 500), ());
         queue.offer(waiting, Millis(n));
         queue.finish(id(n), Micros(1_000), true, Millis(n + 1));
     }
@@ -192,7 +193,7 @@
 #[test]
 fn a_draining_queue_refuses_newcomers_and_runs_the_rest() {
     let mut queue = FairQueue::new(QueueLimits::new().slots(1));
-    let ask = |n| Waiting::new(id(n), "a", Millis(500), ());
+    let ask = |n| QueuedRequest::new(id(n), "a", Millis(500), ());
     queue.offer(ask(1), Millis(0));
     queue.offer(ask(2), Millis(0));
     queue.drain();
@@ -209,9 +210,9 @@
 #[test]
 fn a_free_slot_takes_what_looks_hopeless() {
     let mut queue = FairQueue::new(QueueLimits::new().slots(1));
-    let ask = |n| Waiting::new(id(n), "a", Millis(20_000), ());
+    let ask = |n| QueuedRequest::new(id(n), "a", Millis(20_000), ());
     queue.offer(ask(1), Millis(0));
     queue.finish(id(1), Micros(10_000_000), true, Millis(10_000));
-    let hurried = Waiting::new(id(2), "a", Millis(10_100), ());
+    let hurried = QueuedRequest::new(id(2), "a", Millis(10_100), ());
     assert_eq!(decided(queue.offer(hurried, Millis(10_000))), [Decided::Run(2)]);
 }
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -175,7 +175,7 @@
                     }
                 }
                 Step::NotRun { id: n } => {
-                    let joined = ledger.not_run(id(n));
+                    let joined = ledger.mark_not_run(id(n));
                     if twin.state(n) == Some(State::Queued) {
                         twin.set(n, State::Barred);
                         prop_assert_eq!(sorted(joined), sorted(twin.joined(n)));
@@ -226,7 +226,7 @@
                         prop_assert!(!barred.contains(&n), "{n} started after it was barred");
                     }
                 }
-                Step::NotRun { id: n } => drop(ledger.not_run(id(n))),
+                Step::NotRun { id: n } => drop(ledger.mark_not_run(id(n))),
                 Step::Finish { id: n } => drop(ledger.finish(id(n), n, 1, now)),
                 Step::Ask { id: n, incarnation } => match ledger.ask(id(n), incarnation, now) {
                     AskReply::NeverStarted { .. } => {
@@ -284,7 +284,7 @@
     let key = key_name(1);
     assert_eq!(ledger.admit(id(1), &key, Millis(0)), Admission::Queue);
     assert_eq!(ledger.admit(id(2), &key, Millis(0)), Admission::Join(id(1)));
-    assert_eq!(ledger.not_run(id(1)), [id(2)]);
+    assert_eq!(ledger.mark_not_run(id(1)), [id(2)]);
     assert_eq!(ledger.admit(id(3), &key, Millis(0)), Admission::Barred);
     assert!(!ledger.start(id(3)));
 }
--- a/crates/geraniumpost-core/tests/requests_membership.rs
+++ b/crates/geraniumpost-core/tests/requests_membership.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use geraniumpost_core::Millis;
-use geraniumpost_core::requests::{Heard, Membership, MembershipLimits};
+use geraniumpost_core::requests::{Membership, MembershipChange, MembershipLimits};
 use geraniumpost_schema::{AgentState, Heartbeat, Load};
 use proptest::prelude::*;
 use requests_support::{beat, here};
@@ -94,11 +94,11 @@
                     let name = format!("a{agent}");
                     let state = if leaves { AgentState::Draining } else { AgentState::Ready };
                     let beat = Heartbeat { state, ..beat(&name, incarnation, sequence) };
-                    membership.heard(&beat, Millis(now));
+                    membership.record_heartbeat(&beat, Millis(now));
                     histories.entry(agent).or_default().hear(incarnation, sequence, leaves, now);
                 }
                 Step::Leaving { agent, incarnation } => {
-                    membership.leaving(&format!("a{agent}"), incarnation);
+                    membership.mark_draining(&format!("a{agent}"), incarnation);
                     if let Some(history) = histories.get_mut(&agent)
                         && history.present == incarnation
                     {
@@ -106,7 +106,7 @@
                     }
                 }
                 Step::Connected { agent, incarnation, up } => {
-                    membership.connected(&format!("a{agent}"), incarnation, up);
+                    membership.set_connected(&format!("a{agent}"), incarnation, up);
                     if let Some(history) = histories.get_mut(&agent)
                         && history.present == incarnation
                     {
@@ -139,12 +139,18 @@
 #[test]
 fn a_late_heartbeat_does_not_undo_leaving() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 1), Millis(0));
-    membership.connected("a", 7, true);
-    assert_eq!(membership.heard(&draining("a", 7, 3), Millis(10)), Heard::Draining);
-    assert_eq!(membership.heard(&beat("a", 7, 2), Millis(11)), Heard::Stale);
-    assert_eq!(membership.heard(&beat("a", 7, 4), Millis(12)), Heard::Refreshed);
-    assert_eq!(membership.snapshot().service("filing").unwrap().routable(), 0);
+    membership.record_heartbeat(&beat("a", 7, 1), Millis(0));
+    membership.set_connected("a", 7, true);
+    assert_eq!(
+        membership.record_heartbeat(&draining("a", 7, 3), Millis(10)),
+        MembershipChange::Draining
+    );
+    assert_eq!(membership.record_heartbeat(&beat("a", 7, 2), Millis(11)), MembershipChange::Stale);
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 7, 4), Millis(12)),
+        MembershipChange::Refreshed
+    );
+    assert_eq!(membership.snapshot().service("filing").unwrap().routable_count(), 0);
 }
 
 /// The announcement overtakes nothing but is itself overtaken: the heartbeat that says "leaving"
@@ -152,8 +158,11 @@
 #[test]
 fn a_late_word_of_leaving_is_believed() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 5), Millis(0));
-    assert_eq!(membership.heard(&draining("a", 7, 4), Millis(1)), Heard::Draining);
+    membership.record_heartbeat(&beat("a", 7, 5), Millis(0));
+    assert_eq!(
+        membership.record_heartbeat(&draining("a", 7, 4), Millis(1)),
+        MembershipChange::Draining
+    );
 }
 
 /// An agent is killed and started again at once. Its old heartbeats, still under way, must not
@@ -161,9 +170,15 @@
 #[test]
 fn old_heartbeats_do_not_bring_back_a_killed_agent() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 90), Millis(0));
-    assert_eq!(membership.heard(&beat("a", 8, 1), Millis(100)), Heard::Restarted { was: 7 });
-    assert_eq!(membership.heard(&beat("a", 7, 91), Millis(101)), Heard::Stale);
+    membership.record_heartbeat(&beat("a", 7, 90), Millis(0));
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 8, 1), Millis(100)),
+        MembershipChange::Restarted { was: 7 }
+    );
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 7, 91), Millis(101)),
+        MembershipChange::Stale
+    );
     assert_eq!(membership.snapshot().agent("a").unwrap().incarnation(), 8);
 }
 
@@ -172,13 +187,13 @@
 #[test]
 fn a_stray_heartbeat_of_an_unknown_incarnation_does_not_last() {
     let mut membership = membership();
-    membership.heard(&beat("a", 8, 1), Millis(0));
-    membership.heard(&beat("a", 7, 90), Millis(1));
+    membership.record_heartbeat(&beat("a", 8, 1), Millis(0));
+    membership.record_heartbeat(&beat("a", 7, 90), Millis(1));
     let mut now = 0;
     for sequence in 2..8 {
         now = sequence * 500;
         let _ = membership.tick(Millis(now));
-        membership.heard(&beat("a", 8, sequence), Millis(now));
+        membership.record_heartbeat(&beat("a", 8, sequence), Millis(now));
     }
     assert!(now <= 3_500);
     assert_eq!(membership.snapshot().agent("a").unwrap().incarnation(), 8);
@@ -189,12 +204,18 @@
 #[test]
 fn a_frozen_agent_goes_within_two_seconds_and_comes_back() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 1), Millis(0));
+    membership.record_heartbeat(&beat("a", 7, 1), Millis(0));
     let gone = (0..).step_by(100).find(|&ms| !membership.tick(Millis(ms)).is_empty());
     assert!(gone.unwrap() < 2_000, "{gone:?}");
     assert!(membership.snapshot().agent("a").is_none());
-    assert_eq!(membership.heard(&beat("a", 7, 1), Millis(60_000)), Heard::Stale);
-    assert_eq!(membership.heard(&beat("a", 7, 2), Millis(60_001)), Heard::Joined);
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 7, 1), Millis(60_000)),
+        MembershipChange::Stale
+    );
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 7, 2), Millis(60_001)),
+        MembershipChange::Joined
+    );
 }
 
 /// A snapshot is published while requests are under way. Were the counters made anew, the agent
@@ -202,12 +223,12 @@
 #[test]
 fn requests_in_flight_are_counted_across_snapshots() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 1), Millis(0));
+    membership.record_heartbeat(&beat("a", 7, 1), Millis(0));
     let before = membership.snapshot();
-    let _guard = before.agent("a").unwrap().counters().begin();
-    membership.connected("a", 7, true);
+    let _guard = before.agent("a").unwrap().counters().begin_request();
+    membership.set_connected("a", 7, true);
     assert_eq!(membership.snapshot().agent("a").unwrap().counters().in_flight(), 1);
-    membership.heard(&beat("a", 8, 1), Millis(1));
+    membership.record_heartbeat(&beat("a", 8, 1), Millis(1));
     assert_eq!(membership.snapshot().agent("a").unwrap().counters().in_flight(), 0);
 }
 
@@ -215,10 +236,10 @@
 #[test]
 fn a_heartbeat_with_nothing_but_load_needs_no_snapshot() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 1), Millis(0));
+    membership.record_heartbeat(&beat("a", 7, 1), Millis(0));
     let snapshot = membership.snapshot();
     let load = Load { queued: 9, ..Load::default() };
-    let heard = membership.heard(&Heartbeat { load, ..beat("a", 7, 2) }, Millis(500));
+    let heard = membership.record_heartbeat(&Heartbeat { load, ..beat("a", 7, 2) }, Millis(500));
     assert!(!heard.needs_snapshot());
     assert_eq!(snapshot.agent("a").unwrap().counters().load().queued, 9);
 }
@@ -227,7 +248,10 @@
 #[test]
 fn dead_agents_are_forgotten() {
     let mut membership = membership();
-    membership.heard(&beat("a", 7, 5), Millis(0));
+    membership.record_heartbeat(&beat("a", 7, 5), Millis(0));
     let _ = membership.tick(Millis(600_001));
-    assert_eq!(membership.heard(&beat("a", 7, 1), Millis(600_002)), Heard::Joined);
+    assert_eq!(
+        membership.record_heartbeat(&beat("a", 7, 1), Millis(600_002)),
+        MembershipChange::Joined
+    );
 }
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -40,7 +40,7 @@
 
 /// Events that an entry may see of an attempt of this truth when it last did `step`.
 fn possible(truth: Truth, step: NextStep) -> Vec<AttemptEvent> {
-    let mut events = vec![AttemptEvent::LinkLost, AttemptEvent::Silent];
+    let mut events = vec![AttemptEvent::LinkLost, AttemptEvent::LinkUnresponsive];
     events.extend([outcome(Outcome::Unknown), AttemptEvent::DeadlinePassed { sent: true }]);
     if matches!(step, NextStep::Ask { .. }) {
         let unknown = AttemptEvent::Verdict(AskVerdict::Unknown);
@@ -156,7 +156,7 @@
         attempts in prop::collection::vec(attempt(), 6),
     ) {
         let mut policy = RetryPolicy::new(kind, DEADLINE, RetryLimits::default());
-        let end = play(&attempts, affordable, |event, now, budget| policy.step(event, now, budget));
+        let end = play(&attempts, affordable, |event, now, budget| policy.on_event(event, now, budget));
         prop_assert_eq!(broken(kind, &end), None, "{:?}", end);
         prop_assert!(end.attempts <= 4);
     }
@@ -185,7 +185,7 @@
     let mut policy = RetryPolicy::new(kind, DEADLINE, RetryLimits::default());
     let mut step = NextStep::Wait;
     for &event in events {
-        step = policy.step(event, Millis(1), || true);
+        step = policy.on_event(event, Millis(1), || true);
     }
     step
 }
@@ -250,9 +250,9 @@
 #[test]
 fn without_budget_a_lost_request_is_asked_for() {
     let mut policy = RetryPolicy::new(RequestKind::Idempotent, DEADLINE, RetryLimits::default());
-    assert_eq!(policy.step(LOST, Millis(1), || false), NextStep::Ask { after_ms: 0 });
+    assert_eq!(policy.on_event(LOST, Millis(1), || false), NextStep::Ask { after_ms: 0 });
     let unknown = AttemptEvent::Verdict(AskVerdict::Unknown);
-    let end = policy.step(unknown, Millis(1), || false);
+    let end = policy.on_event(unknown, Millis(1), || false);
     assert_eq!(end, answer(ResultCode::OutcomeUnknown, 1_000));
 }
 
@@ -263,12 +263,12 @@
     let budget = RetryBudget::new(100, 20);
     let mut attempts = 0;
     for _ in 0..10_000 {
-        budget.pay();
+        budget.deposit();
         let mut policy =
             RetryPolicy::new(RequestKind::Idempotent, DEADLINE, RetryLimits::default());
         attempts += 1;
         while attempts % 2 == 1
-            && policy.step(FAILED, Millis(1), || budget.take()) == NextStep::Retry
+            && policy.on_event(FAILED, Millis(1), || budget.try_withdraw()) == NextStep::Retry
         {
             attempts += 1;
         }
@@ -283,14 +283,14 @@
 fn the_bound_of_a_customer_holds_between_threads() {
     let limits = Arc::new(EntryLimits::default().updated([("a".into(), 10)]));
     let enter = |limits: Arc<EntryLimits>| {
-        move || (0..100).filter_map(|_| limits.enter("a").ok()).collect::<Vec<_>>()
+        move || (0..100).filter_map(|_| limits.try_acquire("a").ok()).collect::<Vec<_>>()
     };
     let threads: Vec<_> = (0..4).map(|_| thread::spawn(enter(Arc::clone(&limits)))).collect();
     let permits: Vec<_> = threads.into_iter().flat_map(|one| one.join().unwrap()).collect();
     assert_eq!((permits.len(), limits.in_flight("a")), (10, 10));
     let newer = limits.updated([("a".into(), 11)]);
-    let last = newer.enter("a").unwrap();
-    assert_eq!(newer.enter("a").unwrap_err(), ResultCode::CustomerLimit);
+    let last = newer.try_acquire("a").unwrap();
+    assert_eq!(newer.try_acquire("a").unwrap_err(), ResultCode::CustomerLimit);
     drop((permits, last));
     assert_eq!(limits.in_flight("a"), 0);
 }
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -6,8 +6,8 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::requests::{
-    AgentView, EjectionChange, EjectionLimits, Ejector, NoAgent, Place, RouteAsk, Router, Snapshot,
-    Why,
+    AgentView, EjectionChange, EjectionLimits, Ejector, Location, NoAgent, Router, RoutingQuery,
+    RoutingReason, Snapshot,
 };
 use geraniumpost_schema::{AgentState, Load, Name};
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
 /// Ejects an agent by failures and returns the last change.
 fn fail(ejector: &mut Ejector, snapshot: &Snapshot, name: &str, now: u64) -> EjectionChange {
     let (service, agent) = (snapshot.service("filing").unwrap(), snapshot.agent(name).unwrap());
-    let _ = agent.counters().note(false);
+    let _ = agent.counters().record_result(false);
     ejector.record(service, agent, false, Millis(now))
 }
 
@@ -53,12 +53,13 @@
 fn build(index: usize, sketch: &Sketch) -> AgentView {
     let place = match sketch.domain {
         0 => here(),
-        1 => Place::new("lima", "callao"),
-        _ => Place::new("cusco", "centro"),
+        1 => Location::new("lima", "callao"),
+        _ => Location::new("cusco", "centro"),
     };
     let state = if sketch.draining { AgentState::Draining } else { AgentState::Ready };
-    let view = agent(format!("a{index}")).place(place).state(state).connected(sketch.connected);
-    view.counters().report(&load(sketch.in_flight, sketch.service_us), Millis(0));
+    let view =
+        agent(format!("a{index}")).at_location(place).state(state).connected(sketch.connected);
+    view.counters().record_load(&load(sketch.in_flight, sketch.service_us), Millis(0));
     view
 }
 
@@ -79,19 +80,19 @@
         let usable = names(|one| !one.tried && !one.draining && one.connected);
         let nearest = sketches.iter().filter(|s| !s.tried && !s.draining && s.connected)
             .map(|one| one.domain).min();
-        let ask = RouteAsk::new(Millis(0)).tried(&tried);
+        let ask = RoutingQuery::new(Millis(0)).tried(&tried);
         let choice = Router::default().choose(service, &ask, &mut SmallRng::seed_from_u64(seed));
         let Ok(choice) = choice else {
             prop_assert!(usable.is_empty());
             return Ok(());
         };
         prop_assert!(usable.contains(choice.agent().name()));
-        let cheapest = choice.considered().min_by_key(|one| one.cost_us()).unwrap();
+        let cheapest = choice.candidates().min_by_key(|one| one.cost_us()).unwrap();
         prop_assert_eq!(cheapest.agent().name(), choice.agent().name());
         let domain = |name: &Name| sketches[name[1..].parse::<usize>().unwrap()].domain;
-        prop_assert!(choice.considered().any(|one| Some(domain(one.agent().name())) == nearest));
-        let distinct: HashSet<&Name> = choice.considered().map(|one| one.agent().name()).collect();
-        prop_assert_eq!(distinct.len(), choice.considered().count());
+        prop_assert!(choice.candidates().any(|one| Some(domain(one.agent().name())) == nearest));
+        let distinct: HashSet<&Name> = choice.candidates().map(|one| one.agent().name()).collect();
+        prop_assert_eq!(distinct.len(), choice.candidates().count());
     }
 
     #[test]
@@ -109,7 +110,7 @@
             let bad = streak >= 5 || (history.len() >= 20 && failures * 2 >= history.len());
             let agent = snapshot.agent(&format!("a{index}")).unwrap();
             let was = agent.counters().is_ejected();
-            if agent.counters().note(success) {
+            if agent.counters().record_result(success) {
                 ejector.record(service, agent, success, Millis(1));
             }
             prop_assert_eq!(agent.counters().is_ejected(), was || (bad && !success));
@@ -141,10 +142,10 @@
     let snapshot = fleet(11);
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(5);
-    let ask = RouteAsk::new(Millis(400));
+    let ask = RoutingQuery::new(Millis(400));
     let guards: Vec<_> = (0..1_100)
         .map(|_| Router::default().choose(service, &ask, &mut rng).unwrap())
-        .map(|choice| choice.agent().counters().begin())
+        .map(|choice| choice.agent().counters().begin_request())
         .collect();
     let most = snapshot.agents().map(|one| one.counters().in_flight()).max().unwrap();
     assert!(most <= 105, "{most}");
@@ -158,7 +159,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts = HashMap::new();
     for _ in 0..1_000 {
-        let ask = RouteAsk::new(Millis(now));
+        let ask = RoutingQuery::new(Millis(now));
         let choice = Router::default().choose(service, &ask, &mut rng).unwrap();
         *counts.entry(choice.agent().name().clone()).or_default() += 1;
     }
@@ -168,7 +169,7 @@
 fn check_two(loads: [Load; 2], now: u64, first: std::ops::RangeInclusive<usize>) {
     let snapshot = fleet(2);
     for (name, load) in ["a0", "a1"].into_iter().zip(loads) {
-        snapshot.agent(name).unwrap().counters().report(&load, Millis(0));
+        snapshot.agent(name).unwrap().counters().record_load(&load, Millis(0));
     }
     let counts = chosen(&snapshot, now);
     let got = counts.get("a0").copied().unwrap_or(0);
@@ -199,12 +200,12 @@
         for one in snapshot.agents() {
             let number: u32 = one.name()[1..].parse().unwrap();
             let report = load(number * 5 % 11, 8_000 + u64::from(number) * 500);
-            one.counters().report(&report, Millis(0));
+            one.counters().record_load(&report, Millis(0));
         }
         let service = snapshot.service("filing").unwrap();
         let mut rng = SmallRng::seed_from_u64(entry);
         for _ in 0..100 {
-            let ask = RouteAsk::new(Millis(1_000));
+            let ask = RoutingQuery::new(Millis(1_000));
             let choice = Router::default().choose(service, &ask, &mut rng).unwrap();
             *totals.entry(choice.agent().name().clone()).or_default() += 1;
         }
@@ -219,19 +220,19 @@
 /// fate of two domains.
 #[test]
 fn the_own_domain_is_kept_while_it_is_free() {
-    let far = |n| agent(format!("far{n}")).place(Place::new("lima", "callao"));
+    let far = |n| agent(format!("far{n}")).at_location(Location::new("lima", "callao"));
     let near = |n| agent(format!("near{n}"));
     let snapshot = Snapshot::new((0..3).map(near).chain((0..8).map(far)), &here());
     for one in snapshot.agents() {
-        let in_flight = u32::from(one.located() == &here());
-        one.counters().report(&load(in_flight, 5_000), Millis(0));
+        let in_flight = u32::from(one.location() == &here());
+        one.counters().record_load(&load(in_flight, 5_000), Millis(0));
     }
     let mut rng = SmallRng::seed_from_u64(1);
     for _ in 0..200 {
-        let ask = RouteAsk::new(Millis(0));
+        let ask = RoutingQuery::new(Millis(0));
         let service = snapshot.service("filing").unwrap();
         let choice = Router::default().choose(service, &ask, &mut rng).unwrap();
-        assert_eq!(choice.agent().located(), &here());
+        assert_eq!(choice.agent().location(), &here());
     }
 }
 
@@ -239,19 +240,19 @@
 /// way there costs half a millisecond; staying would cost the caller the second.
 #[test]
 fn the_own_domain_is_left_when_it_costs() {
-    let far = agent("far").place(Place::new("lima", "callao"));
+    let far = agent("far").at_location(Location::new("lima", "callao"));
     let snapshot = Snapshot::new([agent("near"), far], &here());
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
     let chosen = |rng: &mut SmallRng| {
-        let choice = Router::default().choose(service, &RouteAsk::new(Millis(0)), rng).unwrap();
+        let choice = Router::default().choose(service, &RoutingQuery::new(Millis(0)), rng).unwrap();
         choice.agent().name().to_string()
     };
     for name in ["near", "far"] {
-        snapshot.agent(name).unwrap().counters().report(&load(0, 2_000), Millis(0));
+        snapshot.agent(name).unwrap().counters().record_load(&load(0, 2_000), Millis(0));
     }
     assert_eq!(chosen(&mut rng), "near");
-    snapshot.agent("near").unwrap().counters().report(&load(800, 10_000), Millis(0));
+    snapshot.agent("near").unwrap().counters().record_load(&load(800, 10_000), Millis(0));
     assert_eq!(chosen(&mut rng), "far");
 }
 
@@ -305,9 +306,9 @@
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(2);
     let mut probes = |now, harmless| {
-        let ask = RouteAsk::new(Millis(now)).harmless(harmless);
+        let ask = RoutingQuery::new(Millis(now)).retryable(harmless);
         let mut choose = || Router::default().choose(service, &ask, &mut rng).unwrap();
-        (0..50).map(|_| choose()).filter(|choice| choice.why() == Why::Probe).count()
+        (0..50).map(|_| choose()).filter(|choice| choice.reason() == RoutingReason::Probe).count()
     };
     assert_eq!(probes(999, true), 0);
     assert_eq!(probes(1_000, false), 0);
@@ -350,10 +351,11 @@
     let snapshot = Snapshot::new([AgentView::clone(left)], &here());
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(2);
-    let choice = Router::default().choose(service, &RouteAsk::new(Millis(1)), &mut rng).unwrap();
-    assert_eq!(choice.why(), Why::LastResort);
+    let choice =
+        Router::default().choose(service, &RoutingQuery::new(Millis(1)), &mut rng).unwrap();
+    assert_eq!(choice.reason(), RoutingReason::LastResort);
     let tried = ["a1".into()];
-    let ask = RouteAsk::new(Millis(1)).tried(&tried);
+    let ask = RoutingQuery::new(Millis(1)).tried(&tried);
     assert_eq!(Router::default().choose(service, &ask, &mut rng).unwrap_err(), NoAgent::AllTried);
 }
 
--- a/crates/geraniumpost-core/tests/requests_support/minion_model.rs
+++ b/crates/geraniumpost-core/tests/requests_support/minion_model.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use geraniumpost_core::requests::{FairQueue, QueueAction, QueueLimits, Waiting};
+use geraniumpost_core::requests::{FairQueue, QueueAction, QueueLimits, QueuedRequest};
 use geraniumpost_core::{Micros, Millis};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -189,7 +189,7 @@
         let deadline = now.plus(source.deadline_ms);
         let actions = match &mut self.queue {
             Queue::Fair(queue) => {
-                let waiting = Waiting::new(id(job.sequence), source.name, deadline, job);
+                let waiting = QueuedRequest::new(id(job.sequence), source.name, deadline, job);
                 queue.offer(waiting.weight(source.weight), now)
             }
             Queue::Fifo(_) => return self.arrive_fifo(job),
@@ -246,7 +246,7 @@
                     let job = waiting.into_payload();
                     self.push(self.now_us + job.took_us, Event::Finish(job.sequence, job.took_us));
                 }
-                QueueAction::Refuse { waiting, retry_after_ms, .. } => {
+                QueueAction::Refuse { request: waiting, retry_after_ms, .. } => {
                     assert!(retry_after_ms > 0, "a refusal names the time to come back");
                     let job = waiting.into_payload();
                     self.jobs.remove(&job.sequence);
--- a/crates/geraniumpost-core/tests/requests_support/mod.rs
+++ b/crates/geraniumpost-core/tests/requests_support/mod.rs
@@ -4,7 +4,7 @@
 pub mod minion_model;
 pub mod naive_queue;
 
-use geraniumpost_core::requests::{AgentView, Place, Snapshot};
+use geraniumpost_core::requests::{AgentView, Location, Snapshot};
 use geraniumpost_schema::{AgentState, Heartbeat, Load, RequestId, Resources};
 
 /// Names each case of a test by a function of its own.
@@ -19,13 +19,13 @@
     RequestId { entry: 1, sequence }
 }
 
-pub fn here() -> Place {
-    Place::new("lima", "surco")
+pub fn here() -> Location {
+    Location::new("lima", "surco")
 }
 
 /// A ready agent of the filing service in the own failure domain.
 pub fn agent(name: impl Into<String>) -> AgentView {
-    AgentView::new(name.into(), 1).service("filing").place(here())
+    AgentView::new(name.into(), 1).service("filing").at_location(here())
 }
 
 /// `count` ready agents named `a0`, `a1` and so on.
--- a/crates/geraniumpost-harness/src/fleet.rs
+++ b/crates/geraniumpost-harness/src/fleet.rs
@@ -238,7 +238,7 @@
         based_on: 0,
         document: plan.document.clone(),
     };
-    let value = serde_json::to_vec(&StoredDocument::after(None, &change))?;
+    let value = serde_json::to_vec(&StoredDocument::from_change(None, &change))?;
     Store::new(store.address()).put(CONFIG_KEY, value, Expect::Absent, None).await?;
     Ok(())
 }
--- a/crates/geraniumpost/src/agent/request_state.rs
+++ b/crates/geraniumpost/src/agent/request_state.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use geraniumpost_core::requests::{
-    Admission, AskReply, AttemptLedger, FairQueue, LedgerLimits, QueueAction, QueueLimits, Refusal,
-    Waiting,
+    Admission, AskReply, AttemptLedger, FairQueue, LedgerLimits, QueueAction, QueueLimits,
+    QueuedRequest, Refusal,
 };
 use geraniumpost_core::{Micros, Millis};
 use geraniumpost_net::LinkSender;
@@ -75,7 +75,8 @@
         match admission {
             Admission::Queue => {
                 self.reply_to.insert(id, link.clone());
-                let waiting = Waiting::new(id, work.head.customer.clone(), work.deadline, work);
+                let waiting =
+                    QueuedRequest::new(id, work.head.customer.clone(), work.deadline, work);
                 let weight = waiting.payload().head.weight;
                 let actions = self.queue.offer(waiting.weight(weight), now);
                 return self.carry_out(actions, now);
@@ -112,7 +113,7 @@
     /// Takes a request whose caller left out of the queue; one that runs is let run.
     pub fn cancel(&mut self, id: RequestId) {
         if self.queue.cancel(id).is_some() {
-            let joined = self.ledger.not_run(id);
+            let joined = self.ledger.mark_not_run(id);
             self.refuse(&joined, Outcome::NotRunBarred, 0);
         }
         self.reply_to.remove(&id);
@@ -135,7 +136,7 @@
 
     /// Refuses what can no longer meet its deadline; to be called every 20 ms or so.
     pub fn tick(&mut self, now: Millis) -> Vec<Work> {
-        self.ledger.drop_old_answers(now);
+        self.ledger.expire_answers(now);
         let actions = self.queue.tick(now);
         self.carry_out(actions, now)
     }
@@ -151,8 +152,8 @@
                 QueueAction::Run(waiting) => {
                     actions.extend(self.queue.finish(waiting.id(), Micros(0), false, now));
                 }
-                QueueAction::Refuse { waiting, refusal, retry_after_ms } => {
-                    self.refused(waiting.id(), refusal, retry_after_ms);
+                QueueAction::Refuse { request, refusal, retry_after_ms } => {
+                    self.refused(request.id(), refusal, retry_after_ms);
                 }
             }
         }
@@ -160,7 +161,7 @@
     }
 
     fn refused(&mut self, id: RequestId, refusal: Refusal, retry_after_ms: u64) {
-        let mut ids = self.ledger.not_run(id);
+        let mut ids = self.ledger.mark_not_run(id);
         ids.push(id);
         self.refuse(&ids, refusal.outcome(), retry_after_ms);
     }
--- a/crates/geraniumpost/src/agent/tasks/driver.rs
+++ b/crates/geraniumpost/src/agent/tasks/driver.rs
@@ -124,7 +124,7 @@
 
     fn handle_at(&mut self, event: LedgerEvent, now: Millis) {
         let actions = self.ledger.handle(event, now);
-        self.calls.set_hold_until(self.ledger.hold_until());
+        self.calls.set_hold_until(self.ledger.lease_until());
         for action in actions {
             self.carry_out(action);
         }
@@ -153,7 +153,7 @@
         let figures = TaskFigures {
             term: self.ledger.term(),
             reserved: self.ledger.reserved(),
-            tasks: self.ledger.live() as u32,
+            tasks: self.ledger.live_tasks() as u32,
         };
         if self.cx.task_figures() != figures {
             self.cx.set_task_figures(figures);
--- a/crates/geraniumpost/src/config/keeper.rs
+++ b/crates/geraniumpost/src/config/keeper.rs
@@ -108,13 +108,13 @@
     fn on(&self, event: AdoptionEvent<Readable>) -> Vec<Wanted> {
         let now = Millis(self.origin.elapsed().as_millis() as u64);
         let mut adoption = self.adoption.lock().unwrap_or_else(PoisonError::into_inner);
-        let actions = adoption.on(event, now);
+        let actions = adoption.handle(event, now);
         actions.into_iter().filter_map(|action| self.carry_out(action)).collect()
     }
 
     fn carry_out(&self, action: AdoptionAction<Readable>) -> Option<Wanted> {
         match action {
-            AdoptionAction::AskAll => Some(Wanted::AskAll),
+            AdoptionAction::FetchAll => Some(Wanted::AskAll),
             AdoptionAction::Fetch { source, .. } => Some(Wanted::Fetch(source)),
             AdoptionAction::Adopt { revision, document: (change_id, document) } => {
                 let change = if change_id.is_empty() { "from a peer" } else { &change_id };
--- a/crates/geraniumpost/src/config/writer.rs
+++ b/crates/geraniumpost/src/config/writer.rs
@@ -26,7 +26,7 @@
         if matches!(event, ChangeEvent::Failed | ChangeEvent::Lost) {
             tokio::time::sleep(PAUSE).await;
         }
-        action = protocol.on(event);
+        action = protocol.handle(event);
     }
 }
 
--- a/crates/geraniumpost/src/console/job_reply.rs
+++ b/crates/geraniumpost/src/console/job_reply.rs
@@ -1,6 +1,6 @@
 //! The planner's answers as the operators' API gives them; pure functions.
 
-use geraniumpost_core::jobs::{JobAnswer, JobState, JobView, codes};
+use geraniumpost_core::jobs::{JobResponse, JobState, JobView, codes};
 use geraniumpost_schema::Name;
 use serde_json::{Value, json};
 
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// Returns the refusal with the HTTP status that goes with its code.
-pub fn job_reply(id: &Name, answer: &JobAnswer) -> Result<Value, ApiError> {
+pub fn job_reply(id: &Name, answer: &JobResponse) -> Result<Value, ApiError> {
     let (name, advice) = words(answer.code);
     let state = answer.state.map(state_name);
     if answer.is_ok() {
@@ -59,7 +59,7 @@
     match state {
         JobState::Pending => "pending",
         JobState::Assigned => "assigned",
-        JobState::CancelWanted => "cancelling",
+        JobState::Cancelling => "cancelling",
         JobState::Done => "done",
         JobState::Failed => "failed",
         JobState::Cancelled => "cancelled",
--- a/crates/geraniumpost/src/entry/attempt.rs
+++ b/crates/geraniumpost/src/entry/attempt.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use geraniumpost_core::requests::{AgentView, InFlight, RequestKind};
+use geraniumpost_core::requests::{AgentView, InFlightGuard, RequestKind};
 use geraniumpost_schema::{Ask, AskKey, Name, RequestHead, RequestId, ToAgent};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -32,7 +32,7 @@
     events_tx: mpsc::UnboundedSender<LinkEvent>,
     events: mpsc::UnboundedReceiver<LinkEvent>,
     finished: bool,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 impl Attempt {
@@ -46,7 +46,7 @@
         let head = ToAgent::Request(request_head(cx, req, id, key, number));
         let link = link.filter(|l| l.send_for(id, head, req.body.clone(), &events_tx));
         let (agent, key) = (Arc::clone(agent), key.clone());
-        let in_flight = agent.counters().begin();
+        let in_flight = agent.counters().begin_request();
         Self { id, agent, key, link, events_tx, events, finished: false, _in_flight: in_flight }
     }
 
--- a/crates/geraniumpost/src/entry/callers.rs
+++ b/crates/geraniumpost/src/entry/callers.rs
@@ -202,7 +202,7 @@
 
 /// Lets the request in under its customer's limit and carries it to its last word.
 async fn admit(cx: &EntryContext, req: &Incoming) -> Reply {
-    let permit = cx.limits.load().enter(&req.caller.name);
+    let permit = cx.limits.load().try_acquire(&req.caller.name);
     match permit {
         Ok(_permit) => dispatch(cx, req).await,
         Err(code) => Reply::without_answer(code, LIMIT_RETRY_MS),
--- a/crates/geraniumpost/src/entry/context.rs
+++ b/crates/geraniumpost/src/entry/context.rs
@@ -5,7 +5,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use geraniumpost_core::Millis;
 use geraniumpost_core::requests::{
-    AgentView, EjectionChange, Ejector, EntryLimits, Membership, MembershipLimits, Place,
+    AgentView, EjectionChange, Ejector, EntryLimits, Location, Membership, MembershipLimits,
     RetryBudget, Router, Snapshot,
 };
 use geraniumpost_net::{Identity, SharedKey};
@@ -76,7 +76,7 @@
         planner: mpsc::UnboundedSender<PlannerInput>,
     ) -> Self {
         let clock = Clock::start();
-        let here = Place::new(settings.region.clone(), settings.domain.clone());
+        let here = Location::new(settings.region.clone(), settings.domain.clone());
         let membership = Membership::new(here, MembershipLimits::new(settings.heartbeat_ms));
         Self {
             me: Identity { name: settings.name.clone(), incarnation: rand::random() },
@@ -135,7 +135,7 @@
 
     /// Takes in whether an attempt at an agent succeeded, and ejects one that fails too much.
     pub fn note(&self, agent: &AgentView, success: bool) {
-        if !agent.counters().note(success) {
+        if !agent.counters().record_result(success) {
             return;
         }
         let snapshot = self.snapshot.load();
@@ -148,7 +148,7 @@
         }
         spdlog::warn!("agent {}: {change}", agent.name());
         if matches!(change, EjectionChange::Ejected { .. }) {
-            self.metrics.ejection(agent.located().domain());
+            self.metrics.ejection(agent.location().domain());
         }
         self.change_membership(|_| ((), true));
     }
--- a/crates/geraniumpost/src/entry/datagrams.rs
+++ b/crates/geraniumpost/src/entry/datagrams.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use geraniumpost_core::requests::Heard;
+use geraniumpost_core::requests::MembershipChange;
 use geraniumpost_schema::{Adopt, Datagram, EntryBeat, Heartbeat, HeartbeatAck, Name, ToAgent};
 use tokio::sync::watch;
 use tokio::time::MissedTickBehavior;
@@ -114,10 +114,10 @@
     cx.metrics.heartbeat("agent");
     let now = cx.clock.now();
     let heard = cx.change_membership(|membership| {
-        let heard = membership.heard(beat, now);
+        let heard = membership.record_heartbeat(beat, now);
         (heard, heard.needs_snapshot())
     });
-    if heard == Heard::Stale {
+    if heard == MembershipChange::Stale {
         return;
     }
     if heard.needs_snapshot() {
--- a/crates/geraniumpost/src/entry/dispatch.rs
+++ b/crates/geraniumpost/src/entry/dispatch.rs
@@ -15,7 +15,7 @@
 
 /// Carries a request to its last word.
 pub async fn dispatch(cx: &EntryContext, req: &Incoming) -> Reply {
-    cx.budget.pay();
+    cx.budget.deposit();
     let mut policy = RetryPolicy::new(req.kind, req.deadline, RetryLimits::default());
     let mut route = Route::default();
     loop {
@@ -114,7 +114,7 @@
         }
         LinkEvent::Verdict(verdict) => Heard::Event(AttemptEvent::Verdict(verdict)),
         LinkEvent::Lost => Heard::Event(AttemptEvent::LinkLost),
-        LinkEvent::Silent => Heard::Event(AttemptEvent::Silent),
+        LinkEvent::Silent => Heard::Event(AttemptEvent::LinkUnresponsive),
     }
 }
 
@@ -138,7 +138,7 @@
     policy: &mut RetryPolicy,
     event: AttemptEvent,
 ) -> NextStep {
-    let next = policy.step(event, cx.clock.now(), || cx.budget.take());
+    let next = policy.on_event(event, cx.clock.now(), || cx.budget.try_withdraw());
     decision!(
         "retry",
         request = req.id,
--- a/crates/geraniumpost/src/entry/link_keeper.rs
+++ b/crates/geraniumpost/src/entry/link_keeper.rs
@@ -89,7 +89,7 @@
 fn set_connected(cx: &EntryContext, link: &AgentLink, connected: bool) {
     let peer = link.peer();
     cx.change_membership(|membership| {
-        ((), membership.connected(&peer.name, peer.incarnation, connected))
+        ((), membership.set_connected(&peer.name, peer.incarnation, connected))
     });
 }
 
@@ -198,12 +198,12 @@
     let snapshot = cx.snapshot.load();
     let agent = snapshot.agent(&link.peer().name);
     if let Some(agent) = agent.filter(|a| a.incarnation() == link.peer().incarnation) {
-        agent.counters().report(load, cx.clock.now());
+        agent.counters().record_load(load, cx.clock.now());
     }
 }
 
 fn leaving(cx: &EntryContext, link: &AgentLink) {
     let peer = link.peer();
     spdlog::info!("agent {} is leaving", peer.name);
-    cx.change_membership(|membership| ((), membership.leaving(&peer.name, peer.incarnation)));
+    cx.change_membership(|membership| ((), membership.mark_draining(&peer.name, peer.incarnation)));
 }
--- a/crates/geraniumpost/src/entry/route.rs
+++ b/crates/geraniumpost/src/entry/route.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use geraniumpost_core::ResultCode;
-use geraniumpost_core::requests::{AgentView, RequestKind, RouteAsk, ServiceView, Snapshot};
+use geraniumpost_core::requests::{AgentView, RequestKind, RoutingQuery, ServiceView, Snapshot};
 use geraniumpost_outside::StoreError;
 use geraniumpost_schema::{KeyedInOutage, Name};
 use rand::SeedableRng as _;
@@ -84,7 +84,7 @@
         let snapshot = cx.snapshot.load();
         let service = snapshot.service(&req.service_name).ok_or(NoTarget::NoAgent)?;
         let harmless = req.kind == RequestKind::Idempotent;
-        let ask = RouteAsk::new(cx.clock.now()).tried(&self.tried).harmless(harmless);
+        let ask = RoutingQuery::new(cx.clock.now()).tried(&self.tried).retryable(harmless);
         let mut rng = SmallRng::from_rng(&mut rand::rng());
         let chosen = cx.router.choose(service, &ask, &mut rng);
         match &chosen {
--- a/crates/geraniumpost/src/entry/views.rs
+++ b/crates/geraniumpost/src/entry/views.rs
@@ -11,7 +11,7 @@
     let snapshot = cx.snapshot.load();
     let entries = entries(cx, now);
     let membership = cx.membership();
-    let agents = membership.beats().map(|beat| {
+    let agents = membership.heartbeats().map(|beat| {
         let view = snapshot.agent(&beat.agent);
         json!({
             "name": beat.agent,
@@ -76,7 +76,7 @@
         json!({ "name": beat.peer.name, "role": "entry", "revision": beat.config_revision })
     }));
     let membership = cx.membership();
-    let agents = membership.beats().map(|beat| {
+    let agents = membership.heartbeats().map(|beat| {
         let revision = cx.in_force_on(&beat.agent).unwrap_or(0).max(beat.config_revision);
         json!({ "name": beat.agent, "role": "agent", "revision": revision })
     });
--- a/crates/geraniumpost/src/planner/calls.rs
+++ b/crates/geraniumpost/src/planner/calls.rs
@@ -1,7 +1,7 @@
 //! Calls on jobs, turned into the planner's events and back.
 
 use geraniumpost_core::jobs::{
-    JobAnswer, JobSpec, JobState, JobView, Planner, PlannerEvent, codes,
+    JobResponse, JobSpec, JobState, JobView, Planner, PlannerEvent, codes,
 };
 use geraniumpost_core::placement::Placer;
 use geraniumpost_schema::Name;
@@ -44,13 +44,13 @@
 
 fn known(planner: &Planner, id: &Name) -> Result<JobView, ApiError> {
     if !planner.is_ready() {
-        let answer = JobAnswer::new(codes::NOT_PLANNER).retry_after_ms(1_000);
+        let answer = JobResponse::new(codes::NOT_PLANNER).retry_after_ms(1_000);
         return Err(refused(id, &answer));
     }
-    planner.job(id).ok_or_else(|| refused(id, &JobAnswer::new(codes::UNKNOWN_JOB)))
+    planner.job(id).ok_or_else(|| refused(id, &JobResponse::new(codes::UNKNOWN_JOB)))
 }
 
-fn refused(id: &Name, answer: &JobAnswer) -> ApiError {
+fn refused(id: &Name, answer: &JobResponse) -> ApiError {
     job_reply(id, answer).err().unwrap_or_else(|| ApiError::new(500, answer.code, ""))
 }
 
@@ -72,6 +72,6 @@
     let shown = live.into_iter().chain(ended).take(MAX_LISTED);
     let jobs: Vec<Value> =
         shown.filter_map(|record| planner.job(record.id())).map(|view| job_value(&view)).collect();
-    let (pending, placed) = planner.queue();
+    let (pending, placed) = planner.queue_lengths();
     json!({ "jobs": jobs, "total": total, "pending": pending, "placed": placed })
 }
--- a/crates/geraniumpost/src/planner/decisions.rs
+++ b/crates/geraniumpost/src/planner/decisions.rs
@@ -20,8 +20,8 @@
     pub(super) fn write(&mut self, decisions: &[Decision], metrics: &Metrics) {
         let mut waits = HashMap::new();
         for decision in decisions {
-            if let Decision::Wait { job, why } = decision {
-                let kind = discriminant(why);
+            if let Decision::Wait { job, reason } = decision {
+                let kind = discriminant(reason);
                 waits.insert(job.clone(), kind);
                 if self.waits.get(job) == Some(&kind) {
                     continue;
--- a/crates/geraniumpost/src/planner/driver.rs
+++ b/crates/geraniumpost/src/planner/driver.rs
@@ -4,8 +4,8 @@
 
 use geraniumpost_core::Millis;
 use geraniumpost_core::jobs::{
-    Holder, JobState, LeaseAction, LeaseConfig, LeaseEvent, Moment, Planner, PlannerAction,
-    PlannerConfig, PlannerEvent, PlannerLease, Standing, Takeover, bucket_key,
+    JobState, LeaseAction, LeaseConfig, LeaseEvent, LeaseHolder, LeaseRole, Now, Planner,
+    PlannerAction, PlannerConfig, PlannerEvent, PlannerLease, Takeover, bucket_key,
 };
 use geraniumpost_core::placement::{Observation, Placer};
 use geraniumpost_schema::{Heartbeat, Name, ToEntry};
@@ -81,7 +81,7 @@
 
 impl Driver {
     fn new(cx: Arc<EntryContext>, answers: mpsc::UnboundedSender<StoreAnswer>) -> Self {
-        let me = Holder::new(cx.me.name.clone(), cx.me.incarnation);
+        let me = LeaseHolder::new(cx.me.name.clone(), cx.me.incarnation);
         let placer = Placer::new(cx.keeper.holder().load().document());
         let config = lease_config(&cx);
         Self {
@@ -101,8 +101,8 @@
         }
     }
 
-    fn moment(&self) -> Moment {
-        Moment::new(self.cx.clock.now(), wall_ms(), rand::random())
+    fn moment(&self) -> Now {
+        Now::new(self.cx.clock.now(), wall_ms(), rand::random())
     }
 
     fn configure(&mut self) {
@@ -139,7 +139,7 @@
             return;
         }
         let now = self.cx.clock.now();
-        let (hold_ms, standing) = (self.lease.longest_hold_ms(), self.lease.standing(now));
+        let (hold_ms, standing) = (self.lease.longest_agent_lease_ms(), self.lease.role(now));
         if let Some(planner) = &mut self.planner {
             planner.heartbeat(beat, hold_ms, standing, now);
         }
@@ -173,7 +173,7 @@
         let event = match message {
             ToEntry::Report(report) => PlannerEvent::Report { agent, report },
             ToEntry::Inventory(inventory) => PlannerEvent::Inventory { agent, inventory },
-            ToEntry::Leaving => PlannerEvent::Leaving { agent },
+            ToEntry::Leaving => PlannerEvent::Draining { agent },
             _ => return,
         };
         self.tell(event);
@@ -261,13 +261,13 @@
         takeover.earlier.retain(|holder| !gone.contains(holder));
         for holder in gone {
             spdlog::info!("planner: {holder} has stopped planning");
-            self.tell(PlannerEvent::HolderGone(holder));
+            self.tell(PlannerEvent::PredecessorStopped(holder));
         }
     }
 
     fn place(&mut self) {
         let moment = self.moment();
-        let standing = self.lease.standing(moment.clock);
+        let standing = self.lease.role(moment.clock);
         let Some(planner) = &mut self.planner else { return };
         let (placer, log, metrics) = (&mut self.placer, &mut self.log, &self.cx.metrics);
         let actions = planner.place(standing, moment, |now, wishes, fleet| {
@@ -286,7 +286,7 @@
 
     fn tell(&mut self, event: PlannerEvent) {
         let moment = self.moment();
-        let standing = self.lease.standing(moment.clock);
+        let standing = self.lease.role(moment.clock);
         let Some(planner) = &mut self.planner else { return };
         let actions = planner.handle(event, standing, moment);
         self.carry_out(actions);
@@ -323,7 +323,7 @@
                 }
                 self.placer.observe(self.cx.clock.now(), &observation);
             }
-            PlannerAction::EarlierSettled => self.lease(LeaseEvent::EarlierSettled),
+            PlannerAction::PredecessorsExpired => self.lease(LeaseEvent::PredecessorsExpired),
             PlannerAction::StepDown(why) => {
                 spdlog::error!("planner: steps down in term {term}: {why}");
                 self.lease(LeaseEvent::StepDown);
@@ -335,7 +335,7 @@
         let actions = self.lease.handle(event, self.cx.clock.now());
         for action in actions {
             match action {
-                LeaseAction::Became(takeover) => self.begin(takeover),
+                LeaseAction::Acquired(takeover) => self.begin(takeover),
                 LeaseAction::Lost(why) => self.end(why),
                 call => {
                     let region = &self.cx.settings.region;
@@ -368,12 +368,12 @@
     /// Lets heartbeats be answered, and others know, as this entry's standing is now.
     fn publish(&self) {
         let now = self.cx.clock.now();
-        let term = match self.lease.standing(now) {
-            Standing::Follower => 0,
-            Standing::Leader { term } | Standing::Cut { term } => term,
+        let term = match self.lease.role(now) {
+            LeaseRole::Follower => 0,
+            LeaseRole::Leader { term } | LeaseRole::Disconnected { term } => term,
         };
-        let hold_ms = if term == 0 { 0 } else { self.lease.hold_ms() };
-        self.cx.set_hold(hold_ms, self.lease.hold_until());
+        let hold_ms = if term == 0 { 0 } else { self.lease.agent_lease_ms() };
+        self.cx.set_hold(hold_ms, self.lease.may_grant_until());
         if self.cx.term() != term {
             self.cx.set_term(term);
         }
--- a/crates/geraniumpost/src/planner/lease_calls.rs
+++ b/crates/geraniumpost/src/planner/lease_calls.rs
@@ -66,7 +66,7 @@
             let _ = store.revoke(lease.into()).await;
             return Ok(None);
         }
-        LeaseAction::Became(_) | LeaseAction::Lost(_) => return Ok(None),
+        LeaseAction::Acquired(_) | LeaseAction::Lost(_) => return Ok(None),
     };
     Ok(Some(event))
 }
--- a/crates/geraniumpost/src/planner/predecessors.rs
+++ b/crates/geraniumpost/src/planner/predecessors.rs
@@ -1,6 +1,6 @@
 use geraniumpost_core::{
     Millis,
-    jobs::{Holder, Takeover},
+    jobs::{LeaseHolder, Takeover},
 };
 
 use crate::entry::EntryContext;
@@ -10,14 +10,14 @@
 /// A beat proves it if it was heard after the takeover and either says that its entry doesn't plan,
 /// or comes from a later process of that entry. Older beats prove nothing: the entry may have begun
 /// to plan since.
-pub(super) fn gone(cx: &EntryContext, takeover: &Takeover, now: Millis) -> Vec<Holder> {
+pub(super) fn gone(cx: &EntryContext, takeover: &Takeover, now: Millis) -> Vec<LeaseHolder> {
     let peers = cx.peers();
     let fresh: Vec<_> = peers
         .beats(now)
         .filter(|(_, age_ms)| *age_ms < now.since(takeover.at))
         .map(|(beat, _)| (&beat.peer.name, beat.incarnation, beat.term))
         .collect();
-    let stopped = |holder: &&Holder| {
+    let stopped = |holder: &&LeaseHolder| {
         let restarted_here = holder.name == cx.me.name && holder.incarnation != cx.me.incarnation;
         let said = fresh.iter().any(|&(name, incarnation, term)| {
             *name == holder.name && (incarnation != holder.incarnation || term == 0)
--- a/crates/geraniumpost/src/planner/summary.rs
+++ b/crates/geraniumpost/src/planner/summary.rs
@@ -8,7 +8,7 @@
 /// Shows queue, evictions, customers' shares and workers as placement sees them, for the console and
 /// `geraniumpost status`.
 pub fn summary(planner: &Planner, document: &Document) -> Value {
-    let (waiting, assigned) = planner.queue();
+    let (waiting, assigned) = planner.queue_lengths();
     let counters = planner.counters();
     json!({
         "term": planner.term(),
@@ -37,8 +37,8 @@
     let offered = planner.fleet().workers().map(WorkerView::allowance);
     let total = offered.fold(amounts::NONE, |sum, one| amounts::plus(&sum, &one));
     let shown = document.customers.iter().map(|(name, customer)| {
-        let held = planner.fleet().holding(name);
-        let share = amounts::dominant(&held, &total);
+        let held = planner.fleet().allocated_to(name);
+        let share = amounts::dominant_share(&held, &total);
         let weighted = share / f64::from(customer.weight.max(1));
         let value = json!({
             "weight": customer.weight,
--- a/crates/geraniumpost/tests/job_reply.rs
+++ b/crates/geraniumpost/tests/job_reply.rs
@@ -1,7 +1,7 @@
 //! The planner's codes on their way to an operator.
 
 use geraniumpost::console::{http_status, job_reply, job_value};
-use geraniumpost_core::jobs::{JobAnswer, JobRecord, JobSpec, JobView, codes};
+use geraniumpost_core::jobs::{JobRecord, JobResponse, JobSpec, JobView, codes};
 use geraniumpost_schema::{Name, Resources};
 
 /// Names cases of the planner's answers and the HTTP status that an operator sees.
@@ -9,7 +9,7 @@
     ($($name:ident: $code:ident => $status:literal;)*) => {
         $(#[test]
         fn $name() {
-            let answer = JobAnswer::new(codes::$code).retry_after_ms(7);
+            let answer = JobResponse::new(codes::$code).retry_after_ms(7);
             match job_reply(&Name::from("study-1"), &answer) {
                 Ok(value) => assert_eq!((200, value["code"].as_u64()), ($status, Some(u64::from(codes::$code)))),
                 Err(error) => {
