--- a/crates/geraniumpost-core/tests/jobs_ledger.rs
+++ b/crates/geraniumpost-core/tests/jobs_ledger.rs
@@ -1,4 +1,4 @@
-//! The agent's account of its VM: named failures, and a comparison with a naive one.
+//! The agent's ledger of its VM: single failures, and a comparison with a reference ledger.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,65 +9,71 @@
 use proptest::prelude::*;
 
 const CAPACITY: Resources = Resources { milli_cpus: 4_000, memory_mb: 4_000, accelerators: 1 };
-const HOLD_MS: u64 = 10_000;
+const AGENT_LEASE_MS: u64 = 10_000;
 
-struct Bench {
+struct Fixture {
     ledger: VmLedger,
     now: u64,
-    beats: u64,
+    heartbeats: u64,
 }
 
-impl Bench {
-    /// A ledger that has listed an idle worker and has a hold under term 1.
+impl Fixture {
+    /// A ledger that has adopted an idle worker and has an agent lease under term 1.
     fn ready() -> Self {
-        let mut bench = Self::cold();
-        bench.list(&[]);
-        bench.now += 2_000;
-        bench.list(&[]);
-        bench.hold(1);
-        bench
+        let mut fixture = Self::new();
+        fixture.receive_list(&[]);
+        fixture.now += 2_000;
+        fixture.receive_list(&[]);
+        fixture.extend_lease(1);
+        fixture
     }
 
-    fn cold() -> Self {
+    fn new() -> Self {
         let ledger = VmLedger::new(7, CAPACITY, LedgerConfig::default());
-        Self { ledger, now: 1_000, beats: 0 }
+        Self { ledger, now: 1_000, heartbeats: 0 }
     }
 
-    fn tell(&mut self, event: LedgerEvent) -> Vec<LedgerAction> {
+    fn handle(&mut self, event: LedgerEvent) -> Vec<LedgerAction> {
         self.ledger.handle(event, Millis(self.now))
     }
 
-    fn list(&mut self, tasks: &[WorkerTask]) -> Vec<LedgerAction> {
-        self.tell(LedgerEvent::Listed { asked: Millis(self.now), tasks: tasks.to_vec() })
+    fn receive_list(&mut self, tasks: &[WorkerTask]) -> Vec<LedgerAction> {
+        self.handle(LedgerEvent::Listed { asked: Millis(self.now), tasks: tasks.to_vec() })
     }
 
-    fn beat(&mut self) -> u64 {
-        self.beats += 1;
-        self.tell(LedgerEvent::HeartbeatSent(self.beats));
-        self.beats
+    fn send_heartbeat(&mut self) -> u64 {
+        self.heartbeats += 1;
+        self.handle(LedgerEvent::HeartbeatSent(self.heartbeats));
+        self.heartbeats
     }
 
-    fn ack(&mut self, sequence: u64, term: u64) {
-        self.tell(LedgerEvent::Ack(HeartbeatAck {
+    fn receive_ack(&mut self, sequence: u64, term: u64) {
+        self.handle(LedgerEvent::Ack(HeartbeatAck {
             entry: Name::default(),
             sequence,
             incarnation: 7,
             config_revision: 0,
             term,
-            hold_ms: HOLD_MS,
+            hold_ms: AGENT_LEASE_MS,
             entries_digest: 0,
             entries: Vec::new(),
         }));
     }
 
-    fn hold(&mut self, term: u64) {
-        let sequence = self.beat();
-        self.ack(sequence, term);
+    fn extend_lease(&mut self, term: u64) {
+        let sequence = self.send_heartbeat();
+        self.receive_ack(sequence, term);
     }
 
-    fn start(&mut self, term: u64, job: &str, epoch: u64, milli_cpus: u64) -> Vec<LedgerAction> {
+    fn order_start(
+        &mut self,
+        term: u64,
+        job: &str,
+        epoch: u64,
+        milli_cpus: u64,
+    ) -> Vec<LedgerAction> {
         let need = Resources { milli_cpus, memory_mb: 100, accelerators: 0 };
-        self.tell(LedgerEvent::Start(StartTask {
+        self.handle(LedgerEvent::Start(StartTask {
             term,
             job: job.into(),
             epoch,
@@ -79,13 +85,13 @@
         }))
     }
 
-    fn run(&mut self, job: &str, epoch: u64) {
-        assert!(starts(&self.start(1, job, epoch, 1_000)), "{job} should start");
-        self.tell(LedgerEvent::Started { job: job.into(), epoch });
+    fn start_task(&mut self, job: &str, epoch: u64) {
+        assert!(contains_start(&self.order_start(1, job, epoch, 1_000)), "{job} should start");
+        self.handle(LedgerEvent::Started { job: job.into(), epoch });
     }
 }
 
-fn order(term: u64, job: &str, epoch: u64) -> TaskRef {
+fn task_ref(term: u64, job: &str, epoch: u64) -> TaskRef {
     TaskRef { term, job: job.into(), epoch }
 }
 
@@ -100,11 +106,11 @@
     }
 }
 
-fn starts(actions: &[LedgerAction]) -> bool {
+fn contains_start(actions: &[LedgerAction]) -> bool {
     actions.iter().any(|action| matches!(action, LedgerAction::Start(_)))
 }
 
-fn reported(actions: &[LedgerAction]) -> Vec<TaskState> {
+fn reported_states(actions: &[LedgerAction]) -> Vec<TaskState> {
     let state = |action: &LedgerAction| match action {
         LedgerAction::Report(report) => Some(report.state),
         _ => None,
@@ -112,288 +118,293 @@
     actions.iter().filter_map(state).collect()
 }
 
-// An answer to a heartbeat is held up in the network for nine seconds. If the hold counted from its
-// arrival, the agent would go on with a study that the planner had given to another VM.
+// The response to a heartbeat is delayed in the network for almost the whole lease of 10 s. If the
+// lease counted from its arrival, the agent would continue a task that the planner has already
+// assigned to another VM.
 #[test]
-fn a_hold_counts_from_the_sending_of_the_heartbeat() {
-    let mut bench = Bench::ready();
-    bench.run("study-1", 1);
-    let sequence = bench.beat();
-    bench.now += HOLD_MS - 1;
-    bench.beat();
-    bench.ack(sequence, 1);
-    assert!(bench.ledger.may_run(Millis(bench.now)));
-    bench.now += 1;
-    assert!(!bench.ledger.may_run(Millis(bench.now)));
-    let actions = bench.tell(LedgerEvent::Tick);
+fn an_agent_lease_counts_from_when_the_heartbeat_was_sent() {
+    let mut fixture = Fixture::ready();
+    fixture.start_task("study-1", 1);
+    let sequence = fixture.send_heartbeat();
+    fixture.now += AGENT_LEASE_MS - 1;
+    fixture.send_heartbeat();
+    fixture.receive_ack(sequence, 1);
+    assert!(fixture.ledger.may_run(Millis(fixture.now)));
+    fixture.now += 1;
+    assert!(!fixture.ledger.may_run(Millis(fixture.now)));
+    let actions = fixture.handle(LedgerEvent::Tick);
     assert!(actions.iter().any(|action| matches!(action, LedgerAction::Stop { .. })));
     assert!(!actions.iter().any(|action| matches!(action, LedgerAction::Renew { .. })));
 }
 
-// A start is delayed on a connection that was given up, and arrives when its run has ended and was
-// settled. The study would run a second time.
+// A start order is delayed on an abandoned connection and arrives when its run has ended and was
+// settled. Without the remembered epoch the job would run a second time.
 #[test]
-fn a_start_that_comes_after_its_run_ended_is_refused() {
-    let mut bench = Bench::ready();
-    bench.run("study-1", 1);
+fn a_start_delayed_past_the_end_of_its_run_is_ignored() {
+    let mut fixture = Fixture::ready();
+    fixture.start_task("study-1", 1);
     let done = WorkerTask { state: TaskState::Done, ..running("study-1", 1) };
-    bench.now += 10;
-    bench.list(&[done]);
-    let settled = bench.tell(LedgerEvent::Settled(order(1, "study-1", 1)));
+    fixture.now += 10;
+    fixture.receive_list(&[done]);
+    let settled = fixture.handle(LedgerEvent::Settled(task_ref(1, "study-1", 1)));
     assert_matches!(&settled[..], [LedgerAction::Forget { .. }]);
-    assert!(!starts(&bench.start(1, "study-1", 1, 1_000)));
-    assert_eq!(bench.ledger.counters().stale_epochs, 1);
+    assert!(!contains_start(&fixture.order_start(1, "study-1", 1, 1_000)));
+    assert_eq!(fixture.ledger.counters().stale_epochs, 1);
 }
 
-// The planner asks for the end of a run whose start is still under way, and is told that the run is
-// not there. If the start were obeyed when it comes, the study would run here and elsewhere.
+// The planner stops a run whose start order is still in transit, and the agent reports that it does
+// not have the run. If the agent obeyed the start later, the job would run here and elsewhere.
 #[test]
 fn a_run_stopped_before_its_start_arrives_never_starts() {
-    let mut bench = Bench::ready();
-    let actions = bench.tell(LedgerEvent::Stop(order(1, "study-1", 3)));
-    assert_eq!(reported(&actions), [TaskState::Stopped]);
+    let mut fixture = Fixture::ready();
+    let actions = fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 3)));
+    assert_eq!(reported_states(&actions), [TaskState::Stopped]);
     for epoch in 1..=3 {
-        assert!(!starts(&bench.start(1, "study-1", epoch, 1_000)), "epoch {epoch}");
+        assert!(!contains_start(&fixture.order_start(1, "study-1", epoch, 1_000)), "epoch {epoch}");
     }
-    assert!(starts(&bench.start(1, "study-1", 4, 1_000)));
+    assert!(contains_start(&fixture.order_start(1, "study-1", 4, 1_000)));
 }
 
-// The agent's process dies just after it asked the worker for a start. The next one lists the tasks
-// before the start arrives; if it called that list complete, the planner would start the study
+// The agent process dies just after it called the worker to start a task. Its successor lists the
+// tasks before that call arrives. If this list were its inventory, the planner would start the job
 // elsewhere while it begins here.
 #[test]
-fn a_restarted_agent_waits_for_starts_under_way() {
-    let mut bench = Bench::cold();
-    assert_eq!(bench.tell(LedgerEvent::Supersede(1)), [], "nothing is known yet");
-    bench.list(&[]);
-    bench.hold(1);
-    assert_eq!(bench.tell(LedgerEvent::Supersede(1)), []);
-    assert!(!starts(&bench.start(1, "study-2", 1, 1_000)));
-    bench.now += 1_000;
-    let actions = bench.list(&[running("study-1", 1)]);
+fn a_restarted_agent_waits_for_starts_in_transit_before_its_inventory() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.handle(LedgerEvent::Supersede(1)), [], "no list has been read yet");
+    fixture.receive_list(&[]);
+    fixture.extend_lease(1);
+    assert_eq!(fixture.handle(LedgerEvent::Supersede(1)), []);
+    assert!(!contains_start(&fixture.order_start(1, "study-2", 1, 1_000)));
+    fixture.now += 1_000;
+    let actions = fixture.receive_list(&[running("study-1", 1)]);
     let inventory = actions.iter().find_map(|action| match action {
         LedgerAction::Inventory(inventory) => Some(inventory),
         _ => None,
     });
-    assert_eq!(inventory.expect("owed").tasks[0].job.as_str(), "study-1");
+    assert_eq!(inventory.expect("the inventory is due").tasks[0].job.as_str(), "study-1");
 }
 
-// An agent adopts a study whose declared size the worker doesn't tell, and whose measured usage is
-// still low. A second study that fits beside the usage would overfill the VM.
+// An agent adopts a task whose declared size the worker does not report, and whose measured usage
+// is still low. A second task that fits beside the usage would overcommit the VM.
 #[test]
-fn nothing_starts_beside_a_task_of_unknown_size() {
-    let mut bench = Bench::cold();
-    bench.list(&[running("study-1", 1)]);
-    bench.now += 1_000;
-    bench.list(&[running("study-1", 1)]);
-    bench.hold(1);
-    assert!(!starts(&bench.start(1, "study-2", 1, 2_000)));
-    bench.start(1, "study-1", 1, 3_000);
-    assert_eq!(bench.ledger.reserved().milli_cpus, 3_000);
-    let refused = bench.start(1, "study-2", 1, 2_000);
-    assert_eq!(reported(&refused), [TaskState::Refused]);
+fn no_task_starts_beside_an_adopted_task_of_unknown_size() {
+    let mut fixture = Fixture::new();
+    fixture.receive_list(&[running("study-1", 1)]);
+    fixture.now += 1_000;
+    fixture.receive_list(&[running("study-1", 1)]);
+    fixture.extend_lease(1);
+    assert!(!contains_start(&fixture.order_start(1, "study-2", 1, 2_000)));
+    fixture.order_start(1, "study-1", 1, 3_000);
+    assert_eq!(fixture.ledger.reserved().milli_cpus, 3_000);
+    let refused = fixture.order_start(1, "study-2", 1, 2_000);
+    assert_eq!(reported_states(&refused), [TaskState::Refused]);
 }
 
-// A planner that was paused wakes up after another has taken over, and still orders. Two planners
-// would both move the same studies.
+// A planner that was paused resumes after another has taken over, and still sends orders. If the
+// agent obeyed, two planners would move the same jobs.
 #[test]
-fn a_superseded_planner_is_not_obeyed() {
-    let mut bench = Bench::ready();
-    bench.run("study-1", 1);
-    bench.tell(LedgerEvent::Supersede(2));
-    assert!(!starts(&bench.start(1, "study-2", 1, 100)));
-    assert_eq!(bench.tell(LedgerEvent::Stop(order(1, "study-1", 1))), []);
-    assert_eq!(bench.tell(LedgerEvent::Evict(order(1, "study-1", 1))), []);
-    bench.hold(1);
-    bench.now += HOLD_MS;
-    assert!(!bench.ledger.may_run(Millis(bench.now)), "its holds don't count either");
-    assert!(bench.ledger.counters().stale_terms >= 4);
+fn orders_and_acks_of_a_superseded_planner_are_ignored() {
+    let mut fixture = Fixture::ready();
+    fixture.start_task("study-1", 1);
+    fixture.handle(LedgerEvent::Supersede(2));
+    assert!(!contains_start(&fixture.order_start(1, "study-2", 1, 100)));
+    assert_eq!(fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 1))), []);
+    assert_eq!(fixture.handle(LedgerEvent::Evict(task_ref(1, "study-1", 1))), []);
+    fixture.extend_lease(1);
+    fixture.now += AGENT_LEASE_MS;
+    assert!(!fixture.ledger.may_run(Millis(fixture.now)), "its leases are ignored as well");
+    assert!(fixture.ledger.counters().stale_terms >= 4);
 }
 
-// A new agent process knows no term. An order that a planner superseded long ago still had under way
-// would start a study that runs elsewhere.
+// A new agent process knows no term. An order in transit from a planner that was superseded long
+// ago would start a job that runs elsewhere.
 #[test]
-fn a_start_needs_a_hold_of_its_own_term() {
-    let mut bench = Bench::ready();
-    bench.tell(LedgerEvent::Supersede(2));
-    assert!(!starts(&bench.start(2, "study-1", 1, 100)), "the hold is of term 1");
-    bench.hold(2);
-    assert!(starts(&bench.start(2, "study-1", 1, 100)));
+fn a_start_requires_an_agent_lease_of_the_same_term() {
+    let mut fixture = Fixture::ready();
+    fixture.handle(LedgerEvent::Supersede(2));
+    assert!(!contains_start(&fixture.order_start(2, "study-1", 1, 100)), "the lease is of term 1");
+    fixture.extend_lease(2);
+    assert!(contains_start(&fixture.order_start(2, "study-1", 1, 100)));
 }
 
-// The worker's answer to a start is lost, and the planner cancels. "No such task" is no word yet: the
-// start may still be on its way, and the study would run after its end had been recorded.
+// The worker's response to a start is lost, and the planner cancels the job. The worker's "no such
+// task" proves nothing yet: the start may still arrive, and the job would run after its end was
+// recorded.
 #[test]
 fn a_stop_waits_for_a_start_that_may_still_arrive() {
-    let mut bench = Bench::ready();
+    let mut fixture = Fixture::ready();
     let stops = |actions: &[LedgerAction]| {
         actions.iter().any(|action| matches!(action, LedgerAction::Stop { .. }))
     };
-    assert!(starts(&bench.start(1, "study-1", 1, 100)));
-    assert_eq!(bench.tell(LedgerEvent::Stop(order(1, "study-1", 1))), []);
-    bench.now += 2_000;
-    assert!(!stops(&bench.tell(LedgerEvent::Tick)), "the call is still open");
-    bench.tell(LedgerEvent::StartUncertain { job: "study-1".into(), epoch: 1 });
+    assert!(contains_start(&fixture.order_start(1, "study-1", 1, 100)));
+    assert_eq!(fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 1))), []);
+    fixture.now += 2_000;
+    assert!(!stops(&fixture.handle(LedgerEvent::Tick)), "the start call is still open");
+    fixture.handle(LedgerEvent::StartUncertain { job: "study-1".into(), epoch: 1 });
     let stopped = || LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 };
-    assert_eq!(bench.tell(stopped()), []);
-    bench.now += 999;
-    assert!(!stops(&bench.tell(LedgerEvent::Tick)), "it may still be on its way");
-    bench.now += 1;
-    assert!(stops(&bench.tell(LedgerEvent::Tick)));
-    assert_eq!(reported(&bench.tell(stopped())), [TaskState::Stopped]);
+    assert_eq!(fixture.handle(stopped()), []);
+    fixture.now += 999;
+    assert!(!stops(&fixture.handle(LedgerEvent::Tick)), "the start may still arrive");
+    fixture.now += 1;
+    assert!(stops(&fixture.handle(LedgerEvent::Tick)));
+    assert_eq!(reported_states(&fixture.handle(stopped())), [TaskState::Stopped]);
 }
 
-// The worker's answer to a start is lost, and the start is repeated. The worker refuses the repeat, but may
-// still take the first call: were the job taken for refused at once, it would begin on another VM and
-// then run on both.
+// The worker's response to a start is lost, and the start is retried. The worker refuses the retry
+// but may still accept the first call: if the refusal were final, the job would be started on
+// another VM and then run on both.
 #[test]
-fn a_refused_repeat_waits_for_the_start_that_may_still_arrive() {
-    let mut bench = Bench::ready();
+fn a_refused_start_retry_waits_for_the_first_call() {
+    let mut fixture = Fixture::ready();
     let stops = |actions: &[LedgerAction]| {
         actions.iter().any(|action| matches!(action, LedgerAction::Stop { .. }))
     };
-    assert!(starts(&bench.start(1, "study-1", 1, 100)));
-    bench.now += 700;
-    bench.tell(LedgerEvent::StartUncertain { job: "study-1".into(), epoch: 1 });
-    bench.now += 300;
-    assert!(starts(&bench.tell(LedgerEvent::Tick)), "it is repeated");
+    assert!(contains_start(&fixture.order_start(1, "study-1", 1, 100)));
+    fixture.now += 700;
+    fixture.handle(LedgerEvent::StartUncertain { job: "study-1".into(), epoch: 1 });
+    fixture.now += 300;
+    assert!(contains_start(&fixture.handle(LedgerEvent::Tick)), "the start is retried");
     let refused = || LedgerEvent::StartRefused {
         job: "study-1".into(),
         epoch: 1,
         reason: "nothing listens".into(),
     };
-    assert_eq!(reported(&bench.tell(refused())), []);
-    bench.now += 699;
-    assert!(!stops(&bench.tell(LedgerEvent::Tick)), "the first call may still be on its way");
-    bench.now += 1;
-    assert!(stops(&bench.tell(LedgerEvent::Tick)));
+    assert_eq!(reported_states(&fixture.handle(refused())), []);
+    fixture.now += 699;
+    assert!(!stops(&fixture.handle(LedgerEvent::Tick)), "the first call may still arrive");
+    fixture.now += 1;
+    assert!(stops(&fixture.handle(LedgerEvent::Tick)));
     let stopped = LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 };
-    assert_eq!(reported(&bench.tell(stopped)), [TaskState::Refused]);
+    assert_eq!(reported_states(&fixture.handle(stopped)), [TaskState::Refused]);
 }
 
-// The same while the planner cancels: the refusal of the repeat is no word on the first call.
+// The planner stops the run between the retry of a start and its refusal. As the refusal says
+// nothing about the first call, the run must not be reported as stopped until that call can no
+// longer arrive.
 #[test]
-fn a_stop_waits_for_the_first_call_when_the_repeat_is_refused() {
-    let mut bench = Bench::ready();
-    bench.start(1, "study-1", 1, 100);
-    bench.now += 700;
-    bench.tell(LedgerEvent::StartUncertain { job: "study-1".into(), epoch: 1 });
-    bench.now += 300;
-    assert!(starts(&bench.tell(LedgerEvent::Tick)), "it is repeated");
-    bench.tell(LedgerEvent::Stop(order(1, "study-1", 1)));
+fn a_stop_waits_for_the_first_start_call_when_the_retry_is_refused() {
+    let mut fixture = Fixture::ready();
+    fixture.order_start(1, "study-1", 1, 100);
+    fixture.now += 700;
+    fixture.handle(LedgerEvent::StartUncertain { job: "study-1".into(), epoch: 1 });
+    fixture.now += 300;
+    assert!(contains_start(&fixture.handle(LedgerEvent::Tick)), "the start is retried");
+    fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 1)));
     let reason = "nothing listens".into();
     let refused = LedgerEvent::StartRefused { job: "study-1".into(), epoch: 1, reason };
-    assert_eq!(reported(&bench.tell(refused)), []);
-    bench.now += 700;
-    bench.tell(LedgerEvent::Tick);
+    assert_eq!(reported_states(&fixture.handle(refused)), []);
+    fixture.now += 700;
+    fixture.handle(LedgerEvent::Tick);
     let stopped = LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 };
-    assert_eq!(reported(&bench.tell(stopped)), [TaskState::Stopped]);
+    assert_eq!(reported_states(&fixture.handle(stopped)), [TaskState::Stopped]);
 }
 
-// Without a lost answer a refusal is final, and the job goes elsewhere at once.
+// If no response was lost, a refusal is final. A delayed report would keep the job from being
+// started elsewhere.
 #[test]
-fn a_refused_start_is_told_at_once() {
-    let mut bench = Bench::ready();
-    bench.start(1, "study-1", 1, 100);
+fn a_refused_start_is_reported_at_once() {
+    let mut fixture = Fixture::ready();
+    fixture.order_start(1, "study-1", 1, 100);
     let reason = "nothing listens".into();
     let refused = LedgerEvent::StartRefused { job: "study-1".into(), epoch: 1, reason };
-    assert_eq!(reported(&bench.tell(refused)), [TaskState::Refused]);
+    assert_eq!(reported_states(&fixture.handle(refused)), [TaskState::Refused]);
 }
 
-// The planner cancels while the worker is being asked for the start. The list that was asked for
-// before the start took effect doesn't have the task, which is no word of its end.
+// The planner cancels while the start call to the worker is open. A list that was requested before
+// the start took effect does not contain the task, which does not prove that the task has ended.
 #[test]
-fn a_list_older_than_the_start_does_not_end_it() {
-    let mut bench = Bench::ready();
-    assert!(starts(&bench.start(1, "study-1", 1, 100)));
-    bench.tell(LedgerEvent::Stop(order(1, "study-1", 1)));
-    bench.now += 10;
-    let asked = Millis(bench.now);
-    bench.now += 10;
+fn a_list_requested_before_the_start_does_not_end_the_run() {
+    let mut fixture = Fixture::ready();
+    assert!(contains_start(&fixture.order_start(1, "study-1", 1, 100)));
+    fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 1)));
+    fixture.now += 10;
+    let asked = Millis(fixture.now);
+    fixture.now += 10;
     let started = LedgerEvent::Started { job: "study-1".into(), epoch: 1 };
-    assert_matches!(&bench.tell(started)[..], [LedgerAction::Stop { .. }]);
-    assert_eq!(bench.tell(LedgerEvent::Listed { asked, tasks: Vec::new() }), []);
-    bench.now += 10;
-    assert_eq!(reported(&bench.list(&[])), [TaskState::Stopped]);
+    assert_matches!(&fixture.handle(started)[..], [LedgerAction::Stop { .. }]);
+    assert_eq!(fixture.handle(LedgerEvent::Listed { asked, tasks: Vec::new() }), []);
+    fixture.now += 10;
+    assert_eq!(reported_states(&fixture.receive_list(&[])), [TaskState::Stopped]);
 }
 
-// A start that was thought lost takes effect after the ledger had ended the run. Nobody would know of
-// the task, and it would hold the VM for as long as it likes.
+// A start that was assumed lost takes effect after the ledger has ended the run. The planner does
+// not know of the task, which would occupy the VM without limit if the agent did not stop it.
 #[test]
-fn a_task_that_the_ledger_had_ended_is_stopped() {
-    let mut bench = Bench::ready();
-    bench.tell(LedgerEvent::Stop(order(1, "study-1", 1)));
-    let actions = bench.list(&[running("study-1", 1)]);
+fn a_listed_task_of_a_stopped_run_is_stopped() {
+    let mut fixture = Fixture::ready();
+    fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 1)));
+    let actions = fixture.receive_list(&[running("study-1", 1)]);
     assert_matches!(&actions[..], [LedgerAction::Stop { epoch: 1, .. }]);
 }
 
-// The worker takes its time over a checkpoint, fails, and fails again. The study must still leave the
-// VM for urgent work, with the last checkpoint that was written.
+// The worker fails three times to write the checkpoint of an eviction. The task must still release
+// the VM for urgent work, and its report must name the last checkpoint that was written.
 #[test]
-fn an_eviction_falls_back_on_the_last_checkpoint() {
-    let mut bench = Bench::ready();
-    bench.run("study-1", 1);
-    bench.now += 10;
-    let older = WorkerTask { checkpoint: "cp-1".into(), ..running("study-1", 1) };
-    bench.list(&[older]);
-    bench.tell(LedgerEvent::Evict(order(1, "study-1", 1)));
+fn an_eviction_uses_the_last_checkpoint_if_new_ones_fail() {
+    let mut fixture = Fixture::ready();
+    fixture.start_task("study-1", 1);
+    fixture.now += 10;
+    let with_checkpoint = WorkerTask { checkpoint: "cp-1".into(), ..running("study-1", 1) };
+    fixture.receive_list(&[with_checkpoint]);
+    fixture.handle(LedgerEvent::Evict(task_ref(1, "study-1", 1)));
     let failed = || LedgerEvent::CheckpointFailed { job: "study-1".into(), epoch: 1 };
-    assert_matches!(&bench.tell(failed())[..], [LedgerAction::Checkpoint { .. }]);
-    assert_matches!(&bench.tell(failed())[..], [LedgerAction::Checkpoint { .. }]);
-    assert_matches!(&bench.tell(failed())[..], [LedgerAction::Stop { .. }]);
-    let end = bench.tell(LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 });
+    assert_matches!(&fixture.handle(failed())[..], [LedgerAction::Checkpoint { .. }]);
+    assert_matches!(&fixture.handle(failed())[..], [LedgerAction::Checkpoint { .. }]);
+    assert_matches!(&fixture.handle(failed())[..], [LedgerAction::Stop { .. }]);
+    let end = fixture.handle(LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 });
     assert_matches!(&end[..], [LedgerAction::Report(report)]
         if report.state == TaskState::Evicted && report.checkpoint.as_str() == "cp-1");
 }
 
-fn checkpoints(actions: &[LedgerAction]) -> usize {
+fn checkpoint_count(actions: &[LedgerAction]) -> usize {
     actions.iter().filter(|action| matches!(action, LedgerAction::Checkpoint { .. })).count()
 }
 
-// Both entries are replaced at once and nobody extends the hold. The study is stopped, and without a
-// checkpoint it would begin anew and miss its deadline.
+// Both entries are replaced at once and nobody extends the agent lease. The task is stopped;
+// without a checkpoint it would start from the beginning and miss its deadline.
 #[test]
-fn a_study_is_checkpointed_before_its_hold_ends() {
-    let mut bench = Bench::ready();
-    bench.run("study-1", 1);
-    bench.now += 5_000;
-    bench.hold(1);
-    assert_eq!(checkpoints(&bench.tell(LedgerEvent::Tick)), 0);
-    bench.now += HOLD_MS - 1_000;
-    assert_eq!(checkpoints(&bench.tell(LedgerEvent::Tick)), 1);
-    bench.now += 100;
-    assert_eq!(checkpoints(&bench.tell(LedgerEvent::Tick)), 0, "once is enough");
+fn a_task_is_checkpointed_before_the_agent_lease_expires() {
+    let mut fixture = Fixture::ready();
+    fixture.start_task("study-1", 1);
+    fixture.now += 5_000;
+    fixture.extend_lease(1);
+    assert_eq!(checkpoint_count(&fixture.handle(LedgerEvent::Tick)), 0);
+    fixture.now += AGENT_LEASE_MS - 1_000;
+    assert_eq!(checkpoint_count(&fixture.handle(LedgerEvent::Tick)), 1);
+    fixture.now += 100;
+    assert_eq!(checkpoint_count(&fixture.handle(LedgerEvent::Tick)), 0, "only once");
     let written =
         LedgerEvent::Checkpointed { job: "study-1".into(), epoch: 1, checkpoint: "cp-1".into() };
-    bench.tell(written);
-    bench.now += 2_000;
-    let mut actions = bench.tell(LedgerEvent::Tick);
+    fixture.handle(written);
+    fixture.now += 2_000;
+    let mut actions = fixture.handle(LedgerEvent::Tick);
     assert!(actions.iter().any(|action| matches!(action, LedgerAction::Stop { .. })));
-    actions.extend(bench.tell(LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 }));
-    let lapsed = actions.iter().find_map(|action| match action {
+    actions.extend(fixture.handle(LedgerEvent::Stopped { job: "study-1".into(), epoch: 1 }));
+    let expired = actions.iter().find_map(|action| match action {
         LedgerAction::Report(report) if report.state == TaskState::Lapsed => Some(report),
         _ => None,
     });
-    assert_eq!(lapsed.expect("the lapse is reported").checkpoint.as_str(), "cp-1");
+    assert_eq!(expired.expect("the expiry is reported").checkpoint.as_str(), "cp-1");
 }
 
-// A VM is lost without a word. What its study did since the last checkpoint is lost with it, so there
-// must be one every few minutes.
+// A VM fails without notice. The work that its tasks did since their last checkpoint is lost, so
+// tasks must be checkpointed regularly.
 #[test]
-fn a_long_study_is_checkpointed_now_and_then() {
-    let mut bench = Bench::ready();
-    bench.run("study-1", 1);
+fn a_long_task_is_checkpointed_every_two_minutes() {
+    let mut fixture = Fixture::ready();
+    fixture.start_task("study-1", 1);
     let mut written = 0;
     for _ in 0..600 {
-        bench.now += 1_000;
-        bench.hold(1);
-        written += checkpoints(&bench.tell(LedgerEvent::Tick));
+        fixture.now += 1_000;
+        fixture.extend_lease(1);
+        written += checkpoint_count(&fixture.handle(LedgerEvent::Tick));
     }
     assert_eq!(written, 5, "one every two minutes");
 }
 
 #[derive(Debug, Clone)]
-enum Step {
+enum Operation {
     Start(u8, u64, u64),
     Started(u8),
     Done(u8),
@@ -403,39 +414,39 @@
     Usage(u8, u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     let job = 0..5_u8;
     prop_oneof![
-        4 => (job.clone(), 1..4_u64, 1..3_000_u64).prop_map(|(j, e, c)| Step::Start(j, e, c)),
-        2 => job.clone().prop_map(Step::Started),
-        2 => job.clone().prop_map(Step::Done),
-        2 => job.clone().prop_map(Step::Settle),
-        1 => job.clone().prop_map(Step::Stop),
-        1 => job.clone().prop_map(Step::Stopped),
-        2 => (job, 1..3_500_u64).prop_map(|(j, c)| Step::Usage(j, c)),
+        4 => (job.clone(), 1..4_u64, 1..3_000_u64).prop_map(|(j, e, c)| Operation::Start(j, e, c)),
+        2 => job.clone().prop_map(Operation::Started),
+        2 => job.clone().prop_map(Operation::Done),
+        2 => job.clone().prop_map(Operation::Settle),
+        1 => job.clone().prop_map(Operation::Stop),
+        1 => job.clone().prop_map(Operation::Stopped),
+        2 => (job, 1..3_500_u64).prop_map(|(j, c)| Operation::Usage(j, c)),
     ]
 }
 
-/// Live runs as job, epoch and size, and every run ever heard of.
+/// Live tasks as epoch and size by job, and the job and epoch of every run ever ordered.
 #[derive(Default)]
-struct Naive {
-    live: BTreeMap<u8, (u64, u64)>,
-    known: BTreeSet<(u8, u64)>,
+struct ReferenceLedger {
+    live_tasks: BTreeMap<u8, (u64, u64)>,
+    known_runs: BTreeSet<(u8, u64)>,
 }
 
-impl Naive {
+impl ReferenceLedger {
     fn start(&mut self, job: u8, epoch: u64, size: u64) -> bool {
-        if self.known.iter().any(|&(other, at)| other == job && at >= epoch) {
+        if self.known_runs.iter().any(|&(other, known)| other == job && known >= epoch) {
             return false;
         }
-        if self.live.contains_key(&job) {
+        if self.live_tasks.contains_key(&job) {
             return false;
         }
-        self.known.insert((job, epoch));
-        let held: u64 = self.live.values().map(|(_, size)| size).sum();
-        let fits = held + size <= CAPACITY.milli_cpus;
+        self.known_runs.insert((job, epoch));
+        let allocated: u64 = self.live_tasks.values().map(|(_, size)| size).sum();
+        let fits = allocated + size <= CAPACITY.milli_cpus;
         if fits {
-            self.live.insert(job, (epoch, size));
+            self.live_tasks.insert(job, (epoch, size));
         }
         fits
     }
@@ -443,64 +454,68 @@
 
 proptest! {
     #[test]
-    fn the_ledger_agrees_with_the_naive_account(steps in prop::collection::vec(step(), 0..80)) {
-        let mut bench = Bench::ready();
-        let mut naive = Naive::default();
-        for step in steps {
-            bench.now += 1_100;
-            bench.hold(1);
+    fn the_ledger_matches_the_reference_ledger(
+        operations in prop::collection::vec(operation(), 0..80),
+    ) {
+        let mut fixture = Fixture::ready();
+        let mut reference = ReferenceLedger::default();
+        for operation in operations {
+            fixture.now += 1_100;
+            fixture.extend_lease(1);
             let name = |job: u8| Name::from(format!("job-{job}"));
-            let epoch = |naive: &Naive, job: u8| {
-                let known = naive.known.iter().filter(|(other, _)| *other == job);
-                known.map(|(_, epoch)| *epoch).max().unwrap_or(1)
+            let latest_epoch = |reference: &ReferenceLedger, job: u8| {
+                let known_runs = reference.known_runs.iter().filter(|(other, _)| *other == job);
+                known_runs.map(|(_, epoch)| *epoch).max().unwrap_or(1)
             };
-            match step {
-                Step::Start(job, epoch, size) => {
-                    let started = starts(&bench.start(1, &name(job), epoch, size));
-                    prop_assert_eq!(started, naive.start(job, epoch, size));
+            match operation {
+                Operation::Start(job, epoch, size) => {
+                    let started = contains_start(&fixture.order_start(1, &name(job), epoch, size));
+                    prop_assert_eq!(started, reference.start(job, epoch, size));
                 }
-                Step::Started(job) => {
-                    let epoch = epoch(&naive, job);
-                    bench.tell(LedgerEvent::Started { job: name(job), epoch });
+                Operation::Started(job) => {
+                    let epoch = latest_epoch(&reference, job);
+                    fixture.handle(LedgerEvent::Started { job: name(job), epoch });
                 }
-                Step::Usage(job, used) => {
-                    let Some((epoch, size)) = naive.live.get_mut(&job) else { continue };
+                Operation::Usage(job, used) => {
+                    let Some((epoch, size)) = reference.live_tasks.get_mut(&job) else { continue };
                     *size = (*size).max(used);
                     let usage = Resources { milli_cpus: used, ..Resources::default() };
                     let mut listed = vec![WorkerTask { usage, ..running(&name(job), *epoch) }];
-                    let others = naive.live.iter().filter(|(other, _)| **other != job);
-                    listed.extend(others.map(|(other, (at, _))| running(&name(*other), *at)));
-                    bench.list(&listed);
+                    let others = reference.live_tasks.iter().filter(|(other, _)| **other != job);
+                    listed.extend(others.map(|(j, (epoch, _))| running(&name(*j), *epoch)));
+                    fixture.receive_list(&listed);
                 }
-                Step::Done(job) => {
-                    let Some((epoch, _)) = naive.live.remove(&job) else { continue };
+                Operation::Done(job) => {
+                    let Some((epoch, _)) = reference.live_tasks.remove(&job) else { continue };
                     let done = WorkerTask { state: TaskState::Done, ..running(&name(job), epoch) };
                     let mut listed = vec![done];
-                    listed.extend(naive.live.iter().map(|(j, (at, _))| running(&name(*j), *at)));
-                    bench.list(&listed);
+                    listed.extend(
+                        reference.live_tasks.iter().map(|(j, (epoch, _))| running(&name(*j), *epoch)),
+                    );
+                    fixture.receive_list(&listed);
                 }
-                Step::Settle(job) => {
-                    let order = order(1, &name(job), epoch(&naive, job));
-                    bench.tell(LedgerEvent::Settled(order));
+                Operation::Settle(job) => {
+                    let run = task_ref(1, &name(job), latest_epoch(&reference, job));
+                    fixture.handle(LedgerEvent::Settled(run));
                 }
-                Step::Stop(job) => {
-                    let at = epoch(&naive, job);
-                    naive.known.insert((job, at));
-                    bench.tell(LedgerEvent::Stop(order(1, &name(job), at)));
-                    if naive.live.remove(&job).is_some() {
-                        let started = LedgerEvent::Started { job: name(job), epoch: at };
-                        bench.tell(started);
-                        bench.tell(LedgerEvent::Stopped { job: name(job), epoch: at });
+                Operation::Stop(job) => {
+                    let epoch = latest_epoch(&reference, job);
+                    reference.known_runs.insert((job, epoch));
+                    fixture.handle(LedgerEvent::Stop(task_ref(1, &name(job), epoch)));
+                    if reference.live_tasks.remove(&job).is_some() {
+                        let started = LedgerEvent::Started { job: name(job), epoch };
+                        fixture.handle(started);
+                        fixture.handle(LedgerEvent::Stopped { job: name(job), epoch });
                     }
                 }
-                Step::Stopped(job) => {
-                    let epoch = epoch(&naive, job);
-                    bench.tell(LedgerEvent::Stopped { job: name(job), epoch });
+                Operation::Stopped(job) => {
+                    let epoch = latest_epoch(&reference, job);
+                    fixture.handle(LedgerEvent::Stopped { job: name(job), epoch });
                 }
             }
-            let held: u64 = naive.live.values().map(|(_, size)| size).sum();
-            prop_assert_eq!(bench.ledger.reserved().milli_cpus, held);
-            prop_assert_eq!(bench.ledger.live_tasks(), naive.live.len());
+            let allocated: u64 = reference.live_tasks.values().map(|(_, size)| size).sum();
+            prop_assert_eq!(fixture.ledger.reserved().milli_cpus, allocated);
+            prop_assert_eq!(fixture.ledger.live_tasks(), reference.live_tasks.len());
         }
     }
 }
--- a/crates/geraniumpost-core/tests/jobs_record.rs
+++ b/crates/geraniumpost-core/tests/jobs_record.rs
@@ -1,4 +1,4 @@
-//! The life of one job, compared with a naive table of states.
+//! The state machine of a job record, compared with a reference table, and the encoding of buckets.
 
 use assert_matches::assert_matches;
 use geraniumpost_core::jobs::{
@@ -19,45 +19,47 @@
     JobRecord::new(spec, 1_000)
 }
 
-fn assigned() -> JobRecord {
+fn assigned_record() -> JobRecord {
     let mut job = record("study-7");
     job.apply(Transition::Assign { worker: "agent-1".into() }, 2_000).expect("pending");
     job
 }
 
-macro_rules! ends_of_a_run {
-    ($($case:ident: $step:expr => $state:ident, epoch $epoch:expr;)*) => {$(
+macro_rules! run_end_cases {
+    ($($case:ident: $transition:expr => $state:ident, epoch $epoch:expr;)*) => {$(
         #[test]
         fn $case() {
-            let mut job = assigned();
-            assert_eq!(job.apply($step, 3_000), Ok(JobState::$state));
+            let mut job = assigned_record();
+            assert_eq!(job.apply($transition, 3_000), Ok(JobState::$state));
             assert_eq!(job.epoch(), $epoch);
-            let mut cancelled = assigned();
+            let mut cancelled = assigned_record();
             cancelled.apply(Transition::Cancel, 2_500).expect("assigned");
-            assert_eq!(cancelled.apply($step, 3_000), Ok(JobState::Cancelled));
-            assert_eq!(cancelled.result(), "", "a result after the cancellation is not taken");
+            assert_eq!(cancelled.apply($transition, 3_000), Ok(JobState::Cancelled));
+            assert_eq!(cancelled.result(), "", "a result after the cancellation is discarded");
         }
     )*};
 }
 
-ends_of_a_run! {
-    a_completion_finishes: Transition::Complete { result: "ok".into() } => Done, epoch 1;
-    an_eviction_requeues: Transition::Evicted { checkpoint: "cp".into() } => Pending, epoch 2;
-    a_refusal_requeues: Transition::Refused { not_before_ms: 5 } => Pending, epoch 2;
-    a_loss_requeues: Transition::Lost { checkpoint: "cp".into() } => Pending, epoch 2;
-    a_failure_requeues: failure(2) => Pending, epoch 2;
-    the_last_failure_finishes: failure(1) => Failed, epoch 1;
+run_end_cases! {
+    a_completion_finishes_the_job: Transition::Complete { result: "ok".into() } => Done, epoch 1;
+    an_eviction_requeues_the_job: Transition::Evicted { checkpoint: "cp".into() }
+        => Pending, epoch 2;
+    a_refusal_requeues_the_job: Transition::Refused { not_before_ms: 5 } => Pending, epoch 2;
+    a_loss_requeues_the_job: Transition::Lost { checkpoint: "cp".into() } => Pending, epoch 2;
+    a_failure_requeues_the_job: failure(2) => Pending, epoch 2;
+    the_last_failure_fails_the_job: failure(1) => Failed, epoch 1;
 }
 
 fn failure(max_attempts: u32) -> Transition {
     Transition::RunFailed { reason: "exit 1".into(), max_attempts, not_before_ms: 9_000 }
 }
 
-// A run reports its completion a second time, or after its job was cancelled, because the first
-// report or its answer was lost. The customer would see a result replaced or a cancelled job done.
+// A run reports its completion twice, or after its job was cancelled, because the first report or
+// its response was lost. Without the rejection the customer would see a result replaced or a
+// cancelled job done.
 #[test]
-fn a_finished_job_takes_nothing_more() {
-    let mut job = assigned();
+fn a_finished_job_rejects_further_transitions() {
+    let mut job = assigned_record();
     job.apply(Transition::Complete { result: "first".into() }, 3_000).expect("assigned");
     let again = job.apply(Transition::Complete { result: "second".into() }, 4_000);
     assert_matches!(again, Err(TransitionError::Finished));
@@ -66,9 +68,9 @@
 }
 
 #[test]
-fn a_bucket_reads_back_what_it_wrote() {
+fn an_encoded_bucket_decodes_to_the_same_records() {
     let mut bucket = Bucket::default();
-    let mut done = assigned();
+    let mut done = assigned_record();
     done.apply(Transition::Complete { result: "a \"quoted\" line\n".into() }, 3_000).expect("ok");
     bucket.put(done.clone());
     bucket.put(record("study-8"));
@@ -79,12 +81,12 @@
     assert!(value.len().abs_diff(read.bytes()) < 200);
 }
 
-// A customer repeats a submission long after its job finished, when the record is already gone. The
-// job would run a second time and the regulator would get two results.
+// A customer repeats a submission long after its job finished, when the record has been dropped.
+// Without the tombstone the job would run a second time and produce a second result.
 #[test]
 fn a_dropped_record_leaves_a_tombstone() {
     let mut bucket = Bucket::default();
-    let mut done = assigned();
+    let mut done = assigned_record();
     done.apply(Transition::Complete { result: String::new() }, 3_000).expect("assigned");
     bucket.put(done);
     assert_eq!(bucket.drop_finished_before(3_000), 0);
@@ -95,10 +97,10 @@
     assert!(!read.has_tombstone("study-8"));
 }
 
-// Submissions fill a store value until the store refuses it. From then on no result in it could be
-// recorded, and finished studies would run again.
+// Submissions fill a bucket until the store refuses its value. From then on no result in it could
+// be recorded, and finished jobs would run again.
 #[test]
-fn a_bucket_is_full_before_its_value_is_too_large() {
+fn a_bucket_is_full_before_its_value_exceeds_the_store_limit() {
     let mut bucket = Bucket::default();
     let mut count = 0;
     while !bucket.is_full(400) {
@@ -117,7 +119,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Step {
+enum Operation {
     Assign,
     Evict,
     Refuse,
@@ -127,90 +129,96 @@
     Cancel,
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    use Step::{Assign, Cancel, Complete, Evict, Fail, Lose, Refuse};
+fn operation() -> impl Strategy<Value = Operation> {
+    use Operation::{Assign, Cancel, Complete, Evict, Fail, Lose, Refuse};
     prop_oneof![
         5 => Just(Assign), 2 => Just(Evict), 2 => Just(Refuse), 2 => Just(Lose),
         2 => Just(Fail), 1 => Just(Complete), 1 => Just(Cancel),
     ]
 }
 
-/// What a reader of the rules would write down: words for states, and two counts.
+/// Reference model of a job record: the state by name, the number of requeued runs and of failures.
 #[derive(Debug, PartialEq)]
-struct Naive {
+struct ReferenceRecord {
     state: &'static str,
-    runs_ended: u64,
+    requeued_runs: u64,
     failures: u32,
 }
 
-impl Naive {
-    fn apply(&mut self, step: &Step) -> bool {
-        let (state, ended) = match (self.state, step) {
-            ("pending", Step::Assign) => ("assigned", false),
-            ("pending" | "cancel wanted", Step::Cancel) => {
-                (if self.state == "pending" { "cancelled" } else { "cancel wanted" }, false)
+impl ReferenceRecord {
+    fn apply(&mut self, operation: &Operation) -> bool {
+        let (state, requeued) = match (self.state, operation) {
+            ("pending", Operation::Assign) => ("assigned", false),
+            ("pending" | "cancelling", Operation::Cancel) => {
+                (if self.state == "pending" { "cancelled" } else { "cancelling" }, false)
             }
-            ("assigned", Step::Cancel) => ("cancel wanted", false),
-            ("assigned", Step::Complete) => ("done", false),
-            ("assigned", Step::Fail) => {
+            ("assigned", Operation::Cancel) => ("cancelling", false),
+            ("assigned", Operation::Complete) => ("done", false),
+            ("assigned", Operation::Fail) => {
                 self.failures += 1;
                 if self.failures == 3 { ("failed", false) } else { ("pending", true) }
             }
-            ("assigned", Step::Evict | Step::Refuse | Step::Lose) => ("pending", true),
-            ("cancel wanted", Step::Assign) => return false,
-            ("cancel wanted", _) => ("cancelled", false),
+            ("assigned", Operation::Evict | Operation::Refuse | Operation::Lose) => {
+                ("pending", true)
+            }
+            ("cancelling", Operation::Assign) => return false,
+            ("cancelling", _) => ("cancelled", false),
             _ => return false,
         };
         self.state = state;
-        self.runs_ended += u64::from(ended);
+        self.requeued_runs += u64::from(requeued);
         true
     }
 }
 
-fn word(state: JobState) -> &'static str {
+fn state_name(state: JobState) -> &'static str {
     match state {
         JobState::Pending => "pending",
         JobState::Assigned => "assigned",
-        JobState::Cancelling => "cancel wanted",
+        JobState::Cancelling => "cancelling",
         JobState::Done => "done",
         JobState::Failed => "failed",
         JobState::Cancelled => "cancelled",
     }
 }
 
-fn transition(step: &Step) -> Transition {
-    match step {
-        Step::Assign => Transition::Assign { worker: "agent-1".into() },
-        Step::Evict => Transition::Evicted { checkpoint: "cp".into() },
-        Step::Refuse => Transition::Refused { not_before_ms: 5 },
-        Step::Lose => Transition::Lost { checkpoint: "".into() },
-        Step::Fail => failure(3),
-        Step::Complete => Transition::Complete { result: "ok".into() },
-        Step::Cancel => Transition::Cancel,
+fn transition(operation: &Operation) -> Transition {
+    match operation {
+        Operation::Assign => Transition::Assign { worker: "agent-1".into() },
+        Operation::Evict => Transition::Evicted { checkpoint: "cp".into() },
+        Operation::Refuse => Transition::Refused { not_before_ms: 5 },
+        Operation::Lose => Transition::Lost { checkpoint: "".into() },
+        Operation::Fail => failure(3),
+        Operation::Complete => Transition::Complete { result: "ok".into() },
+        Operation::Cancel => Transition::Cancel,
     }
 }
 
 proptest! {
     #[test]
-    fn a_record_agrees_with_the_naive_table(steps in prop::collection::vec(step(), 0..60)) {
+    fn a_record_matches_the_reference_table(
+        operations in prop::collection::vec(operation(), 0..60),
+    ) {
         let mut job = record("study-7");
-        let mut naive = Naive { state: "pending", runs_ended: 0, failures: 0 };
-        for step in &steps {
-            let applied = job.apply(transition(step), 5).is_ok();
-            prop_assert_eq!(applied, naive.apply(step), "{:?}", step);
-            prop_assert_eq!(word(job.state()), naive.state);
-            prop_assert_eq!(job.epoch(), naive.runs_ended + 1);
-            prop_assert_eq!(job.attempts(), naive.failures);
+        let mut reference = ReferenceRecord { state: "pending", requeued_runs: 0, failures: 0 };
+        for operation in &operations {
+            let applied = job.apply(transition(operation), 5).is_ok();
+            prop_assert_eq!(applied, reference.apply(operation), "{:?}", operation);
+            prop_assert_eq!(state_name(job.state()), reference.state);
+            prop_assert_eq!(job.epoch(), reference.requeued_runs + 1);
+            prop_assert_eq!(job.attempts(), reference.failures);
         }
     }
 
     #[test]
-    fn no_bytes_panic_the_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..200),
+    ) {
         let _ = Bucket::decode(&bytes);
     }
 
     #[test]
-    fn every_id_has_a_bucket(id in "\\PC{0,40}") {
+    fn every_id_maps_to_an_existing_bucket(id in "\\PC{0,40}") {
         prop_assert!(bucket_of(&id) < geraniumpost_core::jobs::BUCKETS);
     }
 }
