--- a/crates/geraniumpost-core/tests/config_change.rs
+++ b/crates/geraniumpost-core/tests/config_change.rs
@@ -123,8 +123,8 @@
 }
 
 /// Two operators change the document at once while responses are lost, writes are delayed and the
-/// store fails. An operator who received "committed" for a change that was not written would rely on
-/// a limit that is not in force; one who received "conflict" for a written change would overwrite
+/// store fails. An operator who received "committed" for a change that was not written would rely
+/// on a limit that is not in force; one who received "conflict" for a written change would overwrite
 /// another operator's.
 fn check_reported_outcomes(steps: Vec<(bool, StoreMode)>) -> Result<(), TestCaseError> {
     let mut store = ReferenceStore::default();
--- a/crates/geraniumpost-core/tests/jobs_world/agent.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/agent.rs
@@ -2,31 +2,31 @@
 use geraniumpost_core::jobs::{LedgerAction, LedgerConfig, LedgerEvent, VmLedger};
 use geraniumpost_schema::{AgentState, Heartbeat, Load, Name, Resources};
 
-use crate::worker::{LEASE_MS, Worker};
+use crate::worker::{WORKER_LEASE_MS, Worker};
 
 pub const CAPACITY: Resources = Resources { milli_cpus: 4_000, memory_mb: 4_000, accelerators: 0 };
 
-/// An agent process beside its worker.
+/// An agent process and the worker of its VM.
 pub struct Agent {
     pub name: Name,
     pub incarnation: u64,
     pub ledger: VmLedger,
     pub worker: Worker,
-    pub frozen_until: u64,
+    pub paused_until: u64,
     pub down_until: u64,
-    /// Events that came while the process was frozen.
+    /// Events that arrived while the process was paused.
     pub inbox: Vec<LedgerEvent>,
     pub sequence: u64,
 }
 
 impl Agent {
-    pub fn new(at: usize) -> Self {
+    pub fn new(index: usize) -> Self {
         Self {
-            name: format!("agent-{at}").into(),
+            name: format!("agent-{index}").into(),
             incarnation: 1,
             ledger: ledger(1),
             worker: Worker::default(),
-            frozen_until: 0,
+            paused_until: 0,
             down_until: 0,
             inbox: Vec::new(),
             sequence: 0,
@@ -37,17 +37,18 @@
         self.incarnation += 1;
         self.ledger = ledger(self.incarnation);
         self.inbox.clear();
-        self.frozen_until = 0;
+        self.paused_until = 0;
     }
 
+    /// Restarts the agent on an empty VM, which is down for 3 s.
     pub fn lose_vm(&mut self, now: u64) {
         self.restart();
-        self.worker.lose_all();
+        self.worker.lose_tasks();
         self.down_until = now + 3_000;
     }
 
     pub const fn is_up(&self, now: u64) -> bool {
-        now >= self.down_until && now >= self.frozen_until
+        now >= self.down_until && now >= self.paused_until
     }
 
     pub fn handle(&mut self, event: LedgerEvent, now: u64) -> Vec<LedgerAction> {
@@ -81,7 +82,7 @@
 
 fn ledger(incarnation: u64) -> VmLedger {
     let config = LedgerConfig {
-        worker_lease_ms: LEASE_MS,
+        worker_lease_ms: WORKER_LEASE_MS,
         list_ms: 300,
         repeat_ms: 300,
         usage_ms: 1_000,
--- a/crates/geraniumpost-core/tests/jobs_world/entry.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
@@ -6,55 +6,56 @@
 use geraniumpost_core::placement::Placer;
 use geraniumpost_schema::Document;
 
-use crate::worker::LEASE_MS;
+use crate::worker::WORKER_LEASE_MS;
 
-pub const HOLD_MS: u64 = 3_000;
+pub const AGENT_LEASE_MS: u64 = 3_000;
 pub const OUTAGE_HOLD_MS: u64 = 8_000;
 
-/// An entry process: a lease, and a planner while it holds it.
+/// An entry process with its planner lease, and a planner while it holds the lease.
 pub struct Entry {
-    pub at: usize,
+    pub index: usize,
     pub incarnation: u64,
     pub lease: PlannerLease,
     pub planner: Option<Planner>,
     pub placer: Placer,
-    pub frozen_until: u64,
-    pub cut_until: u64,
+    pub paused_until: u64,
+    pub store_cut_until: u64,
     pub down_until: u64,
-    /// Agents' incarnations that a link is up to.
+    /// For each agent, the incarnation to which a link is up.
     pub links: [Option<u64>; 3],
-    pub last_place: u64,
+    pub last_placement: u64,
 }
 
 impl Entry {
-    pub fn new(at: usize, incarnation: u64) -> Self {
+    pub fn new(index: usize, incarnation: u64) -> Self {
         Self {
-            at,
+            index,
             incarnation,
-            lease: PlannerLease::new(holder(at, incarnation), lease_config()),
+            lease: PlannerLease::new(holder(index, incarnation), lease_config()),
             planner: None,
             placer: Placer::new(&document()),
-            frozen_until: 0,
-            cut_until: 0,
+            paused_until: 0,
+            store_cut_until: 0,
             down_until: 0,
             links: [None; 3],
-            last_place: 0,
+            last_placement: 0,
         }
     }
 
+    /// Replaces the process by a new incarnation, which is down for 1 s.
     pub fn kill(&mut self, now: u64) {
-        *self = Self { down_until: now + 1_000, ..Self::new(self.at, self.incarnation + 1) };
+        *self = Self { down_until: now + 1_000, ..Self::new(self.index, self.incarnation + 1) };
     }
 
     pub const fn is_up(&self, now: u64) -> bool {
-        now >= self.down_until && now >= self.frozen_until
+        now >= self.down_until && now >= self.paused_until
     }
 
-    pub fn lease(&mut self, event: LeaseEvent, now: u64) -> Vec<LeaseAction> {
+    pub fn handle_lease_event(&mut self, event: LeaseEvent, now: u64) -> Vec<LeaseAction> {
         let actions = self.lease.handle(event, Millis(now));
         for action in &actions {
             match action {
-                LeaseAction::Acquired(takeover) => self.plan(takeover),
+                LeaseAction::Acquired(takeover) => self.start_planner(takeover),
                 LeaseAction::Lost(_) => self.planner = None,
                 _ => {}
             }
@@ -62,10 +63,10 @@
         actions
     }
 
-    fn plan(&mut self, takeover: &Takeover) {
+    fn start_planner(&mut self, takeover: &Takeover) {
         let config = PlannerConfig {
             commit_ms: 100,
-            worker_lease_ms: LEASE_MS,
+            worker_lease_ms: WORKER_LEASE_MS,
             resend_ms: 300,
             drift_margin_ms: 200,
             settling_ms: 1_000,
@@ -84,21 +85,26 @@
         self.lease.role(Millis(now))
     }
 
-    pub fn plan_event(&mut self, event: PlannerEvent, moment: Now) -> Vec<PlannerAction> {
-        let standing = self.lease.role(moment.clock);
+    pub fn handle_planner_event(&mut self, event: PlannerEvent, clocks: Now) -> Vec<PlannerAction> {
+        let role = self.lease.role(clocks.clock);
         match &mut self.planner {
-            Some(planner) => planner.handle(event, standing, moment),
+            Some(planner) => planner.handle(event, role, clocks),
             None => Vec::new(),
         }
     }
 }
 
-pub fn holder(at: usize, incarnation: u64) -> LeaseHolder {
-    LeaseHolder::new(format!("entry-{at}").into(), incarnation)
+pub fn holder(index: usize, incarnation: u64) -> LeaseHolder {
+    LeaseHolder::new(format!("entry-{index}").into(), incarnation)
 }
 
 fn lease_config() -> LeaseConfig {
-    LeaseConfig { ttl_ms: 2_000, poll_ms: 500, outage_hold_ms: OUTAGE_HOLD_MS, hold_ms: HOLD_MS }
+    LeaseConfig {
+        ttl_ms: 2_000,
+        poll_ms: 500,
+        outage_hold_ms: OUTAGE_HOLD_MS,
+        hold_ms: AGENT_LEASE_MS,
+    }
 }
 
 pub fn document() -> Document {
@@ -106,5 +112,5 @@
         "customers": {"entel": {"token_sha256": "0", "quota": {}}},
         "services": {}, "classes": {"study": {}}, "domains": {}, "operators": {}
     }))
-    .expect("a document")
+    .expect("a valid document")
 }
--- a/crates/geraniumpost-core/tests/jobs_world/store.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/store.rs
@@ -1,12 +1,12 @@
 use std::collections::BTreeMap;
 
-/// Outcome of a call as its caller sees it.
+/// Response to a call as its caller sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum Response {
     Read(Option<(u64, Vec<u8>)>),
     Granted(u64),
     Written(Option<u64>),
-    Kept(bool),
+    KeptAlive(bool),
     Failed,
 }
 
@@ -19,41 +19,46 @@
     Revoke(u64),
 }
 
-/// A key-value service with compare-and-swap and leases that counts its calls.
+/// A key-value store with compare-and-swap and leases, which counts its calls.
 #[derive(Debug, Default)]
 pub struct Store {
+    /// Revision, value and attached lease by key.
     values: BTreeMap<String, (u64, Vec<u8>, Option<u64>)>,
+    /// Expiry and time to live by lease.
     leases: BTreeMap<u64, (u64, u64)>,
     revision: u64,
     pub reads: u64,
     pub writes: u64,
+    /// Writes that the simulation has not inspected yet.
     pub written: Vec<(String, Vec<u8>)>,
 }
 
 impl Store {
-    pub fn run(&mut self, call: Call, now: u64) -> Answer {
+    pub fn handle(&mut self, call: Call, now: u64) -> Response {
         self.expire(now);
         match call {
             Call::Get(key) => {
                 self.reads += 1;
-                Answer::Read(self.values.get(&key).map(|(at, value, _)| (*at, value.clone())))
+                Response::Read(
+                    self.values.get(&key).map(|(revision, value, _)| (*revision, value.clone())),
+                )
             }
             Call::Put { key, value, expected, lease } => self.put(key, value, expected, lease),
             Call::Grant(ttl) => {
                 self.writes += 1;
                 self.revision += 1;
                 self.leases.insert(self.revision, (now + ttl, ttl));
-                Answer::Granted(self.revision)
+                Response::Granted(self.revision)
             }
             Call::KeepAlive(lease) => {
                 self.writes += 1;
                 let known = self.leases.get_mut(&lease).map(|(until, ttl)| *until = now + *ttl);
-                Answer::Kept(known.is_some())
+                Response::KeptAlive(known.is_some())
             }
             Call::Revoke(lease) => {
                 self.leases.remove(&lease);
                 self.expire(now);
-                Answer::Failed
+                Response::Failed
             }
         }
     }
@@ -64,16 +69,16 @@
         value: Vec<u8>,
         expected: Option<u64>,
         lease: Option<u64>,
-    ) -> Answer {
+    ) -> Response {
         self.writes += 1;
-        let found = self.values.get(&key).map(|(at, ..)| *at);
+        let found = self.values.get(&key).map(|(revision, ..)| *revision);
         if found != expected || lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-            return Answer::Written(None);
+            return Response::Written(None);
         }
         self.revision += 1;
         self.written.push((key.clone(), value.clone()));
         self.values.insert(key, (self.revision, value, lease));
-        Answer::Written(Some(self.revision))
+        Response::Written(Some(self.revision))
     }
 
     fn expire(&mut self, now: u64) {
--- a/crates/geraniumpost-core/tests/jobs_world/worker.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/worker.rs
@@ -4,54 +4,61 @@
 use geraniumpost_core::placement::amounts;
 use geraniumpost_schema::{Name, Resources, TaskState};
 
-pub const LEASE_MS: u64 = 2_000;
+pub const WORKER_LEASE_MS: u64 = 2_000;
 
 #[derive(Debug, Clone)]
-struct Running {
+struct TaskEntry {
     task: WorkerTask,
     need: Resources,
     lease_until: u64,
     ends_at: u64,
 }
 
-/// A worker that runs tasks under leases and ends them itself when they lapse.
+/// A worker that runs tasks under leases and ends a task whose lease has expired.
 #[derive(Debug, Default)]
 pub struct Worker {
-    tasks: BTreeMap<(Name, u64), Running>,
+    /// Tasks by job and epoch, also ended ones.
+    tasks: BTreeMap<(Name, u64), TaskEntry>,
+    /// Job and epoch of every start.
     pub starts: Vec<(Name, u64)>,
 }
 
 impl Worker {
     pub fn advance(&mut self, now: u64) {
-        for running in self.tasks.values_mut() {
-            if running.task.state != TaskState::Running {
+        for entry in self.tasks.values_mut() {
+            if entry.task.state != TaskState::Running {
                 continue;
             }
-            if now >= running.ends_at && running.ends_at <= running.lease_until {
-                running.task.state = TaskState::Done;
-                running.task.result = format!("done by {}", running.task.epoch);
-            } else if now >= running.lease_until {
-                running.task.state = TaskState::Lapsed;
+            if now >= entry.ends_at && entry.ends_at <= entry.lease_until {
+                entry.task.state = TaskState::Done;
+                entry.task.result = format!("done by {}", entry.task.epoch);
+            } else if now >= entry.lease_until {
+                entry.task.state = TaskState::Lapsed;
             }
         }
     }
 
-    /// Loses all tasks with the VM; the record of starts is the test's own.
-    pub fn lose_all(&mut self) {
+    /// Loses all tasks, as when the VM fails. `starts` remains for the checks at the end.
+    pub fn lose_tasks(&mut self) {
         self.tasks.clear();
     }
 
     pub fn running(&self) -> impl Iterator<Item = &WorkerTask> {
-        self.tasks.values().map(|one| &one.task).filter(|task| task.state == TaskState::Running)
+        self.tasks.values().map(|entry| &entry.task).filter(|task| task.state == TaskState::Running)
     }
 
     pub fn load(&self) -> Resources {
-        let running = self.tasks.values().filter(|one| one.task.state == TaskState::Running);
-        running.fold(amounts::NONE, |sum, one| amounts::plus(&sum, &one.need))
+        let running = self.tasks.values().filter(|entry| entry.task.state == TaskState::Running);
+        running.fold(amounts::NONE, |sum, entry| amounts::plus(&sum, &entry.need))
     }
 
-    /// Runs a call and returns its answer.
-    pub fn run(&mut self, call: LedgerAction, now: u64, length: u64) -> Option<LedgerEvent> {
+    /// Performs a call and returns the response, if there is one.
+    pub fn handle(
+        &mut self,
+        call: LedgerAction,
+        now: u64,
+        duration_ms: u64,
+    ) -> Option<LedgerEvent> {
         self.advance(now);
         match call {
             LedgerAction::Start(order) => {
@@ -66,33 +73,34 @@
                         result: String::new(),
                         usage: Resources { milli_cpus: 1, memory_mb: 1, accelerators: 0 },
                     };
-                    let (lease_until, ends_at) = (now + LEASE_MS, now + length);
+                    let (lease_until, ends_at) = (now + WORKER_LEASE_MS, now + duration_ms);
                     self.tasks
-                        .insert(key, Running { task, need: order.need, lease_until, ends_at });
+                        .insert(key, TaskEntry { task, need: order.need, lease_until, ends_at });
                 }
                 Some(LedgerEvent::Started { job: order.job, epoch: order.epoch })
             }
             LedgerAction::Checkpoint { job, epoch } => {
                 let found = self.tasks.get_mut(&(job.clone(), epoch));
-                let Some(one) = found.filter(|one| one.task.state == TaskState::Running) else {
+                let Some(entry) = found.filter(|entry| entry.task.state == TaskState::Running)
+                else {
                     return Some(LedgerEvent::CheckpointFailed { job, epoch });
                 };
                 let checkpoint = Name::from(format!("{job}@{epoch}"));
-                one.task.checkpoint = checkpoint.clone();
+                entry.task.checkpoint = checkpoint.clone();
                 Some(LedgerEvent::Checkpointed { job, epoch, checkpoint })
             }
             LedgerAction::Stop { job, epoch } => {
-                if let Some(one) = self.tasks.get_mut(&(job.clone(), epoch)) {
-                    if one.task.state != TaskState::Running {
+                if let Some(entry) = self.tasks.get_mut(&(job.clone(), epoch)) {
+                    if entry.task.state != TaskState::Running {
                         return None;
                     }
-                    one.task.state = TaskState::Stopped;
+                    entry.task.state = TaskState::Stopped;
                 }
                 Some(LedgerEvent::Stopped { job, epoch })
             }
             LedgerAction::Renew { job, epoch } => {
-                if let Some(one) = self.tasks.get_mut(&(job.clone(), epoch)) {
-                    one.lease_until = now + LEASE_MS;
+                if let Some(entry) = self.tasks.get_mut(&(job.clone(), epoch)) {
+                    entry.lease_until = now + WORKER_LEASE_MS;
                 }
                 Some(LedgerEvent::Renewed { job, epoch })
             }
@@ -106,6 +114,6 @@
 
     pub fn list(&mut self, now: u64) -> Vec<WorkerTask> {
         self.advance(now);
-        self.tasks.values().map(|one| one.task.clone()).collect()
+        self.tasks.values().map(|entry| entry.task.clone()).collect()
     }
 }
