--- a/crates/geraniumpost-core/tests/config_adoption.rs
+++ b/crates/geraniumpost-core/tests/config_adoption.rs
@@ -51,14 +51,17 @@
     /// Gathering ends when the store responds, or at the first tick or document after `GATHER_MS`,
     /// provided that a document has been received.
     fn in_force(&self) -> u64 {
-        let until = self.started + GATHER_MS;
+        let gather_until = self.started + GATHER_MS;
         let highest = self.documents.iter().map(|(_, revision, _)| *revision).max();
         let by_store = self.documents.iter().any(|(_, _, store)| *store);
-        let late = self.documents.iter().any(|(at, ..)| *at >= until);
-        let first = self.documents.iter().map(|(at, ..)| *at).min();
-        let ticked = self.ticks.iter().any(|at| *at >= until && first.is_some_and(|f| f <= *at));
-        let over = by_store || self.store_empty_at.is_some() || late || ticked;
-        if over { highest.unwrap_or(0) } else { 0 }
+        let received_late = self.documents.iter().any(|(at, ..)| *at >= gather_until);
+        let first_at = self.documents.iter().map(|(at, ..)| *at).min();
+        let ticked = self
+            .ticks
+            .iter()
+            .any(|at| *at >= gather_until && first_at.is_some_and(|first| first <= *at));
+        let is_gathered = by_store || self.store_empty_at.is_some() || received_late || ticked;
+        if is_gathered { highest.unwrap_or(0) } else { 0 }
     }
 }
 
@@ -114,8 +117,8 @@
     }
 
     /// Processes learn each other's revisions from heartbeats, some of which are lost, while the
-    /// store is down and processes restart. Once messages arrive again, a process that had
-    /// dismissed or never repeated a fetch would keep an old revision.
+    /// store is down and processes restart. A process that missed an offer or never repeated a
+    /// fetch would keep an old revision even after the losses end.
     #[test]
     fn all_processes_converge_to_the_highest_revision(
         first in prop::collection::vec(0..30_u64, 2..6),
@@ -163,8 +166,8 @@
         cluster
     }
 
-    /// Restarts a process unless it alone has the highest revision, which only the store, now down,
-    /// could restore.
+    /// Restarts a process unless it is the only one with the highest revision, which would be lost
+    /// while the store is down.
     fn restart_unless_highest(&mut self, index: usize, highest: u64) {
         let holders = self.nodes.iter().filter(|node| node.in_force() == highest).count();
         if self.nodes[index].in_force() < highest || holders > 1 {
--- a/crates/geraniumpost-core/tests/jobs_lease.rs
+++ b/crates/geraniumpost-core/tests/jobs_lease.rs
@@ -82,7 +82,7 @@
 }
 
 // A store outage outlasts the lease, and no other process takes over. If the holder did not resume
-// its own term, running tasks would be disturbed without need.
+// its own term, a takeover would disturb running tasks without need.
 #[test]
 fn a_holder_resumes_its_term_after_a_store_outage() {
     let mut lease = leader();
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
@@ -62,19 +62,16 @@
             entries: (0..2).map(|index| Entry::new(index, 1)).collect(),
             agents: (0..3).map(Agent::new).collect(),
             rng: StdRng::seed_from_u64(seed),
-            /// Messages in transit by time of arrival and number.
             messages: BTreeMap::new(),
             messages_sent: 0,
             store_down_until: 0,
             responses_lost_until: 0,
-            /// End of each cut link, by entry and agent.
             link_cuts: BTreeMap::new(),
             eviction_requested: false,
             jobs: BTreeMap::new(),
             accepted: BTreeSet::new(),
             cancel_requests: BTreeSet::new(),
             confirmed_cancellations: BTreeSet::new(),
-            /// Job of each request without a response, and whether the request is a cancellation.
             open_requests: BTreeMap::new(),
             final_states: BTreeMap::new(),
             reliable_network: false,
