--- a/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -17,7 +17,7 @@
 /// Silence of the coordinator after which the store is read for a successor, in milliseconds: one
 /// missing response. A VM without power sends no reset, and entries take over after 0.9 s of
 /// silence. An agent that waits as long would leave its minion without orders for another second.
-const SILENCE_MS: u64 = 700;
+const LOOKUP_SILENCE_MS: u64 = 700;
 /// Pause between two checks of the link.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two reads while the linked coordinator may have a successor.
@@ -34,8 +34,8 @@
 ) {
     let mut store_unreachable = false;
     loop {
-        let linked = state.reported_results().is_some();
-        let silent = state.silent_ms() > SILENCE_MS;
+        let linked = state.reported_result_count().is_some();
+        let silent = state.silent_ms() > LOOKUP_SILENCE_MS;
         let may_be_replaced = state.coordinator_may_be_replaced.load(Ordering::Relaxed);
         if linked && !may_be_replaced && !silent {
             tokio::time::sleep(LINK_CHECK_INTERVAL).await;
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -16,7 +16,7 @@
 /// Interval of heartbeats. A lease of several seconds survives the loss of many.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which the link is reopened, in milliseconds: three missing responses.
-const SILENCE_MS: u64 = 1_700;
+const LINK_SILENCE_TIMEOUT_MS: u64 = 1_700;
 /// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(80);
 /// Age of the minion's last response up to which its lease is extended, in milliseconds. Calls to a
@@ -75,7 +75,7 @@
                 handle(state, message);
             }
             _ = heartbeats.tick() => {
-                if state.silent_ms() > SILENCE_MS {
+                if state.silent_ms() > LINK_SILENCE_TIMEOUT_MS {
                     spdlog::warn!("event=dependency_lost dependency=coordinator why=silent");
                     return;
                 }
@@ -98,7 +98,7 @@
 /// Sends a heartbeat, which requests an extension of the lease; returns false if the link has
 /// closed.
 fn send_heartbeat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
-    let minion_ok = state.answers_within(MAX_MINION_SILENCE_MS);
+    let minion_ok = state.has_responded_within(MAX_MINION_SILENCE_MS);
     let heartbeat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
     tx.send(FromPeer::AgentMessage(heartbeat)).is_ok()
 }
@@ -112,7 +112,7 @@
         ToAgent::Order(order) => {
             tokio::spawn(orders::execute(Arc::clone(state), order));
         }
-        ToAgent::Acknowledge { minion, up_to } => state.acknowledge(&minion, up_to),
-        ToAgent::DepartureRecorded { minion } => state.departure_recorded(&minion),
+        ToAgent::Acknowledge { minion, up_to } => state.record_acknowledged(&minion, up_to),
+        ToAgent::DepartureRecorded { minion } => state.handle_departure_recorded(&minion),
     }
 }
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -70,7 +70,7 @@
 
 /// Waits until a coordinator has recorded every departure.
 async fn await_departures_recorded(state: &State) {
-    while !state.departures_recorded() {
+    while !state.are_departures_recorded() {
         tokio::time::sleep(DEPARTURE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -29,15 +29,15 @@
     let mut has_unacknowledged = false;
     loop {
         let fence = state.fence.load(Ordering::SeqCst);
-        let candidates = state.candidates();
-        if fence == 0 || candidates.is_empty() {
-            let _ = tokio::time::timeout(RETRY_PAUSE, state.wake.notified()).await;
+        let possible_incarnations = state.possible_incarnations();
+        if fence == 0 || possible_incarnations.is_empty() {
+            let _ = tokio::time::timeout(RETRY_PAUSE, state.poll_wakeup.notified()).await;
             continue;
         }
-        for id in candidates {
+        for id in possible_incarnations {
             let unconfirmed = state.current_minion().is_none_or(|current| current.id != id);
             let wait = if unconfirmed || has_unacknowledged { Duration::ZERO } else { POLL_WAIT };
-            let reported_before = state.reported_results();
+            let reported_before = state.reported_result_count();
             let (acknowledged, _) = if unconfirmed { (0, 0) } else { state.end_sequences() };
             let lease_end = if unconfirmed { None } else { state.lease_end() };
             let reply = state
@@ -46,7 +46,7 @@
                 .await;
             match reply {
                 MinionReply::Ok(lists) => {
-                    state.record_answer(&id, lists.clock_ms, BootClock.now_ms());
+                    state.record_response(&id, lists.clock_ms, BootClock.now_ms());
                     has_unacknowledged =
                         report(&state, &id, lists, reported_before, &mut last_full_report_ms);
                 }
@@ -58,7 +58,7 @@
         }
         if has_unacknowledged {
             // The minion would respond at once, because it lists ends that are already reported.
-            let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.wake.notified()).await;
+            let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.poll_wakeup.notified()).await;
             let (acknowledged, reported) = state.end_sequences();
             has_unacknowledged = acknowledged < reported;
         }
@@ -78,14 +78,16 @@
     let has_ends = !lists.ended.is_empty();
     let last_sequence = lists.ended.last().map(|end| end.sequence);
     let Some(orders_reported_before) =
-        reported_before.filter(|_| state.reported_results().is_some())
+        reported_before.filter(|_| state.reported_result_count().is_some())
     else {
         return has_ends;
     };
     let ended: Vec<_> = lists.ended.into_iter().filter(|end| end.sequence > reported).collect();
     let now_ms = BootClock.now_ms();
-    let is_full = state
-        .record_reported(last_sequence, now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS);
+    let is_full = state.record_reported_ends(
+        last_sequence,
+        now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS,
+    );
     if is_full {
         *last_full_report_ms = now_ms;
     } else if ended.is_empty() {
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -11,7 +11,7 @@
 use super::super::{BootClock, FromPeer};
 
 /// Lowest speed of a minion's clock relative to the agent's, in percent.
-const SLOW_CLOCK_PERCENT: u64 = 98;
+const MIN_CLOCK_SPEED_PERCENT: u64 = 98;
 
 /// State that the agent's tasks share.
 #[derive(Debug)]
@@ -24,14 +24,14 @@
     pub fence: AtomicU64,
     /// Notified when ends are acknowledged, a new incarnation is heard of, the link changes or a
     /// new coordinator grants a lease.
-    pub wake: Notify,
+    pub poll_wakeup: Notify,
     /// Notified when a heartbeat should be sent at once: without a lease a new incarnation gets no
     /// work.
     pub heartbeat_now: Notify,
     /// Whether the linked coordinator may have a successor: it reports that it does not reach the
     /// store, or the minion has rejected its fencing token.
     pub coordinator_may_be_replaced: std::sync::atomic::AtomicBool,
-    /// When the coordinator last sent a message over the current link, on the boot clock.
+    /// When the coordinator last sent a message over the current link, on the monotonic clock.
     pub coordinator_heard_ms: AtomicU64,
     lease_end_ms: AtomicU64,
     inner: Mutex<Inner>,
@@ -45,10 +45,10 @@
     unconfirmed: HashMap<Name, MinionInfo>,
     /// Incarnations that have left, until a coordinator has recorded their departure.
     departures: Departures,
-    /// The minion's clock, and the boot clock when that was received.
-    clock: Option<(u64, u64)>,
-    /// When the minion last answered, on the boot clock.
-    minion_answered_ms: u64,
+    /// The minion's clock, and the monotonic clock when that was received.
+    minion_clock: Option<(u64, u64)>,
+    /// When the minion last answered, on the monotonic clock.
+    minion_responded_ms: u64,
     /// Sequence number up to which ends are acknowledged.
     acknowledged: u64,
     /// Sequence number of the last end that was reported over the current link.
@@ -56,7 +56,7 @@
     /// Whether the next poll is reported in full.
     full_report: bool,
     link: Option<LinkSender<FromPeer>>,
-    reported_results: u64,
+    reported_result_count: u64,
 }
 
 impl State {
@@ -66,7 +66,7 @@
             node,
             minion,
             fence: AtomicU64::new(0),
-            wake: Notify::new(),
+            poll_wakeup: Notify::new(),
             heartbeat_now: Notify::new(),
             coordinator_may_be_replaced: std::sync::atomic::AtomicBool::new(false),
             coordinator_heard_ms: AtomicU64::new(0),
@@ -98,7 +98,7 @@
             _ => {
                 inner.unconfirmed.insert(info.id.clone(), info);
                 drop(inner);
-                self.wake.notify_waiters();
+                self.poll_wakeup.notify_waiters();
                 return;
             }
         };
@@ -110,7 +110,7 @@
     }
 
     /// Returns the incarnations that may be running, unconfirmed ones first.
-    pub fn candidates(&self) -> Vec<Name> {
+    pub fn possible_incarnations(&self) -> Vec<Name> {
         let inner = self.lock();
         let current = inner.current.iter().map(|info| info.id.clone());
         inner.unconfirmed.keys().cloned().chain(current).collect()
@@ -118,10 +118,10 @@
 
     /// Records that an incarnation has answered, with the time on its own clock. An unconfirmed
     /// incarnation becomes the current one.
-    pub fn record_answer(&self, id: &Name, clock_ms: u64, received_ms: u64) {
+    pub fn record_response(&self, id: &Name, clock_ms: u64, received_ms: u64) {
         let mut inner = self.lock();
-        inner.clock = Some((clock_ms, received_ms));
-        inner.minion_answered_ms = received_ms;
+        inner.minion_clock = Some((clock_ms, received_ms));
+        inner.minion_responded_ms = received_ms;
         let Some(info) = inner.unconfirmed.remove(id) else { return };
         spdlog::info!("event=minion_confirmed minion={id}");
         inner.current = Some(info.clone());
@@ -158,13 +158,13 @@
     }
 
     /// Handles the coordinator's message that it has recorded a departure.
-    pub fn departure_recorded(&self, id: &Name) {
+    pub fn handle_departure_recorded(&self, id: &Name) {
         self.lock().departures.remove(id);
         spdlog::info!("event=departure_recorded minion={id}");
     }
 
     /// Returns whether a coordinator has recorded all departures.
-    pub fn departures_recorded(&self) -> bool {
+    pub fn are_departures_recorded(&self) -> bool {
         self.lock().departures.is_empty()
     }
 
@@ -174,9 +174,9 @@
     }
 
     /// Returns whether the minion has answered within `ms` milliseconds.
-    pub fn answers_within(&self, ms: u64) -> bool {
+    pub fn has_responded_within(&self, ms: u64) -> bool {
         let inner = self.lock();
-        inner.current.is_some() && BootClock.now_ms().saturating_sub(inner.minion_answered_ms) < ms
+        inner.current.is_some() && BootClock.now_ms().saturating_sub(inner.minion_responded_ms) < ms
     }
 
     /// Extends the lease. It counts from the sending of the heartbeat that is answered, so that a
@@ -184,7 +184,7 @@
     pub fn extend_lease(&self, sent_at_ms: u64, duration_ms: u64, fence: u64) {
         if self.fence.fetch_max(fence, Ordering::SeqCst) < fence {
             spdlog::info!("event=coordinator_accepted fence={fence}");
-            self.wake.notify_waiters();
+            self.poll_wakeup.notify_waiters();
         }
         if fence == self.fence.load(Ordering::SeqCst) && duration_ms > 0 {
             self.lease_end_ms.fetch_max(sent_at_ms + duration_ms, Ordering::SeqCst);
@@ -193,25 +193,25 @@
 
     /// Returns the end of the lease on the minion's clock, or `None` if it has expired.
     pub fn lease_end(&self) -> Option<u64> {
-        let (clock_ms, received_ms) = self.lock().clock?;
+        let (clock_ms, received_ms) = self.lock().minion_clock?;
         let lease_end_ms = self.lease_end_ms.load(Ordering::SeqCst);
         if lease_end_ms <= BootClock.now_ms() {
             return None;
         }
         let remaining_ms = lease_end_ms.saturating_sub(received_ms);
         // A slow clock takes longer for the same number of milliseconds.
-        Some(clock_ms + remaining_ms * SLOW_CLOCK_PERCENT / 100)
+        Some(clock_ms + remaining_ms * MIN_CLOCK_SPEED_PERCENT / 100)
     }
 
     /// Records that the ends up to a sequence number are committed, so that the minion may forget
     /// them.
-    pub fn acknowledge(&self, minion: &Name, up_to: u64) {
+    pub fn record_acknowledged(&self, minion: &Name, up_to: u64) {
         let mut inner = self.lock();
         if inner.current.as_ref().is_some_and(|current| current.id == *minion) {
             inner.acknowledged = inner.acknowledged.max(up_to);
         }
         drop(inner);
-        self.wake.notify_waiters();
+        self.poll_wakeup.notify_waiters();
     }
 
     /// Returns the sequence numbers of the last acknowledged end and of the last reported one.
@@ -222,7 +222,7 @@
 
     /// Records that the ends up to a sequence number are reported; returns whether this poll is to
     /// be reported in full.
-    pub fn record_reported(&self, last_sequence: Option<u64>, full_report: bool) -> bool {
+    pub fn record_reported_ends(&self, last_sequence: Option<u64>, full_report: bool) -> bool {
         let mut inner = self.lock();
         if let Some(last_sequence) = last_sequence {
             inner.reported = inner.reported.max(last_sequence);
@@ -245,7 +245,7 @@
             send_on_link(&inner, FromAgent::Minion(info));
         }
         drop(inner);
-        self.wake.notify_waiters();
+        self.poll_wakeup.notify_waiters();
     }
 
     /// Returns for how long the coordinator has been silent, in milliseconds.
@@ -254,9 +254,9 @@
     }
 
     /// Returns the number of order results reported so far, or `None` if there is no link.
-    pub fn reported_results(&self) -> Option<u64> {
+    pub fn reported_result_count(&self) -> Option<u64> {
         let inner = self.lock();
-        inner.link.as_ref().map(|_| inner.reported_results)
+        inner.link.as_ref().map(|_| inner.reported_result_count)
     }
 
     /// Sends a message to the coordinator if there is a link. The next link reports the state
@@ -268,8 +268,8 @@
     /// Sends the result of an order to the coordinator under the next number.
     pub fn send_result(&self, mut result: OrderResult) {
         let mut inner = self.lock();
-        inner.reported_results += 1;
-        result.number = inner.reported_results;
+        inner.reported_result_count += 1;
+        result.number = inner.reported_result_count;
         send_on_link(&inner, FromAgent::Result(result));
     }
 }
@@ -284,7 +284,7 @@
 fn report_departure(inner: &mut Inner, id: &Name) {
     if inner.current.as_ref().is_some_and(|current| current.id == *id) {
         inner.current = None;
-        inner.clock = None;
+        inner.minion_clock = None;
     }
     inner.departures.record_terminated(id);
     let reported = send_on_link(inner, FromAgent::MinionTerminated { minion: id.clone() });
--- a/crates/geraniumpost/src/batch/boot_clock.rs
+++ b/crates/geraniumpost/src/batch/boot_clock.rs
@@ -19,7 +19,7 @@
         time.map_or(0, |time| Duration::from(time).as_millis() as u64)
     }
 
-    /// Returns the present time on the boot clock and on the wall clock.
+    /// Returns the present time on the monotonic clock and on the wall clock.
     pub fn now(self) -> Now {
         Now { steady_ms: self.now_ms(), wall_ms: crate::wall_ms() }
     }
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -1,4 +1,4 @@
-//! An entry as a candidate: follows the current coordinator, and takes over when it is lost.
+//! An entry's candidacy: follows the current coordinator, and takes over when that is lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 
 use super::super::BootClock;
 use super::super::entry::{ActiveConfiguration, LinkState};
-use super::coordinator_loss::{CoordinatorLoss, SILENCE_MS, detect_loss};
+use super::coordinator_loss::{COORDINATOR_LOSS_MS, CoordinatorLoss, detect_loss};
 use super::local_promises::LocalPromises;
-use super::peer_listener::{Inputs, PeerListener};
+use super::peer_listener::{CurrentTermInputs, PeerListener};
 use super::peers::Peers;
 use super::record::CoordinatorRecord;
 use super::term::Term;
@@ -28,19 +28,19 @@
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a failed call to the store, and between two checks of the coordinator.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Upper bound of the random delay before a takeover, in milliseconds. It keeps candidates from
-/// competing for the key.
-const MAX_STAGGER_MS: u64 = 120;
+/// Upper bound of the random part of the delay before a takeover, in milliseconds. Different delays
+/// keep candidates from competing for the key.
+const MAX_RANDOM_DELAY_MS: u64 = 120;
 /// Silence of the coordinator after which an entry that reaches no other entry takes over, in
-/// milliseconds. The wait is long because the entry itself may be partitioned, and would then
-/// replace a coordinator that still serves the agents.
+/// milliseconds. It is long because the entry itself may be partitioned, and would then replace a
+/// coordinator that still serves the agents.
 const ISOLATED_TAKEOVER_MS: u64 = 3_000;
 /// Upper bound of the duration of leases, in milliseconds.
 const MAX_LEASE_MS: u64 = 5_000;
-/// Margin by which leases stay below the longest one that minions accept, in milliseconds.
+/// Margin between the longest lease that minions accept and the lease used, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 500;
 
-/// Competes for the coordinator's key on behalf of one entry.
+/// Follows the coordinator on behalf of one entry, and competes for its key when it is lost.
 pub struct Candidate {
     store: Arc<Store>,
     node: Name,
@@ -62,11 +62,11 @@
 /// Results of earlier reads of the store.
 #[derive(Debug, Default)]
 struct StoreObservations {
-    /// Revision of the coordinator's key at which its holder was found to have ended.
+    /// Revision that the coordinator's key had when its coordinator was last found to have ended.
     ended_revision: Option<u64>,
     /// Whether the last read failed.
     last_read_failed: bool,
-    /// When a read last succeeded after a failed one, on the boot clock.
+    /// Time of the last successful read after a failed one, on the monotonic clock.
     readable_since_ms: Option<u64>,
 }
 
@@ -114,10 +114,10 @@
         Arc::clone(&self.peers)
     }
 
-    /// Runs until the process exits. After a request to stop it only follows the current
+    /// Runs until the process exits. After `stop` turns true, it only follows the current
     /// coordinator, for the callers that are still served, and does not take over.
     pub async fn run(self, listener: TcpListener, stop: watch::Receiver<bool>) {
-        let (inputs_tx, inputs) = watch::channel::<Inputs>(None);
+        let (inputs_tx, inputs) = watch::channel::<CurrentTermInputs>(None);
         let peer_listener = PeerListener {
             inputs,
             confirmed_ms: Arc::clone(&self.confirmed_ms),
@@ -138,10 +138,10 @@
         }
     }
 
-    /// Reads who coordinates, waits until that coordinator is lost, and takes over if allowed.
+    /// Reads the coordinator's key, waits until that coordinator is lost, and takes over if allowed.
     async fn run_once(
         &self,
-        inputs: &watch::Sender<Inputs>,
+        inputs: &watch::Sender<CurrentTermInputs>,
         stop: &watch::Receiver<bool>,
         observations: &mut StoreObservations,
     ) {
@@ -151,19 +151,18 @@
             return self.learn_from_peers().await;
         };
         let Some((record, revision)) = decode_record(item.as_ref()) else {
-            self.stagger().await;
+            self.await_takeover_delay().await;
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         };
         if record.stepped_down {
-            // A second candidate finds the key taken, which costs it only one call.
+            // No random delay: a second candidate finds the key taken, which costs only one call.
             tokio::time::sleep(Duration::from_millis(self.takeover_delay_ms)).await;
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
         if record.node == self.node {
-            // The record is from an earlier process on this VM, or from an earlier term of this
-            // one.
+            // The record is from an earlier process of this entry, or an earlier term of this one.
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
@@ -173,31 +172,31 @@
         if loss == CoordinatorLoss::Ended
             && observations.ended_revision.replace(revision) != Some(revision)
         {
-            // The coordinator is about to record that it stepped down, or has a successor already.
-            // A takeover at this revision would fail, so the key is read again first.
+            // The coordinator may be about to record that it stepped down, or have a successor
+            // already. A takeover at this revision would then fail, so the key is read again first.
             return;
         }
         if self.may_take_over(&record, loss, observations).await {
-            self.stagger().await;
+            self.await_takeover_delay().await;
             self.take_over(item.as_ref(), loss, inputs, stop).await;
         }
     }
 
-    /// Asks the other entries who coordinates. Used while the store does not answer this entry.
+    /// Asks the other entries for the coordinator, while the store does not respond to this entry.
     async fn learn_from_peers(&self) {
         let fence = self.known_coordinator.borrow().map_or(0, |coordinator| coordinator.fence);
-        if let Some(successor) = self.peers.successor(fence).await {
+        if let Some(successor) = self.peers.find_successor(fence).await {
             successor.publish(&self.known_coordinator);
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 
-    async fn stagger(&self) {
-        let pause_ms = self.takeover_delay_ms + rand::rng().random_range(0..MAX_STAGGER_MS);
+    async fn await_takeover_delay(&self) {
+        let pause_ms = self.takeover_delay_ms + rand::rng().random_range(0..MAX_RANDOM_DELAY_MS);
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 
-    /// Waits until the link's state shows that the coordinator is lost.
+    /// Waits until the state of the link shows that the coordinator is lost; returns how.
     async fn wait_for_loss(
         &self,
         coordinator: &KnownCoordinator,
@@ -216,10 +215,10 @@
     }
 
     /// Returns whether this entry may take over. Asks the other entries whether the coordinator
-    /// still answers them.
+    /// still responds to them.
     ///
     /// A partitioned entry loses the coordinator while all others still reach it. If it took over,
-    /// the agents would be bound to a coordinator that none of them can reach, and no job would
+    /// the agents would have to follow a coordinator that none of them can reach, and no job would
     /// start.
     async fn may_take_over(
         &self,
@@ -229,33 +228,37 @@
     ) -> bool {
         let link = *self.link.borrow();
         let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
-        if loss == CoordinatorLoss::Silent && link.failed_connects == 0 && silent_ms < SILENCE_MS {
+        if loss == CoordinatorLoss::Silent
+            && link.failed_connects == 0
+            && silent_ms < COORDINATOR_LOSS_MS
+        {
             // The coordinator reports that it does not reach the store. The store may be
             // unavailable to all entries, so this entry checks that it can read the store itself.
             let is_readable = self.store.get(COORDINATOR_KEY, STORE_CALL_TIMEOUT).await.is_ok();
             observations.record_read(is_readable);
             return link.store_unreachable_since_ms.is_some() && is_readable;
         }
-        let probe_results = self.peers.probe(Some(&record.node)).await;
+        let probe_results = self.peers.probe_others(Some(&record.node)).await;
         if probe_results.iter().any(|result| result.coordinator_responds) {
-            spdlog::info!("event=coordinator_answers_others node={}", record.node);
+            spdlog::info!("event=coordinator_responds_to_others node={}", record.node);
             tokio::time::sleep(RETRY_PAUSE).await;
             return false;
         }
-        let (response_count, other_count) = (probe_results.len(), self.peers.count(&record.node));
+        let (response_count, other_count) =
+            (probe_results.len(), self.peers.count_except(&record.node));
         response_count > 0
             || other_count == 0
             || loss == CoordinatorLoss::Ended
             || silent_ms > ISOLATED_TAKEOVER_MS
     }
 
-    /// Takes over the coordinator's key if it is unchanged since it was read, and coordinates until
-    /// the term ends.
+    /// Takes over the coordinator's key if it has not changed since it was read, and coordinates
+    /// until the term ends.
     async fn take_over(
         &self,
         item: Option<&KeyValue>,
         loss: CoordinatorLoss,
-        inputs: &watch::Sender<Inputs>,
+        inputs: &watch::Sender<CurrentTermInputs>,
         stop: &watch::Receiver<bool>,
     ) {
         if *stop.borrow() {
@@ -273,8 +276,8 @@
         let term_revision = match self.store.commit(&transaction, STORE_CALL_TIMEOUT).await {
             Ok(revision) => revision,
             Err(CommitError::NotApplied(_)) => return tokio::time::sleep(RETRY_PAUSE).await,
-            // The next read shows who holds the key. If an unanswered commit was applied, the key
-            // names this process, and is taken over again.
+            // The next read shows which entry holds the key. If a commit without a response was
+            // applied, the key names this process, and is taken over again.
             Err(CommitError::Conflict(_) | CommitError::Indeterminate(_)) => return,
         };
         let term = Term {
@@ -316,12 +319,12 @@
         // the previous record is lost.
         let revision = item.map_or(0, |item| item.revision);
         let term = previous.as_ref().map_or(0, |previous| previous.term).max(revision) + 1;
-        // The voters of the previous term: no entry has answered in the new one yet.
+        // The voters of the previous term, as no entry has responded in the new one yet.
         let voters_except_self = previous.as_ref().map_or_else(Voters::default, |previous| {
             previous.voters_of(previous.term).without(&self.node)
         });
         let (mut voters, predecessor_leases) = previous.map_or_else(Default::default, |previous| {
-            // A silent coordinator may answer again, and then reports whether it still coordinates.
+            // A silent coordinator may respond again, and then reports whether it still coordinates.
             let silent =
                 (loss == CoordinatorLoss::Silent).then_some((previous.address, previous.term));
             let predecessor_leases =
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -14,21 +14,21 @@
 use super::record::CoordinatorRecord;
 use super::writer::{RETRY_PAUSE, TermLost, Writer};
 
-/// Difference between the recorded and the actual remaining time of a silent coordinator's leases
-/// from which on the key is rewritten, in milliseconds. No batch is written during a rewrite; with
-/// this value about five rewrites are needed until the leases have expired.
+/// The key is rewritten if it overstates the remaining time of a silent coordinator's leases by at
+/// least this, in milliseconds. No batch is written during a rewrite; with this value about five
+/// rewrites are needed until the leases have expired.
 const MAX_OVERSTATEMENT_MS: u64 = 2_500;
 
 impl Writer {
-    /// Returns whether the key records much more time for the leases of silent coordinators than
-    /// they have left. A successor waits for the recorded time from the moment at which it reads
-    /// the key.
+    /// Returns whether the key overstates the remaining time of silent coordinators' leases by
+    /// [`MAX_OVERSTATEMENT_MS`] or more. A successor that reads the key waits for the recorded time
+    /// from that moment on.
     pub(super) fn overstates_leases(&self) -> bool {
         let recorded = &self.record.predecessor_leases.silent;
         if recorded.is_empty() {
             return false;
         }
-        let remaining = self.successor_leases.at(BootClock.now_ms()).silent;
+        let remaining = self.successor_leases.remaining_at(BootClock.now_ms()).silent;
         let overstated = |(address, recorded): (&SocketAddr, &SilentCoordinator)| {
             remaining.get(address).is_none_or(|remaining| {
                 remaining.remaining_ms + MAX_OVERSTATEMENT_MS <= recorded.remaining_ms
@@ -37,22 +37,22 @@
         recorded.iter().any(overstated)
     }
 
-    /// Returns whether the key should name other voters and the store answers. The change is not
-    /// urgent enough to be retried while the store does not answer.
-    pub(super) fn voter_change_is_due(&self) -> bool {
+    /// Returns whether the key should name other voters and the store responds. The change is not
+    /// urgent enough to be retried while the store does not respond.
+    pub(super) fn is_voter_change_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         let store_responds = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
         store_responds && self.support.voters_to_write().is_some()
     }
 
-    /// Rewrites the coordinator's key, so that no earlier write can be applied any longer.
+    /// Rewrites the coordinator's key, so that the store rejects all earlier writes from then on.
     ///
-    /// The store may apply an unanswered write seconds later, after a newer write of the same
-    /// record, and would restore the old value: after the loss of all processes an ended task would
-    /// seem to run. Every write requires the revision of the coordinator's key, so changing it
-    /// invalidates all earlier ones.
+    /// The store may apply a write seconds after its timeout. If a newer write of the same record
+    /// was applied meanwhile, the old value would return, and after the loss of all processes an
+    /// ended task would seem to run. Every write requires the current revision of the coordinator's
+    /// key, which the rewrite changes.
     ///
-    /// The same rewrite changes the voters if that is due; each attempt names the same ones.
+    /// The same rewrite changes the voters if they differ; each attempt names the same ones.
     pub(super) async fn fence_earlier_writes(&mut self) -> Result<(), TermLost> {
         if let Some(voters) = self.support.voters_to_write() {
             self.record.voters.insert(self.record.term, voters.clone());
@@ -67,7 +67,7 @@
         loop {
             self.record.barrier += 1;
             self.record.predecessor_leases =
-                self.successor_leases.at(BootClock.now_ms()).while_coordinating();
+                self.successor_leases.remaining_at(BootClock.now_ms()).while_coordinating();
             self.record.prune_voters();
             let transaction = Transaction {
                 expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
@@ -84,15 +84,15 @@
                     return Ok(());
                 }
                 Err(CommitError::Conflict(_)) => {
-                    // Either an unanswered attempt of this writer was applied, or the term is lost.
-                    if self.read_revision().await? {
+                    // Either an attempt without a response was applied, or the term is lost.
+                    if self.refresh_revision().await? {
                         return Ok(());
                     }
                 }
                 Err(CommitError::NotApplied(_)) => tokio::time::sleep(RETRY_PAUSE).await,
                 Err(CommitError::Indeterminate(_)) => {
                     self.timeout.record_no_response();
-                    if self.read_revision().await? {
+                    if self.refresh_revision().await? {
                         return Ok(());
                     }
                 }
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Reads the coordinator's key; returns whether an earlier attempt of this writer has changed
-    /// its revision.
-    async fn read_revision(&mut self) -> Result<bool, TermLost> {
+    /// Reads the revision of the coordinator's key. Returns whether it has changed, so that an
+    /// earlier attempt of this writer was applied.
+    async fn refresh_revision(&mut self) -> Result<bool, TermLost> {
         loop {
             let requested_ms = BootClock.now_ms();
             match self.store.get(COORDINATOR_KEY, self.timeout.get()).await {
@@ -122,9 +122,8 @@
         }
     }
 
-    /// Reads the coordinator's key to check that the term is not lost. A failed read changes
-    /// nothing.
-    pub(super) async fn confirm(&mut self) -> Result<(), TermLost> {
+    /// Reads the coordinator's key to check that the term is not lost. A failed read is only logged.
+    pub(super) async fn confirm_term(&mut self) -> Result<(), TermLost> {
         let requested_ms = BootClock.now_ms();
         let started_at = tokio::time::Instant::now();
         match self.store.get(COORDINATOR_KEY, self.timeout.get()).await {
@@ -138,7 +137,7 @@
         Ok(())
     }
 
-    /// Removes an entry from the registry that has been silent for [`ENTRY_EXPIRY_MS`], so that
+    /// Removes an entry that has been silent for [`ENTRY_EXPIRY_MS`] from the registry, so that
     /// others no longer send requests to it. Removes at most one entry per call, as this is not
     /// urgent.
     pub(super) async fn deregister_lost_entry(&self) {
@@ -146,7 +145,7 @@
         let lost = |registered: &&RegisteredEntry| {
             self.support.silent_ms(&registered.node).unwrap_or(term_ms) >= ENTRY_EXPIRY_MS
         };
-        let registered = self.peers.registered();
+        let registered = self.peers.other_entries();
         let Some(lost) = registered.iter().find(lost) else { return };
         let own_key = (COORDINATOR_KEY.to_owned(), self.revision);
         let transaction = Transaction {
@@ -156,7 +155,7 @@
         };
         match self.store.commit(&transaction, self.timeout.get()).await {
             Ok(_) => spdlog::info!("event=entry_deregistered node={}", lost.node),
-            // The entry was just removed or has registered again; otherwise the next call retries.
+            // If the entry was not removed or registered again meanwhile, the next call retries.
             Err(error) => spdlog::debug!("event=entry_deregister_failed why=\"{error}\""),
         }
     }
@@ -170,8 +169,8 @@
         if is_own_term { Ok(item.revision) } else { Err(TermLost) }
     }
 
-    /// Records and reports to the driver that the store has confirmed the term in response to a
-    /// call sent at `requested_ms`.
+    /// Records that the store has confirmed the term in response to a call sent at `requested_ms`,
+    /// and reports it to the driver.
     pub(super) async fn report_confirmed(&self, requested_ms: u64) {
         let received_ms = BootClock.now_ms();
         self.confirmed_ms.store(received_ms, Ordering::Relaxed);
@@ -179,11 +178,11 @@
         let _ = self.inputs.send(Input::TermConfirmed { requested_ms, received_ms }).await;
     }
 
-    /// Records in the key that the coordinator has stepped down, so that a successor takes over at
-    /// once and waits only for the leases that the key names.
+    /// Records in the key that the coordinator has stepped down. A successor then takes over at once
+    /// and waits only for the leases that the key names.
     pub async fn step_down(&mut self) {
         self.record.stepped_down = true;
-        self.record.predecessor_leases = self.successor_leases.at(BootClock.now_ms());
+        self.record.predecessor_leases = self.successor_leases.remaining_at(BootClock.now_ms());
         let transaction = Transaction {
             expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
             write: vec![(COORDINATOR_KEY.to_owned(), self.record.encode())],
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -1,4 +1,4 @@
-//! Feeds messages into the coordinator's state machine and carries out its effects.
+//! Passes messages to the coordinator's state machine and carries out its effects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,23 +20,22 @@
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
-/// Interval of the coordinator's timer ticks. The timeouts that they check are hundreds of
-/// milliseconds.
+/// Interval at which the coordinator checks its timers. The shortest are hundreds of milliseconds.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Inputs that are handled in one round, before the coordinator decides on all of them.
+/// Most inputs that are handled in one round, before the coordinator decides on all of them.
 const MAX_INPUTS_PER_ROUND: usize = 64;
 
-/// A process at the other end of a link.
+/// The process at the other end of a link, as the sender and destination of messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Peer {
-    /// An entry.
+    /// An entry, which relays callers' requests.
     Entry {
         /// Name of the entry.
         node: Name,
         /// Number of the link in this process.
         link: u64,
     },
-    /// An agent.
+    /// An agent, which forwards orders to its minion.
     Agent {
         /// Name of the agent.
         node: Name,
@@ -48,44 +47,45 @@
 /// Inputs of the driver.
 #[derive(Debug)]
 pub enum Input {
-    /// A link has opened.
+    /// A link has opened; messages to the peer are sent through the sender.
     LinkOpened(Peer, LinkSender<ToPeer>),
-    /// A link has closed.
+    /// A link has closed; it may have been replaced by a newer one.
     LinkClosed(Peer),
     /// An entry relays a caller's request.
     Request {
-        /// Link of the entry.
+        /// Number of the entry's link.
         link: u64,
         /// Number by which the entry matches the response to its request.
         ticket: u64,
-        /// The caller's request.
+        /// The request as the entry has translated it.
         request: CallerRequest,
     },
-    /// An agent has sent a message.
+    /// Message of the agent with this name.
     AgentMessage(Name, FromAgent),
     /// The store has committed the batch of this number.
     BatchWritten(u64),
-    /// The admission service has responded, or `None` if it did not.
+    /// Response of the admission service; `None` if it failed to respond.
     ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
     /// The store has confirmed that this entry coordinates.
     TermConfirmed {
-        /// When the call to the store was sent, on the boot clock.
+        /// Time at which the call to the store was sent, on the monotonic clock.
         requested_ms: u64,
-        /// When the store's response was received, on the boot clock.
+        /// Time at which the store's response was received, on the monotonic clock.
         received_ms: u64,
     },
-    /// The term of the silent coordinator at this address has ended.
+    /// The silent coordinator at this address has learned that its term has ended.
     PredecessorEnded(SocketAddr),
     /// A silent coordinator cannot extend any lease after `until_ms`.
     PredecessorExtendsUntil {
         /// Address of the silent coordinator.
         address: SocketAddr,
-        /// End of its last possible extension, on the boot clock.
+        /// Latest time at which it can extend a lease, on the monotonic clock.
         until_ms: u64,
     },
 }
 
-/// A request to the admission service: which of these minions may run the step?
+/// A step, identified by its first task, and the minions for which the admission service's
+/// approval is requested.
 pub type ApprovalRequest = (TaskId, Vec<Name>);
 
 /// Why a coordinator's term ended.
@@ -93,11 +93,11 @@
 pub enum TermEnd {
     /// A minion has rejected this coordinator's fencing token in favor of a newer one.
     Superseded,
-    /// All inputs have closed.
+    /// All senders of inputs were dropped.
     Closed,
 }
 
-/// Drives the coordinator during one term.
+/// Runs the coordinator's state machine during one term.
 pub struct Driver {
     coordinator: Coordinator,
     metrics: Arc<Metrics>,
@@ -108,15 +108,15 @@
     /// Link and ticket of the entry that waits for each response, by the driver's own ticket.
     pending_replies: HashMap<u64, (u64, u64)>,
     next_ticket: u64,
-    /// Leases that a successor has to wait for, for the writer.
+    /// Leases that a successor has to wait for, as shared with the writer.
     successor_leases: Arc<SuccessorLeases>,
     support: Arc<TermSupport>,
     process_pause: ProcessPause,
 }
 
 impl Driver {
-    /// Returns a driver that sends records to `writes`, and requests to the admission service to
-    /// `approval_requests`.
+    /// Returns a driver without links. It sends batches of records to `writes`, and requests for the
+    /// admission service to `approval_requests`.
     pub fn new(
         coordinator: Coordinator,
         writes: mpsc::Sender<WriteBatch>,
@@ -167,16 +167,18 @@
         }
     }
 
-    /// Updates the support by other entries and checks for a process pause, before any decision.
+    /// Updates the support by other entries and checks for a process pause, before any decision is
+    /// made.
     fn begin_round(&mut self) {
-        let (until_ms, supporters) = self.support.current();
+        let (until_ms, supporters) = self.support.supported_until_and_count();
         self.coordinator.set_supported_until(until_ms, supporters);
         if let Some(gap_ms) = self.process_pause.begin_round(BootClock.now_ms()) {
             spdlog::warn!("event=process_paused gap_ms={gap_ms}");
         }
     }
 
-    /// Reports changed leases to the writer before the effects of this round are carried out.
+    /// Reports changed leases to the writer. Must be called before the effects of a round are
+    /// carried out.
     fn update_successor_leases(&mut self) {
         if self.coordinator.take_leases_for_successor_changed() {
             let now = BootClock.now();
@@ -190,7 +192,7 @@
         let LongestWait { persistent_ms, other_ms } = self.coordinator.longest_wait(now);
         let [persistent, other] = [persistent_ms, other_ms].map(Duration::from_millis);
         self.metrics.longest_wait(persistent, other);
-        self.metrics.lease_supporters(self.support.current().1 as u64);
+        self.metrics.lease_supporters(self.support.supported_until_and_count().1 as u64);
     }
 
     fn handle(&mut self, input: Input) {
@@ -200,8 +202,7 @@
                 self.entries.insert(link, tx);
             }
             Input::LinkOpened(Peer::Agent { node, link }, tx) => {
-                // A new link replaces the old one, even if messages are still under way on that
-                // one.
+                // A new link replaces the old one, even if that still has messages under way.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
                     self.coordinator.agent_disconnected(&node, now);
                 }
@@ -247,7 +248,7 @@
     async fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Write(batch) => {
-                // The writer's queue holds as many batches as may be under way at once.
+                // This does not wait: the queue holds as many batches as may be under way at once.
                 if self.writes.send(batch).await.is_err() {
                     spdlog::debug!("event=writer_ended");
                 }
--- a/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
+++ b/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
@@ -5,7 +5,7 @@
 /// Address and fencing token of the current coordinator, as learned from the store or from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownCoordinator {
-    /// Address on which the coordinator accepts links.
+    /// Address on which the coordinator accepts links of agents and entries.
     pub address: SocketAddr,
     /// Fencing token of the coordinator, which equals its term.
     pub fence: u64,
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -7,8 +7,8 @@
 
 use super::super::BootClock;
 
-/// The promises of this process to support coordinators. Shared by the relay, which makes them, and
-/// by the peer listener and the release requester, which release them.
+/// The promises of this process to support coordinators. The relay makes them; the peer listener
+/// and the release requester release them.
 #[derive(Debug)]
 pub struct LocalPromises {
     node: Name,
@@ -18,7 +18,7 @@
 }
 
 impl LocalPromises {
-    /// Returns the state of an entry that has made no promise yet.
+    /// Returns the state of an entry that has not made a promise yet.
     pub fn new(node: Name, incarnation: u64) -> Self {
         Self { node, incarnation, promises: Mutex::default(), is_stopping: AtomicBool::new(false) }
     }
@@ -28,12 +28,12 @@
         &self.node
     }
 
-    /// Returns the random number that identifies this process.
+    /// Returns the random number that distinguishes this process from earlier ones of the entry.
     pub const fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Records that the process was asked to stop.
+    /// Records that the process was asked to stop; the next pings report it.
     pub fn set_stopping(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -47,15 +47,15 @@
         self.promises.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Promises support to the coordinator that sent a pong at `sent`, which arrived at
-    /// `received_ms` on the boot clock. Returns the time to echo in the next ping, or `None` if a
-    /// successor has requested the release of earlier terms.
+    /// Promises support to the coordinator whose pong was sent at `sent` and received at
+    /// `received_ms` on the monotonic clock. Returns the time to echo in the next ping, or `None` if
+    /// a successor has requested the release of promises to that term.
     pub fn promise_support(&self, sent: TermTime, received_ms: u64) -> Option<TermTime> {
         self.lock().promise(sent.term, received_ms).then_some(sent)
     }
 
-    /// Withdraws support from all coordinators before `term`. Returns for how many milliseconds
-    /// they may still rely on earlier promises of this entry.
+    /// Withdraws support from the coordinators of all terms before `term`. Returns for how many
+    /// milliseconds they may still rely on earlier promises of this entry.
     pub fn release(&self, term: u64) -> u64 {
         self.lock().release(term, BootClock.now_ms())
     }
--- a/crates/geraniumpost/src/batch/coordination/mod.rs
+++ b/crates/geraniumpost/src/batch/coordination/mod.rs
@@ -1,4 +1,4 @@
-//! Election of the coordinator, and the coordinator itself.
+//! Election of the coordinator, and the process around its state machine: links, store and terms.
 
 mod adaptive_timeout;
 mod candidate;
@@ -27,9 +27,9 @@
 
 /// Store key of the [`CoordinatorRecord`].
 pub const COORDINATOR_KEY: &str = "geraniumpost/coordinator";
-/// Prefix of the store keys under which entries register their addresses.
+/// Prefix of the store keys under which entries register their addresses; the name follows.
 pub const ENTRY_PREFIX: &str = "geraniumpost/entry/";
-/// Prefix of the store keys of job records.
+/// Prefix of the store keys of job records; the job's id follows.
 pub const JOB_PREFIX: &str = "geraniumpost/job/";
 /// Store key of the learned interference between images.
 pub const INTERFERENCE_KEY: &str = "geraniumpost/interference";
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -18,27 +18,27 @@
 use super::local_promises::LocalPromises;
 use super::term_support::TermSupport;
 
-/// Time in which the first message of a new link must arrive.
+/// Time within which the first message of a new link must arrive.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Silence of the coordinator up to which it counts as answering, in milliseconds.
+/// Silence up to which this entry reports the coordinator as responding, in milliseconds.
 const MAX_COORDINATOR_SILENCE_MS: u64 = 800;
 
-/// Destinations of the current term; `None` while this entry does not coordinate.
-pub type Inputs = Option<TermInputs>;
+/// Destinations of messages in the current term; `None` while this entry does not coordinate.
+pub type CurrentTermInputs = Option<TermInputs>;
 
 /// Destinations of the messages that arrive during one term.
 #[derive(Debug, Clone)]
 pub struct TermInputs {
     /// Queue of the coordinator's driver.
     pub inputs: mpsc::Sender<Input>,
-    /// Records the promises of other entries.
+    /// Where the promises of other entries are recorded.
     pub support: Arc<TermSupport>,
 }
 
 /// An open link and the process at its other end.
 struct Link {
     peer: Peer,
-    /// Incarnation of the other process if it is an entry, otherwise 0.
+    /// Random number that identifies the other process if it is an entry; 0 for agents.
     incarnation: u64,
     tx: LinkSender<ToPeer>,
 }
@@ -46,17 +46,17 @@
 /// Serves the links that other processes open to this entry.
 #[derive(Debug)]
 pub struct PeerListener {
-    /// Destinations of messages while this entry coordinates.
-    pub inputs: watch::Receiver<Inputs>,
-    /// When the store last confirmed this entry's term, on the boot clock.
+    /// Destinations of messages in the current term, set when a term begins and ends.
+    pub inputs: watch::Receiver<CurrentTermInputs>,
+    /// Time at which the store last confirmed this entry's term, on the monotonic clock.
     pub confirmed_ms: Arc<AtomicU64>,
     /// State of this entry's own link to the coordinator.
     pub link: watch::Receiver<LinkState>,
-    /// Active configuration of this entry.
+    /// Active configuration of this entry; pings and pongs carry its version.
     pub configuration: Arc<ActiveConfiguration>,
-    /// The current coordinator as far as this entry knows.
+    /// The current coordinator as far as this entry knows, reported in responses to probes.
     pub known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
-    /// This entry's promises to coordinators.
+    /// This entry's promises to coordinators, which release requests withdraw.
     pub promises: Arc<LocalPromises>,
 }
 
@@ -99,8 +99,8 @@
         };
         if let Some(response) = response {
             let _ = tx.send(response);
-            // The peer closes the link after it has read the response. Closing earlier could lose
-            // it.
+            // The peer closes the link after it has read the response. Closing it here could lose
+            // the response.
             let _ = tokio::time::timeout(HELLO_TIMEOUT, rx.next()).await;
             return;
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Forwards messages to the driver until the link or the term ends. Pings are answered here.
+    /// Forwards messages to the driver until the link or the term ends, and responds to pings.
     async fn forward_messages(
         &self,
         link: &Link,
@@ -161,7 +161,7 @@
                         }
                     }
                     let store_ok = self.store_silent_ms() < STORE_UNREACHABLE_MS;
-                    let configuration = self.configuration.newest();
+                    let configuration = self.configuration.newest_version();
                     let pong = ToEntry::Pong { store_ok, configuration, sent: support.pong_time() };
                     if tx.send(ToPeer::Entry(pong)).is_err() {
                         return;
@@ -187,8 +187,8 @@
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns whether the coordinator answers this entry. If this entry coordinates itself,
-    /// returns whether the store confirms its term.
+    /// Returns whether the coordinator responds to this entry. If this entry coordinates itself,
+    /// returns whether the store has confirmed its term recently.
     fn coordinator_responds(&self) -> bool {
         if self.inputs.borrow().is_some() {
             return self.store_silent_ms() < STORE_UNREACHABLE_MS;
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -1,4 +1,4 @@
-//! Registry of the other entries, and requests to them.
+//! The other entries as registered in the store, and requests to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,11 +31,11 @@
 /// An entry that is registered in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegisteredEntry {
-    /// Name of the entry.
+    /// Name of the entry, the last part of its key.
     pub node: Name,
     /// Address on which the entry accepts links.
     pub address: SocketAddr,
-    /// Revision of the entry's key in the store.
+    /// Revision of the entry's key in the store, as last read.
     pub revision: u64,
 }
 
@@ -56,23 +56,23 @@
     format!("{ENTRY_PREFIX}{node}")
 }
 
-/// Pause between two reads of the registry. Entries join and leave within minutes, and the first
-/// reads find only some of the entries that start at the same time.
+/// Pause between two reads of the registry. Entries are added and removed within minutes, and the
+/// first reads find only some of the entries that start at the same time.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
-/// Timeout of one call to the store.
+/// Timeout of one read or registration in the store.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Another entry's response to a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeResult {
-    /// Whether the coordinator answers that entry.
+    /// Whether the coordinator responds to that entry.
     pub coordinator_responds: bool,
     /// The current coordinator as far as that entry knows.
     pub known_coordinator: Option<KnownCoordinator>,
 }
 
 impl Peers {
-    /// Returns an empty registry for the entry `node` at `address`.
+    /// Returns an empty list of other entries, for the entry `node` that accepts links at `address`.
     pub fn new(node: Name, address: SocketAddr) -> Self {
         Self {
             node,
@@ -98,8 +98,8 @@
         Ok(())
     }
 
-    /// Removes this entry from the registry and keeps it from registering again. A registration by
-    /// another process of the same name stays.
+    /// Removes this entry from the registry and prevents it from registering again. A registration
+    /// by another process of the same name stays.
     pub async fn deregister(&self, store: &Store, timeout: Duration) {
         self.is_stopping.store(true, Ordering::Relaxed);
         let key = key(&self.node);
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Reads the registry periodically until the process exits. While the store does not answer,
-    /// the entries read last are kept, as they are needed most at that time.
+    /// Reads the registry periodically until the process exits. While the store does not respond,
+    /// the entries read last are kept, as this process then depends on them.
     pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
             match self.refresh(&store, READ_TIMEOUT).await {
@@ -127,7 +127,7 @@
     }
 
     /// Reads the registry; returns whether this entry is registered as well. Lost entries stay
-    /// registered for a while, and do not answer.
+    /// registered for a while, and do not respond.
     async fn refresh(&self, store: &Store, timeout: Duration) -> Result<bool, StoreError> {
         let items = store.list(ENTRY_PREFIX, timeout).await?;
         let (own, others): (Vec<_>, Vec<_>) = items
@@ -147,14 +147,14 @@
         spdlog::warn!("event=registered_again ok={}", result.is_ok());
     }
 
-    /// Returns the other entries.
-    pub fn registered(&self) -> Arc<Vec<RegisteredEntry>> {
+    /// Returns the other entries as last read, including lost ones.
+    pub fn other_entries(&self) -> Arc<Vec<RegisteredEntry>> {
         self.others.load_full()
     }
 
     /// Probes all other entries except `excluded` in parallel, and returns the responses that
     /// arrive.
-    pub async fn probe(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
+    pub async fn probe_others(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
         let mut probes = JoinSet::new();
         for RegisteredEntry { node, address, .. } in self.others.load().iter() {
             if Some(node) != excluded {
@@ -168,8 +168,8 @@
         results
     }
 
-    /// Returns the address of another entry.
-    pub fn address(&self, node: &Name) -> Option<SocketAddr> {
+    /// Returns the address of another entry; `None` if it is not registered.
+    pub fn address_of(&self, node: &Name) -> Option<SocketAddr> {
         let others = self.others.load();
         others
             .iter()
@@ -177,17 +177,18 @@
             .map(|registered| registered.address)
     }
 
-    /// Returns the number of other entries, not counting `excluded`.
-    pub fn count(&self, excluded: &Name) -> usize {
+    /// Returns the number of other entries without `excluded`.
+    pub fn count_except(&self, excluded: &Name) -> usize {
         self.others.load().iter().filter(|registered| registered.node != *excluded).count()
     }
 
-    /// Asks the other entries for a coordinator with a higher fencing token than `fence`.
+    /// Asks the other entries for a coordinator with a higher fencing token than `fence`, and
+    /// returns the one with the highest.
     ///
     /// An entry that cannot read the store would not notice a takeover otherwise. Its callers would
-    /// wait for the old coordinator while all other entries serve.
-    pub async fn successor(&self, fence: u64) -> Option<KnownCoordinator> {
-        let results = self.probe(None).await;
+    /// wait for the previous coordinator while all other entries serve.
+    pub async fn find_successor(&self, fence: u64) -> Option<KnownCoordinator> {
+        let results = self.probe_others(None).await;
         let successors = results.into_iter().filter_map(|result| result.known_coordinator);
         successors
             .filter(|coordinator| coordinator.fence > fence)
@@ -195,7 +196,7 @@
     }
 }
 
-/// Probes one entry; `None` if it does not answer.
+/// Asks one entry for the coordinator; `None` if it does not respond in time.
 pub async fn probe(address: SocketAddr) -> Option<ProbeResult> {
     match request(address, FromPeer::Probe).await? {
         ToPeer::ProbeResponse { coordinator_responds, coordinator } => {
--- a/crates/geraniumpost/src/batch/coordination/process_pause.rs
+++ b/crates/geraniumpost/src/batch/coordination/process_pause.rs
@@ -1,29 +1,29 @@
 use geraniumpost_batch::ToAgent;
 use geraniumpost_schema::Name;
 
-/// Gap between two rounds of decisions from which on the process counts as paused, in milliseconds.
+/// Shortest gap between two rounds of decisions that counts as a process pause, in milliseconds.
 const MIN_PAUSE_MS: u64 = 1_500;
 
 /// Holds orders back after the process was paused, until the store has confirmed the term.
 ///
-/// A process that was frozen resumes with its inputs and timers as they were, and repeats
-/// unanswered orders. It may have a successor that has decided otherwise, and an agent that the
-/// successor does not reach would still carry the orders out.
+/// A paused process resumes with its inputs and timers as they were, and repeats orders without a
+/// result. It may have a successor that has made other decisions, and an agent that does not know
+/// the successor would still carry the orders out.
 #[derive(Debug)]
 pub struct ProcessPause {
     last_round_ms: u64,
-    /// When the last pause was detected, until the store has confirmed the term after it.
+    /// Time at which the last pause was detected; `None` once the store has confirmed the term.
     resumed_ms: Option<u64>,
-    held: Vec<(Name, ToAgent)>,
+    held_orders: Vec<(Name, ToAgent)>,
 }
 
 impl ProcessPause {
-    /// Returns the state of a process that runs at `now_ms` on the boot clock.
+    /// Returns the state of a process that runs at `now_ms` on the monotonic clock.
     pub const fn new(now_ms: u64) -> Self {
-        Self { last_round_ms: now_ms, resumed_ms: None, held: Vec::new() }
+        Self { last_round_ms: now_ms, resumed_ms: None, held_orders: Vec::new() }
     }
 
-    /// Records the begin of a round of decisions. Returns the length of the pause before it in
+    /// Records the start of a round of decisions. Returns the length of the pause before it in
     /// milliseconds, if the process was paused.
     pub fn begin_round(&mut self, now_ms: u64) -> Option<u64> {
         let gap_ms = now_ms.saturating_sub(self.last_round_ms);
@@ -36,17 +36,18 @@
     }
 
     /// Records that the store has confirmed the term in response to a call sent at `requested_ms`.
-    /// Returns the orders to send now; none if the call was sent before the pause was detected.
+    /// Returns the held orders, which can be sent now; none if the call was sent before the pause
+    /// was detected.
     pub fn term_confirmed(&mut self, requested_ms: u64) -> Vec<(Name, ToAgent)> {
         if self.resumed_ms.is_none_or(|resumed_ms| requested_ms < resumed_ms) {
             return Vec::new();
         }
         self.resumed_ms = None;
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.held_orders)
     }
 
-    /// Returns the message, or holds it back if it is an order and a confirmation is missing.
-    /// Responses to heartbeats are not held, as agents check them by their age and fencing token.
+    /// Returns the message, or holds it back if it is an order and the confirmation is missing.
+    /// Responses to heartbeats are not held, as agents check their age and fencing token.
     pub fn hold_if_unconfirmed(
         &mut self,
         agent: Name,
@@ -55,7 +56,7 @@
         if self.resumed_ms.is_none() || !matches!(message, ToAgent::Order(_)) {
             return Some((agent, message));
         }
-        self.held.push((agent, message));
+        self.held_orders.push((agent, message));
         None
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -6,23 +6,23 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// Encodings of the empty fields that earlier versions omit at the end of a record: the voters, and
-/// the [`PredecessorLeases`] before them.
-const OMITTED_TAILS: [&[u8]; 3] = [&[], &[0], &[0, 0, 0]];
+/// Encodings of the empty fields that earlier versions omit at the end of a record: none, the
+/// voters, or the voters and the [`PredecessorLeases`] before them.
+const OMITTED_TRAILING_FIELDS: [&[u8]; 3] = [&[], &[0], &[0, 0, 0]];
 
 /// The value under the coordinator's key in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorRecord {
-    /// The entry that coordinates.
+    /// Name of the entry that coordinates.
     pub node: Name,
-    /// Address on which the coordinator accepts links.
+    /// Address on which the coordinator accepts links of agents and entries.
     pub address: SocketAddr,
     /// Random number that identifies the coordinator's process.
     pub incarnation: u64,
-    /// Number of the term, also the fencing token. It grows with each term.
+    /// Number of the term, which is also the fencing token. It increases with each term.
     pub term: u64,
-    /// Number of rewrites within the term. Each changes the key's revision, so that earlier writes,
-    /// which require the old one, can no longer be applied.
+    /// Number of rewrites within the term. Each changes the key's revision, so that the store rejects
+    /// earlier writes, which require the old revision.
     pub barrier: u64,
     /// Whether the coordinator has stepped down, so that a successor can take over at once.
     pub stepped_down: bool,
@@ -44,19 +44,20 @@
     ///
     /// # Errors
     ///
-    /// Fails if the bytes match neither layout.
+    /// Fails if the bytes match none of the layouts.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let decode = |omitted: &&[u8]| postcard::from_bytes(&[bytes, omitted].concat());
-        let mut attempts = OMITTED_TAILS.iter().map(decode);
+        let mut attempts = OMITTED_TRAILING_FIELDS.iter().map(decode);
         attempts.find(Result::is_ok).unwrap_or_else(|| postcard::from_bytes(bytes))
     }
 
-    /// Returns the voters of a term; none if the record does not name any.
+    /// Returns the voters of a term; empty if the record does not name any.
     pub fn voters_of(&self, term: u64) -> Voters {
         self.voters.get(&term).cloned().unwrap_or_default()
     }
 
-    /// Removes the voters of ended terms, for which no successor waits any longer.
+    /// Removes the voters of terms that have ended: all but this term and those of silent
+    /// coordinators.
     pub fn prune_voters(&mut self) {
         let silent = |term: &u64| self.predecessor_leases.silent.values().any(|s| s.term == *term);
         let own_term = self.term;
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -18,31 +18,31 @@
 /// Pause between two rounds of requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// The term of a silent coordinator, with the voters whose releases end it.
+/// The term of a silent coordinator, and the voters that can end it by releasing their promises.
 #[derive(Debug)]
 pub struct SilentTerm {
-    /// Address of the silent coordinator.
+    /// Address of the silent coordinator, which identifies it in the results.
     pub address: SocketAddr,
-    /// Number of the term.
+    /// Number of the term, as in the coordinator's key.
     pub term: u64,
-    /// Entries whose support the coordinator needs to extend leases.
+    /// Entries; the coordinator needs the support of a majority of them to extend leases.
     pub voters: Voters,
 }
 
 /// Requests releases on behalf of a successor.
 #[derive(Debug, Clone)]
 pub struct ReleaseRequester {
-    /// Term of the successor.
+    /// Term of the successor; promises to all earlier terms are released.
     pub term: u64,
-    /// When the successor's term began, on the boot clock.
+    /// Start of the successor's term, on the monotonic clock.
     pub term_began_ms: u64,
     /// Promises of the successor's own process, which may be a voter as well.
     pub promises: Arc<LocalPromises>,
-    /// The other entries.
+    /// The other entries, with the addresses of the voters.
     pub peers: Arc<Peers>,
 }
 
-/// The release that one entry has granted.
+/// Response of one voter.
 struct GrantedRelease {
     node: Name,
     incarnation: u64,
@@ -50,8 +50,8 @@
 }
 
 impl ReleaseRequester {
-    /// Repeats the requests until enough voters have released their promises, and reports until
-    /// when the silent coordinator may have extended leases. Does nothing for a term without
+    /// Repeats the requests until enough voters have released their promises, and reports the latest
+    /// time at which the silent coordinator may extend leases. Does nothing for a term without
     /// voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Sends requests to all voters that have not answered, in parallel.
+    /// Sends requests to all voters that have not responded, in parallel.
     async fn request_unanswered(&self, releases: &mut Releases) {
         let mut requests = JoinSet::new();
         for node in releases.unanswered().cloned().collect::<Vec<_>>() {
-            if let Some(address) = self.peers.address(&node) {
+            if let Some(address) = self.peers.address_of(&node) {
                 requests.spawn(request_release(node, address, self.term));
             }
         }
@@ -102,8 +102,8 @@
     }
 }
 
-/// Requests the release of one entry. A response by another entry that now uses its address does
-/// not count.
+/// Requests a release by the entry `node`. A response of another entry that now uses its address
+/// does not count.
 async fn request_release(node: Name, address: SocketAddr, term: u64) -> Option<GrantedRelease> {
     match request(address, FromPeer::Release { term }).await? {
         ToPeer::ReleaseResponse { node: responder, incarnation, remaining_ms }
--- a/crates/geraniumpost/src/batch/coordination/successor_leases.rs
+++ b/crates/geraniumpost/src/batch/coordination/successor_leases.rs
@@ -1,33 +1,33 @@
 use arc_swap::ArcSwap;
 use geraniumpost_batch::PredecessorLeases;
 
-/// Leases that a successor has to wait for, as the driver last reported them.
+/// Leases that a successor has to wait for, as last reported by the driver to the writer.
 ///
-/// The driver writes and the writer reads. The driver ends before the writer writes the
-/// coordinator's key for the last time, so the last report is kept here.
+/// The driver ends before the writer writes the coordinator's key for the last time, so the last
+/// report is kept here.
 #[derive(Debug)]
 pub struct SuccessorLeases(ArcSwap<Snapshot>);
 
 #[derive(Debug)]
 struct Snapshot {
     leases: PredecessorLeases,
-    /// When the leases were reported, on the boot clock.
+    /// Time to which the remaining times of the leases refer, on the monotonic clock.
     recorded_ms: u64,
 }
 
 impl SuccessorLeases {
-    /// Returns the leases as of `recorded_ms` on the boot clock.
+    /// Returns the leases as of `recorded_ms` on the monotonic clock.
     pub fn new(leases: PredecessorLeases, recorded_ms: u64) -> Self {
         Self(ArcSwap::from_pointee(Snapshot { leases, recorded_ms }))
     }
 
-    /// Replaces the leases by those as of `recorded_ms` on the boot clock.
+    /// Replaces the leases by those as of `recorded_ms` on the monotonic clock.
     pub fn set(&self, leases: PredecessorLeases, recorded_ms: u64) {
         self.0.store(Snapshot { leases, recorded_ms }.into());
     }
 
-    /// Returns the leases with their remaining times at `now_ms` on the boot clock.
-    pub fn at(&self, now_ms: u64) -> PredecessorLeases {
+    /// Returns the leases with their remaining times at `now_ms` on the monotonic clock.
+    pub fn remaining_at(&self, now_ms: u64) -> PredecessorLeases {
         let snapshot = self.0.load();
         snapshot.leases.clone().aged_by(now_ms.saturating_sub(snapshot.recorded_ms))
     }
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -16,7 +16,7 @@
 use super::adaptive_timeout::AdaptiveTimeout;
 use super::driver::{ApprovalRequest, Driver, Input};
 use super::local_promises::LocalPromises;
-use super::peer_listener::{Inputs, TermInputs};
+use super::peer_listener::{CurrentTermInputs, TermInputs};
 use super::peers::{Peers, probe};
 use super::record::CoordinatorRecord;
 use super::release_requester::{ReleaseRequester, SilentTerm};
@@ -26,40 +26,40 @@
 use super::{INTERFERENCE_KEY, JOB_PREFIX};
 use crate::metrics::Metrics;
 
-/// Capacity of the queues of inputs and of requests to the admission service.
-const INPUT_QUEUE: usize = 4_096;
-/// Capacity of the writer's queue, in batches. The coordinator never has more of them under way.
-const WRITE_QUEUE: usize = 8;
-/// Interval between attempts to read records, until one is answered.
+/// Capacity of the input queue, and of the queue of requests to the admission service.
+const INPUT_QUEUE_CAPACITY: usize = 4_096;
+/// Capacity of the writer's queue, in batches. The coordinator never has more batches under way.
+const WRITE_QUEUE_CAPACITY: usize = 8;
+/// Interval at which further attempts to read records start, until one succeeds.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Longest gap between parts of a response whose body is arriving.
+/// Longest time without new bytes while the body of a response is received.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout of one request to the admission service, which needs some milliseconds for each minion
 /// named.
 const ADMISSION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two checks for a successor, or of a silent predecessor.
-const SUCCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Pause between two probes of the other entries for a successor, or of a silent predecessor.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// A term that has just begun.
+/// Everything that one term of the coordinator needs from its takeover.
 pub struct Term {
     pub store: Arc<Store>,
     pub record: CoordinatorRecord,
-    /// Revision of the coordinator's key.
+    /// Revision of the coordinator's key after the takeover.
     pub revision: u64,
     /// Duration of leases on tasks, in milliseconds.
     pub lease_ms: u64,
-    /// When the takeover was sent to the store, on the boot clock.
+    /// Time at which the takeover was sent to the store, on the monotonic clock.
     pub requested_ms: u64,
-    /// When the store's confirmation of the takeover was received.
+    /// Time at which the store's confirmation of the takeover was received.
     pub began: Now,
     /// Leases that earlier coordinators may have extended, as of the takeover.
     pub predecessor_leases: PredecessorLeases,
     pub confirmed_ms: Arc<AtomicU64>,
-    /// Registry of the other entries, which may know of a successor.
+    /// The other entries, which may know a successor.
     pub peers: Arc<Peers>,
-    /// This entry's promises to coordinators.
+    /// This entry's promises to earlier coordinators, which the takeover releases.
     pub promises: Arc<LocalPromises>,
     /// Address of the service that approves minions for steps, if configured.
     pub admission_address: Option<SocketAddr>,
@@ -68,20 +68,24 @@
 
 impl Term {
     /// Coordinates until the term is lost or the process is asked to stop.
-    pub async fn run(self, peer_listener: &watch::Sender<Inputs>, stop: watch::Receiver<bool>) {
-        let (tx, mut rx) = mpsc::channel(INPUT_QUEUE);
+    pub async fn run(
+        self,
+        term_inputs: &watch::Sender<CurrentTermInputs>,
+        stop: watch::Receiver<bool>,
+    ) {
+        let (tx, mut rx) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         self.confirmed_ms.store(BootClock.now_ms(), Ordering::Relaxed);
-        // Links are accepted at once; their messages wait until the records are read.
+        // Links are accepted from now on; their messages are queued until the records are read.
         let voters = self.record.voters_of(self.record.term);
         let support =
             Arc::new(TermSupport::new(self.record.node.clone(), self.record.term, voters));
-        peer_listener
+        term_inputs
             .send_replace(Some(TermInputs { inputs: tx.clone(), support: Arc::clone(&support) }));
         self.query_silent_coordinators(&tx);
         let (records, interference) =
             tokio::join!(self.read_records(stop.clone()), self.read_interference());
         let Some(records) = records else {
-            peer_listener.send_replace(None);
+            term_inputs.send_replace(None);
             return;
         };
         let now = BootClock.now();
@@ -97,8 +101,8 @@
             .with_predecessor_leases(&self.predecessor_leases, self.began)
             .with_interference(&interference)
             .with_records(records, now);
-        let (writes_tx, mut writes) = mpsc::channel(WRITE_QUEUE);
-        let (approval_requests_tx, approval_requests) = mpsc::channel(INPUT_QUEUE);
+        let (writes_tx, mut writes) = mpsc::channel(WRITE_QUEUE_CAPACITY);
+        let (approval_requests_tx, approval_requests) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         if let Some(address) = self.admission_address {
             tokio::spawn(serve_approval_requests(
                 Admission::new(address),
@@ -125,7 +129,7 @@
         };
         self.metrics.planner_term(writer.record.term);
         let confirmed_ms = Arc::clone(&writer.confirmed_ms);
-        let successor_found = successor_found(self.peers, confirmed_ms, writer.record.term);
+        let await_successor = await_successor(self.peers, confirmed_ms, writer.record.term);
         let metrics = Arc::clone(&self.metrics);
         let driver = Driver::new(
             coordinator,
@@ -141,7 +145,7 @@
                 Err(TermLost)
             }
             end = writer.run(&mut writes, stop) => end,
-            () = successor_found => Err(TermLost),
+            () = await_successor => Err(TermLost),
         };
         // The key records the end of the term before the links close, so that candidates that lose
         // their links find it there.
@@ -149,14 +153,14 @@
             Ok(()) => writer.step_down().await,
             Err(error) => spdlog::warn!("event=term_lost why=\"{error}\""),
         }
-        peer_listener.send_replace(None);
+        term_inputs.send_replace(None);
         self.metrics.planner_term(0);
         self.metrics.longest_wait(Duration::ZERO, Duration::ZERO);
         self.metrics.lease_supporters(0);
     }
 
-    /// Starts to query silent coordinators, and to request releases from their voters. The results
-    /// wait in the input queue until the records are read.
+    /// Starts to probe silent coordinators, and to request releases from their voters. The results
+    /// are queued until the records are read.
     fn query_silent_coordinators(&self, inputs: &mpsc::Sender<Input>) {
         let requester = ReleaseRequester {
             term: self.record.term,
@@ -196,7 +200,7 @@
         })
     }
 
-    /// Reads all job records; `None` if the process is asked to stop first.
+    /// Reads all job records. Returns `None` if the process is asked to stop first.
     async fn read_records(
         &self,
         mut stop: watch::Receiver<bool>,
@@ -207,8 +211,8 @@
         }
     }
 
-    /// Reads the records page by page. Only a failed page is read again, as nobody else changes
-    /// records in this term, and a restart from the first page with each failure might never
+    /// Reads the records page by page. Only a failed page is read again: no other process changes
+    /// records in this term, and a restart from the first page after each failure might never
     /// complete.
     async fn read_all_pages(&self) -> Vec<(JobId, JobRecord)> {
         let mut records = Vec::new();
@@ -244,7 +248,8 @@
     }
 }
 
-/// Sends requests to the admission service, one at a time, and passes the responses to the driver.
+/// Sends queued requests to the admission service, one at a time, and passes the responses to the
+/// driver.
 async fn serve_approval_requests(
     admission: Admission,
     mut approval_requests: mpsc::Receiver<ApprovalRequest>,
@@ -261,12 +266,12 @@
     }
 }
 
-/// Waits until the store is silent and another entry knows a successor.
-async fn successor_found(peers: Arc<Peers>, confirmed_ms: Arc<AtomicU64>, fence: u64) {
+/// Waits until the store has been unreachable for a while and another entry knows a successor.
+async fn await_successor(peers: Arc<Peers>, confirmed_ms: Arc<AtomicU64>, fence: u64) {
     loop {
-        tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         let silent_ms = BootClock.now_ms().saturating_sub(confirmed_ms.load(Ordering::Relaxed));
-        if silent_ms >= STORE_UNREACHABLE_MS && peers.successor(fence).await.is_some() {
+        if silent_ms >= STORE_UNREACHABLE_MS && peers.find_successor(fence).await.is_some() {
             return;
         }
     }
@@ -275,8 +280,8 @@
 /// Probes a silent coordinator until it knows a later term than its own, and reports that its term
 /// has ended.
 ///
-/// Any later term will do. An entry with a working link to a coordinator does not read the key,
-/// even if that coordinator has begun another term since, and may not know the newest one.
+/// Any later term suffices, not only the newest. An entry with a working link to a coordinator does
+/// not read the key, so it may not notice that this coordinator has begun another term.
 async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
         let known_coordinator = probe(address).await.and_then(|result| result.known_coordinator);
@@ -285,7 +290,7 @@
             let _ = inputs.send(Input::PredecessorEnded(address)).await;
             return;
         }
-        tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -6,19 +6,19 @@
 
 use super::super::BootClock;
 
-/// The support of one term by other entries. Shared by the links, which receive promises, the
-/// driver, which extends leases by them, and the writer, which records the voters in the
-/// coordinator's key.
+/// The support of one term by other entries. The links record promises, the driver extends leases
+/// only while a majority supports the term, and the writer records the voters in the coordinator's
+/// key.
 #[derive(Debug)]
 pub struct TermSupport {
-    /// The entry that coordinates. It supports itself and is not counted.
+    /// The entry that coordinates. Its own promises are not recorded.
     local_node: Name,
     term: u64,
     support: Mutex<Support>,
 }
 
 impl TermSupport {
-    /// Returns the support of a term that begins now, with the voters that its key names.
+    /// Returns the support of a term that begins now, with the voters named in the coordinator's key.
     pub fn new(local_node: Name, term: u64, voters: Voters) -> Self {
         Self { local_node, term, support: Mutex::new(Support::new(voters, BootClock.now_ms())) }
     }
@@ -40,24 +40,25 @@
         }
     }
 
-    /// Records that an entry is about to stop, and should no longer be a voter.
+    /// Records that an entry is about to stop, so that it is no longer proposed as a voter.
     pub fn mark_stopping(&self, node: &Name) {
         self.lock().mark_stopping(node);
     }
 
-    /// Returns for how long an entry has been silent; `None` if it has not answered in this term.
+    /// Returns the time since the last pong that an entry has echoed was sent, in milliseconds; `None`
+    /// if it has echoed none in this term.
     pub fn silent_ms(&self, node: &Name) -> Option<u64> {
         self.lock().silent_ms(node, BootClock.now_ms())
     }
 
-    /// Returns until when a majority supports the term, on the boot clock, and the number of other
-    /// entries that support it now.
-    pub fn current(&self) -> (u64, usize) {
+    /// Returns the time until which a majority supports the term, on the monotonic clock, and the
+    /// number of other entries that support it now.
+    pub fn supported_until_and_count(&self) -> (u64, usize) {
         let support = self.lock();
         (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
 
-    /// Returns the voters that the key should name, if they differ from those that it names.
+    /// Returns the voters that the key should name, if it names others.
     pub fn voters_to_write(&self) -> Option<Voters> {
         self.lock().voters_to_write(BootClock.now_ms())
     }
@@ -67,7 +68,7 @@
         self.lock().begin_voter_change(voters, BootClock.now_ms());
     }
 
-    /// Records that the key was written with these voters.
+    /// Records that the key was written with the voters of [`Self::begin_voter_change`], if any.
     pub fn complete_voter_change(&self) {
         self.lock().complete_voter_change();
     }
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -24,8 +24,8 @@
 
 /// Pause after a failed call to the store.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Interval at which the coordinator's key is read while no write is under way, so that the loss of
-/// the term is noticed without writes.
+/// Interval at which the coordinator's key is read while no write is under way, so that an idle
+/// coordinator notices the loss of its term.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
 /// The term is lost: another entry holds the coordinator's key.
@@ -33,11 +33,11 @@
 #[display("another entry coordinates")]
 pub struct TermLost;
 
-/// Writes batches during one term.
+/// Writes batches and the coordinator's key during one term.
 pub struct Writer {
     pub store: Arc<Store>,
     pub record: CoordinatorRecord,
-    /// Revision of the coordinator's key.
+    /// Revision of the coordinator's key, which every write requires.
     pub revision: u64,
     pub inputs: mpsc::Sender<Input>,
     pub confirmed_ms: Arc<AtomicU64>,
@@ -45,18 +45,18 @@
     /// Leases that a successor has to wait for, as reported by the driver.
     pub successor_leases: Arc<SuccessorLeases>,
     pub support: Arc<TermSupport>,
-    /// Registry of the other entries.
+    /// The other entries; lost ones are removed from the registry.
     pub peers: Arc<Peers>,
-    /// When the term began, on the boot clock.
+    /// Start of the term, on the monotonic clock.
     pub term_began_ms: u64,
     pub metrics: Arc<Metrics>,
 }
 
-/// A write that has ended.
+/// The result of a write, with its batch and timing.
 struct FinishedWrite {
     batch: WriteBatch,
     result: Result<u64, CommitError>,
-    /// When the call to the store was sent, on the boot clock.
+    /// Time at which the call to the store was sent, on the monotonic clock.
     requested_ms: u64,
     elapsed: Duration,
 }
@@ -80,14 +80,14 @@
         loop {
             let stopping = *stop.borrow();
             let mut key_outdated =
-                !stopping && (self.overstates_leases() || self.voter_change_is_due());
+                !stopping && (self.overstates_leases() || self.is_voter_change_due());
             if (indeterminate || key_outdated) && in_flight.is_empty() {
                 self.fence_earlier_writes().await?;
                 (indeterminate, key_outdated) = (false, false);
             }
             // A stopping coordinator drops the batches that it has not begun to write. Its
-            // successor finds their contents in the minions' lists, and an early handover shortens
-            // the gap.
+            // successor learns their contents from the minions' lists, and an earlier takeover
+            // shortens the interruption.
             if stopping && in_flight.is_empty() && !indeterminate {
                 return Ok(());
             }
@@ -109,7 +109,7 @@
                     indeterminate |= self.handle_result(finished, &mut queue).await?;
                 }
                 _ = confirm.tick(), if in_flight.is_empty() && !indeterminate => {
-                    self.confirm().await?;
+                    self.confirm_term().await?;
                     self.deregister_lost_entry().await;
                 }
                 () = crate::stop_signal::stopped(&mut stop), if !stopping => {}
--- a/crates/geraniumpost/src/batch/entry/active_configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -16,13 +16,13 @@
 #[derive(Debug)]
 pub struct ActiveConfiguration {
     routes: ArcSwapOption<Routes>,
-    /// When the last successful call for the newest version was sent, on the boot clock.
+    /// When the last successful call for the newest version was sent, on the monotonic clock.
     confirmed_ms: AtomicU64,
     newer: Mutex<NewerVersions>,
-    /// Since when another process is known to have a newer version, on the boot clock, or
+    /// Since when another process is known to have a newer version, on the monotonic clock, or
     /// [`NEVER`].
     behind_since_ms: AtomicU64,
-    /// Since when the store is known to have a change that was not read yet, on the boot clock, or
+    /// Since when the store is known to have a change that was not read yet, on the monotonic clock, or
     /// [`NEVER`].
     unread_since_ms: AtomicU64,
     metrics: Arc<Metrics>,
@@ -58,8 +58,8 @@
     }
 
     /// Returns the newest version that this process has or has heard of.
-    pub fn newest(&self) -> u64 {
-        self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest()
+    pub fn newest_version(&self) -> u64 {
+        self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest_version()
     }
 
     /// Returns for how long a version newer than the active one has been known, in milliseconds; 0
@@ -77,11 +77,11 @@
 
     /// Records that another process has a version.
     pub fn observe(&self, version: u64) {
-        let newest = self.newest();
+        let newest = self.newest_version();
         if version <= newest {
             return;
         }
-        self.update_newer(|newer| newer.observed(version, BootClock.now_ms()));
+        self.update_newer(|newer| newer.observe(version, BootClock.now_ms()));
         spdlog::info!(
             "event=configuration_heard version={version} active={} age_ms={}",
             self.version(),
@@ -120,7 +120,7 @@
     }
 
     /// Activates a configuration if it is newer than the active one. `requested_ms` is when the
-    /// call that returned it was sent, on the boot clock.
+    /// call that returned it was sent, on the monotonic clock.
     pub fn adopt(&self, value: &[u8], requested_ms: u64) {
         let bytes = value.len();
         let routes = match decode_routes(value) {
@@ -148,6 +148,6 @@
         );
         let version = routes.version;
         self.routes.store(Some(Arc::new(routes)));
-        self.update_newer(|newer| newer.adopted(version));
+        self.update_newer(|newer| newer.adopt(version));
     }
 }
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -52,18 +52,21 @@
     let Some(route) = routes.find(host, req.uri().path()) else {
         return empty(StatusCode::NOT_FOUND);
     };
-    let deadline = deadline(&req);
+    let response_timeout = response_timeout(&req);
     let rest = &req.uri().path()[route.prefix.len()..];
     if rest.is_empty() && req.method() == Method::GET {
-        return relay(shared, CallerRequest::Pending(route.terms.queue.clone()), deadline).await;
+        return relay(shared, CallerRequest::Pending(route.terms.queue.clone()), response_timeout)
+            .await;
     }
     let Ok(job) = rest.parse::<JobId>() else {
         return empty(StatusCode::NOT_FOUND);
     };
     match *req.method() {
-        Method::GET => relay(shared, CallerRequest::State(job), deadline).await,
-        Method::DELETE => relay(shared, CallerRequest::Cancel(job), deadline).await,
-        Method::POST => submit(req, shared, job, route, routes.max_body_bytes, deadline).await,
+        Method::GET => relay(shared, CallerRequest::State(job), response_timeout).await,
+        Method::DELETE => relay(shared, CallerRequest::Cancel(job), response_timeout).await,
+        Method::POST => {
+            submit(req, shared, job, route, routes.max_body_bytes, response_timeout).await
+        }
         _ => empty(StatusCode::METHOD_NOT_ALLOWED),
     }
 }
@@ -74,7 +77,7 @@
     job: JobId,
     route: &Route,
     max_body_bytes: usize,
-    deadline: Duration,
+    response_timeout: Duration,
 ) -> HttpResponse {
     let body = match Limited::new(req.into_body(), max_body_bytes).collect().await {
         Ok(body) => body.to_bytes(),
@@ -90,16 +93,21 @@
             return empty(StatusCode::BAD_REQUEST);
         }
     };
-    relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, deadline).await
+    relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, response_timeout)
+        .await
 }
 
 /// Relays a request to the coordinator, and translates the response.
-async fn relay(shared: &Shared, request: CallerRequest, deadline: Duration) -> HttpResponse {
+async fn relay(
+    shared: &Shared,
+    request: CallerRequest,
+    response_timeout: Duration,
+) -> HttpResponse {
     // If the coordinator has been silent for long already, holding the request longer would only
     // cost the caller time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
-    match shared.relay.request(request, unsent_wait, deadline).await {
+    match shared.relay.request(request, unsent_wait, response_timeout).await {
         Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty(StatusCode::OK),
         Ok(CallerResponse::State(state)) => json(encode_state(state)),
         Ok(CallerResponse::Pending(count)) => json(encode_pending(count)),
@@ -133,7 +141,7 @@
     response
 }
 
-fn deadline(req: &Request<Incoming>) -> Duration {
+fn response_timeout(req: &Request<Incoming>) -> Duration {
     let header = req.headers().get(DEADLINE_HEADER).and_then(|value| value.to_str().ok());
     let ms = header.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEADLINE_MS);
     Duration::from_millis(ms.saturating_sub(RESPONSE_MARGIN_MS).max(1))
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -83,7 +83,7 @@
                 return self.configuration.mark_unread();
             }
             match response.receive(BODY_IDLE_TIMEOUT).await {
-                Ok(response) => revision = revision.max(self.apply(response, requested_ms)),
+                Ok(response) => revision = revision.max(self.apply_changes(response, requested_ms)),
                 Err(error) => {
                     self.record_failure(requested_ms, &error);
                     return tokio::time::sleep(RETRY_PAUSE).await;
@@ -96,7 +96,7 @@
     }
 
     /// Applies the changes of a watch; returns the revision from which to continue.
-    fn apply(&mut self, response: WatchResponse, requested_ms: u64) -> u64 {
+    fn apply_changes(&mut self, response: WatchResponse, requested_ms: u64) -> u64 {
         for change in response.changes {
             if let Change::Written(item) = change
                 && item.key == CONFIGURATION_KEY
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -14,12 +14,12 @@
 /// ```
 /// use geraniumpost::batch::entry::NewerVersions;
 /// let mut newer = NewerVersions::default();
-/// newer.observed(7, 100);
-/// newer.observed(9, 300);
+/// newer.observe(7, 100);
+/// newer.observe(9, 300);
 /// assert_eq!(newer.behind_since_ms(), Some(100));
-/// newer.adopted(8);
+/// newer.adopt(8);
 /// assert_eq!(newer.behind_since_ms(), Some(300));
-/// newer.adopted(9);
+/// newer.adopt(9);
 /// assert_eq!(newer.behind_since_ms(), None);
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -30,8 +30,8 @@
 
 impl NewerVersions {
     /// Records a version that another process has.
-    pub fn observed(&mut self, version: u64, now_ms: u64) {
-        if version <= self.active || self.newest() >= version {
+    pub fn observe(&mut self, version: u64, now_ms: u64) {
+        if version <= self.active || self.newest_version() >= version {
             return;
         }
         if self.pending.len() >= MAX_TRACKED {
@@ -41,13 +41,13 @@
     }
 
     /// Records the version that is active in this process.
-    pub fn adopted(&mut self, version: u64) {
+    pub fn adopt(&mut self, version: u64) {
         self.active = self.active.max(version);
         self.pending = self.pending.split_off(&(self.active + 1));
     }
 
     /// Returns the newest version that this process has or has heard of.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_version(&self) -> u64 {
         self.pending.last_key_value().map_or(self.active, |(version, _)| *version)
     }
 
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -7,7 +7,7 @@
 
 /// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer
 /// removes an entry after two failed checks a second apart, which is longer than a takeover takes.
-const SILENCE_MS: u64 = 1_000;
+const MAX_COORDINATOR_SILENCE_MS: u64 = 1_000;
 
 /// Responds to the balancer's check. The entry is ready if its configuration is up to date, the
 /// coordinator answers, and the process was not asked to stop.
@@ -17,7 +17,7 @@
     }
     let configured = shared.configuration.version() > 0 && !shared.is_behind();
     let stopping = *shared.stop.borrow();
-    let coordinator_responds = shared.relay.silent_ms() < SILENCE_MS;
+    let coordinator_responds = shared.relay.silent_ms() < MAX_COORDINATOR_SILENCE_MS;
     let ready = configured && coordinator_responds && !stopping;
     empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -22,7 +22,7 @@
 /// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Capacity of the queue of requests; more are refused.
-const REQUEST_QUEUE: usize = 1_024;
+const REQUEST_QUEUE_CAPACITY: usize = 1_024;
 
 /// State of this entry's link to the coordinator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -30,13 +30,13 @@
     /// Address of the coordinator that the other fields describe.
     pub address: Option<SocketAddr>,
     /// When the coordinator last sent a pong, or when the first connect to it was tried, on the
-    /// boot clock.
+    /// monotonic clock.
     pub last_heard_ms: u64,
     /// Connects in a row that failed.
     pub failed_connects: u32,
     /// Whether the process at the address has responded that it does not coordinate.
     pub not_coordinating: bool,
-    /// Since when the coordinator has reported that it does not reach the store, on the boot clock.
+    /// Since when the coordinator has reported that it does not reach the store, on the monotonic clock.
     pub store_unreachable_since_ms: Option<u64>,
 }
 
@@ -46,7 +46,7 @@
     request: CallerRequest,
     response: oneshot::Sender<CallerResponse>,
     /// Number of copies of the request that were sent.
-    sent: Arc<AtomicU64>,
+    sent_copies: Arc<AtomicU64>,
     /// Number of copies that the coordinator has refused.
     refused_copies: u64,
 }
@@ -63,7 +63,7 @@
             return true;
         }
         self.refused_copies += 1;
-        self.refused_copies >= self.sent.load(Ordering::SeqCst)
+        self.refused_copies >= self.sent_copies.load(Ordering::SeqCst)
     }
 }
 
@@ -94,7 +94,7 @@
         known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
         configuration: Arc<ActiveConfiguration>,
     ) -> Self {
-        let (tx, rx) = mpsc::channel(REQUEST_QUEUE);
+        let (tx, rx) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
         let (state_tx, state) = watch::channel(LinkState::default());
         let last_pong_ms = Arc::new(AtomicU64::new(0));
         let task = RelayTask {
@@ -135,12 +135,12 @@
         unsent_timeout: Duration,
         timeout: Duration,
     ) -> Result<CallerResponse, NoResponse> {
-        let sent = Arc::new(AtomicU64::new(0));
+        let sent_copies = Arc::new(AtomicU64::new(0));
         let (response_tx, mut response) = oneshot::channel();
         let pending = PendingRequest {
             request,
             response: response_tx,
-            sent: Arc::clone(&sent),
+            sent_copies: Arc::clone(&sent_copies),
             refused_copies: 0,
         };
         self.tx.try_send(pending).map_err(|_| NoResponse::NotSent)?;
@@ -150,7 +150,7 @@
         {
             return result.map_err(|_| NoResponse::Unknown);
         }
-        if sent.load(Ordering::SeqCst) > 0
+        if sent_copies.load(Ordering::SeqCst) > 0
             && let Ok(result) = tokio::time::timeout_at(started_at + timeout, &mut response).await
         {
             return result.map_err(|_| NoResponse::Unknown);
@@ -162,7 +162,7 @@
         if let Ok(result) = response.try_recv() {
             return Ok(result);
         }
-        Err(if sent.load(Ordering::SeqCst) == 0 {
+        Err(if sent_copies.load(Ordering::SeqCst) == 0 {
             NoResponse::NotSent
         } else {
             NoResponse::Unknown
@@ -242,7 +242,7 @@
                 message = rx.next() => {
                     let Some(message) = message else { return };
                     let was_trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
-                    if !self.handle(message.head) {
+                    if !self.handle_message(message.head) {
                         return;
                     }
                     if !was_trusted && self.silent_ms() < MAX_TRUSTED_SILENCE_MS {
@@ -257,7 +257,7 @@
                     self.enqueue(pending, trusted.then_some(&tx));
                 }
                 _ = pings.tick() => {
-                    if tx.send(FromPeer::EntryMessage(self.ping())).is_err() || self.is_silent() {
+                    if tx.send(FromPeer::EntryMessage(self.next_ping())).is_err() || self.is_silent() {
                         return;
                     }
                 }
@@ -266,7 +266,7 @@
         }
     }
 
-    fn ping(&self) -> FromEntry {
+    fn next_ping(&self) -> FromEntry {
         let promise = |(sent, received_ms)| self.promises.promise_support(sent, received_ms);
         FromEntry::Ping {
             configuration: self.configuration.version(),
@@ -285,7 +285,7 @@
     }
 
     /// Handles a message; returns false if the link is of no further use.
-    fn handle(&mut self, message: ToPeer) -> bool {
+    fn handle_message(&mut self, message: ToPeer) -> bool {
         let now_ms = BootClock.now_ms();
         match message {
             ToPeer::Entry(ToEntry::Pong { store_ok, configuration, sent }) => {
@@ -340,7 +340,7 @@
 }
 
 fn send(tx: &Tx, ticket: u64, pending: &PendingRequest) {
-    pending.sent.fetch_add(1, Ordering::SeqCst);
+    pending.sent_copies.fetch_add(1, Ordering::SeqCst);
     if pending.response.is_closed() {
         return;
     }
--- a/crates/geraniumpost/tests/coordinator_loss.rs
+++ b/crates/geraniumpost/tests/coordinator_loss.rs
@@ -3,7 +3,7 @@
 use geraniumpost::batch::coordination::{CoordinatorLoss, detect_loss};
 use geraniumpost::batch::entry::LinkState;
 
-/// Now, on the boot clock of these tests.
+/// Now, on the monotonic clock of these tests.
 const NOW_MS: u64 = 100_000;
 
 /// A link over which the coordinator has just answered.
--- a/crates/geraniumpost/tests/newer_versions.rs
+++ b/crates/geraniumpost/tests/newer_versions.rs
@@ -35,11 +35,11 @@
         let mut newer = NewerVersions::default();
         for (event, at) in events.iter().zip(0..) {
             match event {
-                Event::Heard(version) => newer.observed(*version, at),
-                Event::Adopted(version) => newer.adopted(*version),
+                Event::Heard(version) => newer.observe(*version, at),
+                Event::Adopted(version) => newer.adopt(*version),
             }
         }
-        prop_assert_eq!((newer.behind_since_ms(), newer.newest()), naive(&events));
+        prop_assert_eq!((newer.behind_since_ms(), newer.newest_version()), naive(&events));
     }
 }
 
@@ -49,9 +49,9 @@
 fn long_series_is_kept_within_bounds() {
     let mut newer = NewerVersions::default();
     for version in 1..=1_000 {
-        newer.observed(version, version * 10);
+        newer.observe(version, version * 10);
     }
-    assert_eq!((newer.behind_since_ms(), newer.newest()), (Some(10), 1_000));
-    newer.adopted(999);
+    assert_eq!((newer.behind_since_ms(), newer.newest_version()), (Some(10), 1_000));
+    newer.adopt(999);
     assert_eq!(newer.behind_since_ms(), Some(10_000));
 }
