--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -48,7 +48,7 @@
     /// Returns the time since the last pong that an entry has echoed was sent, in milliseconds; `None`
     /// if it has echoed none in this term.
     pub fn silent_ms(&self, node: &Name) -> Option<u64> {
-        self.lock().silent_ms(node, BootClock.now_ms())
+        self.lock().last_promise_age_ms(node, BootClock.now_ms())
     }
 
     /// Returns the time until which a majority supports the term, on the monotonic clock, and the
