--- a/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -10,15 +10,16 @@
 use super::super::coordination::{COORDINATOR_KEY, CoordinatorRecord, KnownCoordinator};
 use super::state::State;
 
-/// Timeout of one read.
+/// Timeout of one read of the coordinator's key.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause between two reads while there is no link, or the coordinator is silent.
 const SEARCH_PAUSE: Duration = Duration::from_millis(200);
-/// Silence of the coordinator after which the store is read for a successor, in milliseconds: one
-/// missing response. A VM without power sends no reset, and entries take over after 0.9 s of
-/// silence. An agent that waits as long would leave its minion without orders for another second.
+/// Silence of the coordinator after which the agent looks for a successor in the store, in
+/// milliseconds: one missing response. A VM without power sends no reset, and entries take over
+/// after 0.9 s of silence. An agent that waited as long would leave its minion without orders for
+/// another second.
 const LOOKUP_SILENCE_MS: u64 = 700;
-/// Pause between two checks of the link.
+/// Pause between two checks whether the link still works.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two reads while the linked coordinator may have a successor.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(600);
--- a/crates/geraniumpost/src/batch/agent/heartbeats.rs
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -17,16 +17,16 @@
 use super::super::http_server::{HttpResponse, empty};
 use super::state::State;
 
-/// Pause after a minion has deregistered before each check whether it has terminated. By its
-/// protocol it terminates as soon as the deregistration is answered; the pause allows for a slow
-/// machine.
+/// Pause before each check whether a deregistered minion has terminated. By its protocol it
+/// terminates as soon as it receives the response to its deregistration; the pause allows for a
+/// slow machine.
 const TERMINATION_CHECK_PAUSE: Duration = Duration::from_millis(300);
-/// Timeout of the poll that checks whether the minion still runs.
+/// Timeout of the poll that checks whether a deregistered minion is still running.
 const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Largest accepted body of a heartbeat, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
-/// Handles one request of a minion.
+/// Handles a heartbeat or a deregistration.
 pub async fn respond(req: Request<Incoming>, state: Arc<State>) -> HttpResponse {
     let Some(id) = heartbeat_minion_id(req.uri().path()).map(str::to_owned) else {
         return empty(StatusCode::NOT_FOUND);
@@ -60,14 +60,14 @@
     }
 }
 
-/// Waits until a minion that has deregistered no longer answers, and records that it has
+/// Waits until a minion that has deregistered no longer responds, and records that it has
 /// terminated.
 ///
-/// Its tasks end with it. If they only counted as ended at the expiry of their lease, they would
-/// start elsewhere seconds later, or not before the end of a store outage. A minion whose
-/// deregistration was answered late, because this process was paused, treats that as unanswered and
-/// runs on for some seconds. Without the check its tasks would start elsewhere while they still
-/// run.
+/// Its tasks end with it. If they only counted as ended when their lease expires, they would be
+/// restarted elsewhere seconds later, or not until a store outage ends. A minion that receives the
+/// response to its deregistration late, because this process was paused, ignores it and keeps
+/// running for some seconds. Without the check its tasks would be restarted elsewhere while they
+/// still run.
 async fn await_termination(id: Name, state: Arc<State>) {
     let mut still_running = false;
     loop {
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -18,21 +18,22 @@
 use super::http_server;
 use state::State;
 
-/// Time in which heartbeats that have already arrived are answered when the process is asked to
-/// stop. Each takes about a millisecond.
+/// Time for responses to heartbeats that have already arrived when the process is asked to stop.
+/// Each takes about a millisecond.
 const HEARTBEAT_DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Part of the grace period that is kept free for the exit of the process, in milliseconds.
+/// Part of the grace period that is reserved for the exit of the process, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_000;
-/// Pause between two checks whether all departures are recorded.
+/// Pause between two checks whether a coordinator has recorded all departures.
 const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves until the process is asked to stop. The agent persists nothing: the minion keeps running
 /// under its lease, and the next agent process reads the minion's own lists. Only the departure of
-/// a minion cannot be read again, so the process waits until a coordinator has recorded it.
+/// a minion cannot be read again, so the process waits until a coordinator has recorded it, or its
+/// grace period is nearly over.
 ///
 /// # Errors
 ///
-/// Fails if an address is missing or taken.
+/// Fails if an address is missing in the settings or in use.
 pub async fn serve(settings: NodeSettings) -> Result<()> {
     let stop = crate::stop_signal::stop_signal()?;
     crate::stop_signal::on_reload(|| load_settings().map(drop))?;
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -8,19 +8,19 @@
 
 use super::state::State;
 
-/// Timeout of one order. A minion answers in about a millisecond; a busy agent takes some tens.
+/// Timeout of one order. A minion responds within about a millisecond; a busy agent adds some tens
+/// of milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Fencing token and lease under which an order is forwarded.
+/// Fencing token and end of the lease that are forwarded with an order.
 ///
-/// They are read when the order arrives, before any later message of the link is handled. If the
-/// task that forwards the order read them later, an order that was sent before the coordinator
-/// assumed the minion's work to have ended could use the lease granted afterwards, and the work
-/// would run twice.
+/// Both are read when the order arrives, before any later message of the link is handled. The
+/// coordinator may have sent the order, then assumed that the minion's tasks have ended, and then
+/// granted a new lease. If the order were forwarded under that lease, a task would run twice.
 #[derive(Debug, Clone, Copy)]
 struct OrderContext {
     fence: u64,
-    /// End of the lease on the minion's clock; `None` if it has expired.
+    /// End of the lease in milliseconds on the minion's clock; `None` if it has expired.
     lease_end: Option<u64>,
     draining: bool,
 }
@@ -35,8 +35,8 @@
     }
 }
 
-/// Forwards one order, and reports its outcome to the coordinator. The context is read at once, not
-/// when the returned future runs.
+/// Forwards one order, and reports its outcome to the coordinator. The [`OrderContext`] is read by
+/// this call itself, not when the returned future runs.
 pub fn execute(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
     let context = OrderContext::read(&state, &order);
     async move {
@@ -80,9 +80,9 @@
         None => 0,
     };
     let outcome = state.minion.order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
-    // A poll for the present coordinator has overtaken this order of an earlier one. Reported as
-    // `Superseded`, it would make the present coordinator end its term; the order had no effect, so
-    // `NotSent` is reported.
+    // A poll for the current coordinator may have overtaken this order of an earlier one, so that
+    // the minion refused it. `Superseded` would make the current coordinator end its term; the
+    // order had no effect, so `NotSent` is reported.
     let is_outdated = context.fence < state.fence.load(Ordering::SeqCst);
     if outcome == OrderOutcome::Superseded && is_outdated { OrderOutcome::NotSent } else { outcome }
 }
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -11,19 +11,20 @@
 use super::super::BootClock;
 use super::state::State;
 
-/// Longest time for which the minion waits for a new end before it responds.
+/// Longest time for which the minion waits for a task to end before it responds to a poll.
 const POLL_WAIT: Duration = Duration::from_millis(400);
-/// Timeout of a poll in addition to that wait.
+/// Timeout of a poll in addition to [`POLL_WAIT`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longest pause between two polls while ends await their acknowledgement, which takes about 10 ms.
+/// Longest pause between two polls while the minion lists ends that the coordinator has not
+/// acknowledged. An acknowledgement takes about 10 ms.
 const ACKNOWLEDGEMENT_PAUSE: Duration = Duration::from_millis(150);
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Interval at which polls are reported in full, in milliseconds. Progress and tail latencies
-/// change slowly enough.
+/// Interval at which running tasks are reported in addition to ends, in milliseconds. Their
+/// progress and tail latencies change slowly.
 const FULL_REPORT_INTERVAL_MS: u64 = 400;
 
-/// Polls until the process exits.
+/// Polls the minion until the process exits.
 pub async fn poll_continuously(state: Arc<State>) {
     let mut last_full_report_ms = 0;
     let mut has_unacknowledged = false;
@@ -57,7 +58,8 @@
             }
         }
         if has_unacknowledged {
-            // The minion would respond at once, because it lists ends that are already reported.
+            // While the minion lists ends that are not acknowledged, it responds to polls at once.
+            // The pause keeps this loop from reading the same ends again and again.
             let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.poll_wakeup.notified()).await;
             let (acknowledged, reported) = state.end_sequences();
             has_unacknowledged = acknowledged < reported;
@@ -65,8 +67,8 @@
     }
 }
 
-/// Reports a poll to the coordinator; returns whether it lists ends that await their
-/// acknowledgement.
+/// Reports the lists that a poll returned to the coordinator. Returns whether they contain ends,
+/// which are not acknowledged yet.
 fn report(
     state: &State,
     id: &Name,
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -10,28 +10,28 @@
 
 use super::super::{BootClock, FromPeer};
 
-/// Lowest speed of a minion's clock relative to the agent's, in percent.
+/// Lowest speed of a minion's clock relative to the agent's that leases allow for, in percent.
 const MIN_CLOCK_SPEED_PERCENT: u64 = 98;
 
 /// State that the agent's tasks share.
 #[derive(Debug)]
 pub struct State {
-    /// Name of the agent.
+    /// Name of the agent's VM.
     pub node: Name,
-    /// Client of the minion beside the agent.
+    /// Client of the minion on the same VM.
     pub minion: Minion,
-    /// The coordinator's fencing token; 0 before the first lease.
+    /// Highest fencing token of a coordinator that has granted a lease; 0 before the first lease.
     pub fence: AtomicU64,
-    /// Notified when ends are acknowledged, a new incarnation is heard of, the link changes or a
-    /// new coordinator grants a lease.
+    /// Ends pauses between polls. Notified when ends are acknowledged, an unknown incarnation sends
+    /// a heartbeat, the link changes or a new coordinator grants a lease.
     pub poll_wakeup: Notify,
-    /// Notified when a heartbeat should be sent at once: without a lease a new incarnation gets no
-    /// work.
+    /// Notified when a heartbeat must be sent to the coordinator at once: without a lease a new
+    /// incarnation gets no work.
     pub heartbeat_now: Notify,
     /// Whether the linked coordinator may have a successor: it reports that it does not reach the
     /// store, or the minion has rejected its fencing token.
     pub coordinator_may_be_replaced: std::sync::atomic::AtomicBool,
-    /// When the coordinator last sent a message over the current link, on the monotonic clock.
+    /// Time of the coordinator's last message over the current link, on the monotonic clock.
     pub coordinator_heard_ms: AtomicU64,
     lease_end_ms: AtomicU64,
     inner: Mutex<Inner>,
@@ -39,28 +39,30 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// The incarnation that answers calls, as of its last heartbeat.
+    /// The incarnation that responds to calls, as described by its last heartbeat.
     current: Option<MinionInfo>,
-    /// Incarnations that have sent heartbeats but have not answered a call yet.
+    /// Incarnations that have sent heartbeats but have not responded to a call yet.
     unconfirmed: HashMap<Name, MinionInfo>,
-    /// Incarnations that have left, until a coordinator has recorded their departure.
+    /// Incarnations that have deregistered or terminated, until a coordinator has recorded that.
     departures: Departures,
-    /// The minion's clock, and the monotonic clock when that was received.
+    /// Last reading of the minion's clock, and the time at which it was received, on the monotonic
+    /// clock.
     minion_clock: Option<(u64, u64)>,
-    /// When the minion last answered, on the monotonic clock.
+    /// Time of the minion's last response to a poll, on the monotonic clock.
     minion_responded_ms: u64,
-    /// Sequence number up to which ends are acknowledged.
+    /// Sequence number up to which the coordinator has acknowledged ends.
     acknowledged: u64,
     /// Sequence number of the last end that was reported over the current link.
     reported: u64,
-    /// Whether the next poll is reported in full.
+    /// Whether the next report must include the running tasks.
     full_report: bool,
     link: Option<LinkSender<FromPeer>>,
     reported_result_count: u64,
 }
 
 impl State {
-    /// Returns the state of an agent that has not heard of a minion or a coordinator yet.
+    /// Returns the state of an agent that knows neither an incarnation of the minion nor a
+    /// coordinator yet.
     pub fn new(node: Name, minion: Minion) -> Self {
         Self {
             node,
@@ -79,9 +81,9 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat. An incarnation becomes the current one only when it answers a call,
-    /// because a delayed heartbeat of an earlier incarnation may arrive after the first one of the
-    /// next.
+    /// Records a heartbeat. An incarnation becomes the current one only when it responds to a call,
+    /// because a delayed heartbeat of an earlier incarnation may arrive after the first heartbeat
+    /// of the next.
     pub fn record_heartbeat(&self, info: MinionInfo) {
         let mut inner = self.lock();
         let changed = match &inner.current {
@@ -109,15 +111,15 @@
         }
     }
 
-    /// Returns the incarnations that may be running, unconfirmed ones first.
+    /// Returns the incarnations to poll, any of which may be running: unconfirmed ones first.
     pub fn possible_incarnations(&self) -> Vec<Name> {
         let inner = self.lock();
         let current = inner.current.iter().map(|info| info.id.clone());
         inner.unconfirmed.keys().cloned().chain(current).collect()
     }
 
-    /// Records that an incarnation has answered, with the time on its own clock. An unconfirmed
-    /// incarnation becomes the current one.
+    /// Records that an incarnation has responded to a poll with the time `clock_ms` on its own
+    /// clock. An unconfirmed incarnation becomes the current one.
     pub fn record_response(&self, id: &Name, clock_ms: u64, received_ms: u64) {
         let mut inner = self.lock();
         inner.minion_clock = Some((clock_ms, received_ms));
@@ -135,7 +137,7 @@
         self.heartbeat_now.notify_one();
     }
 
-    /// Records that an incarnation has been replaced by another one.
+    /// Records that another incarnation has responded in place of this one.
     pub fn record_replaced(&self, id: &Name) {
         let mut inner = self.lock();
         inner.unconfirmed.remove(id);
@@ -149,38 +151,39 @@
         self.lock().departures.record_leaving(id);
     }
 
-    /// Records that an incarnation has terminated after its deregistration. An agent that has just
-    /// started may not know the incarnation before.
+    /// Records that an incarnation has terminated after its deregistration. It need not be known:
+    /// the agent may have started after the incarnation's last heartbeat.
     pub fn record_terminated(&self, id: &Name) {
         let mut inner = self.lock();
         inner.unconfirmed.remove(id);
         report_departure(&mut inner, id);
     }
 
-    /// Handles the coordinator's message that it has recorded a departure.
+    /// Handles the coordinator's confirmation that it has recorded a departure.
     pub fn handle_departure_recorded(&self, id: &Name) {
         self.lock().departures.remove(id);
         spdlog::info!("event=departure_recorded minion={id}");
     }
 
-    /// Returns whether a coordinator has recorded all departures.
+    /// Returns whether no departure waits to be recorded by a coordinator.
     pub fn are_departures_recorded(&self) -> bool {
         self.lock().departures.is_empty()
     }
 
-    /// Returns the incarnation that answers calls, if any.
+    /// Returns the incarnation that responds to calls, if any.
     pub fn current_minion(&self) -> Option<MinionInfo> {
         self.lock().current.clone()
     }
 
-    /// Returns whether the minion has answered within `ms` milliseconds.
+    /// Returns whether the minion has responded to a poll within the last `ms` milliseconds.
     pub fn has_responded_within(&self, ms: u64) -> bool {
         let inner = self.lock();
         inner.current.is_some() && BootClock.now_ms().saturating_sub(inner.minion_responded_ms) < ms
     }
 
-    /// Extends the lease. It counts from the sending of the heartbeat that is answered, so that a
-    /// late response does not extend it beyond the end that the coordinator assumes.
+    /// Extends the lease as granted in response to a heartbeat. The lease counts from the time at
+    /// which the heartbeat was sent, so that a late response does not extend it beyond the end that
+    /// the coordinator assumes. Leases of superseded coordinators are ignored.
     pub fn extend_lease(&self, sent_at_ms: u64, duration_ms: u64, fence: u64) {
         if self.fence.fetch_max(fence, Ordering::SeqCst) < fence {
             spdlog::info!("event=coordinator_accepted fence={fence}");
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Returns the end of the lease on the minion's clock, or `None` if it has expired.
+    /// Returns the end of the lease in milliseconds on the minion's clock, or `None` if it has
+    /// expired or no reading of that clock is known.
     pub fn lease_end(&self) -> Option<u64> {
         let (clock_ms, received_ms) = self.lock().minion_clock?;
         let lease_end_ms = self.lease_end_ms.load(Ordering::SeqCst);
@@ -199,12 +203,12 @@
             return None;
         }
         let remaining_ms = lease_end_ms.saturating_sub(received_ms);
-        // A slow clock takes longer for the same number of milliseconds.
+        // On a slow clock the same number of milliseconds takes longer.
         Some(clock_ms + remaining_ms * MIN_CLOCK_SPEED_PERCENT / 100)
     }
 
-    /// Records that the ends up to a sequence number are committed, so that the minion may forget
-    /// them.
+    /// Records that the coordinator has committed the ends up to a sequence number, so that the
+    /// minion may forget them.
     pub fn record_acknowledged(&self, minion: &Name, up_to: u64) {
         let mut inner = self.lock();
         if inner.current.as_ref().is_some_and(|current| current.id == *minion) {
@@ -220,8 +224,8 @@
         (inner.acknowledged, inner.reported)
     }
 
-    /// Records that the ends up to a sequence number are reported; returns whether this poll is to
-    /// be reported in full.
+    /// Records that the ends up to a sequence number are being reported. Returns whether the report
+    /// must include the running tasks, as requested by `full_report` or after a change.
     pub fn record_reported_ends(&self, last_sequence: Option<u64>, full_report: bool) -> bool {
         let mut inner = self.lock();
         if let Some(last_sequence) = last_sequence {
@@ -232,7 +236,8 @@
         is_full_report
     }
 
-    /// Sets or clears the link to the coordinator. Over a new link everything is reported again.
+    /// Sets or clears the link to the coordinator. Over a new link the minion, departures, and all
+    /// ends that are not acknowledged are reported again.
     pub fn set_link(&self, link: Option<LinkSender<FromPeer>>) {
         let mut inner = self.lock();
         inner.link = link;
@@ -259,13 +264,13 @@
         inner.link.as_ref().map(|_| inner.reported_result_count)
     }
 
-    /// Sends a message to the coordinator if there is a link. The next link reports the state
-    /// again.
+    /// Sends a message to the coordinator if there is a link; otherwise drops it, as the state is
+    /// reported again over the next link.
     pub fn send(&self, message: FromAgent) {
         send_on_link(&self.lock(), message);
     }
 
-    /// Sends the result of an order to the coordinator under the next number.
+    /// Sends the result of an order to the coordinator, numbered by the results reported so far.
     pub fn send_result(&self, mut result: OrderResult) {
         let mut inner = self.lock();
         inner.reported_result_count += 1;
@@ -274,13 +279,13 @@
     }
 }
 
-/// Sends a message to the coordinator; returns false if there is no link.
+/// Sends a message to the coordinator; returns false if there is no open link.
 fn send_on_link(inner: &Inner, message: FromAgent) -> bool {
     inner.link.as_ref().is_some_and(|link| link.send(FromPeer::AgentMessage(message)).is_ok())
 }
 
-/// Records the departure of an incarnation until it is confirmed, and reports it to the
-/// coordinator.
+/// Keeps the departure of an incarnation until a coordinator confirms it, and reports it over the
+/// link, if any.
 fn report_departure(inner: &mut Inner, id: &Name) {
     if inner.current.as_ref().is_some_and(|current| current.id == *id) {
         inner.current = None;
--- a/crates/geraniumpost/src/batch/coordination/adaptive_timeout.rs
+++ b/crates/geraniumpost/src/batch/coordination/adaptive_timeout.rs
@@ -5,9 +5,9 @@
 const MIN_TIMEOUT_MS: u64 = 250;
 /// Upper bound of the timeout that follows from measured response times, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 2_000;
-/// Calls without a response double the timeout up to this bound, in milliseconds. A call
-/// that was sent to an unavailable store gets no response even after the store has recovered, so
-/// a longer timeout would delay the next call.
+/// Calls without a response double the timeout up to this bound, in milliseconds. A call that was
+/// sent to an unavailable store gets no response even after the store has recovered, so a longer
+/// timeout would delay the next call.
 const MAX_BACKOFF_MS: u64 = 1_000;
 /// Ratio of the timeout to the moving average of response times.
 const TIMEOUT_FACTOR: u64 = 6;
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Reads the coordinator's key, waits until that coordinator is lost, and takes over if allowed.
+    /// Reads the coordinator's key, waits until that coordinator is lost, and takes over if
+    /// allowed.
     async fn run_once(
         &self,
         inputs: &watch::Sender<CurrentTermInputs>,
@@ -324,7 +325,8 @@
             previous.voters_of(previous.term).without(&self.node)
         });
         let (mut voters, predecessor_leases) = previous.map_or_else(Default::default, |previous| {
-            // A silent coordinator may respond again, and then reports whether it still coordinates.
+            // A silent coordinator may respond again, and then reports whether it still
+            // coordinates.
             let silent =
                 (loss == CoordinatorLoss::Silent).then_some((previous.address, previous.term));
             let predecessor_leases =
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Reads the coordinator's key to check that the term is not lost. A failed read is only logged.
+    /// Reads the coordinator's key to check that the term is not lost. A failed read is only
+    /// logged.
     pub(super) async fn confirm_term(&mut self) -> Result<(), TermLost> {
         let requested_ms = BootClock.now_ms();
         let started_at = tokio::time::Instant::now();
@@ -178,8 +179,8 @@
         let _ = self.inputs.send(Input::TermConfirmed { requested_ms, received_ms }).await;
     }
 
-    /// Records in the key that the coordinator has stepped down. A successor then takes over at once
-    /// and waits only for the leases that the key names.
+    /// Records in the key that the coordinator has stepped down. A successor then takes over at
+    /// once and waits only for the leases that the key names.
     pub async fn step_down(&mut self) {
         self.record.stepped_down = true;
         self.record.predecessor_leases = self.successor_leases.remaining_at(BootClock.now_ms());
--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -25,10 +25,10 @@
 
 /// Returns how the coordinator was lost, or `None` if it does not count as lost.
 ///
-/// `readable_since_ms` is the time at which the store responded to this entry again after an outage,
-/// and `now_ms` the present time, both on the monotonic clock. After an outage that affected all
-/// entries, the coordinator may reach the store slightly later than this entry. A takeover at that
-/// moment would needlessly interrupt all work for a second.
+/// `readable_since_ms` is the time at which the store responded to this entry again after an
+/// outage, and `now_ms` the present time, both on the monotonic clock. After an outage that
+/// affected all entries, the coordinator may reach the store slightly later than this entry. A
+/// takeover at that moment would needlessly interrupt all work for a second.
 pub fn detect_loss(
     link: &LinkState,
     readable_since_ms: Option<u64>,
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -84,8 +84,8 @@
     },
 }
 
-/// A step, identified by its first task, and the minions for which the admission service's
-/// approval is requested.
+/// A step, identified by its first task, and the minions for which the admission service's approval
+/// is requested.
 pub type ApprovalRequest = (TaskId, Vec<Name>);
 
 /// Why a coordinator's term ended.
@@ -115,8 +115,8 @@
 }
 
 impl Driver {
-    /// Returns a driver without links. It sends batches of records to `writes`, and requests for the
-    /// admission service to `approval_requests`.
+    /// Returns a driver without links. It sends batches of records to `writes`, and requests for
+    /// the admission service to `approval_requests`.
     pub fn new(
         coordinator: Coordinator,
         writes: mpsc::Sender<WriteBatch>,
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -48,8 +48,8 @@
     }
 
     /// Promises support to the coordinator whose pong was sent at `sent` and received at
-    /// `received_ms` on the monotonic clock. Returns the time to echo in the next ping, or `None` if
-    /// a successor has requested the release of promises to that term.
+    /// `received_ms` on the monotonic clock. Returns the time to echo in the next ping, or `None`
+    /// if a successor has requested the release of promises to that term.
     pub fn promise_support(&self, sent: TermTime, received_ms: u64) -> Option<TermTime> {
         self.lock().promise(sent.term, received_ms).then_some(sent)
     }
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -72,7 +72,8 @@
 }
 
 impl Peers {
-    /// Returns an empty list of other entries, for the entry `node` that accepts links at `address`.
+    /// Returns an empty list of other entries, for the entry `node` that accepts links at
+    /// `address`.
     pub fn new(node: Name, address: SocketAddr) -> Self {
         Self {
             node,
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -21,8 +21,8 @@
     pub incarnation: u64,
     /// Number of the term, which is also the fencing token. It increases with each term.
     pub term: u64,
-    /// Number of rewrites within the term. Each changes the key's revision, so that the store rejects
-    /// earlier writes, which require the old revision.
+    /// Number of rewrites within the term. Each changes the key's revision, so that the store
+    /// rejects earlier writes, which require the old revision.
     pub barrier: u64,
     /// Whether the coordinator has stepped down, so that a successor can take over at once.
     pub stepped_down: bool,
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -50,9 +50,9 @@
 }
 
 impl ReleaseRequester {
-    /// Repeats the requests until enough voters have released their promises, and reports the latest
-    /// time at which the silent coordinator may extend leases. Does nothing for a term without
-    /// voters.
+    /// Repeats the requests until enough voters have released their promises, and reports the
+    /// latest time at which the silent coordinator may extend leases. Does nothing for a term
+    /// without voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
         if releases.voters_without_response().next().is_none() {
@@ -76,7 +76,7 @@
                 let _ = inputs.send(Input::PredecessorExtendsUntil { address, until_ms }).await;
                 return;
             }
-            self.request_unanswered(&mut releases).await;
+            self.request_releases(&mut releases).await;
             if releases.support_end_ms().is_none() {
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
@@ -84,7 +84,7 @@
     }
 
     /// Sends requests to all voters that have not responded, in parallel.
-    async fn request_unanswered(&self, releases: &mut Releases) {
+    async fn request_releases(&self, releases: &mut Releases) {
         let mut requests = JoinSet::new();
         for node in releases.voters_without_response().cloned().collect::<Vec<_>>() {
             if let Some(address) = self.peers.address_of(&node) {
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -18,7 +18,8 @@
 }
 
 impl TermSupport {
-    /// Returns the support of a term that begins now, with the voters named in the coordinator's key.
+    /// Returns the support of a term that begins now, with the voters named in the coordinator's
+    /// key.
     pub fn new(local_node: Name, term: u64, voters: Voters) -> Self {
         Self { local_node, term, support: Mutex::new(Support::new(voters, BootClock.now_ms())) }
     }
@@ -45,8 +46,8 @@
         self.lock().mark_stopping(node);
     }
 
-    /// Returns the time since the last pong that an entry has echoed was sent, in milliseconds; `None`
-    /// if it has echoed none in this term.
+    /// Returns the time since the last pong that an entry has echoed was sent, in milliseconds;
+    /// `None` if it has echoed none in this term.
     pub fn silent_ms(&self, node: &Name) -> Option<u64> {
         self.lock().last_promise_age_ms(node, BootClock.now_ms())
     }
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -168,7 +168,10 @@
             }
             Err(CommitError::Indeterminate(why)) => {
                 self.timeout.record_no_response();
-                spdlog::warn!("event=write_unanswered records={} why=\"{why}\"", batch.put.len());
+                spdlog::warn!(
+                    "event=write_indeterminate records={} why=\"{why}\"",
+                    batch.put.len()
+                );
                 queue.push_front(batch);
                 Ok(true)
             }
--- a/crates/geraniumpost/src/batch/entry/active_configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -9,21 +9,22 @@
 use super::NewerVersions;
 use crate::metrics::Metrics;
 
-/// Time that stands for "not outdated".
+/// Value of `behind_since_ms` and `unread_since_ms` while no newer version is known.
 const NEVER: u64 = u64::MAX;
 
-/// The active configuration, and what is known of newer versions.
+/// The active configuration, and which newer versions are known.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
     routes: ArcSwapOption<Routes>,
-    /// When the last successful call for the newest version was sent, on the monotonic clock.
+    /// Time at which the last successful call for the newest version was sent, on the monotonic
+    /// clock.
     confirmed_ms: AtomicU64,
     newer: Mutex<NewerVersions>,
-    /// Since when another process is known to have a newer version, on the monotonic clock, or
-    /// [`NEVER`].
+    /// Time at which this process first heard that another one has a newer version, on the
+    /// monotonic clock, or [`NEVER`].
     behind_since_ms: AtomicU64,
-    /// Since when the store is known to have a change that was not read yet, on the monotonic clock, or
-    /// [`NEVER`].
+    /// Time at which the store first announced a change that was not read yet, on the monotonic
+    /// clock, or [`NEVER`].
     unread_since_ms: AtomicU64,
     metrics: Arc<Metrics>,
 }
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns the active configuration; `None` before the first one is read.
+    /// Returns the active configuration; `None` until the first one is read.
     pub fn routes(&self) -> Option<Arc<Routes>> {
         self.routes.load_full()
     }
@@ -57,7 +58,7 @@
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns the newest version that this process has or has heard of.
+    /// Returns the newest known version: the active one, or a newer one that another process has.
     pub fn newest_version(&self) -> u64 {
         self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest_version()
     }
@@ -70,12 +71,12 @@
         BootClock.now_ms().saturating_sub(since_ms)
     }
 
-    /// Records that the store has a change that still has to be read.
+    /// Records that the store has announced a change that was not read yet.
     pub fn mark_unread(&self) {
         self.unread_since_ms.fetch_min(BootClock.now_ms(), Ordering::Relaxed);
     }
 
-    /// Records that another process has a version.
+    /// Records a version that another process has, as reported in its ping or pong.
     pub fn observe(&self, version: u64) {
         let newest = self.newest_version();
         if version <= newest {
@@ -103,12 +104,14 @@
         self.metrics.config_age(Duration::from_millis(self.age_ms()));
     }
 
-    /// Records that a read failed for the `attempt`th time in a row.
+    /// Records the `attempt`th failed read in a row. `requested_ms` is the time at which the read
+    /// began, on the monotonic clock.
     pub fn record_failure(&self, attempt: u32, requested_ms: u64, why: &str) {
         let age_ms = self.age_ms();
         self.metrics.config_read("failed", 0);
         self.metrics.config_age(Duration::from_millis(age_ms));
-        // Logs only powers of two, so that an outage of minutes takes a dozen lines.
+        // Only attempts whose number is a power of two are logged, about a dozen lines for an
+        // outage of minutes.
         if attempt.is_power_of_two() {
             let took_ms = BootClock.now_ms().saturating_sub(requested_ms);
             spdlog::warn!(
@@ -119,8 +122,9 @@
         }
     }
 
-    /// Activates a configuration if it is newer than the active one. `requested_ms` is when the
-    /// call that returned it was sent, on the monotonic clock.
+    /// Activates an encoded configuration if it is valid and newer than the active one.
+    /// `requested_ms` is the time at which the call that returned it was sent, on the monotonic
+    /// clock.
     pub fn adopt(&self, value: &[u8], requested_ms: u64) {
         let bytes = value.len();
         let routes = match decode_routes(value) {
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -1,4 +1,4 @@
-//! Handles callers' requests.
+//! HTTP interface for callers: submission, queries and cancellation of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 use super::Shared;
 use super::relay::NoResponse;
 
-/// Deadline of requests that state none, in milliseconds.
+/// Deadline of requests without the header [`DEADLINE_HEADER`], in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
 /// Part of a caller's deadline that is reserved for sending the response, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 150;
 /// Longest time for which a request that cannot be sent is held. A takeover takes about as long,
-/// and a caller that has to retry would lose more.
+/// and a retry by the caller would take longer.
 const MAX_UNSENT_WAIT: Duration = Duration::from_millis(1_200);
-/// Shortest time for which such a request is held, as a link may open at any moment.
+/// Time for which a request that cannot be sent is held at least, as a link may open at any moment.
 const MIN_UNSENT_WAIT: Duration = Duration::from_millis(60);
-/// Value of the `Retry-After` header for refused requests, in seconds.
+/// Value of the `Retry-After` header of requests that this entry refuses, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Responds to one request.
+/// Responds to a request of a caller, and counts the response in the metrics.
 pub async fn respond(req: Request<Incoming>, shared: Arc<Shared>) -> HttpResponse {
     let stopping = *shared.stop.borrow();
     let started_at = tokio::time::Instant::now();
@@ -35,7 +35,7 @@
     let mut response = handle(req, &shared).await;
     shared.metrics.outcome(method.as_str(), response.status().as_u16(), started_at.elapsed());
     if stopping {
-        // Closing the connection directs the caller's next request to another entry.
+        // With the connection closed, the caller's next request goes to another entry.
         response.headers_mut().insert("connection", HeaderValue::from_static("close"));
     }
     response
@@ -97,14 +97,14 @@
         .await
 }
 
-/// Relays a request to the coordinator, and translates the response.
+/// Relays a request to the coordinator, and translates the response to HTTP.
 async fn relay(
     shared: &Shared,
     request: CallerRequest,
     response_timeout: Duration,
 ) -> HttpResponse {
-    // If the coordinator has been silent for long already, holding the request longer would only
-    // cost the caller time.
+    // The wait counts from the start of the coordinator's silence: if that has lasted for long,
+    // holding the request would only cost the caller time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
     match shared.relay.request(request, unsent_wait, response_timeout).await {
@@ -121,13 +121,13 @@
         }
         Err(NoResponse::NotSent) => refuse("no coordinator"),
         Err(NoResponse::Unknown) => {
-            spdlog::warn!("decision=give_up why=\"coordinator did not answer\"");
+            spdlog::warn!("decision=give_up why=\"coordinator did not respond\"");
             empty(StatusCode::GATEWAY_TIMEOUT)
         }
     }
 }
 
-/// Responds that the request had no effect and will have none.
+/// Returns a response stating that the request had no effect and will have none.
 fn refuse(why: &str) -> HttpResponse {
     spdlog::info!("decision=refuse why=\"{why}\" retry_after_s={RETRY_AFTER_S}");
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' configuration in the store.
+//! Reads the operators' configuration from the store and watches it for changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::super::{BootClock, hedged_read};
 use super::{ActiveConfiguration, Shared};
 
-/// Time for which the store holds a watch open. A silent connection is noticed after it.
+/// How long the store waits for a change before it responds to a watch. A connection that no longer
+/// delivers responses is noticed only after this time.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
-/// Interval between attempts to read, until one is answered.
+/// Interval at which further attempts to read start, until one succeeds.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval between attempts to watch. Beyond the wait, a response may take as long as that of a
-/// read.
+/// Interval at which further attempts to watch start: [`WATCH_WAIT`], and about the time of a read.
 const WATCH_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_700);
-/// Longest gap between parts of a response whose body is arriving.
+/// Longest time without new bytes while the body of a response is received.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a failed read or watch.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Time for which another entry may have a newer version before the watch counts as having missed
-/// it, in milliseconds.
+/// Time after which a newer version of another entry is read without waiting for the watch to
+/// report it, in milliseconds.
 const MISSED_CHANGE_MS: u64 = 600;
-/// Length of a watch response in bytes above which the newest version is read instead.
+/// Length of a watch response in bytes above which only the newest version is read instead.
 const MAX_WATCH_BYTES: usize = 64 * 1024;
 
 /// Follows the configuration until the process exits.
@@ -40,7 +40,7 @@
 struct Follower<'a> {
     store: &'a Store,
     configuration: &'a ActiveConfiguration,
-    /// Number of attempts in a row that failed.
+    /// Number of failed attempts since the last successful one.
     failed_attempts: u32,
 }
 
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Watches from a revision on until the newest version has to be read: the history was
-    /// compacted, a watch failed and may have missed changes, another entry has had a newer version
-    /// for a while, or the response is long.
+    /// Watches for changes after `revision`. Returns when the newest version has to be read
+    /// instead: the history was compacted, a watch failed and may have missed changes, another
+    /// entry has had a newer version for a while, or the response is long.
     ///
-    /// A watch returns every version in full, including superseded ones. While a series of long
-    /// versions is transferred more are written, and each response would be longer than the one
-    /// before.
+    /// A watch returns every version in full, including superseded ones. If long versions are
+    /// written faster than they are transferred, each response would be longer than the previous
+    /// one.
     async fn watch(&mut self, mut revision: u64) {
         loop {
             let watch = self.begin_watch(revision).await;
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: serves callers' requests and readiness checks, and is a candidate for coordinating.
+//! The entry: serves callers' requests and readiness checks, and may become the coordinator.
 
 mod active_configuration;
 mod caller_requests;
@@ -27,35 +27,35 @@
 /// Time for which a stopping entry still accepts connections. The balancer checks readiness once a
 /// second, and removes an entry after two failed checks.
 const DRAIN_TIME: Duration = Duration::from_millis(2_800);
-/// Timeout of removing this entry from the registry.
+/// Timeout of the call that removes this entry from the registry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Part of the grace period that is kept free after the wait for requests under way, in
-/// milliseconds.
+/// Part of the grace period that is reserved for the time after requests under way have ended or
+/// timed out, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_200;
 
-/// Longest time from the acknowledgement of a version until this entry hears of it, in
-/// milliseconds: the time that the fastest entry takes to read it, its ping and this entry's ping.
+/// Longest time from the acknowledgement of a version until this entry learns of it through the
+/// coordinator, in milliseconds: the fastest entry's read, its ping, and this entry's ping.
 const VERSION_PROPAGATION_MS: u64 = 750;
 
 /// State that the entry's tasks share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The active configuration.
+    /// The active configuration, with the age of its last confirmation.
     pub configuration: Arc<ActiveConfiguration>,
-    /// Time in which an acknowledged configuration has to become active, in milliseconds.
+    /// Time within which an acknowledged configuration must become active, in milliseconds.
     pub config_apply_ms: u64,
-    /// Relay of requests to the coordinator.
+    /// Relays callers' requests to the coordinator.
     pub relay: Relay,
-    /// Metrics of the process.
+    /// Metrics that the process serves.
     pub metrics: Arc<Metrics>,
     /// Turns true when the process is asked to stop.
     pub stop: watch::Receiver<bool>,
 }
 
 impl Shared {
-    /// Returns whether the active configuration may be outdated: a newer one should be active by
-    /// now, or neither the store nor the coordinator, which report newer versions, has answered for
-    /// as long.
+    /// Returns whether the active configuration may be outdated: a newer one should have been
+    /// activated by now, or neither the store nor the coordinator, both of which report newer
+    /// versions, has responded within the time allowed for activating one.
     pub fn is_behind(&self) -> bool {
         let unconfirmed_ms = self.configuration.age_ms().min(self.relay.silent_ms());
         let max_behind_ms = self.config_apply_ms.saturating_sub(VERSION_PROPAGATION_MS);
@@ -63,11 +63,11 @@
     }
 }
 
-/// Serves until the process is asked to stop.
+/// Serves until the process is asked to stop, and then until requests under way have ended.
 ///
 /// # Errors
 ///
-/// Fails if an address is missing or taken.
+/// Fails if an address is missing in the settings or in use.
 pub async fn serve(settings: NodeSettings) -> Result<()> {
     let stop = crate::stop_signal::stop_signal()?;
     crate::stop_signal::on_reload(|| load_settings().map(drop))?;
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 
-/// Number of versions that are tracked separately. Beyond it, each new version replaces the newest
-/// one.
+/// Most versions that are tracked separately. If there are more, each new version replaces the
+/// newest one.
 const MAX_TRACKED: usize = 64;
 
-/// Versions of the configuration that other processes have and this one does not, with the times at
-/// which it heard of them.
+/// Versions of the configuration that are newer than the active one, with the times at which this
+/// process learned that another one has them.
 ///
-/// Times are in milliseconds; all have to be of the same clock.
+/// Times are in milliseconds on any one clock.
 ///
 /// # Example
 ///
@@ -29,7 +29,8 @@
 }
 
 impl NewerVersions {
-    /// Records a version that another process has.
+    /// Records at `now_ms` that another process has a version. Versions that are not newer than all
+    /// known ones are ignored.
     pub fn observe(&mut self, version: u64, now_ms: u64) {
         if version <= self.active || self.newest_version() >= version {
             return;
@@ -40,21 +41,22 @@
         self.pending.insert(version, now_ms);
     }
 
-    /// Records the version that is active in this process.
+    /// Records that a version has become active in this process.
     pub fn adopt(&mut self, version: u64) {
         self.active = self.active.max(version);
         self.pending = self.pending.split_off(&(self.active + 1));
     }
 
-    /// Returns the newest version that this process has or has heard of.
+    /// Returns the newest known version: the active one, or a newer one that another process has.
     pub fn newest_version(&self) -> u64 {
         self.pending.last_key_value().map_or(self.active, |(version, _)| *version)
     }
 
-    /// Returns since when a version newer than the active one is known, or `None`.
+    /// Returns the time since which the active version is known to be outdated, or `None` if it is
+    /// the newest known one.
     ///
-    /// It is the time of the version that was heard of first among those not active yet. In a
-    /// series of versions each is measured separately.
+    /// This is the time at which the first of the newer versions became known. If one of several
+    /// newer versions becomes active, the time of the next one counts.
     pub fn behind_since_ms(&self) -> Option<u64> {
         self.pending.values().min().copied()
     }
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -6,11 +6,11 @@
 use super::Shared;
 
 /// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer
-/// removes an entry after two failed checks a second apart, which is longer than a takeover takes.
+/// removes an entry only after two failed checks a second apart, and a takeover takes less time.
 const MAX_COORDINATOR_SILENCE_MS: u64 = 1_000;
 
 /// Responds to the balancer's check. The entry is ready if its configuration is up to date, the
-/// coordinator answers, and the process was not asked to stop.
+/// coordinator responds, and the process was not asked to stop.
 pub fn respond(req: &Request<Incoming>, shared: &Shared) -> HttpResponse {
     if req.uri().path() != READY_PATH {
         return empty(StatusCode::NOT_FOUND);
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Relays callers' requests to the coordinator.
+//! Relays callers' requests to the coordinator, and exchanges pings and pongs with it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,26 +17,28 @@
 
 /// Interval of pings. A coordinator counts as lost after three missing pongs.
 const PING_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence up to which new requests are sent over a link, in milliseconds: one pong may be late.
+/// Silence of the coordinator up to which new requests are sent over a link, in milliseconds: one
+/// missing pong is tolerated.
 const MAX_TRUSTED_SILENCE_MS: u64 = 550;
 /// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Capacity of the queue of requests; more are refused.
+/// Capacity of the queue of requests to the coordinator; requests beyond it are refused.
 const REQUEST_QUEUE_CAPACITY: usize = 1_024;
 
 /// State of this entry's link to the coordinator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// Address of the coordinator that the other fields describe.
+    /// Address of the coordinator to which the other fields refer.
     pub address: Option<SocketAddr>,
-    /// When the coordinator last sent a pong, or when the first connect to it was tried, on the
-    /// monotonic clock.
+    /// Time at which the last pong was received, or at which the first connect began if there was
+    /// none, on the monotonic clock.
     pub last_heard_ms: u64,
-    /// Connects in a row that failed.
+    /// Number of consecutive failed connects.
     pub failed_connects: u32,
     /// Whether the process at the address has responded that it does not coordinate.
     pub not_coordinating: bool,
-    /// Since when the coordinator has reported that it does not reach the store, on the monotonic clock.
+    /// Time since which the coordinator reports in all its pongs that it does not reach the store,
+    /// on the monotonic clock; `None` while it reports that it does.
     pub store_unreachable_since_ms: Option<u64>,
 }
 
@@ -54,10 +56,11 @@
 impl PendingRequest {
     /// Returns whether the response to one copy settles the request.
     ///
-    /// Another copy is sent over each new link, and over a link that was silent for a while. A
-    /// refusal applies to one copy only: the coordinator may read another one later, when it has
-    /// capacity, and accept it. The job would run although its caller was told that it does not. A
-    /// request that is not settled in time is reported as [`NoResponse::Unknown`].
+    /// Another copy is sent over each new link, and over a link that was silent for a while. The
+    /// refusal of one copy does not settle the request while other copies are under way: the
+    /// coordinator may accept one of them later, when it has capacity, and the job would run
+    /// although its caller was told that it was refused. A request that is not settled in time is
+    /// reported as [`NoResponse::Unknown`].
     fn is_settled_by(&mut self, response: CallerResponse) -> bool {
         if !matches!(response, CallerResponse::Refused { .. }) {
             return true;
@@ -67,7 +70,7 @@
     }
 }
 
-/// Handle of the relay.
+/// Handle of the task that relays requests to the coordinator.
 #[derive(Debug)]
 pub struct Relay {
     tx: mpsc::Sender<PendingRequest>,
@@ -78,9 +81,9 @@
 /// Why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoResponse {
-    /// It was not sent, and has no effect.
+    /// The request was not sent, and has no effect.
     NotSent,
-    /// It was sent, and a coordinator may have handled it.
+    /// The request was sent, and a coordinator may have handled it.
     Unknown,
 }
 
@@ -88,7 +91,7 @@
     /// Starts a task that relays requests to the known coordinator.
     ///
     /// Pings carry the version of the active configuration and this entry's promise to support the
-    /// coordinator. Pongs carry the newest version that the coordinator has heard of.
+    /// coordinator. Pongs carry the newest version that the coordinator knows.
     pub fn start(
         promises: Arc<LocalPromises>,
         known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
@@ -112,12 +115,12 @@
         Self { tx, state, last_pong_ms }
     }
 
-    /// Returns the state of the link to the coordinator.
+    /// Returns a receiver of the state of the link to the coordinator.
     pub fn state(&self) -> watch::Receiver<LinkState> {
         self.state.clone()
     }
 
-    /// Returns for how long the coordinator has been silent, in milliseconds.
+    /// Returns the time since the last pong of any coordinator, in milliseconds.
     pub fn silent_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.last_pong_ms.load(Ordering::Relaxed))
     }
@@ -156,8 +159,8 @@
             return result.map_err(|_| NoResponse::Unknown);
         }
         // The relay counts a copy before it checks whether this receiver is closed, and this
-        // function closes the receiver before it reads the count. So a request with no copies was
-        // not sent and never will be.
+        // function closes the receiver before it reads the count. Therefore a request without
+        // copies was not sent and never will be.
         response.close();
         if let Ok(result) = response.try_recv() {
             return Ok(result);
@@ -172,8 +175,8 @@
 
 struct RelayTask {
     promises: Arc<LocalPromises>,
-    /// When the coordinator sent its last pong, on its clock, and when that arrived, on the boot
-    /// clock.
+    /// Time at which the coordinator sent its last pong, on its own clock, and time at which the
+    /// pong was received, on the monotonic clock.
     last_pong: Option<(TermTime, u64)>,
     known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
     configuration: Arc<ActiveConfiguration>,
@@ -241,19 +244,19 @@
             tokio::select! {
                 message = rx.next() => {
                     let Some(message) = message else { return };
-                    let was_trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
+                    let was_trusted = self.link_silent_ms() < MAX_TRUSTED_SILENCE_MS;
                     if !self.handle_message(message.head) {
                         return;
                     }
-                    if !was_trusted && self.silent_ms() < MAX_TRUSTED_SILENCE_MS {
+                    if !was_trusted && self.link_silent_ms() < MAX_TRUSTED_SILENCE_MS {
                         self.resend(&tx);
                     }
                 }
                 pending = self.rx.recv() => {
                     let Some(pending) = pending else { return };
-                    // A request that is sent over a silent link may arrive much later. Its caller
-                    // could no longer be told that it had no effect.
-                    let trusted = self.silent_ms() < MAX_TRUSTED_SILENCE_MS;
+                    // A request that is sent over a silent link may arrive much later, so its
+                    // caller could not be told that it had no effect.
+                    let trusted = self.link_silent_ms() < MAX_TRUSTED_SILENCE_MS;
                     self.enqueue(pending, trusted.then_some(&tx));
                 }
                 _ = pings.tick() => {
@@ -275,16 +278,17 @@
         }
     }
 
-    /// Returns whether the link has been silent for four ping intervals and should be replaced.
+    /// Returns whether the link has been silent for more than four ping intervals and must be
+    /// reopened.
     fn is_silent(&self) -> bool {
-        self.silent_ms() > 4 * PING_INTERVAL.as_millis() as u64
+        self.link_silent_ms() > 4 * PING_INTERVAL.as_millis() as u64
     }
 
-    fn silent_ms(&self) -> u64 {
+    fn link_silent_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
-    /// Handles a message; returns false if the link is of no further use.
+    /// Handles a message of the coordinator; returns false if the link must be closed.
     fn handle_message(&mut self, message: ToPeer) -> bool {
         let now_ms = BootClock.now_ms();
         match message {
@@ -321,7 +325,7 @@
         true
     }
 
-    /// Keeps a request until it is settled, and sends it if a link is given.
+    /// Keeps a request until it is settled, and sends a first copy if a link is given.
     fn enqueue(&mut self, pending: PendingRequest, tx: Option<&Tx>) {
         let request_id = self.next_request_id;
         self.next_request_id += 1;
@@ -344,7 +348,7 @@
     if pending.response.is_closed() {
         return;
     }
-    // The reader notices a closed link, and the request is sent again over the next one.
+    // If the link is closed, the request is sent again over the next one.
     let _ = tx.send(FromPeer::EntryMessage(FromEntry::Request {
         request_id,
         request: pending.request.clone(),
--- a/crates/geraniumpost/src/batch/hedged_read.rs
+++ b/crates/geraniumpost/src/batch/hedged_read.rs
@@ -6,22 +6,23 @@
 use geraniumpost_platform::{Store, StoreError};
 use tokio::time::Instant;
 
-/// Attempts that may be under way at the same time. Each has this many intervals to be answered.
+/// Most attempts of one read that are under way at the same time. Each must get a response within
+/// this many intervals.
 pub const MAX_CONCURRENT_ATTEMPTS: u32 = 3;
 /// Pause before the next attempt if all others have failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Repeats a read until one attempt succeeds; another attempt starts every `interval`.
 ///
-/// An attempt is not cancelled when the next one starts. A silent connection never answers, but a
-/// busy link answers late, and cancelling would only add to its load. An attempt that starts beside
-/// another one uses a new connection, because idle connections may have become silent as well.
+/// An attempt is not cancelled when the next one starts: its response may only be late on a busy
+/// link, and a repetition would add to the load. An attempt that starts while another one is under
+/// way uses a new connection, because idle connections may no longer deliver responses either.
 /// `attempt` gets the time for which it may wait for a response; `on_failure` is called with the
 /// error of each failed attempt.
 ///
 /// # Errors
 ///
-/// Fails only if the requested history was compacted.
+/// Fails only if an attempt returns [`StoreError::Compacted`].
 pub async fn hedged_read<T, F>(
     store: &Store,
     interval: Duration,
--- a/crates/geraniumpost/src/batch/http_server.rs
+++ b/crates/geraniumpost/src/batch/http_server.rs
@@ -20,7 +20,7 @@
 /// A response with its whole body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Time in which the headers of a request must arrive.
+/// Time within which the headers of a request must arrive.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed accept, for example when all file descriptors are in use.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -34,7 +34,8 @@
     TcpListener::bind(address).await.wrap_err_with(|| format!("binding {address}"))
 }
 
-/// Serves requests until `stop` turns true and the requests under way are answered.
+/// Serves requests until `stop` turns true, and returns once all requests under way have a
+/// response.
 pub async fn serve<H, F>(listener: TcpListener, mut stop: watch::Receiver<bool>, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -54,7 +55,7 @@
                 continue;
             }
         };
-        // Without it small responses wait for the peer's acknowledgement.
+        // With Nagle's algorithm, small responses would wait for the peer's acknowledgement.
         let _ = stream.set_nodelay(true);
         let handle = handle.clone();
         let service = service_fn(move |req| {
--- a/crates/geraniumpost/src/batch/mod.rs
+++ b/crates/geraniumpost/src/batch/mod.rs
@@ -1,8 +1,8 @@
-//! Jobs of many steps on a shared store: the entry that serves callers, and the agent beside each
-//! minion.
+//! Jobs of many steps on a shared store: the entry that serves callers, and the agent on the VM of
+//! each minion.
 //!
-//! Every entry can coordinate. The one that does holds the coordinator's key in the store. See
-//! `docs/design/0601-jobs-on-a-shared-store.md`.
+//! Every entry can coordinate; the one whose record is under the coordinator's key in the store
+//! does. See `docs/design/0601-jobs-on-a-shared-store.md`.
 
 pub mod agent;
 mod boot_clock;
@@ -42,14 +42,15 @@
     crate::runtime::start_small()?.block_on(agent::serve(settings))
 }
 
-/// Port on which both roles serve `/metrics`, the usual one of exporters.
+/// Port on which both roles serve `/metrics`; exporters commonly use it.
 const METRICS_PORT: u16 = 9_464;
 
-/// Starts to serve metrics. If the port is in use, the process runs without metrics.
+/// Starts to serve metrics on [`METRICS_PORT`]. If that is in use, the process runs without
+/// metrics.
 ///
 /// # Errors
 ///
-/// Fails if the meters cannot be created.
+/// Fails if the metrics cannot be created.
 async fn serve_metrics(ip: std::net::IpAddr) -> Result<std::sync::Arc<crate::metrics::Metrics>> {
     let metrics = std::sync::Arc::new(crate::metrics::Metrics::new()?);
     match http_server::bind((ip, METRICS_PORT).into()).await {
--- a/crates/geraniumpost/src/batch/peer_link.rs
+++ b/crates/geraniumpost/src/batch/peer_link.rs
@@ -1,4 +1,4 @@
-//! Links between agents and entries.
+//! Links of agents and entries to entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// for some tens of milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Opens a link to another process.
+/// Connects to another process and opens a link.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
     Ok(open(stream.wrap_err("connect timed out")??)?)
 }
 
-/// Opens a link over an existing connection.
+/// Opens a link over an accepted or established connection.
 ///
 /// # Errors
 ///
--- a/crates/geraniumpost/src/batch/peer_message.rs
+++ b/crates/geraniumpost/src/batch/peer_message.rs
@@ -9,37 +9,37 @@
 pub enum FromPeer {
     /// First message of an entry that relays callers' requests.
     EntryHello {
-        /// Name of the entry.
+        /// Name of the entry, under which it is registered in the store.
         node: Name,
-        /// Random number that identifies the entry's process.
+        /// Random number that distinguishes the entry's process from earlier ones.
         incarnation: u64,
     },
     /// First message of an agent.
     AgentHello {
-        /// Name of the agent.
+        /// Name of the agent's VM.
         node: Name,
     },
-    /// Only message of an entry that asks whether the coordinator answers the receiver.
+    /// Only message of an entry that asks whether the coordinator responds to the receiver.
     Probe,
     /// Only message of a coordinator that requests the release of all promises to earlier terms.
     Release {
-        /// Term of the requesting coordinator.
+        /// Term of the requesting coordinator; promises to all earlier terms are released.
         term: u64,
     },
-    /// Later messages of an agent.
+    /// Message of an agent after its first one.
     AgentMessage(FromAgent),
-    /// Later messages of an entry.
+    /// Message of an entry after its first one.
     EntryMessage(FromEntry),
 }
 
 /// Messages of an entry on a link that another process has opened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToPeer {
-    /// This entry does not coordinate; the link ends.
+    /// The entry does not coordinate; the other process must close the link.
     NotCoordinating,
     /// Response to [`FromPeer::Probe`].
     ProbeResponse {
-        /// Whether the coordinator has answered the entry recently.
+        /// Whether the coordinator has responded to the entry recently.
         coordinator_responds: bool,
         /// Address and fencing token of the current coordinator as far as the entry knows.
         coordinator: Option<(SocketAddr, u64)>,
@@ -50,7 +50,8 @@
         node: Name,
         /// Random number that identifies the entry's process.
         incarnation: u64,
-        /// Milliseconds for which earlier coordinators may still rely on promises of the entry.
+        /// Time for which earlier coordinators may still rely on the entry's promises, in
+        /// milliseconds.
         remaining_ms: u64,
     },
     /// Message of the coordinator to an agent.
