--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -23,7 +23,8 @@
     [("entry-2".into(), 22), ("entry-3".into(), 33)].into_iter().collect()
 }
 
-/// A successor reads the leases that its predecessor wrote.
+/// A successor must read the predecessor leases that the coordinator before it wrote: it waits
+/// until they have expired.
 #[test]
 fn predecessor_leases_round_trip() {
     let mut record = record();
@@ -35,7 +36,7 @@
 
 /// During a rolling upgrade the coordinator may be of a version that writes no predecessor leases.
 /// If its record could not be decoded, another entry would take over although that coordinator is
-/// alive.
+/// running.
 #[test]
 fn record_without_predecessor_leases_is_decoded() {
     let bytes = record().encode();
@@ -43,7 +44,7 @@
     assert_eq!(CoordinatorRecord::decode(earlier), Ok(record()));
 }
 
-/// The same with a version that writes predecessor leases but no voters.
+/// The same for a version that writes predecessor leases but no voters.
 #[test]
 fn record_without_voters_is_decoded() {
     let mut record = record();
@@ -52,8 +53,8 @@
     assert_eq!(CoordinatorRecord::decode(&bytes[..bytes.len() - 1]), Ok(record));
 }
 
-/// A successor that counted other voters than its predecessor might assume that the predecessor's
-/// leases have ended while it still extends them.
+/// A successor that assumed other voters than its predecessor might conclude that the predecessor
+/// can no longer extend leases while it still does.
 #[test]
 fn voters_round_trip() {
     let mut record = record();
@@ -62,8 +63,8 @@
     assert_eq!((read.voters_of(7), read.voters_of(6)), (voters(), Voters::default()));
 }
 
-/// Only the voters of the own term and of silent coordinators are kept. Otherwise the record would
-/// grow with each term.
+/// Only the voters of the record's own term and of silent coordinators are kept. Otherwise the
+/// record would grow with each term.
 #[test]
 fn voters_of_ended_terms_are_pruned() {
     let mut record = record();
@@ -78,7 +79,6 @@
     assert_eq!(record.voters.into_keys().collect::<Vec<_>>(), [5, 7]);
 }
 
-/// Bytes of another layout are rejected.
 #[test]
 fn bytes_of_another_layout_are_rejected() {
     assert!(CoordinatorRecord::decode(&[1]).is_err());
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the store that start further attempts until one is answered.
+//! Reads of the store that start further attempts until one succeeds.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns a client of a store that the test does not call.
+/// Returns a client of a store; the attempts of the tests that use it do not call the store.
 fn store() -> Store {
     Store::new(([127, 0, 0, 1], 9).into())
 }
@@ -39,7 +39,8 @@
     assert_eq!((result, attempts.get()), (Ok(1), 3));
 }
 
-/// Guards against a silent connection that keeps other connections from being tried.
+/// Guards against waiting for a connection that no longer delivers responses, without trying
+/// another one.
 #[tokio::test]
 async fn second_attempt_succeeds_while_the_first_is_silent() {
     let attempts = Cell::new(0);
@@ -110,7 +111,8 @@
     assert_eq!(result, Err(StoreError::Compacted));
 }
 
-/// Answers each request on a connection with 404 while `responding` is true, and never again after.
+/// Responds with 404 to each request on a connection while `responding` is true. Once a request
+/// arrives after that, the connection never responds again.
 async fn serve(mut stream: TcpStream, responding: Arc<AtomicBool>) {
     let mut buf = [0; 4096];
     while let Ok(1..) = stream.read(&mut buf).await {
@@ -124,7 +126,7 @@
     }
 }
 
-/// Starts a store whose first two connections respond only while the returned flag is true.
+/// Starts a fake store whose first two connections respond only while the returned flag is true.
 async fn start_store() -> (SocketAddr, Arc<AtomicBool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -143,8 +145,8 @@
     (address, first_two_respond)
 }
 
-/// Guards against idle connections that have all become silent at once: each would cost another
-/// attempt, although a new connection works.
+/// Guards against trying idle connections one after the other if none of them delivers responses
+/// any longer: each would cost another attempt, although a new connection works.
 #[tokio::test]
 async fn second_attempt_uses_a_new_connection() {
     let (address, responding) = start_store().await;
@@ -153,8 +155,8 @@
     let store = &store;
     let get =
         |timeout| async move { store.begin_get("a", timeout).await?.receive(long_timeout).await };
-    let (one, other) = tokio::join!(get(long_timeout), get(long_timeout));
-    assert!(one.is_ok() && other.is_ok());
+    let (first, second) = tokio::join!(get(long_timeout), get(long_timeout));
+    assert!(first.is_ok() && second.is_ok());
     responding.store(false, Ordering::SeqCst);
     let started_at = Instant::now();
     let result = hedged_read(store, INTERVAL, get, |_| panic!("no attempt fails")).await;
--- a/crates/geraniumpost/tests/newer_versions.rs
+++ b/crates/geraniumpost/tests/newer_versions.rs
@@ -1,52 +1,53 @@
-//! What an entry knows of versions of the configuration that it does not have.
+//! Newer versions of the configuration that an entry knows of but does not have.
 
 use geraniumpost::batch::entry::NewerVersions;
 use proptest::prelude::*;
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Heard(u64),
+    Observed(u64),
     Adopted(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    prop_oneof![(1..20_u64).prop_map(Event::Heard), (1..20_u64).prop_map(Event::Adopted)]
+    prop_oneof![(1..20_u64).prop_map(Event::Observed), (1..20_u64).prop_map(Event::Adopted)]
 }
 
-/// All that was ever heard, looked through from the beginning.
-fn naive(events: &[Event]) -> (Option<u64>, u64) {
-    let own = events.iter().map(|event| match event {
+/// Computes the time since which the active version is outdated, and the newest known version, from
+/// all events.
+fn reference(events: &[Event]) -> (Option<u64>, u64) {
+    let active = events.iter().map(|event| match event {
         Event::Adopted(version) => *version,
-        Event::Heard(_) => 0,
+        Event::Observed(_) => 0,
     });
-    let own = own.max().unwrap_or(0);
-    let heard = events.iter().zip(0..).filter_map(|(event, at)| match event {
-        Event::Heard(version) if *version > own => Some((*version, at)),
+    let active = active.max().unwrap_or(0);
+    let newer_versions = events.iter().zip(0..).filter_map(|(event, now_ms)| match event {
+        Event::Observed(version) if *version > active => Some((*version, now_ms)),
         _ => None,
     });
-    let heard: Vec<(u64, u64)> = heard.collect();
-    let newest = heard.iter().map(|(version, _)| *version).max().unwrap_or(0);
-    (heard.iter().map(|(_, at)| *at).min(), newest.max(own))
+    let newer_versions: Vec<(u64, u64)> = newer_versions.collect();
+    let newest = newer_versions.iter().map(|(version, _)| *version).max().unwrap_or(0);
+    (newer_versions.iter().map(|(_, now_ms)| *now_ms).min(), newest.max(active))
 }
 
 proptest! {
     #[test]
-    fn answers_are_those_of_looking_through_all(events in prop::collection::vec(event(), 0..40)) {
+    fn newer_versions_match_the_reference(events in prop::collection::vec(event(), 0..40)) {
         let mut newer = NewerVersions::default();
-        for (event, at) in events.iter().zip(0..) {
+        for (event, now_ms) in events.iter().zip(0..) {
             match event {
-                Event::Heard(version) => newer.observe(*version, at),
+                Event::Observed(version) => newer.observe(*version, now_ms),
                 Event::Adopted(version) => newer.adopt(*version),
             }
         }
-        prop_assert_eq!((newer.behind_since_ms(), newer.newest_version()), naive(&events));
+        prop_assert_eq!((newer.behind_since_ms(), newer.newest_version()), reference(&events));
     }
 }
 
-/// Guards against an entry that is behind for long in a series: what it keeps stays bounded, and it still
-/// knows since when it is behind.
+/// Guards against unbounded memory use while an entry does not get any of many versions. The time
+/// since which its version is outdated must be kept.
 #[test]
-fn long_series_is_kept_within_bounds() {
+fn tracked_versions_are_bounded() {
     let mut newer = NewerVersions::default();
     for version in 1..=1_000 {
         newer.observe(version, version * 10);
--- a/crates/geraniumpost/tests/process_pause.rs
+++ b/crates/geraniumpost/tests/process_pause.rs
@@ -20,9 +20,9 @@
     pause
 }
 
-/// A paused coordinator may resume beside its successor. Its orders are held, in their sequence,
-/// until the store has confirmed the term in response to a call sent after the pause. Responses to
-/// earlier calls do not count.
+/// A paused coordinator may resume while its successor already coordinates. Its orders are held, in
+/// the order in which they were sent, until the store has confirmed the term in response to a call
+/// sent after the pause. Responses to earlier calls do not count.
 #[test]
 fn orders_wait_until_the_store_confirms_the_term_again() {
     let mut pause = resumed();
@@ -36,14 +36,14 @@
     assert_eq!(pause.hold_if_unconfirmed(agent, message), Some(order(3)));
 }
 
-/// Responses to heartbeats are not held, as agents check them by their age and fencing token.
+/// Responses to heartbeats are not held, as agents check their age and fencing token.
 #[test]
 fn responses_to_heartbeats_do_not_wait() {
     let mut pause = resumed();
     assert_eq!(pause.hold_if_unconfirmed("agent-1".into(), LEASE), Some(("agent-1".into(), LEASE)));
 }
 
-/// No order is held while rounds follow each other within the limit.
+/// No order is held while the gaps between rounds are shorter than a pause.
 #[test]
 fn running_coordinator_holds_no_order() {
     let mut pause = ProcessPause::new(900);
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -1,4 +1,4 @@
-//! Responses to requests of which an entry has sent several copies.
+//! Responses to requests of which an entry has sent several copies to the coordinator.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,15 +16,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Time for which a caller of these tests waits for its response.
+/// Time for which the caller waits for a response.
 const DEADLINE: Duration = Duration::from_millis(1_200);
-/// Time for which a test waits for an expected message.
+/// Longest time that a test waits for an expected message.
 const TIMEOUT: Duration = Duration::from_secs(5);
 const PONG: ToEntry =
     ToEntry::Pong { store_ok: true, configuration: 0, sent: TermTime { term: 1, steady_ms: 1 } };
 const REFUSED: CallerResponse = CallerResponse::Refused { retry_after_ms: 1_000 };
 
-/// The coordinator's side of an entry's link.
+/// The coordinator's end of an entry's link.
 struct Link {
     tx: LinkSender<ToPeer>,
     rx: LinkReceiver<FromPeer>,
@@ -47,8 +47,8 @@
         self.send(ToEntry::Response { request_id, response });
     }
 
-    /// Answers pings until a request arrives, and returns its ticket.
-    async fn request(&mut self) -> u64 {
+    /// Responds to pings until a request arrives, and returns its id.
+    async fn next_request_id(&mut self) -> u64 {
         self.send(PONG);
         loop {
             let message = tokio::time::timeout(TIMEOUT, self.rx.next()).await;
@@ -65,7 +65,8 @@
 
 type ResponseTask = JoinHandle<Result<CallerResponse, NoResponse>>;
 
-/// Has an entry send a job twice: over a link that is then lost, and over the next one.
+/// Makes an entry send a job twice, over a link that is then lost and over the next one. Returns
+/// the listener, the second link, the request's id and the caller's task.
 async fn send_job_twice() -> (TcpListener, Link, u64, ResponseTask) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("bound");
@@ -87,12 +88,12 @@
         drop(known_coordinator_tx);
         response
     });
-    let mut first = Link::accept(&listener).await;
-    let request_id = first.request().await;
-    drop(first);
-    let mut second = Link::accept(&listener).await;
-    assert_eq!(second.request().await, request_id);
-    (listener, second, request_id, response_task)
+    let mut first_link = Link::accept(&listener).await;
+    let request_id = first_link.next_request_id().await;
+    drop(first_link);
+    let mut second_link = Link::accept(&listener).await;
+    assert_eq!(second_link.next_request_id().await, request_id);
+    (listener, second_link, request_id, response_task)
 }
 
 async fn response_of(response_task: ResponseTask) -> Result<CallerResponse, NoResponse> {
@@ -112,7 +113,7 @@
     assert_eq!(response_of(response_task).await, Err(NoResponse::Unknown));
 }
 
-/// One copy is refused and the other one accepted: the job runs.
+/// One copy is refused and the other accepted, so the job runs.
 #[tokio::test]
 async fn acceptance_of_one_copy_is_reported() {
     let (_listener, link, request_id, response_task) = send_job_twice().await;
@@ -121,7 +122,7 @@
     assert_eq!(response_of(response_task).await, Ok(CallerResponse::Accepted));
 }
 
-/// Both copies are refused: the request will never have an effect.
+/// Both copies are refused, so the request will never have an effect.
 #[tokio::test]
 async fn refusal_of_all_copies_is_reported() {
     let (_listener, link, request_id, response_task) = send_job_twice().await;
