--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -26,7 +26,7 @@
 
 /// Timeout of one call to the store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failed call to the store, and between two checks of the coordinator.
+/// Pause after a failed call to the store, and between two checks whether the coordinator is lost.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Upper bound of the random part of the delay before a takeover, in milliseconds. Different delays
 /// keep candidates from competing for the key.
@@ -66,7 +66,8 @@
     ended_revision: Option<u64>,
     /// Whether the last read failed.
     last_read_failed: bool,
-    /// Time of the last successful read after a failed one, on the monotonic clock.
+    /// Time at which the store last became readable again, on the monotonic clock; `None` if no
+    /// read has failed before.
     readable_since_ms: Option<u64>,
 }
 
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -144,7 +144,7 @@
     pub(super) async fn deregister_lost_entry(&self) {
         let term_ms = BootClock.now_ms().saturating_sub(self.term_began_ms);
         let lost = |registered: &&RegisteredEntry| {
-            self.support.silent_ms(&registered.node).unwrap_or(term_ms) >= ENTRY_EXPIRY_MS
+            self.support.last_promise_age_ms(&registered.node).unwrap_or(term_ms) >= ENTRY_EXPIRY_MS
         };
         let registered = self.peers.other_entries();
         let Some(lost) = registered.iter().find(lost) else { return };
--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -7,7 +7,7 @@
 /// Number of consecutive failed connects after which a coordinator counts as lost.
 const MAX_FAILED_CONNECTS: u32 = 2;
 /// Time for which a coordinator may report that it does not reach the store before it counts as
-/// lost, in milliseconds. The coordinator reports that only after a time of its own.
+/// lost, in milliseconds. The coordinator starts to report it after `tuning::STORE_UNREACHABLE_MS`.
 const MAX_STORE_UNREACHABLE_MS: u64 = 200;
 /// Time within which a coordinator must reach the store after an outage that this entry noticed as
 /// well, in milliseconds. During the outage its calls wait for up to a second, and this entry
@@ -17,9 +17,9 @@
 /// How a coordinator was lost. It determines whether the coordinator may still extend leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoordinatorLoss {
-    /// Its process has terminated, or it has stepped down.
+    /// The coordinator has terminated or stepped down, and extends no more leases.
     Ended,
-    /// It may still run, and extend leases until it learns of its successor.
+    /// The coordinator may still run, and extend leases until it learns of its successor.
     Silent,
 }
 
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -30,14 +30,14 @@
 pub enum Peer {
     /// An entry, which relays callers' requests.
     Entry {
-        /// Name of the entry.
+        /// Name under which the entry is registered.
         node: Name,
         /// Number of the link in this process.
         link: u64,
     },
     /// An agent, which forwards orders to its minion.
     Agent {
-        /// Name of the agent.
+        /// Name of the agent's VM.
         node: Name,
         /// Number of the link in this process.
         link: u64,
@@ -57,7 +57,7 @@
         link: u64,
         /// Number by which the entry matches the response to its request.
         request_id: u64,
-        /// The request as the entry has translated it.
+        /// The caller's request, as decoded from HTTP.
         request: CallerRequest,
     },
     /// Message of the agent with this name.
@@ -105,7 +105,8 @@
     approval_requests: mpsc::Sender<ApprovalRequest>,
     entries: HashMap<u64, LinkSender<ToPeer>>,
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
-    /// Link and ticket of the entry that waits for each response, by the driver's own ticket.
+    /// Link and request id of the entry that waits for each response, by the driver's own id of the
+    /// request.
     pending_replies: HashMap<u64, (u64, u64)>,
     next_request_id: u64,
     /// Leases that a successor has to wait for, as shared with the writer.
@@ -260,7 +261,7 @@
                     return;
                 };
                 if let Some(tx) = self.entries.get(&link) {
-                    // An entry whose link has closed sends its request again on the next one.
+                    // An entry whose link has closed sends its request again over the next link.
                     let _ = tx.send(ToPeer::Entry(ToEntry::Response { request_id, response }));
                 }
             }
@@ -285,7 +286,7 @@
     fn send_to_agent(&self, agent: &Name, message: ToAgent) {
         self.count_order(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
-            // An order that is lost with its link is repeated on the next one.
+            // An order that is lost with its link is repeated over the next link.
             let _ = tx.send(ToPeer::Agent(message));
         }
     }
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -35,7 +35,7 @@
 }
 
 impl CoordinatorRecord {
-    /// Encodes the record for the store.
+    /// Returns the value to be stored under the coordinator's key.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("every field can be encoded")
     }
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -25,7 +25,7 @@
     pub address: SocketAddr,
     /// Number of the term, as in the coordinator's key.
     pub term: u64,
-    /// Entries; the coordinator needs the support of a majority of them to extend leases.
+    /// Entries of which a majority must support the coordinator for it to extend leases.
     pub voters: Voters,
 }
 
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -48,7 +48,7 @@
 
     /// Returns the time since the last pong that an entry has echoed was sent, in milliseconds;
     /// `None` if it has echoed none in this term.
-    pub fn silent_ms(&self, node: &Name) -> Option<u64> {
+    pub fn last_promise_age_ms(&self, node: &Name) -> Option<u64> {
         self.lock().last_promise_age_ms(node, BootClock.now_ms())
     }
 
@@ -59,7 +59,7 @@
         (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
 
-    /// Returns the voters that the key should name, if it names others.
+    /// Returns the voters that the key should name; `None` if it names them already.
     pub fn voters_to_write(&self) -> Option<Voters> {
         self.lock().voters_to_write(BootClock.now_ms())
     }
