--- a/crates/geraniumpost/src/batch/agent/heartbeats.rs
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::super::http_server::{HttpResponse, empty};
+use super::super::http_server::{HttpResponse, empty_response};
 use super::state::State;
 
 /// Pause before each check whether a deregistered minion has terminated. By its protocol it
@@ -29,33 +29,33 @@
 /// Handles a heartbeat or a deregistration.
 pub async fn respond(req: Request<Incoming>, state: Arc<State>) -> HttpResponse {
     let Some(id) = heartbeat_minion_id(req.uri().path()).map(str::to_owned) else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     if req.method() == DEREGISTER_METHOD {
         spdlog::info!("event=minion_deregistered minion={id}");
         let id = id.into();
         state.record_leaving(&id);
         tokio::spawn(await_termination(id, state));
-        return acknowledged();
+        return acknowledgement();
     }
     if req.method() != Method::PUT {
-        return empty(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_response(StatusCode::METHOD_NOT_ALLOWED);
     }
     let body = match Limited::new(req.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             spdlog::warn!("event=heartbeat_unusable minion={id} why=\"{error}\"");
-            return empty(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         }
     };
     match decode_heartbeat(&id, &body) {
         Ok(info) => {
             state.record_heartbeat(info);
-            acknowledged()
+            acknowledgement()
         }
         Err(error) => {
             spdlog::warn!("event=heartbeat_unusable minion={id} why=\"{error}\"");
-            empty(StatusCode::BAD_REQUEST)
+            empty_response(StatusCode::BAD_REQUEST)
         }
     }
 }
@@ -84,7 +84,7 @@
     state.record_terminated(&id);
 }
 
-fn acknowledged() -> HttpResponse {
+fn acknowledgement() -> HttpResponse {
     let mut response = HttpResponse::new(Full::new(Bytes::from_static(b"{}")));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -26,7 +26,7 @@
 const MAX_MINION_SILENCE_MS: u64 = 1_600;
 
 /// Keeps a link to the known coordinator open, and reopens it when the coordinator changes.
-pub async fn maintain(
+pub async fn maintain_link(
     state: Arc<State>,
     mut known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
 ) {
@@ -112,7 +112,7 @@
             state.extend_lease(sent_at_ms, lease_ms, fence);
         }
         ToAgent::Order(order) => {
-            tokio::spawn(orders::execute(Arc::clone(state), order));
+            tokio::spawn(orders::execute_order(Arc::clone(state), order));
         }
         ToAgent::Acknowledge { minion, up_to } => state.record_acknowledged(&minion, up_to),
         ToAgent::DepartureRecorded { minion } => state.handle_departure_recorded(&minion),
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -50,7 +50,7 @@
         Arc::clone(&state),
         known_coordinator_tx,
     ));
-    tokio::spawn(link::maintain(Arc::clone(&state), known_coordinator));
+    tokio::spawn(link::maintain_link(Arc::clone(&state), known_coordinator));
     tokio::spawn(polling::poll_continuously(Arc::clone(&state)));
     let heartbeat_state = Arc::clone(&state);
     let serving = tokio::spawn(http_server::serve(listener, stop.clone(), move |req| {
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -37,15 +37,15 @@
 
 /// Forwards one order, and reports its outcome to the coordinator. The [`OrderContext`] is read by
 /// this call itself, not when the returned future runs.
-pub fn execute(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
+pub fn execute_order(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
     let context = OrderContext::read(&state, &order);
     async move {
-        let outcome = forward(&state, &order, context).await;
-        report(&state, order, outcome);
+        let outcome = forward_order(&state, &order, context).await;
+        report_outcome(&state, order, outcome);
     }
 }
 
-fn report(state: &State, order: Order, outcome: OrderOutcome) {
+fn report_outcome(state: &State, order: Order, outcome: OrderOutcome) {
     if outcome != OrderOutcome::Done {
         spdlog::info!(
             "decision=order_failed task={} run={} verb={} minion={} why=\"{outcome}\"",
@@ -68,7 +68,7 @@
     });
 }
 
-async fn forward(state: &State, order: &Order, context: OrderContext) -> OrderOutcome {
+async fn forward_order(state: &State, order: &Order, context: OrderContext) -> OrderOutcome {
     let is_start = OrderKindTag::from(&order.kind) == OrderKindTag::Start;
     if is_start && context.draining {
         return OrderOutcome::NotSent;
@@ -79,7 +79,7 @@
         None if is_start => return OrderOutcome::NotSent,
         None => 0,
     };
-    let outcome = state.minion.order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
+    let outcome = state.minion.send_order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
     // A poll for the current coordinator may have overtaken this order of an earlier one, so that
     // the minion refused it. `Superseded` would make the current coordinator end its term; the
     // order had no effect, so `NotSent` is reported.
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -49,7 +49,7 @@
                 MinionReply::Ok(lists) => {
                     state.record_response(&id, lists.clock_ms, BootClock.now_ms());
                     has_unacknowledged =
-                        report(&state, &id, lists, reported_before, &mut last_full_report_ms);
+                        report_lists(&state, &id, lists, reported_before, &mut last_full_report_ms);
                 }
                 other => {
                     handle_failure(&state, &id, &other);
@@ -67,9 +67,9 @@
     }
 }
 
-/// Reports the lists that a poll returned to the coordinator. Returns whether they contain ends,
+/// Reports to the coordinator the lists that a poll has read. Returns whether they contain ends,
 /// which are not acknowledged yet.
-fn report(
+fn report_lists(
     state: &State,
     id: &Name,
     lists: TaskLists,
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -165,7 +165,7 @@
         spdlog::info!("event=departure_recorded minion={id}");
     }
 
-    /// Returns whether no departure waits to be recorded by a coordinator.
+    /// Returns whether a coordinator has recorded every departure that the agent knows of.
     pub fn are_departures_recorded(&self) -> bool {
         self.lock().departures.is_empty()
     }
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -48,11 +48,11 @@
 
     /// Returns the entry's key in the store.
     pub fn key(&self) -> String {
-        key(&self.node)
+        entry_key(&self.node)
     }
 }
 
-fn key(node: &Name) -> String {
+fn entry_key(node: &Name) -> String {
     format!("{ENTRY_PREFIX}{node}")
 }
 
@@ -60,7 +60,7 @@
 /// first reads find only some of the entries that start at the same time.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
 /// Timeout of one read or registration in the store.
-const READ_TIMEOUT: Duration = Duration::from_millis(700);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Another entry's response to a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -91,7 +91,7 @@
     /// Fails if the store does not confirm the write.
     pub async fn register(&self, store: &Store, timeout: Duration) -> eyre::Result<()> {
         let transaction = Transaction {
-            write: vec![(key(&self.node), self.address.to_string().into())],
+            write: vec![(entry_key(&self.node), self.address.to_string().into())],
             ..Transaction::default()
         };
         let revision = store.commit(&transaction, timeout).await?;
@@ -103,7 +103,7 @@
     /// by another process of the same name stays.
     pub async fn deregister(&self, store: &Store, timeout: Duration) {
         self.is_stopping.store(true, Ordering::Relaxed);
-        let key = key(&self.node);
+        let key = entry_key(&self.node);
         let transaction = Transaction {
             expect: vec![(key.clone(), self.own_revision.load(Ordering::Relaxed))],
             remove: vec![key],
@@ -118,7 +118,7 @@
     /// the entries read last are kept, as this process then depends on them.
     pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
-            match self.refresh(&store, READ_TIMEOUT).await {
+            match self.refresh(&store, STORE_CALL_TIMEOUT).await {
                 Ok(true) => {}
                 Ok(false) => self.register_again(&store).await,
                 Err(error) => spdlog::debug!("event=read_failed what=entries why=\"{error}\""),
@@ -144,7 +144,7 @@
         if self.is_stopping.load(Ordering::Relaxed) {
             return;
         }
-        let result = self.register(store, READ_TIMEOUT).await;
+        let result = self.register(store, STORE_CALL_TIMEOUT).await;
         spdlog::warn!("event=registered_again ok={}", result.is_ok());
     }
 
@@ -159,7 +159,7 @@
         let mut probes = JoinSet::new();
         for RegisteredEntry { node, address, .. } in self.others.load().iter() {
             if Some(node) != excluded {
-                probes.spawn(probe(*address));
+                probes.spawn(probe_entry(*address));
             }
         }
         let mut results = Vec::new();
@@ -198,8 +198,8 @@
 }
 
 /// Asks one entry for the coordinator; `None` if it does not respond in time.
-pub async fn probe(address: SocketAddr) -> Option<ProbeResult> {
-    match request(address, FromPeer::Probe).await? {
+pub async fn probe_entry(address: SocketAddr) -> Option<ProbeResult> {
+    match send_request(address, FromPeer::Probe).await? {
         ToPeer::ProbeResponse { coordinator_responds, coordinator } => {
             let known_coordinator =
                 coordinator.map(|(address, fence)| KnownCoordinator { address, fence });
@@ -211,7 +211,7 @@
 
 /// Sends one message to an entry over a new connection, and returns the response if one arrives in
 /// time.
-pub async fn request(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
+pub async fn send_request(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
     let exchange = async {
         let (tx, mut rx) = peer_link::dial::<FromPeer, ToPeer>(address).await.ok()?;
         tx.send(message).ok()?;
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -13,7 +13,7 @@
 use super::super::{BootClock, FromPeer, ToPeer};
 use super::driver::Input;
 use super::local_promises::LocalPromises;
-use super::peers::{Peers, request};
+use super::peers::{Peers, send_request};
 
 /// Pause between two rounds of requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -105,7 +105,7 @@
 /// Requests a release by the entry `node`. A response of another entry that now uses its address
 /// does not count.
 async fn request_release(node: Name, address: SocketAddr, term: u64) -> Option<GrantedRelease> {
-    match request(address, FromPeer::Release { term }).await? {
+    match send_request(address, FromPeer::Release { term }).await? {
         ToPeer::ReleaseResponse { node: responder, incarnation, remaining_ms }
             if responder == node =>
         {
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -17,7 +17,7 @@
 use super::driver::{ApprovalRequest, Driver, Input};
 use super::local_promises::LocalPromises;
 use super::peer_listener::{CurrentTermInputs, TermInputs};
-use super::peers::{Peers, probe};
+use super::peers::{Peers, probe_entry};
 use super::record::CoordinatorRecord;
 use super::release_requester::{ReleaseRequester, SilentTerm};
 use super::successor_leases::SuccessorLeases;
@@ -220,9 +220,9 @@
         loop {
             let page = self.read_page(last_key.as_deref()).await;
             self.confirmed_ms.store(BootClock.now_ms(), Ordering::Relaxed);
-            records.extend(page.items.iter().filter_map(read_record));
+            records.extend(page.items.iter().filter_map(decode_job_record));
             last_key = page.items.last().map(|item| item.key.clone());
-            if !page.more {
+            if !page.has_more {
                 return records;
             }
         }
@@ -284,7 +284,8 @@
 /// not read the key, so it may not notice that this coordinator has begun another term.
 async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
-        let known_coordinator = probe(address).await.and_then(|result| result.known_coordinator);
+        let known_coordinator =
+            probe_entry(address).await.and_then(|result| result.known_coordinator);
         if known_coordinator.is_some_and(|coordinator| coordinator.fence > term) {
             // Sending fails only if the successor's own term has ended.
             let _ = inputs.send(Input::PredecessorEnded(address)).await;
@@ -294,7 +295,7 @@
     }
 }
 
-fn read_record(item: &geraniumpost_platform::KeyValue) -> Option<(JobId, JobRecord)> {
+fn decode_job_record(item: &geraniumpost_platform::KeyValue) -> Option<(JobId, JobRecord)> {
     let id = item.key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok());
     match (id, JobRecord::decode(&item.value)) {
         (Some(id), Ok(record)) => Some((id, record)),
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::super::http_server::{HttpResponse, empty};
+use super::super::http_server::{HttpResponse, empty_response};
 use super::Shared;
 use super::relay::NoResponse;
 
@@ -50,7 +50,7 @@
     }
     let host = req.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let Some(route) = routes.find(host, req.uri().path()) else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     let response_timeout = response_timeout(&req);
     let rest = &req.uri().path()[route.prefix.len()..];
@@ -59,7 +59,7 @@
             .await;
     }
     let Ok(job) = rest.parse::<JobId>() else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     match *req.method() {
         Method::GET => relay(shared, CallerRequest::State(job), response_timeout).await,
@@ -67,7 +67,7 @@
         Method::POST => {
             submit(req, shared, job, route, routes.max_body_bytes, response_timeout).await
         }
-        _ => empty(StatusCode::METHOD_NOT_ALLOWED),
+        _ => empty_response(StatusCode::METHOD_NOT_ALLOWED),
     }
 }
 
@@ -83,14 +83,14 @@
         Ok(body) => body.to_bytes(),
         Err(error) => {
             spdlog::info!("decision=refuse job={job} why=\"body: {error}\"");
-            return empty(StatusCode::PAYLOAD_TOO_LARGE);
+            return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
         }
     };
     let spec = match decode_job(&body) {
         Ok(spec) => spec,
         Err(error) => {
             spdlog::info!("decision=refuse job={job} why=\"{error}\"");
-            return empty(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         }
     };
     relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, response_timeout)
@@ -108,13 +108,13 @@
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
     match shared.relay.request(request, unsent_wait, response_timeout).await {
-        Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty(StatusCode::OK),
-        Ok(CallerResponse::State(state)) => json(encode_state(state)),
-        Ok(CallerResponse::Pending(count)) => json(encode_pending(count)),
-        Ok(CallerResponse::Unknown) => empty(StatusCode::GONE),
-        Ok(CallerResponse::Invalid) => empty(StatusCode::BAD_REQUEST),
+        Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty_response(StatusCode::OK),
+        Ok(CallerResponse::State(state)) => json_response(encode_state(state)),
+        Ok(CallerResponse::Pending(count)) => json_response(encode_pending(count)),
+        Ok(CallerResponse::Unknown) => empty_response(StatusCode::GONE),
+        Ok(CallerResponse::Invalid) => empty_response(StatusCode::BAD_REQUEST),
         Ok(CallerResponse::Refused { retry_after_ms }) => {
-            let mut response = empty(StatusCode::TOO_MANY_REQUESTS);
+            let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
             let seconds = retry_after_ms.div_ceil(1_000);
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
             response
@@ -122,7 +122,7 @@
         Err(NoResponse::NotSent) => refuse("no coordinator"),
         Err(NoResponse::Unknown) => {
             spdlog::warn!("decision=give_up why=\"coordinator did not respond\"");
-            empty(StatusCode::GATEWAY_TIMEOUT)
+            empty_response(StatusCode::GATEWAY_TIMEOUT)
         }
     }
 }
@@ -130,12 +130,12 @@
 /// Returns a response stating that the request had no effect and will have none.
 fn refuse(why: &str) -> HttpResponse {
     spdlog::info!("decision=refuse why=\"{why}\" retry_after_s={RETRY_AFTER_S}");
-    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S));
     response
 }
 
-fn json(body: String) -> HttpResponse {
+fn json_response(body: String) -> HttpResponse {
     let mut response = HttpResponse::new(Full::new(Bytes::from(body)));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -28,7 +28,7 @@
 const MAX_WATCH_BYTES: usize = 64 * 1024;
 
 /// Follows the configuration until the process exits.
-pub async fn follow(store: Arc<Store>, shared: Arc<Shared>) {
+pub async fn follow_configuration(store: Arc<Store>, shared: Arc<Shared>) {
     let mut follower =
         Follower { store: &store, configuration: &shared.configuration, failed_attempts: 0 };
     loop {
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -26,7 +26,7 @@
 
 /// Time for which a stopping entry still accepts connections. The balancer checks readiness once a
 /// second, and removes an entry after two failed checks.
-const DRAIN_TIME: Duration = Duration::from_millis(2_800);
+const DRAIN_DURATION: Duration = Duration::from_millis(2_800);
 /// Timeout of the call that removes this entry from the registry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Part of the grace period that is reserved for the time after requests under way have ended or
@@ -88,7 +88,7 @@
         metrics: Arc::clone(&metrics),
         stop: stop.clone(),
     });
-    tokio::spawn(configuration::follow(Arc::clone(&store), Arc::clone(&shared)));
+    tokio::spawn(configuration::follow_configuration(Arc::clone(&store), Arc::clone(&shared)));
     let peer_listener = http_server::bind(SocketAddr::new(settings.ip, settings.peer_port)).await?;
     let link = shared.relay.state();
     let candidate_promises = Arc::clone(&promises);
@@ -116,10 +116,10 @@
     }));
     crate::stop_signal::stopped(&mut stop.clone()).await;
     promises.set_stopping();
-    tokio::time::sleep(DRAIN_TIME).await;
+    tokio::time::sleep(DRAIN_DURATION).await;
     closing_tx.send_replace(true);
     let request_timeout = settings.bounds.grace_ms.saturating_sub(EXIT_MARGIN_MS);
-    let request_timeout = Duration::from_millis(request_timeout).saturating_sub(DRAIN_TIME);
+    let request_timeout = Duration::from_millis(request_timeout).saturating_sub(DRAIN_DURATION);
     let _ = tokio::time::timeout(request_timeout, serving).await;
     peers.deregister(&store, DEREGISTER_TIMEOUT).await;
     spdlog::info!("event=stop role=job-entry node={}", settings.node);
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -2,7 +2,7 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 
-use super::super::http_server::{HttpResponse, empty};
+use super::super::http_server::{HttpResponse, empty_response};
 use super::Shared;
 
 /// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer
@@ -13,11 +13,11 @@
 /// coordinator responds, and the process was not asked to stop.
 pub fn respond(req: &Request<Incoming>, shared: &Shared) -> HttpResponse {
     if req.uri().path() != READY_PATH {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let configured = shared.configuration.version() > 0 && !shared.is_behind();
     let stopping = *shared.stop.borrow();
     let coordinator_responds = shared.relay.silent_ms() < MAX_COORDINATOR_SILENCE_MS;
     let ready = configured && coordinator_responds && !stopping;
-    empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -330,7 +330,7 @@
         let request_id = self.next_request_id;
         self.next_request_id += 1;
         if let Some(tx) = tx {
-            send(tx, request_id, &pending);
+            send_copy(tx, request_id, &pending);
         }
         self.pending.insert(request_id, pending);
     }
@@ -338,12 +338,12 @@
     fn resend(&mut self, tx: &Tx) {
         self.pending.retain(|_, pending| !pending.response.is_closed());
         for (request_id, pending) in &self.pending {
-            send(tx, *request_id, pending);
+            send_copy(tx, *request_id, pending);
         }
     }
 }
 
-fn send(tx: &Tx, request_id: u64, pending: &PendingRequest) {
+fn send_copy(tx: &Tx, request_id: u64, pending: &PendingRequest) {
     pending.sent_copies.fetch_add(1, Ordering::SeqCst);
     if pending.response.is_closed() {
         return;
--- a/crates/geraniumpost/src/batch/http_server.rs
+++ b/crates/geraniumpost/src/batch/http_server.rs
@@ -78,7 +78,7 @@
 }
 
 /// Returns a response without a body.
-pub fn empty(status: StatusCode) -> HttpResponse {
+pub fn empty_response(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
