--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -17,7 +17,7 @@
 /// How a coordinator was lost. It determines whether the coordinator may still extend leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoordinatorLoss {
-    /// The coordinator has terminated or stepped down, and extends no more leases.
+    /// The coordinator has terminated or stepped down, and can no longer extend leases.
     Ended,
     /// The coordinator may still run, and extend leases until it learns of its successor.
     Silent,
