--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -13,18 +13,20 @@
 use super::orders;
 use super::state::State;
 
-/// Interval of heartbeats. A lease of several seconds survives the loss of many.
+/// Interval of heartbeats to the coordinator. A lease of several seconds survives the loss of many.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence after which the link is reopened, in milliseconds: three missing responses.
-const SILENCE_MS: u64 = 1_700;
+/// Silence of the coordinator after which the link is reopened, in milliseconds: three missing
+/// responses.
+const LINK_SILENCE_TIMEOUT_MS: u64 = 1_700;
 /// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(80);
-/// Age of the minion's last response up to which its lease is extended, in milliseconds. Calls to a
-/// minion that does not answer may still reach it, and each could extend its lease.
+/// Age of the minion's last response up to which an extension of its lease is requested, in
+/// milliseconds. Calls to a minion that does not respond may still reach it, and each could extend
+/// the lease.
 const MAX_MINION_SILENCE_MS: u64 = 1_600;
 
-/// Keeps a link to the known coordinator open.
-pub async fn maintain(
+/// Keeps a link to the known coordinator open, and reopens it when the coordinator changes.
+pub async fn maintain_link(
     state: Arc<State>,
     mut known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
 ) {
@@ -75,7 +77,7 @@
                 handle(state, message);
             }
             _ = heartbeats.tick() => {
-                if state.silent_ms() > SILENCE_MS {
+                if state.silent_ms() > LINK_SILENCE_TIMEOUT_MS {
                     spdlog::warn!("event=dependency_lost dependency=coordinator why=silent");
                     return;
                 }
@@ -95,10 +97,10 @@
     }
 }
 
-/// Sends a heartbeat, which requests an extension of the lease; returns false if the link has
-/// closed.
+/// Sends a heartbeat, which requests an extension of the lease if the minion responds. Returns
+/// false if the link has closed.
 fn send_heartbeat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
-    let minion_ok = state.answers_within(MAX_MINION_SILENCE_MS);
+    let minion_ok = state.has_responded_within(MAX_MINION_SILENCE_MS);
     let heartbeat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
     tx.send(FromPeer::AgentMessage(heartbeat)).is_ok()
 }
@@ -110,9 +112,9 @@
             state.extend_lease(sent_at_ms, lease_ms, fence);
         }
         ToAgent::Order(order) => {
-            tokio::spawn(orders::execute(Arc::clone(state), order));
+            tokio::spawn(orders::execute_order(Arc::clone(state), order));
         }
-        ToAgent::Acknowledge { minion, up_to } => state.acknowledge(&minion, up_to),
-        ToAgent::DepartureRecorded { minion } => state.departure_recorded(&minion),
+        ToAgent::Acknowledge { minion, up_to } => state.record_acknowledged(&minion, up_to),
+        ToAgent::DepartureRecorded { minion } => state.handle_departure_recorded(&minion),
     }
 }
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -4,23 +4,23 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use geraniumpost_batch::{Order, OrderOutcome, OrderResult, OrderVerb};
+use geraniumpost_batch::{Order, OrderKindTag, OrderOutcome, OrderResult};
 
 use super::state::State;
 
-/// Timeout of one order. A minion answers in about a millisecond; a busy agent takes some tens.
+/// Timeout of one order. A minion responds within about a millisecond; a busy agent adds some tens
+/// of milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Fencing token and lease under which an order is forwarded.
+/// Fencing token and end of the lease that are forwarded with an order.
 ///
-/// They are read when the order arrives, before any later message of the link is handled. If the
-/// task that forwards the order read them later, an order that was sent before the coordinator
-/// assumed the minion's work to have ended could use the lease granted afterwards, and the work
-/// would run twice.
+/// Both are read when the order arrives, before any later message of the link is handled. The
+/// coordinator may have sent the order, then assumed that the minion's tasks have ended, and then
+/// granted a new lease. If the order were forwarded under that lease, a task would run twice.
 #[derive(Debug, Clone, Copy)]
 struct OrderContext {
     fence: u64,
-    /// End of the lease on the minion's clock; `None` if it has expired.
+    /// End of the lease in milliseconds on the minion's clock; `None` if it has expired.
     lease_end: Option<u64>,
     draining: bool,
 }
@@ -35,23 +35,23 @@
     }
 }
 
-/// Forwards one order, and reports its outcome to the coordinator. The context is read at once, not
-/// when the returned future runs.
-pub fn execute(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
+/// Forwards one order, and reports its outcome to the coordinator. The [`OrderContext`] is read by
+/// this call itself, not when the returned future runs.
+pub fn execute_order(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
     let context = OrderContext::read(&state, &order);
     async move {
-        let outcome = forward(&state, &order, context).await;
-        report(&state, order, outcome);
+        let outcome = forward_order(&state, &order, context).await;
+        report_outcome(&state, order, outcome);
     }
 }
 
-fn report(state: &State, order: Order, outcome: OrderOutcome) {
+fn report_outcome(state: &State, order: Order, outcome: OrderOutcome) {
     if outcome != OrderOutcome::Done {
         spdlog::info!(
             "decision=order_failed task={} run={} verb={} minion={} why=\"{outcome}\"",
             order.task,
             order.run,
-            OrderVerb::from(&order.kind),
+            OrderKindTag::from(&order.kind),
             order.minion
         );
     }
@@ -62,14 +62,14 @@
         minion: order.minion,
         task: order.task,
         run: order.run,
-        verb: OrderVerb::from(&order.kind),
+        kind_tag: OrderKindTag::from(&order.kind),
         outcome,
-        number: 0,
+        results_reported: 0,
     });
 }
 
-async fn forward(state: &State, order: &Order, context: OrderContext) -> OrderOutcome {
-    let is_start = OrderVerb::from(&order.kind) == OrderVerb::Start;
+async fn forward_order(state: &State, order: &Order, context: OrderContext) -> OrderOutcome {
+    let is_start = OrderKindTag::from(&order.kind) == OrderKindTag::Start;
     if is_start && context.draining {
         return OrderOutcome::NotSent;
     }
@@ -79,10 +79,10 @@
         None if is_start => return OrderOutcome::NotSent,
         None => 0,
     };
-    let outcome = state.minion.order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
-    // A poll for the present coordinator has overtaken this order of an earlier one. Reported as
-    // `Superseded`, it would make the present coordinator end its term; the order had no effect, so
-    // `NotSent` is reported.
+    let outcome = state.minion.send_order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
+    // A poll for the current coordinator may have overtaken this order of an earlier one, so that
+    // the minion refused it. `Superseded` would make the current coordinator end its term; the
+    // order had no effect, so `NotSent` is reported.
     let is_outdated = context.fence < state.fence.load(Ordering::SeqCst);
     if outcome == OrderOutcome::Superseded && is_outdated { OrderOutcome::NotSent } else { outcome }
 }
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -11,33 +11,34 @@
 use super::super::BootClock;
 use super::state::State;
 
-/// Longest time for which the minion waits for a new end before it responds.
+/// Longest time for which the minion waits for a task to end before it responds to a poll.
 const POLL_WAIT: Duration = Duration::from_millis(400);
-/// Timeout of a poll in addition to that wait.
+/// Timeout of a poll in addition to [`POLL_WAIT`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longest pause between two polls while ends await their acknowledgement, which takes about 10 ms.
+/// Longest pause between two polls while the minion lists ends that the coordinator has not
+/// acknowledged. An acknowledgement takes about 10 ms.
 const ACKNOWLEDGEMENT_PAUSE: Duration = Duration::from_millis(150);
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Interval at which polls are reported in full, in milliseconds. Progress and tail latencies
-/// change slowly enough.
+/// Interval at which running tasks are reported in addition to ends, in milliseconds. Their
+/// progress and tail latencies change slowly.
 const FULL_REPORT_INTERVAL_MS: u64 = 400;
 
-/// Polls until the process exits.
+/// Polls the minion until the process exits.
 pub async fn poll_continuously(state: Arc<State>) {
     let mut last_full_report_ms = 0;
     let mut has_unacknowledged = false;
     loop {
         let fence = state.fence.load(Ordering::SeqCst);
-        let candidates = state.candidates();
-        if fence == 0 || candidates.is_empty() {
-            let _ = tokio::time::timeout(RETRY_PAUSE, state.wake.notified()).await;
+        let possible_incarnations = state.possible_incarnations();
+        if fence == 0 || possible_incarnations.is_empty() {
+            let _ = tokio::time::timeout(RETRY_PAUSE, state.poll_wakeup.notified()).await;
             continue;
         }
-        for id in candidates {
+        for id in possible_incarnations {
             let unconfirmed = state.current_minion().is_none_or(|current| current.id != id);
             let wait = if unconfirmed || has_unacknowledged { Duration::ZERO } else { POLL_WAIT };
-            let reported_before = state.reported_results();
+            let reported_before = state.reported_result_count();
             let (acknowledged, _) = if unconfirmed { (0, 0) } else { state.end_sequences() };
             let lease_end = if unconfirmed { None } else { state.lease_end() };
             let reply = state
@@ -46,9 +47,9 @@
                 .await;
             match reply {
                 MinionReply::Ok(lists) => {
-                    state.record_answer(&id, lists.clock_ms, BootClock.now_ms());
+                    state.record_response(&id, lists.clock_ms, BootClock.now_ms());
                     has_unacknowledged =
-                        report(&state, &id, lists, reported_before, &mut last_full_report_ms);
+                        report_lists(&state, &id, lists, reported_before, &mut last_full_report_ms);
                 }
                 other => {
                     handle_failure(&state, &id, &other);
@@ -57,17 +58,18 @@
             }
         }
         if has_unacknowledged {
-            // The minion would respond at once, because it lists ends that are already reported.
-            let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.wake.notified()).await;
+            // While the minion lists ends that are not acknowledged, it responds to polls at once.
+            // The pause keeps this loop from reading the same ends again and again.
+            let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.poll_wakeup.notified()).await;
             let (acknowledged, reported) = state.end_sequences();
             has_unacknowledged = acknowledged < reported;
         }
     }
 }
 
-/// Reports a poll to the coordinator; returns whether it lists ends that await their
-/// acknowledgement.
-fn report(
+/// Reports to the coordinator the lists that a poll has read. Returns whether they contain ends,
+/// which are not acknowledged yet.
+fn report_lists(
     state: &State,
     id: &Name,
     lists: TaskLists,
@@ -78,14 +80,16 @@
     let has_ends = !lists.ended.is_empty();
     let last_sequence = lists.ended.last().map(|end| end.sequence);
     let Some(orders_reported_before) =
-        reported_before.filter(|_| state.reported_results().is_some())
+        reported_before.filter(|_| state.reported_result_count().is_some())
     else {
         return has_ends;
     };
     let ended: Vec<_> = lists.ended.into_iter().filter(|end| end.sequence > reported).collect();
     let now_ms = BootClock.now_ms();
-    let is_full = state
-        .record_reported(last_sequence, now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS);
+    let is_full = state.record_reported_ends(
+        last_sequence,
+        now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS,
+    );
     if is_full {
         *last_full_report_ms = now_ms;
     } else if ended.is_empty() {
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -1,4 +1,4 @@
-//! Feeds messages into the coordinator's state machine and carries out its effects.
+//! Passes messages to the coordinator's state machine and carries out its effects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,25 +20,24 @@
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
-/// Interval of the coordinator's timer ticks. The timeouts that they check are hundreds of
-/// milliseconds.
+/// Interval at which the coordinator checks its timers. The shortest are hundreds of milliseconds.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Inputs that are handled in one round, before the coordinator decides on all of them.
+/// Most inputs that are handled in one round, before the coordinator decides on all of them.
 const MAX_INPUTS_PER_ROUND: usize = 64;
 
-/// A process at the other end of a link.
+/// The process at the other end of a link, as the sender and destination of messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Peer {
-    /// An entry.
+    /// An entry, which relays callers' requests.
     Entry {
-        /// Name of the entry.
+        /// Name under which the entry is registered.
         node: Name,
         /// Number of the link in this process.
         link: u64,
     },
-    /// An agent.
+    /// An agent, which forwards orders to its minion.
     Agent {
-        /// Name of the agent.
+        /// Name of the agent's VM.
         node: Name,
         /// Number of the link in this process.
         link: u64,
@@ -48,44 +47,45 @@
 /// Inputs of the driver.
 #[derive(Debug)]
 pub enum Input {
-    /// A link has opened.
+    /// A link has opened; messages to the peer are sent through the sender.
     LinkOpened(Peer, LinkSender<ToPeer>),
-    /// A link has closed.
+    /// A link has closed; it may have been replaced by a newer one.
     LinkClosed(Peer),
     /// An entry relays a caller's request.
     Request {
-        /// Link of the entry.
+        /// Number of the entry's link.
         link: u64,
         /// Number by which the entry matches the response to its request.
-        ticket: u64,
-        /// The caller's request.
+        request_id: u64,
+        /// The caller's request, as decoded from HTTP.
         request: CallerRequest,
     },
-    /// An agent has sent a message.
+    /// Message of the agent with this name.
     AgentMessage(Name, FromAgent),
     /// The store has committed the batch of this number.
     BatchWritten(u64),
-    /// The admission service has responded, or `None` if it did not.
+    /// Response of the admission service; `None` if it failed to respond.
     ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
     /// The store has confirmed that this entry coordinates.
     TermConfirmed {
-        /// When the call to the store was sent, on the boot clock.
+        /// Time at which the call to the store was sent, on the monotonic clock.
         requested_ms: u64,
-        /// When the store's response was received, on the boot clock.
+        /// Time at which the store's response was received, on the monotonic clock.
         received_ms: u64,
     },
-    /// The term of the silent coordinator at this address has ended.
+    /// The silent coordinator at this address has learned that its term has ended.
     PredecessorEnded(SocketAddr),
     /// A silent coordinator cannot extend any lease after `until_ms`.
     PredecessorExtendsUntil {
         /// Address of the silent coordinator.
         address: SocketAddr,
-        /// End of its last possible extension, on the boot clock.
+        /// Latest time at which it can extend a lease, on the monotonic clock.
         until_ms: u64,
     },
 }
 
-/// A request to the admission service: which of these minions may run the step?
+/// A step, identified by its first task, and the minions for which the admission service's approval
+/// is requested.
 pub type ApprovalRequest = (TaskId, Vec<Name>);
 
 /// Why a coordinator's term ended.
@@ -93,11 +93,11 @@
 pub enum TermEnd {
     /// A minion has rejected this coordinator's fencing token in favor of a newer one.
     Superseded,
-    /// All inputs have closed.
+    /// All senders of inputs were dropped.
     Closed,
 }
 
-/// Drives the coordinator during one term.
+/// Runs the coordinator's state machine during one term.
 pub struct Driver {
     coordinator: Coordinator,
     metrics: Arc<Metrics>,
@@ -105,18 +105,19 @@
     approval_requests: mpsc::Sender<ApprovalRequest>,
     entries: HashMap<u64, LinkSender<ToPeer>>,
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
-    /// Link and ticket of the entry that waits for each response, by the driver's own ticket.
+    /// Link and request id of the entry that waits for each response, by the driver's own id of the
+    /// request.
     pending_replies: HashMap<u64, (u64, u64)>,
-    next_ticket: u64,
-    /// Leases that a successor has to wait for, for the writer.
+    next_request_id: u64,
+    /// Leases that a successor has to wait for, as shared with the writer.
     successor_leases: Arc<SuccessorLeases>,
     support: Arc<TermSupport>,
     process_pause: ProcessPause,
 }
 
 impl Driver {
-    /// Returns a driver that sends records to `writes`, and requests to the admission service to
-    /// `approval_requests`.
+    /// Returns a driver without links. It sends batches of records to `writes`, and requests for
+    /// the admission service to `approval_requests`.
     pub fn new(
         coordinator: Coordinator,
         writes: mpsc::Sender<WriteBatch>,
@@ -136,7 +137,7 @@
             entries: HashMap::new(),
             agents: HashMap::new(),
             pending_replies: HashMap::new(),
-            next_ticket: 1,
+            next_request_id: 1,
         }
     }
 
@@ -167,16 +168,18 @@
         }
     }
 
-    /// Updates the support by other entries and checks for a process pause, before any decision.
+    /// Updates the support by other entries and checks for a process pause, before any decision is
+    /// made.
     fn begin_round(&mut self) {
-        let (until_ms, supporters) = self.support.current();
+        let (until_ms, supporters) = self.support.supported_until_and_count();
         self.coordinator.set_supported_until(until_ms, supporters);
         if let Some(gap_ms) = self.process_pause.begin_round(BootClock.now_ms()) {
             spdlog::warn!("event=process_paused gap_ms={gap_ms}");
         }
     }
 
-    /// Reports changed leases to the writer before the effects of this round are carried out.
+    /// Reports changed leases to the writer. Must be called before the effects of a round are
+    /// carried out.
     fn update_successor_leases(&mut self) {
         if self.coordinator.take_leases_for_successor_changed() {
             let now = BootClock.now();
@@ -190,7 +193,7 @@
         let LongestWait { persistent_ms, other_ms } = self.coordinator.longest_wait(now);
         let [persistent, other] = [persistent_ms, other_ms].map(Duration::from_millis);
         self.metrics.longest_wait(persistent, other);
-        self.metrics.lease_supporters(self.support.current().1 as u64);
+        self.metrics.lease_supporters(self.support.supported_until_and_count().1 as u64);
     }
 
     fn handle(&mut self, input: Input) {
@@ -200,10 +203,9 @@
                 self.entries.insert(link, tx);
             }
             Input::LinkOpened(Peer::Agent { node, link }, tx) => {
-                // A new link replaces the old one, even if messages are still under way on that
-                // one.
+                // A new link replaces the old one, even if that still has messages under way.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
-                    self.coordinator.agent_disconnected(&node, now);
+                    self.coordinator.handle_agent_disconnected(&node, now);
                 }
                 let hello = FromAgent::Hello { agent: node.clone() };
                 self.coordinator.handle_agent_message(&node, hello, now);
@@ -214,32 +216,34 @@
             Input::LinkClosed(Peer::Agent { node, link }) => {
                 if self.agents.get(&node).is_some_and(|(current, _)| *current == link) {
                     self.agents.remove(&node);
-                    self.coordinator.agent_disconnected(&node, now);
+                    self.coordinator.handle_agent_disconnected(&node, now);
                 }
             }
-            Input::Request { link, ticket, request } => {
-                let own_ticket = self.next_ticket;
-                self.next_ticket += 1;
-                self.pending_replies.insert(own_ticket, (link, ticket));
-                self.coordinator.handle_request(own_ticket, request, now);
+            Input::Request { link, request_id, request } => {
+                let own_request_id = self.next_request_id;
+                self.next_request_id += 1;
+                self.pending_replies.insert(own_request_id, (link, request_id));
+                self.coordinator.handle_request(own_request_id, request, now);
             }
             Input::AgentMessage(node, message) => {
                 self.coordinator.handle_agent_message(&node, message, now);
             }
-            Input::BatchWritten(batch) => self.coordinator.batch_written(batch, now),
+            Input::BatchWritten(batch) => self.coordinator.handle_batch_written(batch, now),
             Input::ApprovalResponse((step, requested_minions), response) => {
                 let response = response.map(|response| (response.tickets, response.valid_ms));
                 self.coordinator.handle_approval(step, &requested_minions, response, now);
             }
             Input::TermConfirmed { requested_ms, received_ms } => {
-                self.coordinator.store_confirmed(requested_ms, received_ms);
+                self.coordinator.record_store_confirmation(requested_ms, received_ms);
                 for (agent, message) in self.process_pause.term_confirmed(requested_ms) {
                     self.send_to_agent(&agent, message);
                 }
             }
-            Input::PredecessorEnded(address) => self.coordinator.predecessor_ended(address, now),
+            Input::PredecessorEnded(address) => {
+                self.coordinator.record_predecessor_end(address, now);
+            }
             Input::PredecessorExtendsUntil { address, until_ms } => {
-                self.coordinator.predecessor_extends_until(address, until_ms);
+                self.coordinator.record_predecessor_extension_end(address, until_ms);
             }
         }
     }
@@ -247,16 +251,18 @@
     async fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Write(batch) => {
-                // The writer's queue holds as many batches as may be under way at once.
+                // This does not wait: the queue holds as many batches as may be under way at once.
                 if self.writes.send(batch).await.is_err() {
                     spdlog::debug!("event=writer_ended");
                 }
             }
-            Effect::Reply { ticket, response } => {
-                let Some((link, ticket)) = self.pending_replies.remove(&ticket) else { return };
+            Effect::Reply { request_id, response } => {
+                let Some((link, request_id)) = self.pending_replies.remove(&request_id) else {
+                    return;
+                };
                 if let Some(tx) = self.entries.get(&link) {
-                    // An entry whose link has closed sends its request again on the next one.
-                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response }));
+                    // An entry whose link has closed sends its request again over the next link.
+                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { request_id, response }));
                 }
             }
             Effect::Send { agent, message } => {
@@ -280,7 +286,7 @@
     fn send_to_agent(&self, agent: &Name, message: ToAgent) {
         self.count_order(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
-            // An order that is lost with its link is repeated on the next one.
+            // An order that is lost with its link is repeated over the next link.
             let _ = tx.send(ToPeer::Agent(message));
         }
     }
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use geraniumpost_batch::quorum::{Releases, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_VALIDITY_MS;
 use geraniumpost_schema::Name;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -13,36 +13,36 @@
 use super::super::{BootClock, FromPeer, ToPeer};
 use super::driver::Input;
 use super::local_promises::LocalPromises;
-use super::peers::{Peers, request};
+use super::peers::{Peers, send_request};
 
 /// Pause between two rounds of requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// The term of a silent coordinator, with the voters whose releases end it.
+/// The term of a silent coordinator, and the voters that can end it by releasing their promises.
 #[derive(Debug)]
 pub struct SilentTerm {
-    /// Address of the silent coordinator.
+    /// Address of the silent coordinator, which identifies it in the results.
     pub address: SocketAddr,
-    /// Number of the term.
+    /// Number of the term, as in the coordinator's key.
     pub term: u64,
-    /// Entries whose support the coordinator needs to extend leases.
+    /// Entries of which a majority must support the coordinator for it to extend leases.
     pub voters: Voters,
 }
 
 /// Requests releases on behalf of a successor.
 #[derive(Debug, Clone)]
 pub struct ReleaseRequester {
-    /// Term of the successor.
+    /// Term of the successor; promises to all earlier terms are released.
     pub term: u64,
-    /// When the successor's term began, on the boot clock.
+    /// Start of the successor's term, on the monotonic clock.
     pub term_began_ms: u64,
     /// Promises of the successor's own process, which may be a voter as well.
     pub promises: Arc<LocalPromises>,
-    /// The other entries.
+    /// The other entries, with the addresses of the voters.
     pub peers: Arc<Peers>,
 }
 
-/// The release that one entry has granted.
+/// Response of one voter.
 struct GrantedRelease {
     node: Name,
     incarnation: u64,
@@ -50,12 +50,12 @@
 }
 
 impl ReleaseRequester {
-    /// Repeats the requests until enough voters have released their promises, and reports until
-    /// when the silent coordinator may have extended leases. Does nothing for a term without
-    /// voters.
+    /// Repeats the requests until enough voters have released their promises, and reports the
+    /// latest time at which the silent coordinator may extend leases. Does nothing for a term
+    /// without voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
-        if releases.unanswered().next().is_none() {
+        if releases.voters_without_response().next().is_none() {
             return;
         }
         let remaining_ms = self.promises.release(self.term);
@@ -64,11 +64,11 @@
         while !inputs.is_closed() {
             if let Some(released_ms) = releases.support_end_ms() {
                 // The store may have confirmed the silent coordinator's term until the takeover.
-                let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_MS);
+                let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_VALIDITY_MS);
                 spdlog::info!(
                     "event=predecessor_released term={} entries={} until_in_ms={}",
                     silent.term,
-                    releases.count(),
+                    releases.response_count(),
                     until_ms.saturating_sub(BootClock.now_ms())
                 );
                 let address = silent.address;
@@ -76,18 +76,18 @@
                 let _ = inputs.send(Input::PredecessorExtendsUntil { address, until_ms }).await;
                 return;
             }
-            self.request_unanswered(&mut releases).await;
+            self.request_releases(&mut releases).await;
             if releases.support_end_ms().is_none() {
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// Sends requests to all voters that have not answered, in parallel.
-    async fn request_unanswered(&self, releases: &mut Releases) {
+    /// Sends requests to all voters that have not responded, in parallel.
+    async fn request_releases(&self, releases: &mut Releases) {
         let mut requests = JoinSet::new();
-        for node in releases.unanswered().cloned().collect::<Vec<_>>() {
-            if let Some(address) = self.peers.address(&node) {
+        for node in releases.voters_without_response().cloned().collect::<Vec<_>>() {
+            if let Some(address) = self.peers.address_of(&node) {
                 requests.spawn(request_release(node, address, self.term));
             }
         }
@@ -102,10 +102,10 @@
     }
 }
 
-/// Requests the release of one entry. A response by another entry that now uses its address does
-/// not count.
+/// Requests a release by the entry `node`. A response of another entry that now uses its address
+/// does not count.
 async fn request_release(node: Name, address: SocketAddr, term: u64) -> Option<GrantedRelease> {
-    match request(address, FromPeer::Release { term }).await? {
+    match send_request(address, FromPeer::Release { term }).await? {
         ToPeer::ReleaseResponse { node: responder, incarnation, remaining_ms }
             if responder == node =>
         {
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -1,4 +1,4 @@
-//! Handles callers' requests.
+//! HTTP interface for callers: submission, queries and cancellation of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::super::http_server::{HttpResponse, empty};
+use super::super::http_server::{HttpResponse, empty_response};
 use super::Shared;
 use super::relay::NoResponse;
 
-/// Deadline of requests that state none, in milliseconds.
+/// Deadline of requests without the header [`DEADLINE_HEADER`], in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
 /// Part of a caller's deadline that is reserved for sending the response, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 150;
 /// Longest time for which a request that cannot be sent is held. A takeover takes about as long,
-/// and a caller that has to retry would lose more.
+/// and a retry by the caller would take longer.
 const MAX_UNSENT_WAIT: Duration = Duration::from_millis(1_200);
-/// Shortest time for which such a request is held, as a link may open at any moment.
+/// Time for which a request that cannot be sent is held at least, as a link may open at any moment.
 const MIN_UNSENT_WAIT: Duration = Duration::from_millis(60);
-/// Value of the `Retry-After` header for refused requests, in seconds.
+/// Value of the `Retry-After` header of requests that this entry refuses, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Responds to one request.
+/// Responds to a request of a caller, and counts the response in the metrics.
 pub async fn respond(req: Request<Incoming>, shared: Arc<Shared>) -> HttpResponse {
     let stopping = *shared.stop.borrow();
     let started_at = tokio::time::Instant::now();
@@ -35,7 +35,7 @@
     let mut response = handle(req, &shared).await;
     shared.metrics.outcome(method.as_str(), response.status().as_u16(), started_at.elapsed());
     if stopping {
-        // Closing the connection directs the caller's next request to another entry.
+        // With the connection closed, the caller's next request goes to another entry.
         response.headers_mut().insert("connection", HeaderValue::from_static("close"));
     }
     response
@@ -50,21 +50,24 @@
     }
     let host = req.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let Some(route) = routes.find(host, req.uri().path()) else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
-    let deadline = deadline(&req);
+    let response_timeout = response_timeout(&req);
     let rest = &req.uri().path()[route.prefix.len()..];
     if rest.is_empty() && req.method() == Method::GET {
-        return relay(shared, CallerRequest::Pending(route.terms.queue.clone()), deadline).await;
+        return relay(shared, CallerRequest::Pending(route.terms.queue.clone()), response_timeout)
+            .await;
     }
     let Ok(job) = rest.parse::<JobId>() else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     match *req.method() {
-        Method::GET => relay(shared, CallerRequest::State(job), deadline).await,
-        Method::DELETE => relay(shared, CallerRequest::Cancel(job), deadline).await,
-        Method::POST => submit(req, shared, job, route, routes.max_body_bytes, deadline).await,
-        _ => empty(StatusCode::METHOD_NOT_ALLOWED),
+        Method::GET => relay(shared, CallerRequest::State(job), response_timeout).await,
+        Method::DELETE => relay(shared, CallerRequest::Cancel(job), response_timeout).await,
+        Method::POST => {
+            submit(req, shared, job, route, routes.max_body_bytes, response_timeout).await
+        }
+        _ => empty_response(StatusCode::METHOD_NOT_ALLOWED),
     }
 }
 
@@ -74,66 +77,71 @@
     job: JobId,
     route: &Route,
     max_body_bytes: usize,
-    deadline: Duration,
+    response_timeout: Duration,
 ) -> HttpResponse {
     let body = match Limited::new(req.into_body(), max_body_bytes).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             spdlog::info!("decision=refuse job={job} why=\"body: {error}\"");
-            return empty(StatusCode::PAYLOAD_TOO_LARGE);
+            return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
         }
     };
     let spec = match decode_job(&body) {
         Ok(spec) => spec,
         Err(error) => {
             spdlog::info!("decision=refuse job={job} why=\"{error}\"");
-            return empty(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         }
     };
-    relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, deadline).await
+    relay(shared, CallerRequest::Submit { job, spec, terms: route.terms.clone() }, response_timeout)
+        .await
 }
 
-/// Relays a request to the coordinator, and translates the response.
-async fn relay(shared: &Shared, request: CallerRequest, deadline: Duration) -> HttpResponse {
-    // If the coordinator has been silent for long already, holding the request longer would only
-    // cost the caller time.
+/// Relays a request to the coordinator, and translates the response to HTTP.
+async fn relay(
+    shared: &Shared,
+    request: CallerRequest,
+    response_timeout: Duration,
+) -> HttpResponse {
+    // The wait counts from the start of the coordinator's silence: if that has lasted for long,
+    // holding the request would only cost the caller time.
     let silent = Duration::from_millis(shared.relay.silent_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
-    match shared.relay.request(request, unsent_wait, deadline).await {
-        Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty(StatusCode::OK),
-        Ok(CallerResponse::State(state)) => json(encode_state(state)),
-        Ok(CallerResponse::Pending(count)) => json(encode_pending(count)),
-        Ok(CallerResponse::Unknown) => empty(StatusCode::GONE),
-        Ok(CallerResponse::Invalid) => empty(StatusCode::BAD_REQUEST),
+    match shared.relay.request(request, unsent_wait, response_timeout).await {
+        Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty_response(StatusCode::OK),
+        Ok(CallerResponse::State(state)) => json_response(encode_state(state)),
+        Ok(CallerResponse::Pending(count)) => json_response(encode_pending(count)),
+        Ok(CallerResponse::Unknown) => empty_response(StatusCode::GONE),
+        Ok(CallerResponse::Invalid) => empty_response(StatusCode::BAD_REQUEST),
         Ok(CallerResponse::Refused { retry_after_ms }) => {
-            let mut response = empty(StatusCode::TOO_MANY_REQUESTS);
+            let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
             let seconds = retry_after_ms.div_ceil(1_000);
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
             response
         }
         Err(NoResponse::NotSent) => refuse("no coordinator"),
         Err(NoResponse::Unknown) => {
-            spdlog::warn!("decision=give_up why=\"coordinator did not answer\"");
-            empty(StatusCode::GATEWAY_TIMEOUT)
+            spdlog::warn!("decision=give_up why=\"coordinator did not respond\"");
+            empty_response(StatusCode::GATEWAY_TIMEOUT)
         }
     }
 }
 
-/// Responds that the request had no effect and will have none.
+/// Returns a response stating that the request had no effect and will have none.
 fn refuse(why: &str) -> HttpResponse {
     spdlog::info!("decision=refuse why=\"{why}\" retry_after_s={RETRY_AFTER_S}");
-    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S));
     response
 }
 
-fn json(body: String) -> HttpResponse {
+fn json_response(body: String) -> HttpResponse {
     let mut response = HttpResponse::new(Full::new(Bytes::from(body)));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-fn deadline(req: &Request<Incoming>) -> Duration {
+fn response_timeout(req: &Request<Incoming>) -> Duration {
     let header = req.headers().get(DEADLINE_HEADER).and_then(|value| value.to_str().ok());
     let ms = header.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEADLINE_MS);
     Duration::from_millis(ms.saturating_sub(RESPONSE_MARGIN_MS).max(1))
