--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -67,7 +67,7 @@
         let tasks = self.best_effort_runs(id, image);
         self.log(format!(
             "decision=pace minion={id} image={image} from={before} to={percent} tasks={} \
-             worst_tail_in_bounds={tail:.2}",
+             worst_tail_latency_ratio={tail:.2}",
             tasks.len()
         ));
         for task in tasks {
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -3,12 +3,12 @@
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
-    PROMISE_MS, PROMISE_PERCENT, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
+    KEPT_PROMISE_PERCENT, PROMISE_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
 };
 use geraniumpost_schema::Name;
 
 /// How long an entry keeps a promise, on its own clock.
-const KEPT_MS: u64 = PROMISE_MS * PROMISE_PERCENT / 100;
+const KEPT_MS: u64 = PROMISE_MS * KEPT_PROMISE_PERCENT / 100;
 const INCARNATION: u64 = 7;
 
 fn entry(number: usize) -> Name {
@@ -140,7 +140,7 @@
     releases.record(&entry(1), INCARNATION, 400, 1_000);
     releases.record(&entry(9), INCARNATION, 0, 1_000);
     assert_eq!(releases.support_end_ms(), None);
-    assert_eq!(releases.unanswered().collect::<Vec<_>>(), [&entry(2), &entry(3)]);
+    assert_eq!(releases.voters_without_response().collect::<Vec<_>>(), [&entry(2), &entry(3)]);
     releases.record(&entry(3), INCARNATION, 100, 1_200);
     assert_eq!(releases.support_end_ms(), Some(1_400));
 }
