--- a/crates/geraniumpost-batch/src/agent_message.rs
+++ b/crates/geraniumpost-batch/src/agent_message.rs
@@ -8,27 +8,28 @@
 pub enum FromAgent {
     /// The first message on a connection.
     Hello {
-        /// The agent's name.
+        /// Name of the agent; it does not change when the minion restarts.
         agent: Name,
     },
     /// Periodic sign of life, which asks for an extension of the agent's lease.
     Heartbeat {
-        /// The agent's clock when it sent the heartbeat; the response repeats it.
+        /// Monotonic clock of the agent when it sent the heartbeat, in milliseconds; the response
+        /// repeats it.
         sent_at_ms: u64,
-        /// Whether the minion answers the agent. If not, the lease is not extended.
+        /// Whether the minion responds to the agent. If not, the lease is not extended.
         minion_ok: bool,
     },
-    /// The incarnation beside the agent; sent again when its properties change.
+    /// Properties of the minion on the agent's VM; sent again when they change.
     Minion(MinionInfo),
     /// An incarnation has terminated, and all its tasks with it. Repeated on every connection until
-    /// the coordinator answers [`ToAgent::DepartureRecorded`].
+    /// the coordinator responds with [`ToAgent::DepartureRecorded`].
     MinionTerminated {
-        /// The incarnation.
+        /// Name of the terminated incarnation; another one may run on the VM already.
         minion: Name,
     },
     /// The minion's lists of running and ended tasks.
     PollResult(PollResult),
-    /// The result of an order.
+    /// The minion's response to an order, or the reason why there is none.
     Result(OrderResult),
 }
 
@@ -46,20 +47,20 @@
         /// Whether the coordinator reaches the store. If not, a successor may exist.
         store_ok: bool,
     },
-    /// An order for the minion.
+    /// An order that the agent passes on to its minion.
     Order(Order),
     /// All ended tasks up to this sequence number are committed, so that the minion may discard
     /// them.
     Acknowledge {
-        /// The incarnation.
+        /// Name of the incarnation that listed the ended tasks.
         minion: Name,
-        /// Sequence number of the last of them.
+        /// Sequence number of the last committed end.
         up_to: u64,
     },
-    /// The job records hold that every run on a terminated incarnation has ended. The agent need
-    /// not report the incarnation again.
+    /// The stored job records contain the end of every run on a terminated incarnation, so that the
+    /// agent no longer reports it.
     DepartureRecorded {
-        /// The incarnation.
+        /// Name of the incarnation from [`FromAgent::MinionTerminated`].
         minion: Name,
     },
 }
--- a/crates/geraniumpost-batch/src/coordinator/agents.rs
+++ b/crates/geraniumpost-batch/src/coordinator/agents.rs
@@ -1,4 +1,4 @@
-//! Agents: their links and heartbeats.
+//! Links and heartbeats of agents.
 
 use geraniumpost_schema::Name;
 
@@ -9,25 +9,27 @@
 /// missed heartbeats.
 const HEARTBEAT_TIMEOUT_MS: u64 = 1_600;
 
-/// State of one agent.
+/// An agent as the coordinator knows it: its link, minion and lease.
 #[derive(Debug, Default)]
 pub(super) struct Agent {
     pub(super) linked: bool,
-    /// When the agent first linked to this coordinator, on the steady clock.
+    /// Time at which the agent first linked to this coordinator, on the monotonic clock.
     pub(super) first_linked_ms: Option<u64>,
-    /// When its current link opened, on the steady clock.
+    /// Time at which its current link opened, on the monotonic clock.
     pub(super) link_opened_ms: u64,
-    /// The incarnation beside the agent.
+    /// The incarnation of the minion on the agent's VM.
     pub(super) minion: Option<Name>,
-    /// When the last lease that this coordinator granted has certainly expired, on the steady
-    /// clock. The lease belongs to the agent: a new incarnation beside it runs under the same one.
+    /// Time by which the last lease that this coordinator granted has certainly expired, on the
+    /// monotonic clock. The lease belongs to the agent, so that it also covers a new incarnation of
+    /// its minion.
     pub(super) lease_expiry_ms: u64,
-    /// When the last heartbeat arrived, on the steady clock.
+    /// Time at which the last heartbeat arrived, on the monotonic clock.
     pub(super) last_heard_ms: u64,
 }
 
 impl Coordinator {
-    /// Handles a new link from an agent.
+    /// Marks the agent and its minions as linked. The minions get no tasks before they are polled
+    /// over the new link.
     pub(super) fn handle_agent_connected(&mut self, agent: &Name, now: Now) {
         let state = self.agents.entry(agent.clone()).or_default();
         state.linked = true;
@@ -59,9 +61,10 @@
     /// Stops placing tasks on minions whose agents missed their heartbeats, until the next one
     /// arrives.
     ///
-    /// A machine that fails closes no link, and its minion looks like the best place once its runs
-    /// have expired. Tasks would be placed there again each time their lease expires, or alternate
-    /// between failed machines if there are two, while healthy minions have free resources.
+    /// A machine that fails closes no link, and its minion looks like the best place once the
+    /// leases of its runs have expired. Tasks would be placed there again each time their lease
+    /// expires, or alternate between failed machines if there are two, while healthy minions have
+    /// free resources.
     pub(super) fn mark_unresponsive_minions(&mut self, now: Now) {
         for minion in self.minions.values_mut().filter(|minion| minion.responsive) {
             let last_heard_ms =
--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -15,21 +15,21 @@
 const MAX_MINIONS_PER_REQUEST: usize = 30;
 /// Time after which a request without a response is repeated, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Validity that a ticket must have left to be used, in milliseconds, as the start order takes time
-/// to arrive.
-const TICKET_MARGIN_MS: u64 = 250;
+/// Remaining validity that a ticket needs to be used, in milliseconds, as the start order takes
+/// time to arrive.
+const MIN_TICKET_VALIDITY_MS: u64 = 250;
 
-/// A step of one occurrence: job, occurrence and step.
+/// Identifies a step of one occurrence: job, number of the occurrence, number of the step.
 type StepKey = (JobId, u32, u16);
 
-/// Approvals of one step.
+/// Tickets and refusals of one step.
 #[derive(Debug, Default)]
-struct Approval {
-    /// When the last request was sent, on the steady clock, if it has no response yet.
+struct StepApprovals {
+    /// Time at which the last request was sent, on the monotonic clock, if it has no response yet.
     requested_ms: Option<u64>,
-    /// Ticket and its expiry, on the steady clock, by approved minion.
+    /// Ticket and its expiry, on the monotonic clock, by approved minion.
     tickets: BTreeMap<Name, (Name, u64)>,
-    /// Minions that were refused; a refusal is final.
+    /// Minions that the service did not approve; a refusal is final.
     refused: Vec<Name>,
     /// Minions that the last request named.
     requested: Vec<Name>,
@@ -37,18 +37,18 @@
 
 /// Approvals of all steps that need them.
 #[derive(Debug, Default)]
-pub(super) struct Approvals(HashMap<StepKey, Approval>);
+pub(super) struct Approvals(HashMap<StepKey, StepApprovals>);
 
 impl Approvals {
     /// Returns the ticket for a task on a minion, if it is valid for long enough.
     pub(super) fn ticket(&self, task: TaskId, minion: &Name, now: Now) -> Option<&Name> {
-        let (ticket, expiry_ms) = self.0.get(&key(task))?.tickets.get(minion)?;
-        (now.steady_ms + TICKET_MARGIN_MS < *expiry_ms).then_some(ticket)
+        let (ticket, expiry_ms) = self.0.get(&step_key(task))?.tickets.get(minion)?;
+        (now.steady_ms + MIN_TICKET_VALIDITY_MS < *expiry_ms).then_some(ticket)
     }
 
     /// Removes a ticket that a minion did not accept.
     pub(super) fn remove_ticket(&mut self, task: TaskId, minion: &Name) {
-        if let Some(approval) = self.0.get_mut(&key(task)) {
+        if let Some(approval) = self.0.get_mut(&step_key(task)) {
             approval.tickets.remove(minion);
         }
     }
@@ -62,12 +62,12 @@
 impl Coordinator {
     /// Handles the response to an [`Effect::RequestApproval`] that named the minions `requested`:
     /// the approved minions with their tickets, and the tickets' validity in milliseconds. `None`
-    /// stands for a request that got no response.
+    /// means that the request got no response.
     ///
-    /// A request that stays unanswered is repeated, perhaps with other minions, and the first
-    /// response may arrive after that. A response therefore applies only to the minions that its
-    /// own request named: a minion wrongly taken as refused is never requested again, and a step
-    /// without any other place would wait forever.
+    /// A request without a response is repeated, perhaps with other minions, and the first response
+    /// may arrive after that. A response therefore applies only to the minions that its own request
+    /// named: a minion that is wrongly considered refused is never requested again, and a step
+    /// without any other minion would wait forever.
     pub fn handle_approval(
         &mut self,
         step: TaskId,
@@ -75,7 +75,7 @@
         response: Option<(Vec<(Name, Name)>, u64)>,
         now: Now,
     ) {
-        let Some(approval) = self.approvals.0.get_mut(&key(step)) else { return };
+        let Some(approval) = self.approvals.0.get_mut(&step_key(step)) else { return };
         if approval.requested == *requested {
             approval.requested_ms = None;
         }
@@ -96,14 +96,14 @@
         self.placement_due = true;
     }
 
-    /// Requests approvals for a step with waiting tasks from eligible minions that have neither a
-    /// valid ticket nor a refusal.
+    /// Requests approval of a step on eligible minions that have neither a valid ticket nor a
+    /// refusal.
     pub(super) fn request_approval(&mut self, step: TaskId, spec: &StepSpec, now: Now) {
         let Some(service) = self.jobs.get(&step.job).map(|job| job.record.terms.service.clone())
         else {
             return;
         };
-        let approval = self.approvals.0.entry(key(step)).or_default();
+        let approval = self.approvals.0.entry(step_key(step)).or_default();
         if approval.requested_ms.is_some_and(|at_ms| now.steady_ms < at_ms + REQUEST_TIMEOUT_MS) {
             return;
         }
@@ -131,6 +131,6 @@
     }
 }
 
-const fn key(task: TaskId) -> StepKey {
+const fn step_key(task: TaskId) -> StepKey {
     (task.job, task.occurrence, task.step)
 }
--- a/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
@@ -1,5 +1,5 @@
-//! How fast a place has to be for a best-effort task to accept it, and a shortcut for steps that
-//! find none.
+//! Minimum speed at which a best-effort task accepts a minion, and a shortcut for steps that no
+//! minion accepts.
 
 use super::Coordinator;
 use super::headroom::BestEffortSpeed;
@@ -7,18 +7,18 @@
 
 /// Minimum fraction of a best-effort task's speed that unused processors must allow; below it the
 /// task waits. A job is as slow as its slowest task, so one task on a crowded minion delays all
-/// others; with a higher bound, good enough places stay idle in a full fleet.
+/// others; with a higher bound, sufficient processors stay idle in a full fleet.
 const MIN_CPU_SPEED: f64 = 0.7;
 /// Minimum fraction of its speed that serving tasks must tolerate. It is higher, as their headroom
-/// shrinks when their load rises, and the task would be throttled or moved halfway.
+/// shrinks when their load rises, and the task would be throttled or moved before it is done.
 const MIN_TOLERATED_SPEED: f64 = 0.9;
 /// How long a job may have no runs before its next best-effort task accepts any speed, in
-/// milliseconds. If no minion has headroom for it, its users would otherwise wait beside unused
-/// processors.
-const JOB_IDLE_MS: u64 = 1_800;
+/// milliseconds. Otherwise the job would wait although processors are unused, if no minion has
+/// headroom for it.
+const IDLE_JOB_TIMEOUT_MS: u64 = 1_800;
 
 impl Coordinator {
-    /// Returns whether a task accepts a place with this speed rather than wait for a better one.
+    /// Returns whether a task accepts a minion with this speed rather than wait for a faster one.
     pub(super) fn accepts_speed(
         &self,
         task: TaskId,
@@ -26,21 +26,22 @@
         speed: BestEffortSpeed,
         now: Now,
     ) -> bool {
-        let may_wait = spec.best_effort && !self.job_is_idle(task, now);
+        let may_wait = spec.best_effort && !self.is_job_idle(task, now);
         !may_wait
             || (speed.cpu_speed >= MIN_CPU_SPEED && speed.tolerated_speed >= MIN_TOLERATED_SPEED)
     }
 
-    /// Returns whether a task's job has had no runs for [`JOB_IDLE_MS`].
-    pub(super) fn job_is_idle(&self, task: TaskId, now: Now) -> bool {
+    /// Returns whether a task's job has had no runs for [`IDLE_JOB_TIMEOUT_MS`].
+    pub(super) fn is_job_idle(&self, task: TaskId, now: Now) -> bool {
         let since_ms = self.jobs.get(&task.job).and_then(|job| job.idle_since_ms);
-        since_ms.is_some_and(|since| now.steady_ms >= since + JOB_IDLE_MS)
+        since_ms.is_some_and(|since| now.steady_ms >= since + IDLE_JOB_TIMEOUT_MS)
             && self.runs_of_job(task.job).is_empty()
     }
 
-    /// Returns whether no minion accepts a best-effort step, as a similar step has just found none.
+    /// Returns whether no minion accepts a best-effort step, as a similar step was rejected by all
+    /// in this round.
     ///
-    /// Under overload hundreds of steps wait for the same few kinds of places, and checking every
+    /// Under overload hundreds of steps wait for the same few kinds of minions, and checking every
     /// minion for each of them would take most of a small VM's processor.
     pub(super) fn is_unplaceable(&self, id: JobId, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|_| spec.best_effort) else { return false };
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -1,16 +1,16 @@
-//! Requests of callers.
+//! Handling of callers' requests.
 
 use geraniumpost_schema::Name;
 
-use super::commits::Deferred;
+use super::commits::DeferredAction;
 use super::job::Job;
 use super::{Coordinator, Effect};
 use crate::tuning::RETRY_AFTER_MS;
 use crate::{CallerRequest, CallerResponse, JobId, JobRecord, JobSpec, JobState, Now, QueueTerms};
 
 impl Coordinator {
-    /// Handles a caller's request. The response follows as [`Effect::Reply`] with `ticket`, after
-    /// everything that it promises is committed.
+    /// Handles a caller's request. The response follows as [`Effect::Reply`] with `request_id`,
+    /// once everything that it confirms is committed.
     pub fn handle_request(&mut self, request_id: u64, request: CallerRequest, now: Now) {
         match request {
             CallerRequest::Submit { job, spec, terms } => {
@@ -18,11 +18,11 @@
             }
             CallerRequest::Cancel(job) => self.cancel(request_id, job, now),
             CallerRequest::State(job) => {
-                let response = self.state(job);
+                let response = self.state_response(job);
                 self.reply(request_id, response);
             }
             CallerRequest::Pending(queue) => {
-                let response = CallerResponse::Pending(self.pending(&queue));
+                let response = CallerResponse::Pending(self.pending_job_count(&queue));
                 self.reply(request_id, response);
             }
         }
@@ -34,12 +34,12 @@
 
     fn submit(&mut self, request_id: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            // A retry or a late copy of a submission is accepted once the record of the first is
-            // committed, and starts nothing.
+            // A retry or a late copy of a submission is accepted once the record of the first one
+            // is committed, and creates no second job.
             if job.is_durable() {
                 self.reply(request_id, CallerResponse::Accepted);
             } else {
-                job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
+                job.after_commit.push(DeferredAction::Reply(request_id, CallerResponse::Accepted));
             }
             return;
         }
@@ -61,7 +61,7 @@
             spec.steps.iter().map(|step| step.count).sum::<u32>(),
         ));
         let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
-        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
+        job.after_commit.push(DeferredAction::Reply(request_id, CallerResponse::Accepted));
         self.jobs.insert(id, job);
         self.open_jobs.insert(id);
         self.dirty.insert(id);
@@ -79,20 +79,20 @@
             self.reply(request_id, CallerResponse::Cancelled);
             return;
         }
-        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Cancelled));
+        job.after_commit.push(DeferredAction::Reply(request_id, CallerResponse::Cancelled));
         if !finished {
             self.finish_job(id, JobState::Cancelled, now);
         }
     }
 
-    fn state(&self, id: JobId) -> CallerResponse {
+    fn state_response(&self, id: JobId) -> CallerResponse {
         match self.jobs.get(&id) {
             Some(job) if job.is_durable() => CallerResponse::State(job.reported_state()),
             _ => CallerResponse::Unknown,
         }
     }
 
-    fn pending(&self, queue: &Name) -> u64 {
+    fn pending_job_count(&self, queue: &Name) -> u64 {
         let is_queued = |job: &&Job| {
             job.record.terms.queue == *queue
                 && job.is_durable()
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -17,13 +17,13 @@
     job: JobId,
     version: u64,
     state: JobState,
-    actions: Vec<Deferred>,
+    actions: Vec<DeferredAction>,
 }
 
 /// An action that waits until a version of a record is committed.
 #[derive(Debug, Clone)]
-pub(super) enum Deferred {
-    /// Respond to a caller's request: ticket and response.
+pub(super) enum DeferredAction {
+    /// Respond to a caller's request: request id and response.
     Reply(u64, CallerResponse),
     /// Send the start order of a run, given by its number.
     Start(TaskId, u32),
@@ -51,7 +51,7 @@
                 job.committed_state = written.state;
             }
             for deferred in written.actions {
-                self.run_deferred(deferred, now);
+                self.run_deferred_action(deferred, now);
             }
         }
         for id in batch.removed {
@@ -61,16 +61,17 @@
         self.report_recorded_departures();
     }
 
-    fn run_deferred(&mut self, deferred: Deferred, now: Now) {
+    fn run_deferred_action(&mut self, deferred: DeferredAction, now: Now) {
         match deferred {
-            Deferred::Reply(request_id, response) => {
+            DeferredAction::Reply(request_id, response) => {
                 self.effects.push(Effect::Reply { request_id, response });
             }
-            Deferred::Start(task, run) => self.start_committed(task, run, now),
+            DeferredAction::Start(task, run) => self.start_committed(task, run, now),
         }
     }
 
-    /// Acknowledges the ends that the store holds, so that minions may forget them.
+    /// Acknowledges the ends of runs that the stored records contain, so that minions may discard
+    /// them.
     pub(super) fn acknowledge_ends(&mut self) {
         let jobs = &self.jobs;
         let is_durable = |id: &JobId, version: u64| {
--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -1,4 +1,4 @@
-//! Terminated minions whose end the records do not hold yet.
+//! Terminated minions whose termination the stored records do not contain yet.
 
 use geraniumpost_schema::Name;
 
@@ -8,7 +8,7 @@
 /// A minion that its agent has reported as terminated.
 #[derive(Debug)]
 pub(super) struct Departure {
-    /// The agent that reported it, and is notified once the records hold it.
+    /// Agent that reported the termination and is notified once the records contain it.
     agent: Name,
     /// Records that were not written yet at the time of the report, and the versions that contain
     /// everything known by then.
@@ -19,10 +19,10 @@
     /// Handles an agent's report that a minion has terminated with all its runs.
     ///
     /// The agent may be the only process that knows, and it repeats the report on every link until
-    /// it is told that the records hold it. Otherwise a coordinator that fails before it has
+    /// it is notified that the records contain it. Otherwise a coordinator that fails before it has
     /// written them would lose that knowledge: its successor would wait for the lease of a
-    /// terminated minion, and users would miss persistent tasks meanwhile.
-    pub(super) fn minion_terminated(&mut self, agent: &Name, id: &Name, now: Now) {
+    /// terminated minion, and persistent tasks would be down meanwhile.
+    pub(super) fn handle_minion_terminated(&mut self, agent: &Name, id: &Name, now: Now) {
         self.remove_minion(id, now);
         // Runs there may have ended earlier, by a stop or an expired lease that is not written
         // either.
@@ -32,7 +32,8 @@
         self.report_recorded_departures();
     }
 
-    /// Notifies agents of reports that need not be repeated, as the records hold them.
+    /// Notifies agents of terminations that the records contain, so that they do not report them
+    /// again.
     pub(super) fn report_recorded_departures(&mut self) {
         let jobs = &self.jobs;
         let is_durable = |(id, version): &(JobId, u64)| {
--- a/crates/geraniumpost-batch/src/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/src/coordinator/draining.rs
@@ -8,18 +8,19 @@
 /// Remaining time assumed for a draining minion that reports none, in milliseconds.
 pub(super) const DEFAULT_DRAIN_MS: u64 = 2_000;
 /// Time that moving a task takes in any case, in milliseconds: a stop, a commit and a start.
-const MOVE_COST_MS: u64 = 400;
+const MOVE_DURATION_MS: u64 = 400;
 /// Interval between two evacuations of a minion, in milliseconds. Minions terminate seconds after
-/// their notice, and each evacuation checks every minion for each remaining task.
+/// they begin to drain, and each evacuation checks every minion for each remaining task.
 const EVACUATION_INTERVAL_MS: u64 = 300;
 
 impl Coordinator {
     /// Evacuates draining minions repeatedly until they are empty.
     ///
-    /// At the time of the notice there may be no other place: the fleet is full, or this
-    /// coordinator has just taken over and has polled no other minion yet. A task that is not moved
-    /// later ends with its minion, and its users miss it until the coordinator knows of that end.
-    pub(super) fn evacuate_draining(&mut self, now: Now) {
+    /// When a minion begins to drain, no other minion may accept its tasks: the fleet is full, or
+    /// this coordinator has just taken over and has polled no other minion yet. A task that is not
+    /// moved before the minion terminates ends with it, and is down until the coordinator learns of
+    /// that end.
+    pub(super) fn evacuate_draining_minions(&mut self, now: Now) {
         let due: Vec<Name> = self
             .minions
             .iter()
@@ -47,7 +48,7 @@
             if self.runs.get(&task).is_some_and(super::Run::is_stopping)
                 || self
                     .remaining_run_ms(task, now)
-                    .is_some_and(|run_ms| run_ms + MOVE_COST_MS < remaining_ms)
+                    .is_some_and(|run_ms| run_ms + MOVE_DURATION_MS < remaining_ms)
             {
                 continue;
             }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -5,20 +5,22 @@
 /// An action that the driver has to perform for the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write records, then call [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
+    /// Write records, then call
+    /// [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
     Write(WriteBatch),
     /// Respond to a caller's request.
     Reply {
-        /// Ticket that was passed with the request.
+        /// Id that was passed to
+        /// [`Coordinator::handle_request`](super::Coordinator::handle_request).
         request_id: u64,
-        /// The response.
+        /// What the caller gets.
         response: CallerResponse,
     },
     /// Send a message to an agent.
     Send {
-        /// The agent.
+        /// Name of the receiving agent.
         agent: Name,
-        /// The message.
+        /// Content, to be sent over the agent's current link.
         message: ToAgent,
     },
     /// Ask the admission service which minions may run a step, then call
@@ -26,10 +28,11 @@
     RequestApproval {
         /// The step, identified by its first task.
         step: TaskId,
-        /// The candidate minions.
+        /// Minions on which the step may run if the service approves.
         minions: Vec<Name>,
     },
-    /// A minion has obeyed a newer coordinator: the driver has to check who coordinates.
+    /// A minion has accepted orders of a newer coordinator, so that the driver has to check which
+    /// one is current.
     Superseded,
     /// Write a log line.
     Log(String),
@@ -38,7 +41,8 @@
 /// Records that are written in one transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Identifies the batch in [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
+    /// Identifies the batch in
+    /// [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
     pub number: u64,
     /// Records to write, encoded.
     pub put: Vec<(JobId, Vec<u8>)>,
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -1,15 +1,15 @@
 //! Which minions can take a task.
 //!
 //! Placement and the log lines on waiting tasks both use these checks, so that they cannot differ.
-//! Each waiting task checks every minion, so that the checks are inlined across modules.
+//! Every minion is checked for each waiting task, so that the checks are inlined across modules.
 
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
 use super::minion::Minion;
-use super::placement::{available_for, leaves_short_task_reserve, spread_allows};
+use super::placement::{available_resources, is_below_limit_per_minion, leaves_short_task_reserve};
 use super::rejection::Rejection;
-use super::run::reserved;
+use super::run::reserved_resources;
 use crate::{Now, QueueTerms, StepSpec, TaskId};
 
 /// What a task requires of a minion.
@@ -18,12 +18,12 @@
     task: TaskId,
     spec: &'a StepSpec,
     terms: &'a QueueTerms,
-    /// Whether it ran before, in which case it may use the reserve for short tasks.
+    /// Whether the task ran before, in which case it may use the reserve for short tasks.
     ran: bool,
 }
 
 impl Coordinator {
-    /// Returns what a task requires of a minion.
+    /// Returns what a task requires of a minion, or `None` if its job is unknown.
     pub(super) fn requirements<'a>(
         &'a self,
         task: TaskId,
@@ -47,7 +47,7 @@
         if rejection.is_some() {
             return rejection;
         }
-        if !spread_allows(task, spec, minion) {
+        if !is_below_limit_per_minion(task, spec, minion) {
             return Some(Rejection::Spread);
         }
         if terms.needs_approval && self.approvals.ticket(task, &minion.info.id, now).is_none() {
@@ -60,8 +60,8 @@
 
 /// Returns why a minion cannot take any task of a step, or `None` if it can.
 ///
-/// Reasons that never change come first, so that a minion of another service is counted as such,
-/// whatever else applies.
+/// Checks the service and the label before the minion's condition, so that a reported minion of
+/// another service is always counted under that reason.
 #[inline]
 pub(super) fn step_rejection(
     minion: &Minion,
@@ -105,6 +105,6 @@
     if spec.best_effort && minion.over_bound_ms > 0 {
         return Some(Rejection::OverBound);
     }
-    let fits = reserved(spec).fits(available_for(minion, spec));
+    let fits = reserved_resources(spec).fits(available_resources(minion, spec));
     (!fits).then_some(Rejection::NoCapacity)
 }
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -5,7 +5,7 @@
 
 use super::Coordinator;
 use super::minion::Minion;
-use crate::interference::{Pressure, ServingGroup, speed_limits};
+use crate::interference::{FullSpeedLoad, ServingGroup, speed_limits};
 use crate::tuning::MAX_SERVING_TAIL_LATENCY_RATIO;
 use crate::{StepSpec, TaskId};
 
@@ -18,7 +18,7 @@
     /// The group's image.
     image: Name,
     /// How much the group's utilization may rise before its tail latency reaches
-    /// [`MAX_SERVING_TAIL_LATENCY_RATIO`]; negative if it is over that.
+    /// [`MAX_SERVING_TAIL_LATENCY_RATIO`]; negative if the tail latency is higher already.
     utilization: f64,
 }
 
@@ -56,7 +56,7 @@
         headroom
     }
 
-    /// Updates a minion's headroom beside its best-effort tasks at their current paces. It is
+    /// Updates the headroom that a minion's best-effort tasks leave at their current paces. It is
     /// cached, as placements read it many times.
     pub(super) fn refresh_headroom(&mut self, id: &Name) {
         let Some(minion) = self.minions.get(id) else { return };
@@ -98,22 +98,23 @@
     pub(super) fn tolerated_paces(&self, minion: &Minion) -> Vec<(Name, u8)> {
         let headroom = self.base_headroom(minion);
         let limits: Vec<f64> = headroom.iter().map(|group| group.utilization).collect();
-        let pressure = |(image, tasks): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
+        let load = |(image, tasks): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
             let processors = tasks.milli_cpus_at(100);
             let share = minion.cpu_share(processors);
             let added = headroom
                 .iter()
                 .map(|group| self.interference.added_utilization(&group.image, image, share));
-            Pressure { processors, added_utilization: added.collect() }
+            FullSpeedLoad { processors, added_utilization: added.collect() }
         };
-        let pressures: Vec<Pressure> = minion.best_effort_images.iter().map(pressure).collect();
-        let shares = speed_limits(&limits, &pressures);
+        let loads: Vec<FullSpeedLoad> = minion.best_effort_images.iter().map(load).collect();
+        let shares = speed_limits(&limits, &loads);
         let paces = shares.into_iter().map(|share| (share * 100.0) as u8);
         minion.best_effort_images.keys().cloned().zip(paces).collect()
     }
 
-    /// Adds a run to its minion's serving or best-effort runs by image, or removes it.
-    pub(super) fn count_run(&mut self, task: TaskId, id: &Name, added: bool) {
+    /// Counts a run among its minion's serving or best-effort runs by image, or removes it from
+    /// these.
+    pub(super) fn update_run_counts(&mut self, task: TaskId, id: &Name, added: bool) {
         let Some(step) = self.step_spec(task).cloned() else { return };
         let Some(minion) = self.minions.get_mut(id) else { return };
         let change = if added { 1 } else { -1 };
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::Name;
 
-use super::commits::Deferred;
+use super::commits::DeferredAction;
 use crate::{JobRecord, JobState, TaskId};
 
 /// A job's record, and state that is not persisted.
@@ -15,26 +15,26 @@
     pub(super) durable_version: u64,
     /// Whether a write of this record is in flight.
     pub(super) write_in_flight: bool,
-    /// The last committed state.
+    /// State in the last committed record.
     pub(super) committed_state: JobState,
-    /// Whether any task has started.
+    /// Whether any task has started, so that callers see the job as running.
     pub(super) started: bool,
     /// Actions to run once the current version is committed.
-    pub(super) after_commit: Vec<Deferred>,
+    pub(super) after_commit: Vec<DeferredAction>,
     /// Per-task state for the next placement.
     pub(super) hints: HashMap<TaskId, PlacementHint>,
-    /// Since when the job has had no runs, on the steady clock.
+    /// Start of the time without any run, on the monotonic clock; `None` while the job has runs.
     pub(super) idle_since_ms: Option<u64>,
     /// Estimated duration of the longest chain of steps, in milliseconds.
     pub(super) critical_path_ms: u64,
 }
 
-/// What the next placement of a task takes into account.
+/// State of a task that its next placement takes into account.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PlacementHint {
     /// The last checkpoint; empty for none.
     pub(super) checkpoint: Name,
-    /// Earliest time of the next placement, on the steady clock.
+    /// Earliest time of the next placement, on the monotonic clock.
     pub(super) not_before_ms: u64,
     /// The minion on which the last run failed or was refused; it is chosen last.
     pub(super) avoided_minion: Option<Name>,
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -5,7 +5,7 @@
 
 use super::Coordinator;
 use crate::Now;
-use crate::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
+use crate::tuning::{STORE_CONFIRMATION_VALIDITY_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// Minimum interval between two log lines on the lease basis, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 1_000;
@@ -13,10 +13,10 @@
 /// The support of other entries, as last set.
 #[derive(Debug, Default)]
 pub(super) struct EntrySupport {
-    /// Until when a majority has promised not to follow a successor, on the steady clock.
+    /// End of the majority's promise to follow no successor, on the monotonic clock.
     until_ms: u64,
     supporters: usize,
-    /// The basis that was last logged, and when.
+    /// The basis that was last logged, and the time of that line on the monotonic clock.
     last_logged: Option<(Option<LeaseBasis>, u64)>,
 }
 
@@ -26,13 +26,13 @@
 pub(super) enum LeaseBasis {
     /// A majority of entries does not follow a successor.
     Entries,
-    /// The store has confirmed the term a moment ago.
+    /// The store has confirmed the term within [`STORE_CONFIRMATION_VALIDITY_MS`].
     Store,
 }
 
 impl Coordinator {
-    /// Sets until when a majority of entries supports this coordinator, on the steady clock, and
-    /// how many other entries support it now.
+    /// Sets the time until which a majority of entries supports this coordinator, on the monotonic
+    /// clock, and the number of other entries that support it now.
     pub const fn set_supported_until(&mut self, steady_ms: u64, supporters: usize) {
         self.support.until_ms = steady_ms;
         self.support.supporters = supporters;
@@ -40,9 +40,9 @@
 
     /// Returns what allows this coordinator to extend leases, if anything does.
     ///
-    /// Nothing does once [`STORE_OUTAGE_TOLERANCE_MS`] have passed since the last confirmed request
-    /// to the store: a successor that hears from too few entries then assumes that the runs have
-    /// ended.
+    /// Returns `None` once [`STORE_OUTAGE_TOLERANCE_MS`] have passed since the last confirmed
+    /// request to the store: a successor that hears from too few entries then assumes that the runs
+    /// have ended.
     pub(super) const fn lease_basis(&self, now: Now) -> Option<LeaseBasis> {
         if now.steady_ms >= self.confirmation_requested_ms + STORE_OUTAGE_TOLERANCE_MS {
             return None;
@@ -50,7 +50,7 @@
         if now.steady_ms < self.support.until_ms {
             return Some(LeaseBasis::Entries);
         }
-        if now.steady_ms < self.confirmation_requested_ms + STORE_CONFIRMATION_MS {
+        if now.steady_ms < self.confirmation_requested_ms + STORE_CONFIRMATION_VALIDITY_MS {
             return Some(LeaseBasis::Store);
         }
         None
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -18,8 +18,8 @@
 }
 
 impl Coordinator {
-    /// Answers an agent's heartbeat, and extends the lease on its minion's tasks.
-    pub(super) fn extend_lease(
+    /// Responds to an agent's heartbeat, and extends the lease on its minion's tasks.
+    pub(super) fn handle_heartbeat(
         &mut self,
         agent: &Name,
         sent_at_ms: u64,
@@ -30,7 +30,7 @@
         let extend = minion_ok && self.lease_basis(now).is_some();
         let lease_ms = if extend { self.lease_ms } else { 0 };
         if extend {
-            self.agent_reached(agent);
+            self.record_agent_reached(agent);
             // The agent counts from when it sent the heartbeat, which was earlier.
             let lease_expiry_ms = now.steady_ms + lease_expiry_bound_ms(lease_ms);
             let state = self.agents.entry(agent.clone()).or_default();
@@ -46,25 +46,26 @@
         self.effects.push(Effect::Send { agent: agent.clone(), message });
     }
 
-    /// Returns when everything beside an agent has certainly ended unless its lease is extended
-    /// again, on the steady clock, and whether leases of earlier coordinators determine that time.
+    /// Returns the time by which all runs on an agent's minion have certainly ended unless the
+    /// lease is extended again, on the monotonic clock, and whether leases of earlier coordinators
+    /// determine that time.
     pub(super) fn lease_expiry(&self, agent: &Name) -> (u64, bool) {
-        let predecessor_ms = self.predecessor_expiry.until_ms(agent);
+        let predecessor_ms = self.predecessor_expiry.lease_end_ms(agent);
         let Some(agent) = self.agents.get(agent) else { return (predecessor_ms, true) };
-        // An agent that has linked to this coordinator no longer obeys an earlier one.
+        // An agent that has linked to this coordinator accepts no lease from an earlier one.
         let expired_ms =
             agent.first_linked_ms.map(|linked_ms| linked_ms + lease_expiry_bound_ms(self.lease_ms));
         let predecessor_ms = expired_ms.unwrap_or(predecessor_ms).min(predecessor_ms);
         (agent.lease_expiry_ms.max(predecessor_ms), predecessor_ms > agent.lease_expiry_ms)
     }
 
-    fn lease_expired(&self, agent: &Name, now: Now) -> bool {
+    fn is_lease_expired(&self, agent: &Name, now: Now) -> bool {
         now.steady_ms >= self.lease_expiry(agent).0
     }
 
     /// Returns whether a minion is about to be polled, as its agent has just linked. Its lists show
     /// which runs ended before the lease expired, so that these are not repeated.
-    fn awaits_poll(&self, minion: &Minion, now: Now) -> bool {
+    fn is_awaiting_poll(&self, minion: &Minion, now: Now) -> bool {
         let opened_ms = self.agents.get(&minion.agent).map_or(0, |agent| agent.link_opened_ms);
         minion.linked && !minion.polled && now.steady_ms < opened_ms + POLL_GRACE_MS
     }
@@ -74,8 +75,10 @@
         let expired: Vec<Name> = self
             .minions
             .iter()
-            .filter(|(_, minion)| !minion.runs.is_empty() && self.lease_expired(&minion.agent, now))
-            .filter(|(_, minion)| !self.awaits_poll(minion, now))
+            .filter(|(_, minion)| {
+                !minion.runs.is_empty() && self.is_lease_expired(&minion.agent, now)
+            })
+            .filter(|(_, minion)| !self.is_awaiting_poll(minion, now))
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
--- a/crates/geraniumpost-batch/src/coordinator/measurements.rs
+++ b/crates/geraniumpost-batch/src/coordinator/measurements.rs
@@ -1,4 +1,4 @@
-//! Learning interference from minions' gauges, and passing it on to a successor.
+//! Learning of interference from the measurements of minions, and its snapshot for a successor.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +9,15 @@
 use crate::tuning::INTERFERENCE_WRITE_INTERVAL_MS;
 use crate::{InterferenceSnapshot, Now, TaskId};
 
-/// Gauges of one poll of a minion.
+/// Measurements of the runs on a minion, from its last poll.
 #[derive(Debug, Default)]
-struct Gauges {
+struct MinionMeasurements {
     /// Tail latencies of each group of serving tasks, as multiples of their bound.
-    tails: BTreeMap<(Name, ServingGroup), Vec<f64>>,
+    tail_latency_ratios: BTreeMap<(Name, ServingGroup), Vec<f64>>,
     /// Share of the minion's processors that each best-effort image used.
-    used: BTreeMap<Name, f64>,
-    /// Serving tasks, and whether they are over their bounds.
-    over: Vec<(TaskId, bool)>,
+    cpu_shares: BTreeMap<Name, f64>,
+    /// Serving tasks, and whether they are over their latency bounds.
+    over_bound: Vec<(TaskId, bool)>,
 }
 
 impl Coordinator {
@@ -48,48 +48,56 @@
         });
     }
 
-    /// Updates the interference model from a minion's gauges.
-    pub(super) fn observe_gauges(&mut self, id: &Name, now: Now) {
-        let Gauges { tails, used, over } = self.read_gauges(id);
-        self.update_over_bound(id, over, now);
+    /// Updates the interference model with the last measurements of a minion's runs.
+    pub(super) fn learn_from_measurements(&mut self, id: &Name, now: Now) {
+        let MinionMeasurements { tail_latency_ratios, cpu_shares, over_bound } =
+            self.collect_measurements(id);
+        self.update_over_bound(id, over_bound, now);
         let mut worst: BTreeMap<Name, f64> = BTreeMap::new();
-        for ((image, group), tails) in tails {
-            let tail = lower_median(tails);
-            self.interference.observe(&image, &group, tail, &used, now.steady_ms);
-            let image_tail = worst.entry(image).or_default();
-            *image_tail = image_tail.max(tail);
+        for ((image, group), tail_latency_ratios) in tail_latency_ratios {
+            let tail_latency_ratio = lower_median(tail_latency_ratios);
+            self.interference.observe(
+                &image,
+                &group,
+                tail_latency_ratio,
+                &cpu_shares,
+                now.steady_ms,
+            );
+            let image_tail_latency_ratio = worst.entry(image).or_default();
+            *image_tail_latency_ratio = image_tail_latency_ratio.max(tail_latency_ratio);
         }
         let Some(minion) = self.minions.get_mut(id) else { return };
-        for (image, tail) in worst {
-            minion.serving_images.entry(image).or_default().tail = tail;
+        for (image, tail_latency_ratio) in worst {
+            minion.serving_images.entry(image).or_default().tail_latency_ratio = tail_latency_ratio;
         }
     }
 
-    fn read_gauges(&self, id: &Name) -> Gauges {
-        let mut gauges = Gauges::default();
-        let Some(minion) = self.minions.get(id) else { return gauges };
+    fn collect_measurements(&self, id: &Name) -> MinionMeasurements {
+        let mut measurements = MinionMeasurements::default();
+        let Some(minion) = self.minions.get(id) else { return measurements };
         let milli_cpus = minion.info.capacity.milli_cpus.max(1) as f64;
         for task in &minion.runs {
             let (Some(run), Some(step)) = (self.runs.get(task), self.step_spec(*task)) else {
                 continue;
             };
             if step.is_serving() && run.progress_percent == 100 && run.measurement > 0 {
-                let tail = f64::from(run.measurement) / f64::from(step.latency_bound_ms);
+                let tail_latency_ratio =
+                    f64::from(run.measurement) / f64::from(step.latency_bound_ms);
                 let group = (step.image.clone(), ServingGroup::of(*task, id));
-                gauges.tails.entry(group).or_default().push(tail);
-                gauges.over.push((*task, tail > 1.0));
+                measurements.tail_latency_ratios.entry(group).or_default().push(tail_latency_ratio);
+                measurements.over_bound.push((*task, tail_latency_ratio > 1.0));
             } else if step.best_effort && run.started_ms.is_some() {
-                let used = gauges.used.entry(step.image.clone()).or_default();
-                *used += f64::from(run.measurement) / milli_cpus;
+                let cpu_shares = measurements.cpu_shares.entry(step.image.clone()).or_default();
+                *cpu_shares += f64::from(run.measurement) / milli_cpus;
             }
         }
-        gauges
+        measurements
     }
 
-    /// Records which serving tasks are over their bounds, and since when.
-    fn update_over_bound(&mut self, id: &Name, over: Vec<(TaskId, bool)>, now: Now) {
+    /// Records which serving tasks are over their latency bounds, and since when.
+    fn update_over_bound(&mut self, id: &Name, over_bound: Vec<(TaskId, bool)>, now: Now) {
         let mut longest_ms = 0;
-        for (task, is_over) in over {
+        for (task, is_over) in over_bound {
             let Some(run) = self.runs.get_mut(&task) else { continue };
             run.over_bound_since_ms =
                 is_over.then(|| run.over_bound_since_ms.unwrap_or(now.steady_ms));
@@ -105,9 +113,9 @@
 /// Returns the lower median of tail latencies.
 ///
 /// A single task occasionally shows several times its neighbours' tail latency for a second,
-/// without any cause on its minion. Using the maximum would attribute that to best-effort tasks
-/// beside it and throttle them needlessly.
-fn lower_median(mut tails: Vec<f64>) -> f64 {
-    tails.sort_unstable_by(f64::total_cmp);
-    tails.get(tails.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
+/// without any cause on its minion. Using the maximum would attribute that to best-effort tasks on
+/// the same minion and throttle them needlessly.
+fn lower_median(mut tail_latency_ratios: Vec<f64>) -> f64 {
+    tail_latency_ratios.sort_unstable_by(f64::total_cmp);
+    tail_latency_ratios.get(tail_latency_ratios.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
 }
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -8,18 +8,18 @@
 use crate::tuning::SERVING_UNUSED_CPU_PERCENT;
 use crate::{Demand, JobId, MinionInfo, TaskId};
 
-/// State of one minion.
+/// A minion as the coordinator knows it: reported properties, link and reserved resources.
 #[derive(Debug)]
 pub(super) struct Minion {
     pub(super) info: MinionInfo,
     pub(super) agent: Name,
-    /// Whether its agent's link is open.
+    /// Whether the link from its agent is open.
     pub(super) linked: bool,
     /// Whether the minion has been reported to this coordinator; otherwise only records name it.
     pub(super) reported: bool,
     /// Whether the minion was polled over the current link.
     pub(super) polled: bool,
-    /// Whether heartbeats arrive and report that the minion answers its agent.
+    /// Whether heartbeats arrive and report that the minion responds to its agent.
     pub(super) responsive: bool,
     /// Resources reserved by the runs placed there; best-effort runs reserve no processors.
     pub(super) used: Demand,
@@ -30,32 +30,33 @@
     /// Number of runs that serve users within a latency bound.
     pub(super) serving_runs: u32,
     pub(super) runs: BTreeSet<TaskId>,
-    /// Number of the last end that was handled.
+    /// Sequence number of the last handled end of a run.
     pub(super) last_end_sequence: u64,
-    /// Ends that were handled but not acknowledged: number, and the job and record version that
-    /// must be durable first.
+    /// Ends of runs that were handled but not acknowledged: sequence number, and the job and the
+    /// version of its record that must be durable first.
     pub(super) unacknowledged: VecDeque<(u64, Option<(JobId, u64)>)>,
-    /// Number of the last acknowledged end.
+    /// Sequence number of the last acknowledged end.
     pub(super) acknowledged_up_to: u64,
     /// Whether the minion listed an end again that had been acknowledged.
     pub(super) resend_acknowledgement: bool,
-    /// Failures since the last successful run; failures of one job in a row count once.
+    /// Failures since the last successful run; consecutive failures of one job count once.
     pub(super) consecutive_failures: u32,
     /// The job of the last failed run.
     pub(super) last_failed_job: Option<JobId>,
-    /// No task is placed there before this time on the steady clock.
+    /// No task is placed there before this time on the monotonic clock.
     pub(super) quarantined_until_ms: u64,
-    /// Earliest time at which a draining minion terminates, on the steady clock.
+    /// Earliest time at which a draining minion terminates, on the monotonic clock.
     pub(super) drain_deadline_ms: u64,
-    /// When the last evacuation was attempted, on the steady clock.
+    /// Time of the last attempt to evacuate the minion, on the monotonic clock.
     pub(super) last_evacuation_ms: u64,
     /// Number of tasks that found no eligible minion in the last evacuation.
     pub(super) tasks_without_place: u32,
-    /// How long some serving run has been over its latency bound, in milliseconds.
+    /// Longest time for which any serving run has been over its latency bound, in milliseconds; 0
+    /// if none is.
     pub(super) over_bound_ms: u64,
     /// Serving runs by image.
     pub(super) serving_images: BTreeMap<Name, ServingTasks>,
-    /// Headroom of each group of serving runs at the current paces of best-effort runs.
+    /// Headroom of each group of serving runs at the current paces of the best-effort runs.
     pub(super) headroom: Vec<Headroom>,
     /// Best-effort runs by image.
     pub(super) best_effort_images: BTreeMap<Name, BestEffortTasks>,
--- a/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
@@ -8,7 +8,7 @@
 use crate::{EndKind, MinionInfo, Now};
 
 /// A lease that expires sooner than this, in milliseconds, may end before an order arrives.
-const MIN_LEASE_LEFT_MS: u64 = 1_000;
+const MIN_REMAINING_LEASE_MS: u64 = 1_000;
 
 impl Coordinator {
     /// Handles a minion's report about itself.
@@ -18,7 +18,7 @@
         if let Some(previous) = previous.filter(|previous| *previous != id) {
             self.remove_minion(&previous, now);
         }
-        // Records may name earlier incarnations beside this agent, which no longer exist.
+        // Records may name earlier incarnations of this agent's minion, which no longer exist.
         let terminated: Vec<Name> = self
             .minions
             .iter()
@@ -32,7 +32,7 @@
         let has_lease = self
             .agents
             .get(agent)
-            .is_some_and(|a| a.lease_expiry_ms > now.steady_ms + MIN_LEASE_LEFT_MS);
+            .is_some_and(|a| a.lease_expiry_ms > now.steady_ms + MIN_REMAINING_LEASE_MS);
         let minion = self
             .minions
             .entry(id.clone())
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -60,7 +60,7 @@
 ///
 /// Two processes may both believe that they are the coordinator. Correctness does not depend on
 /// when a lease ends, but on the store, which writes a batch only for the holder of the
-/// coordinator's key, and on minions, which obey only the highest token. See
+/// coordinator's key, and on minions, which accept orders only with the highest token. See
 /// docs/design/0601-jobs-on-a-shared-store.md.
 #[derive(Debug)]
 pub struct Coordinator {
@@ -68,7 +68,7 @@
     lease_ms: u64,
     max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs in no final state, which may have waiting tasks.
+    /// Jobs that are in no final state and may have waiting tasks.
     open_jobs: BTreeSet<JobId>,
     /// Jobs whose record differs from the store's.
     dirty: BTreeSet<JobId>,
@@ -77,26 +77,27 @@
     runs: BTreeMap<TaskId, Run>,
     minions: BTreeMap<Name, Minion>,
     agents: HashMap<Name, Agent>,
-    /// Terminated minions whose end the records do not hold yet.
+    /// Terminated minions whose termination the stored records do not contain yet.
     departures: BTreeMap<Name, Departure>,
     batches: HashMap<u64, PendingBatch>,
     next_batch: u64,
-    /// When the store's last confirmation of this coordinator was received, on the steady clock.
+    /// Time at which the store's last confirmation of this coordinator was received, on the
+    /// monotonic clock.
     confirmed_ms: u64,
-    /// When the last request that the store confirmed was sent, on the steady clock.
+    /// Time at which the last request that the store confirmed was sent, on the monotonic clock.
     confirmation_requested_ms: u64,
     support: EntrySupport,
     predecessor_expiry: PredecessorExpiry,
-    /// Agents that are not reached although their minions may have runs, and when their leases have
-    /// certainly expired, on the steady clock.
+    /// Agents that are not reached although their minions may have runs, with the time on the
+    /// monotonic clock by which their leases have certainly expired.
     unreached_agents: BTreeMap<Name, u64>,
     leases_for_successor_changed: bool,
     approvals: Approvals,
-    /// How much best-effort images slow serving images.
+    /// Learned slowdown of serving images by best-effort images.
     interference: InterferenceModel,
     /// Whether a change may allow a waiting task to be placed.
     placement_due: bool,
-    /// When learned interference was last handed to a write, on the steady clock.
+    /// Time at which learned interference was last included in a write, on the monotonic clock.
     interference_written_ms: u64,
     /// Demand of a best-effort step that no minion accepted in the current placement round, by
     /// service and image.
@@ -163,7 +164,7 @@
         self
     }
 
-    /// Returns the fencing token.
+    /// Returns the fencing token that this coordinator's orders carry.
     pub const fn fence(&self) -> u64 {
         self.fence
     }
@@ -173,39 +174,41 @@
         (self.jobs.len(), self.runs.len())
     }
 
-    /// Handles a message from an agent.
+    /// Handles a message from an agent. Responses are among the next effects.
     pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
             FromAgent::Hello { .. } => self.handle_agent_connected(agent, now),
             FromAgent::Heartbeat { sent_at_ms, minion_ok } => {
-                self.extend_lease(agent, sent_at_ms, minion_ok, now);
+                self.handle_heartbeat(agent, sent_at_ms, minion_ok, now);
             }
             FromAgent::Minion(info) => self.update_minion(agent, info, now),
-            FromAgent::MinionTerminated { minion } => self.minion_terminated(agent, &minion, now),
+            FromAgent::MinionTerminated { minion } => {
+                self.handle_minion_terminated(agent, &minion, now);
+            }
             FromAgent::PollResult(poll) => self.handle_poll_result(agent, poll, now),
             FromAgent::Result(result) => self.handle_order_result(result, now),
         }
     }
 
-    /// Places waiting tasks if a place may have become available, gathers records to write, and
-    /// returns everything that the driver has to do.
+    /// Places waiting tasks if a change may allow it, gathers records to write, and returns
+    /// everything that the driver has to do.
     pub fn take_effects(&mut self, now: Now) -> Vec<Effect> {
         if self.placement_due {
-            self.place_waiting(now);
+            self.place_waiting_tasks(now);
         }
         self.gather_writes(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets when the term was requested from the store, on the steady clock.
+    /// Sets the time at which the term was requested from the store, on the monotonic clock.
     #[must_use]
     pub const fn with_term_requested_ms(mut self, steady_ms: u64) -> Self {
         self.confirmation_requested_ms = steady_ms;
         self
     }
 
-    /// Records that the store confirmed this coordinator: when the confirmation was requested and
-    /// when its response was read, on the steady clock.
+    /// Records that the store confirmed this coordinator. The confirmation was requested at
+    /// `requested_ms`, and its response was read at `steady_ms`, both on the monotonic clock.
     ///
     /// The confirmation holds for the time of the request only. The response may take seconds to
     /// arrive, and another entry may take over meanwhile; that successor then waits for as long as
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -1,15 +1,17 @@
-//! Results of orders.
+//! Handling of the results of orders.
 
 use super::run::{OrderState, Run};
 use super::{Coordinator, Effect};
-use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_MS};
+use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_DURATION_MS};
 use crate::{Now, OrderKindTag, OrderOutcome, OrderResult, TaskId};
 
-/// Start orders without an answer after which a run is stopped on its minion.
-const MAX_START_ATTEMPTS: u32 = 4;
+/// Number of start orders after which a run is stopped on its minion if the last one had no
+/// response.
+const MAX_START_ORDERS: u32 = 4;
 
 impl Coordinator {
-    /// Handles the result of an order.
+    /// Handles the result of an order. A result for an earlier run of the task only matters if it
+    /// shows that a newer coordinator exists or that the minion has terminated.
     pub(super) fn handle_order_result(&mut self, result: OrderResult, now: Now) {
         if result.outcome == OrderOutcome::Superseded {
             self.effects.push(Effect::Superseded);
@@ -61,7 +63,7 @@
             OrderOutcome::Unanswered => {
                 run.start_unresolved = true;
                 run.order = OrderState::Unknown { since_ms: now.steady_ms };
-                if run.start_count >= MAX_START_ATTEMPTS {
+                if run.start_count >= MAX_START_ORDERS {
                     self.send_stop(task, now);
                 }
             }
@@ -74,7 +76,7 @@
             }
             OrderOutcome::Unhealthy => {
                 if let Some(minion) = self.minions.get_mut(&result.minion) {
-                    minion.quarantined_until_ms = now.steady_ms + QUARANTINE_MS;
+                    minion.quarantined_until_ms = now.steady_ms + QUARANTINE_DURATION_MS;
                 }
                 self.abandon_run(task, now);
             }
@@ -85,9 +87,9 @@
     /// Gives up a run that its minion refused, so that the task is placed elsewhere.
     ///
     /// A refusal covers only one copy of the start order. Another copy that is in flight or had no
-    /// answer may still be carried out once the minion has free resources or a lease again, and the
-    /// task would run twice. A stop prevents that, as the minion refuses this run from then on. If
-    /// the refused copy was the only one, the task is requeued at once.
+    /// response may still be carried out once the minion has free resources or a lease again, and
+    /// the task would run twice. A stop prevents that, as the minion refuses this run from then on.
+    /// If the refused copy was the only one, the task is requeued at once.
     fn abandon_run(&mut self, task: TaskId, now: Now) {
         if self.runs.get(&task).is_some_and(Run::may_still_start) {
             self.send_stop(task, now);
@@ -109,14 +111,15 @@
 
     /// Handles the result of a pace order. An order that was not carried out is sent again when a
     /// poll next lists the run: otherwise a task that should be suspended would slow its neighbours
-    /// until it ends, or a throttled task would stay slow beside idle processors.
+    /// until it ends, or a throttled task would stay slow although processors are idle.
     fn handle_pace_result(&mut self, result: &OrderResult) {
         if let Some(run) = self.runs.get_mut(&result.task) {
             run.pace_confirmed &= result.outcome == OrderOutcome::Done;
         }
     }
 
-    /// Records that a run has started.
+    /// Records that a run has started, and sends it the current pace of its image on the minion if
+    /// it has another one.
     pub(super) fn record_started(&mut self, task: TaskId, now: Now) {
         let Some(run) = self.runs.get_mut(&task) else { return };
         if run.started_ms.is_none() {
--- a/crates/geraniumpost-batch/src/coordinator/orders.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to minions.
+//! Sending of orders to minions.
 
 use geraniumpost_schema::Name;
 
@@ -6,8 +6,8 @@
 use super::{Coordinator, Effect};
 use crate::{Now, Order, OrderKind, TaskId, ToAgent};
 
-/// Pace below which a task counts as throttled, in percent: it would take longer here than a move
-/// and the work elsewhere.
+/// Pace below which a task counts as throttled, in percent: at a lower pace it takes longer than a
+/// move and a run elsewhere.
 const THROTTLED_BELOW_PERCENT: u8 = 50;
 
 impl Coordinator {
@@ -35,7 +35,7 @@
                 .map_or_else(Name::default, |hint| hint.checkpoint.clone()),
             ticket,
         };
-        let sent = self.send(task, kind);
+        let sent = self.send_order(task, kind);
         let Some(run) = self.runs.get_mut(&task) else { return };
         if sent {
             run.record_start_sent(now.steady_ms);
@@ -45,15 +45,15 @@
     }
 
     pub(super) fn send_stop(&mut self, task: TaskId, now: Now) {
-        self.send(task, OrderKind::Stop);
+        self.send_order(task, OrderKind::Stop);
         if let Some(run) = self.runs.get_mut(&task) {
             run.order = OrderState::Stopping { at_ms: now.steady_ms };
         }
     }
 
-    /// Sends the pace at which a run may work.
+    /// Sends a pace order, and records the start or the end of throttling.
     pub(super) fn send_pace(&mut self, task: TaskId, percent: u8, now: Now) {
-        let sent = self.send(task, OrderKind::Pace { percent });
+        let sent = self.send_order(task, OrderKind::Pace { percent });
         if let Some(run) = self.runs.get_mut(&task) {
             run.pace_percent = percent;
             run.pace_confirmed = sent;
@@ -72,7 +72,7 @@
     }
 
     /// Sends an order for a run. Returns false if the minion's agent is not linked.
-    fn send(&mut self, task: TaskId, kind: OrderKind) -> bool {
+    fn send_order(&mut self, task: TaskId, kind: OrderKind) -> bool {
         let Some(run) = self.runs.get(&task) else { return false };
         let Some(minion) = self.minions.get(&run.place.minion) else { return false };
         if !minion.linked {
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -9,29 +9,30 @@
 /// Pace below which tasks are suspended, in percent.
 const MIN_PACE_PERCENT: u8 = 8;
 /// Smallest change of pace that is worth an order, in percent.
-const MIN_PACE_CHANGE: u8 = 10;
+const MIN_PACE_CHANGE_PERCENT: u8 = 10;
 /// How long a task is throttled before it is moved, in milliseconds: longer than it takes to revert
 /// most changes of pace, but short, as each second of delay makes a whole job late.
 const MOVE_AFTER_THROTTLED_MS: u64 = 300;
-/// Progress below which a task without checkpoints is moved all the same, in percent.
-const CHEAP_RESTART_PERCENT: u8 = 15;
+/// Progress in percent below which a throttled task without checkpoints is moved although it loses
+/// that progress.
+const MAX_RESTART_PROGRESS_PERCENT: u8 = 15;
 /// Most tasks moved in one tick, so that a full fleet does not spend all writes to the store on
 /// moves.
 const MAX_MOVES_PER_TICK: u32 = 30;
-/// How long a serving task may stay over its bound before all best-effort tasks beside it are
+/// How long a serving task may stay over its bound before all best-effort tasks on its minion are
 /// suspended, in milliseconds: four polls in which paces by learned interference did not help.
 const SUSPEND_AFTER_OVER_BOUND_MS: u64 = 1_600;
 
 impl Coordinator {
     /// Sets the paces of best-effort tasks on a minion by the tail latencies of its serving tasks.
     ///
-    /// Users of a serving task get slow responses while a task beside it works too hard, and the
-    /// measured tail latency is the only sign of that. Learned interference tells which image to
-    /// throttle and how far. It is applied to what the images really used, so that a change that
-    /// does not show yet is not made twice. If a tail latency stays over its bound nevertheless,
-    /// all best-effort tasks there are suspended.
-    pub(super) fn adjust_pace(&mut self, id: &Name, now: Now) {
-        self.observe_gauges(id, now);
+    /// A best-effort task that uses too much of a minion slows the serving tasks there, and only
+    /// their measured tail latency shows it. Learned interference determines which image to
+    /// throttle and how far. It is applied to the measured processor use, so that a change of pace
+    /// that has no visible effect yet is not made twice. If a tail latency stays over its bound
+    /// nevertheless, all best-effort tasks on the minion are suspended.
+    pub(super) fn adjust_paces(&mut self, id: &Name, now: Now) {
+        self.learn_from_measurements(id, now);
         self.change_paces(id, now);
         self.refresh_headroom(id);
     }
@@ -41,7 +42,11 @@
         if minion.best_effort_images.is_empty() {
             return;
         }
-        let worst = minion.serving_images.values().map(|serving| serving.tail).fold(0.0, f64::max);
+        let worst = minion
+            .serving_images
+            .values()
+            .map(|serving| serving.tail_latency_ratio)
+            .fold(0.0, f64::max);
         let suspend = minion.over_bound_ms >= SUSPEND_AFTER_OVER_BOUND_MS;
         let mut changes = Vec::new();
         for (image, tolerated) in self.tolerated_paces(minion) {
@@ -57,7 +62,14 @@
         }
     }
 
-    fn set_pace(&mut self, id: &Name, image: &Name, percent: u8, tail: f64, now: Now) {
+    fn set_pace(
+        &mut self,
+        id: &Name,
+        image: &Name,
+        percent: u8,
+        tail_latency_ratio: f64,
+        now: Now,
+    ) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         let Some(current) = minion.best_effort_images.get_mut(image) else { return };
         let before = std::mem::replace(&mut current.pace_percent, percent);
@@ -67,7 +79,7 @@
         let tasks = self.best_effort_runs(id, image);
         self.log(format!(
             "decision=pace minion={id} image={image} from={before} to={percent} tasks={} \
-             worst_tail_latency_ratio={tail:.2}",
+             worst_tail_latency_ratio={tail_latency_ratio:.2}",
             tasks.len()
         ));
         for task in tasks {
@@ -85,9 +97,10 @@
 
     /// Moves throttled tasks to minions on which they can work.
     ///
-    /// A task that was placed well is throttled when the load of its neighbours rises. Its own
-    /// users would wait while that lasts, although other minions have free resources.
-    pub(super) fn move_throttled(&mut self, now: Now) {
+    /// A task is throttled when the user load of serving tasks on its minion rises after its
+    /// placement. Its job would be delayed while that lasts, although other minions have free
+    /// resources.
+    pub(super) fn move_throttled_tasks(&mut self, now: Now) {
         let throttled: Vec<TaskId> = self
             .runs
             .iter()
@@ -106,7 +119,7 @@
                 continue;
             };
             let checkpoints = self.step_spec(task).is_some_and(|step| step.checkpoints);
-            let cheap = checkpoints || percent < CHEAP_RESTART_PERCENT;
+            let cheap = checkpoints || percent < MAX_RESTART_PROGRESS_PERCENT;
             if !cheap || moved >= MAX_MOVES_PER_TICK || !self.has_eligible_minion(task, now) {
                 continue;
             }
@@ -121,5 +134,5 @@
 /// or full speed.
 const fn is_worth_an_order(current: u8, wanted: u8) -> bool {
     let ends = (wanted == 0) != (current == 0) || (wanted == 100) != (current == 100);
-    wanted.abs_diff(current) >= MIN_PACE_CHANGE || ends
+    wanted.abs_diff(current) >= MIN_PACE_CHANGE_PERCENT || ends
 }
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -3,24 +3,24 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::commits::Deferred;
+use super::commits::DeferredAction;
 use super::eligibility::step_rejection;
 use super::headroom::BestEffortSpeed;
 use super::job::Job;
 use super::minion::Minion;
-use super::run::{OrderState, Run, reserved};
+use super::run::{OrderState, Run, reserved_resources};
 use crate::tuning::{BEST_EFFORT_MEMORY_PERCENT, PERSISTENT_CPU_PERCENT};
 use crate::{Demand, JobId, JobRecord, Now, Place, StepSpec, TaskId, TaskPhase, TaskRecord};
 
-/// Minimum speed assumed for any place, as a fraction of full speed, so that places remain
+/// Minimum speed assumed for any minion, as a fraction of full speed, so that minions remain
 /// comparable.
 const MIN_SPEED: f64 = 0.01;
 /// Weight of the headroom share that a best-effort task uses, relative to its speed.
 const HEADROOM_WEIGHT: f64 = 0.3;
-/// Costs are compared in millionths of a task's speed.
-const MILLION: f64 = 1e6;
-/// Thousandths in one.
-const MILLI: i64 = 1_000;
+/// Factor by which the costs of best-effort tasks, in fractions of full speed, become integers:
+/// they are compared in millionths.
+const COST_SCALE: f64 = 1e6;
+const MILLI_CPUS_PER_CPU: i64 = 1_000;
 
 /// Order in which jobs are placed; compared field by field, smaller first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
     /// work first completes the most jobs in time; ordered by the end of their objectives, all jobs
     /// would be late together.
     remaining_work: u64,
-    /// When the objective ends, in milliseconds since 1970.
+    /// End of the job's latency objective, in milliseconds since 1970.
     objective_ends_ms: u64,
 }
 
@@ -46,13 +46,14 @@
     avoided: bool,
     /// Whether the minion is not on the preferred rack.
     off_rack: bool,
-    /// Cost of the minion's load; for best-effort tasks the negative speed in millionths.
+    /// Cost of the minion's load; for best-effort tasks the negative speed in millionths, corrected
+    /// for the headroom and the unused processors.
     cost: i64,
 }
 
 impl Coordinator {
     /// Places all waiting tasks for which there is a minion, in the order of their jobs' ranks.
-    pub(super) fn place_waiting(&mut self, now: Now) {
+    pub(super) fn place_waiting_tasks(&mut self, now: Now) {
         self.placement_due = false;
         let mut order: Vec<(Rank, JobId)> = self
             .open_jobs
@@ -84,16 +85,16 @@
     fn place_step(&mut self, id: JobId, occurrence: u32, step: u16, now: Now) -> u32 {
         let first = TaskId { job: id, occurrence, step, index: 0 };
         let Some(spec) = self.step_spec(first).cloned() else { return 0 };
-        let waiting = self.waiting_tasks(first, &spec, now);
+        let waiting = self.tasks_to_place(first, &spec, now);
         if waiting.is_empty() || (spec.gang && waiting.len() < spec.count as usize) {
             return 0;
         }
         let rack = self.preferred_rack(first, &spec, waiting.len(), now);
-        let gang_run = spec.gang.then(|| self.next_gang_run(first, &spec));
+        let gang_run = spec.gang.then(|| self.next_gang_run_number(first, &spec));
         let mut placed = Vec::new();
         let wanted = waiting.len();
         for task in waiting {
-            let idle = self.job_is_idle(task, now);
+            let idle = self.is_job_idle(task, now);
             if !idle && self.is_unplaceable(id, &spec) {
                 break;
             }
@@ -103,7 +104,7 @@
                 self.record_unplaceable(id, &spec);
                 break;
             };
-            self.assign(task, &minion, gang_run, now);
+            self.assign_task(task, &minion, gang_run, now);
             placed.push(task);
         }
         let needs_approval = self.jobs.get(&id).is_some_and(|job| job.record.terms.needs_approval);
@@ -111,7 +112,7 @@
             self.request_approval(first, &spec, now);
         }
         if spec.gang && placed.len() < spec.count as usize {
-            self.roll_back(&placed);
+            self.roll_back_placements(&placed);
             return 0;
         }
         if let Some(task) = placed.first() {
@@ -126,7 +127,7 @@
     }
 
     /// Reverts placements of this round, as the rest of their gang was not placed.
-    fn roll_back(&mut self, placed: &[TaskId]) {
+    fn roll_back_placements(&mut self, placed: &[TaskId]) {
         for task in placed {
             self.remove_run(*task);
             self.update_tasks(*task, false, |record| {
@@ -134,14 +135,13 @@
                 record.phase = TaskPhase::Waiting;
             });
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                let is_start =
-                    |action: &Deferred| matches!(action, Deferred::Start(t, _) if t == task);
+                let is_start = |action: &DeferredAction| matches!(action, DeferredAction::Start(t, _) if t == task);
                 job.after_commit.retain(|action| !is_start(action));
             }
         }
     }
 
-    fn waiting_tasks(&self, first: TaskId, spec: &StepSpec, now: Now) -> Vec<TaskId> {
+    fn tasks_to_place(&self, first: TaskId, spec: &StepSpec, now: Now) -> Vec<TaskId> {
         let Some(job) = self.jobs.get(&first.job) else { return Vec::new() };
         let is_ready = |task: &TaskId| {
             job.hints.get(task).is_none_or(|hint| hint.not_before_ms <= now.steady_ms)
@@ -156,14 +156,14 @@
             .collect()
     }
 
-    fn next_gang_run(&self, first: TaskId, spec: &StepSpec) -> u32 {
+    fn next_gang_run_number(&self, first: TaskId, spec: &StepSpec) -> u32 {
         let runs = (0..spec.count).map(|index| TaskId { index, ..first });
         let runs = runs.filter_map(|task| self.task_record(task)).map(|record| record.run);
         runs.max().unwrap_or(0) + 1
     }
 
     /// Assigns a task to a minion. The start order is sent once the assignment is committed.
-    fn assign(&mut self, task: TaskId, minion: &Name, run: Option<u32>, now: Now) {
+    fn assign_task(&mut self, task: TaskId, minion: &Name, run: Option<u32>, now: Now) {
         let Some(agent) = self.minions.get(minion).map(|m| m.agent.clone()) else { return };
         let place = Place { minion: minion.clone(), agent };
         let mut number = 0;
@@ -176,7 +176,7 @@
         let run = Run::new(place, number, OrderState::Committing, &spec, now.steady_ms);
         self.insert_run(task, run);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.after_commit.push(Deferred::Start(task, number));
+            job.after_commit.push(DeferredAction::Start(task, number));
         }
     }
 
@@ -186,7 +186,7 @@
         self.choose_minion(task, spec, None, now).is_some()
     }
 
-    /// Chooses the minion for a task.
+    /// Returns the minion that suits a task best, or `None` if no minion accepts it.
     pub(super) fn choose_minion(
         &self,
         task: TaskId,
@@ -215,7 +215,7 @@
     /// Returns the cost of placing a task on a minion that accepts it; smaller is better.
     ///
     /// A best-effort task goes where it works fastest without slowing serving tasks, preferably
-    /// where it uses little of their headroom, as other images may have no other place. A serving
+    /// where it uses little of their headroom, as other images may have no other minion. A serving
     /// task goes where it leaves the most headroom for best-effort tasks, and any other task where
     /// the most processors are free.
     fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
@@ -230,7 +230,7 @@
             let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_cpus;
             let cost =
                 HEADROOM_WEIGHT * headroom_share - cpu_speed * tolerated_speed.max(MIN_SPEED);
-            return (cost * MILLION) as i64 - unused_milli_cpus / MILLI;
+            return (cost * COST_SCALE) as i64 - unused_milli_cpus / MILLI_CPUS_PER_CPU;
         }
         if spec.is_serving() {
             return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_cpus;
@@ -288,7 +288,7 @@
 }
 
 #[inline]
-pub(super) fn spread_allows(task: TaskId, spec: &StepSpec, minion: &Minion) -> bool {
+pub(super) fn is_below_limit_per_minion(task: TaskId, spec: &StepSpec, minion: &Minion) -> bool {
     if spec.max_per_minion == 0 {
         return true;
     }
@@ -297,7 +297,8 @@
     (minion.runs.range(first..=last).count() as u32) < spec.max_per_minion
 }
 
-/// Returns whether a minion can take a task of a step.
+/// Returns whether a minion can take a task of a step, apart from the limit per minion, the
+/// approval and the reserve for short tasks.
 pub(super) fn is_eligible(minion: &Minion, service: &Name, spec: &StepSpec, now: Now) -> bool {
     step_rejection(minion, service, spec, now).is_none()
 }
@@ -305,7 +306,7 @@
 /// Returns whether a persistent task leaves a reserve of processors for short tasks; true for all
 /// other tasks.
 ///
-/// The reserve does not apply to a task that ran before: its users wait for it.
+/// The reserve does not apply to a task that ran before: users notice its absence.
 #[inline]
 pub(super) fn leaves_short_task_reserve(minion: &Minion, spec: &StepSpec) -> bool {
     let reserve = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
@@ -314,9 +315,10 @@
         || spec.demand.milli_cpus + reserve <= minion.free().milli_cpus
 }
 
-/// Returns the resources available for a task of a step.
+/// Returns the unreserved resources of a minion; for best-effort steps without the memory that is
+/// kept free for other tasks.
 #[inline]
-pub(super) fn available_for(minion: &Minion, spec: &StepSpec) -> Demand {
+pub(super) fn available_resources(minion: &Minion, spec: &StepSpec) -> Demand {
     let mut free = minion.free();
     if spec.best_effort {
         let reserve = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
@@ -327,7 +329,7 @@
 
 /// Returns how many tasks of a step a minion can take.
 fn task_capacity(minion: &Minion, spec: &StepSpec) -> usize {
-    let (free, need) = (available_for(minion, spec), reserved(spec));
+    let (free, need) = (available_resources(minion, spec), reserved_resources(spec));
     let count_by = |free: i64, need: i64| if need > 0 { free.max(0) / need } else { i64::MAX };
     count_by(free.milli_cpus, need.milli_cpus)
         .min(count_by(free.memory_mb, need.memory_mb))
@@ -373,11 +375,11 @@
 /// minion; smaller is better.
 ///
 /// A best-effort image has to be harmless to every serving image of its minion, and about two pairs
-/// in five are. So serving tasks of an image gather on the same minions, and images that cannot do
-/// so share minions that are mixed already.
+/// of images in five are harmless. Serving tasks of one image are therefore placed on the same
+/// minions, and the other serving images share minions that already run several of them.
 fn mixing_cost(minion: &Minion, image: &Name) -> i64 {
-    let own = minion.serving_images.contains_key(image);
-    match (own, minion.serving_images.len()) {
+    let has_image = minion.serving_images.contains_key(image);
+    match (has_image, minion.serving_images.len()) {
         (true, 1) => 0,
         (true, _) => 1,
         (false, 2..) => 2,
--- a/crates/geraniumpost-batch/src/coordinator/poll_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/poll_results.rs
@@ -17,7 +17,7 @@
 }
 
 impl Coordinator {
-    /// Handles a minion's task lists.
+    /// Handles the lists of running and ended tasks that a poll of a minion returned.
     pub(super) fn handle_poll_result(&mut self, agent: &Name, poll: PollResult, now: Now) {
         let Some(minion) = self.minions.get(&poll.minion) else { return };
         if minion.agent != *agent {
@@ -25,13 +25,13 @@
         }
         let id = poll.minion.clone();
         for end in poll.ended {
-            self.handle_end(&id, end, now);
+            self.handle_run_end(&id, end, now);
         }
         if let Some(running) = poll.running {
             let listed: std::collections::HashSet<TaskId> =
                 running.iter().map(|row| row.task).collect();
             for row in running {
-                self.update_running(&id, row, poll.orders_reported_before, now);
+                self.update_running_task(&id, row, poll.orders_reported_before, now);
             }
             if !poll.more_ends {
                 self.handle_missing_runs(&id, &listed, poll.orders_reported_before, now);
@@ -40,12 +40,12 @@
                 self.placement_due |= !minion.polled;
                 minion.polled = true;
             }
-            self.adjust_pace(&id, now);
+            self.adjust_paces(&id, now);
         }
         self.acknowledge_ends();
     }
 
-    fn update_running(
+    fn update_running_task(
         &mut self,
         minion: &Name,
         row: RunningTask,
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -6,44 +6,47 @@
 /// Why a minion cannot take a task now; the first check that fails determines the reason.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Rejection {
-    /// The link to its agent is not open.
+    /// The link from the minion's agent is not open.
     #[display("not_linked")]
     NotLinked,
     /// Only records name the minion; it has not been reported to this coordinator.
     #[display("not_reported")]
     NotReported,
-    /// It runs another service's tasks.
+    /// The minion runs tasks of another service.
     #[display("other_service")]
     OtherService,
-    /// It lacks the label that the step requires.
+    /// The minion lacks the label that the step requires.
     #[display("label")]
     Label,
-    /// It was not polled over the current link.
+    /// The minion was not polled over the current link.
     #[display("not_polled")]
     NotPolled,
-    /// No heartbeats arrive from its agent, or they report that it does not answer.
+    /// No heartbeats arrive from the minion's agent, or they report that the minion does not
+    /// respond.
     #[display("no_answer")]
     NotResponding,
-    /// It is quarantined after failed or stalled runs, or after it refused a task as unhealthy.
+    /// The minion is quarantined after failed or stalled runs, or after it refused a task as
+    /// unhealthy.
     #[display("quarantined")]
     Quarantined,
-    /// It is draining.
+    /// The minion is draining and will terminate.
     #[display("draining")]
     Draining,
     /// A serving task there is over its latency bound, so that no more best-effort tasks are
     /// placed.
     #[display("over_bound")]
     OverBound,
-    /// Its free resources are less than the task reserves.
+    /// The minion's free resources are less than the task reserves.
     #[display("no_capacity")]
     NoCapacity,
-    /// It runs as many tasks of the step as the step allows on one minion.
+    /// The minion runs as many tasks of the step as the step allows on one minion.
     #[display("spread")]
     Spread,
     /// The admission service has given no valid ticket.
     #[display("no_approval")]
     NoApproval,
-    /// Its free processors are reserved for short tasks, and the task is persistent and never ran.
+    /// The minion's free processors are reserved for short tasks, and the task is persistent and
+    /// never ran.
     #[display("reserved_for_short")]
     ReservedForShort,
     /// A best-effort task would be too slow there.
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -6,37 +6,38 @@
     pub(super) place: Place,
     pub(super) number: u32,
     pub(super) order: OrderState,
-    /// Resources that it reserves on the minion.
+    /// Resources that the run reserves on the minion.
     pub(super) reserved: Demand,
-    /// Processors that it could use as a best-effort run, in thousandths; 0 for other runs.
+    /// Processors that the run could use as a best-effort run, in thousandths; 0 for other runs.
     pub(super) best_effort_cpus: i64,
     /// Processors reserved to serve users within a latency bound, in thousandths; `None` for a run
     /// that serves no users.
     pub(super) serving_cpus: Option<i64>,
-    /// When it was first known to run, on the steady clock.
+    /// Time at which the run was first known to have started, on the monotonic clock.
     pub(super) started_ms: Option<u64>,
-    /// Last reported progress, and when it last changed, on the steady clock.
+    /// Last reported progress, and the time of its last change on the monotonic clock.
     pub(super) progress_percent: u8,
     pub(super) last_progress_ms: u64,
-    /// When a poll last listed it, on the steady clock.
+    /// Time at which a poll last listed the run, on the monotonic clock.
     pub(super) last_seen_ms: u64,
-    /// Pace of the last pace order.
+    /// Pace of the last pace order, in percent of full speed.
     pub(super) pace_percent: u8,
-    /// Whether the minion is known to have applied that pace: not if the order had no answer, nor
-    /// after a takeover.
+    /// Whether the minion has confirmed that pace: not if the order had no response, nor after a
+    /// takeover.
     pub(super) pace_confirmed: bool,
-    /// Since when it has been suspended or throttled, on the steady clock.
+    /// Start of the current suspension or throttling, on the monotonic clock.
     pub(super) throttled_since_ms: Option<u64>,
-    /// Last reported gauge.
+    /// Last reported tail latency in milliseconds of a serving task, or processor use of any other
+    /// task in thousandths of a processor.
     pub(super) measurement: u32,
-    /// Since when its tail latency has been over its bound, on the steady clock.
+    /// Start of the current excess of the tail latency over its bound, on the monotonic clock.
     pub(super) over_bound_since_ms: Option<u64>,
     /// Number of start orders sent.
     pub(super) start_count: u32,
     /// Copies of the start order sent over the current link that have no result yet.
     pub(super) starts_in_flight: u32,
-    /// Whether a copy of the start order had no answer or was lost with its link, so that it may be
-    /// carried out at any later time.
+    /// Whether a copy of the start order had no response or was lost with its link, so that it may
+    /// be carried out at any later time.
     pub(super) start_unresolved: bool,
 }
 
@@ -49,16 +50,16 @@
     Sent { at_ms: u64 },
     /// The start may or may not have been carried out.
     Unknown { since_ms: u64 },
-    /// The minion has started the run. A poll that began after this many order results must list
-    /// it or its end.
+    /// The minion has started the run. A poll that began after the agent had reported
+    /// `results_reported` order results lists the run or its end.
     Started { results_reported: u64 },
-    /// The minion reports that the run has ended. A poll that began after this many order results
-    /// must list its end.
+    /// The minion reports that the run has ended. A poll that began after the agent had reported
+    /// `results_reported` order results lists its end.
     Ended { results_reported: u64 },
     /// A stop was sent.
     Stopping { at_ms: u64 },
-    /// The minion has accepted the stop. A poll that began after this many order results must not
-    /// list the run as running.
+    /// The minion has accepted the stop. A poll that began after the agent had reported
+    /// `results_reported` order results does not list the run as running.
     StopConfirmed { at_ms: u64, results_reported: u64 },
 }
 
@@ -74,7 +75,7 @@
             place,
             number,
             order,
-            reserved: reserved(spec),
+            reserved: reserved_resources(spec),
             best_effort_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
             serving_cpus: spec.is_serving().then_some(spec.demand.milli_cpus),
             started_ms: None,
@@ -99,7 +100,7 @@
         self.order = OrderState::Sent { at_ms: now_ms };
     }
 
-    /// Records the result of one copy of the start order, whichever it was.
+    /// Counts one copy of the start order as no longer in flight, whatever its result.
     ///
     /// A result of a copy that was sent over an earlier link is counted for the current link. That
     /// does no harm, because [`Run::record_link_loss`] has marked the run as unresolved by then.
@@ -140,7 +141,7 @@
 
 /// Returns the resources that a task of a step reserves on a minion. A best-effort task reserves
 /// memory and accelerators, but no processors.
-pub(super) fn reserved(spec: &StepSpec) -> Demand {
+pub(super) fn reserved_resources(spec: &StepSpec) -> Demand {
     let milli_cpus = if spec.best_effort { 0 } else { spec.demand.milli_cpus };
     Demand { milli_cpus, ..spec.demand }
 }
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -4,12 +4,12 @@
 
 use super::Coordinator;
 use super::run::{OrderState, Run};
-use crate::tuning::{FAILURE_BACKOFF_MS, QUARANTINE_FAILURES, QUARANTINE_MS};
+use crate::tuning::{FAILURE_BACKOFF_MS, QUARANTINE_DURATION_MS, QUARANTINE_FAILURES};
 use crate::{EndKind, EndedTask, JobId, JobState, Now, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 impl Coordinator {
     /// Handles the end of a run that a minion lists.
-    pub(super) fn handle_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
+    pub(super) fn handle_run_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
         let Some(state) = self.minions.get_mut(minion) else { return };
         if end.sequence <= state.last_end_sequence {
             state.resend_acknowledgement |= end.sequence <= state.acknowledged_up_to;
@@ -46,16 +46,16 @@
         now: Now,
     ) -> u64 {
         let run = self.remove_run(task);
-        self.record_persistent_end(task, run.as_ref(), now);
+        self.record_persistent_run_end(task, run.as_ref(), now);
         self.placement_due = true;
         let Some(job) = self.jobs.get_mut(&task.job) else { return 0 };
         if job.record.state.is_final() {
             self.clear_placement(task);
-            return self.mark_final_dirty(task.job);
+            return self.mark_finished_record_dirty(task.job);
         }
         let spec = job.record.spec.steps[usize::from(task.step)].clone();
         if !checkpoint.is_empty() && spec.checkpoints {
-            self.store_checkpoint(task, &spec, checkpoint);
+            self.record_checkpoint(task, &spec, checkpoint);
         }
         let failed = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
         let avoided = run.filter(|_| failed).map(|run| run.place.minion);
@@ -79,7 +79,7 @@
         job.hints.remove(&task);
         job.record.occurrences.retain(|occurrence| !occurrence.is_done());
         let finished = job.record.occurrences.is_empty()
-            && job.record.next_occurrence >= job.record.repetitions();
+            && job.record.next_occurrence >= job.record.occurrence_count();
         if finished {
             self.finish_job(task.job, JobState::Completed, now);
         }
@@ -124,12 +124,12 @@
         for task in self.runs_of_job(id) {
             self.stop_run(task, now);
         }
-        self.mark_final_dirty(id);
+        self.mark_finished_record_dirty(id);
     }
 
     /// Marks the record of a finished job for another write, compacted once the job has no runs
     /// left.
-    fn mark_final_dirty(&mut self, id: JobId) -> u64 {
+    fn mark_finished_record_dirty(&mut self, id: JobId) -> u64 {
         let has_runs = !self.runs_of_job(id).is_empty();
         if let Some(job) = self.jobs.get_mut(&id)
             && !has_runs
@@ -139,7 +139,7 @@
         self.mark_dirty(id)
     }
 
-    /// Marks a task as not running.
+    /// Marks a task as waiting, so that its record names no minion.
     pub(super) fn clear_placement(&mut self, task: TaskId) {
         self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
     }
@@ -157,7 +157,7 @@
         }
     }
 
-    fn store_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
+    fn record_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         // A checkpoint of any member applies to the whole gang, whose members must all resume from
         // the same one.
@@ -183,11 +183,11 @@
                 state.consecutive_failures += 1;
                 state.last_failed_job = Some(end.task.job);
                 if state.consecutive_failures >= QUARANTINE_FAILURES {
-                    state.quarantined_until_ms = now.steady_ms + QUARANTINE_MS;
+                    state.quarantined_until_ms = now.steady_ms + QUARANTINE_DURATION_MS;
                     let failures = state.consecutive_failures;
                     self.log(format!(
                         "decision=quarantine minion={minion} consecutive_failures={failures} \
-                         for_ms={QUARANTINE_MS}"
+                         for_ms={QUARANTINE_DURATION_MS}"
                     ));
                 }
             }
@@ -250,13 +250,13 @@
         minion.serving_cpus += run.serving_cpus.unwrap_or(0);
         let id = run.place.minion.clone();
         self.runs.insert(task, run);
-        self.count_run(task, &id, true);
+        self.update_run_counts(task, &id, true);
     }
 
     /// Removes a run and releases its resources.
     pub(super) fn remove_run(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
-        self.count_run(task, &run.place.minion, false);
+        self.update_run_counts(task, &run.place.minion, false);
         if let Some(minion) = self.minions.get_mut(&run.place.minion) {
             minion.runs.remove(&task);
             minion.used -= run.reserved;
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -1,12 +1,12 @@
-//! Periodic work.
+//! Periodic work of the coordinator.
 
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
 use super::run::OrderState;
 use crate::tuning::{
-    FINISHED_JOB_RETENTION_MS, ORDER_RESULT_TIMEOUT_MS, ORDER_RETRY_MS, STALLED_RUN_TIMEOUT_MS,
-    STOP_RETRY_MS,
+    FINISHED_JOB_RETENTION_MS, ORDER_RESULT_TIMEOUT_MS, ORDER_RETRY_DELAY_MS,
+    STALLED_RUN_TIMEOUT_MS, STOP_RETRY_DELAY_MS,
 };
 use crate::{JobId, Now, TaskId};
 
@@ -19,8 +19,8 @@
         self.log_lease_basis(now);
         self.begin_due_occurrences(now);
         self.retry_orders(now);
-        self.evacuate_draining(now);
-        self.move_throttled(now);
+        self.evacuate_draining_minions(now);
+        self.move_throttled_tasks(now);
         self.expire_finished_jobs(now);
         self.prune_serving_groups();
         self.monitor_waits(now);
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Begins the occurrences of a job that are due.
+    /// Begins every occurrence of a job whose due time has passed; there are several if the
+    /// coordinator was absent.
     pub(super) fn begin_due_occurrences_of(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let mut started = false;
@@ -52,7 +53,7 @@
         let due: Vec<(TaskId, OrderState)> = self
             .runs
             .iter()
-            .filter(|(_, run)| is_order_due(run.order, now.steady_ms))
+            .filter(|(_, run)| is_resend_due(run.order, now.steady_ms))
             .map(|(task, run)| (*task, run.order))
             .collect();
         for (task, order) in due {
@@ -60,15 +61,15 @@
                 OrderState::Stopping { .. } | OrderState::StopConfirmed { .. } => {
                     self.send_stop(task, now);
                 }
-                _ if self.minion_is_polled(task) => self.send_start(task, now),
+                _ if self.is_minion_polled(task) => self.send_start(task, now),
                 _ => {}
             }
         }
         self.stop_stalled_runs(now);
     }
 
-    /// Returns whether a run's minion was polled expired the current link.
-    fn minion_is_polled(&self, task: TaskId) -> bool {
+    /// Returns whether a run's minion was polled over the current link.
+    fn is_minion_polled(&self, task: TaskId) -> bool {
         let minion = self.runs.get(&task).and_then(|run| self.minions.get(&run.place.minion));
         minion.is_some_and(|minion| minion.polled)
     }
@@ -89,7 +90,7 @@
             .collect();
         for task in stalled {
             let Some(step) = self.step_spec(task) else { continue };
-            // One percent of a long task takes long.
+            // Each percent of a long task takes long.
             let allowed_ms = u64::from(step.estimate_ms) / 10 + STALLED_RUN_TIMEOUT_MS;
             let Some(run) = self.runs.get(&task) else { continue };
             let minion: Name = run.place.minion.clone();
@@ -105,7 +106,7 @@
                 run.last_seen_ms - run.last_progress_ms
             ));
             if let Some(minion) = self.minions.get_mut(&minion) {
-                minion.quarantined_until_ms = now.steady_ms + crate::tuning::QUARANTINE_MS;
+                minion.quarantined_until_ms = now.steady_ms + crate::tuning::QUARANTINE_DURATION_MS;
             }
             self.stop_run(task, now);
         }
@@ -127,13 +128,13 @@
     }
 }
 
-/// Returns whether an order has to be sent again.
-fn is_order_due(order: OrderState, now_ms: u64) -> bool {
+/// Returns whether the last order for a run has to be sent again.
+fn is_resend_due(order: OrderState, now_ms: u64) -> bool {
     match order {
-        OrderState::Unknown { since_ms } => now_ms >= since_ms + ORDER_RETRY_MS,
+        OrderState::Unknown { since_ms } => now_ms >= since_ms + ORDER_RETRY_DELAY_MS,
         OrderState::Sent { at_ms } => now_ms >= at_ms + ORDER_RESULT_TIMEOUT_MS,
         OrderState::Stopping { at_ms } | OrderState::StopConfirmed { at_ms, .. } => {
-            now_ms >= at_ms + STOP_RETRY_MS
+            now_ms >= at_ms + STOP_RETRY_DELAY_MS
         }
         _ => false,
     }
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -1,7 +1,7 @@
 //! Log lines about runs that are kept because their minions are unreachable.
 //!
-//! Such a run is not replaced before its lease has certainly expired. Until then its users cannot
-//! use it, and only these lines tell an operator what the coordinator waits for.
+//! Such a run is not replaced before its lease has certainly expired. Until then the task is down,
+//! and only these lines tell an operator what the coordinator waits for.
 
 use geraniumpost_schema::Name;
 
@@ -33,7 +33,7 @@
         else {
             return;
         };
-        let wait_ms = self.predecessor_expiry.latest_ms().saturating_sub(now.steady_ms);
+        let wait_ms = self.predecessor_expiry.latest_lease_end_ms().saturating_sub(now.steady_ms);
         if wait_ms == 0 || now.steady_ms < self.wait_state.started_ms + after_ms {
             return;
         }
@@ -76,7 +76,7 @@
         tasks.filter(|task| self.step_spec(**task).is_some_and(|step| step.persistent)).count()
     }
 
-    /// Logs until when a minion's runs are kept, and whose lease determines that.
+    /// Logs how long a minion's runs are kept, and whose lease determines that.
     fn log_unreachable_minion(&mut self, id: &Name, persistent: usize, omitted: usize, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
         let (until_ms, from_predecessor) = self.lease_expiry(&minion.agent);
--- a/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
@@ -15,8 +15,8 @@
 /// Interval between two checks of waiting tasks, in milliseconds; metrics and log lines have a
 /// resolution of seconds.
 const CHECK_INTERVAL_MS: u64 = 500;
-/// Wait of a persistent task after which it is logged, in milliseconds. Its users miss it at once,
-/// and an ordinary end is followed by a new run in less time.
+/// Wait of a persistent task after which it is logged, in milliseconds. Users of the task notice
+/// its absence at once, and after an ordinary end it has a new run in less time.
 const PERSISTENT_LOG_DELAY_MS: u64 = 2_000;
 /// Wait of any other task after which it is logged, in milliseconds; these tasks ordinarily wait
 /// for free resources.
@@ -27,7 +27,7 @@
 pub(super) const MAX_LINES_PER_CHECK: usize = 2;
 
 impl Coordinator {
-    /// Checks waiting tasks at intervals, and logs what operators should know about them.
+    /// Checks waiting tasks every [`CHECK_INTERVAL_MS`], and logs which are not placed and why.
     pub(super) fn monitor_waits(&mut self, now: Now) {
         if self
             .wait_state
@@ -44,13 +44,14 @@
     }
 
     /// Records the end of a run of a persistent task. If the run had not started or its minion was
-    /// unreachable, the task has been down for longer.
-    pub(super) fn record_persistent_end(&mut self, task: TaskId, run: Option<&Run>, now: Now) {
+    /// unreachable, the task was down before that end, and the earlier start of the downtime is
+    /// kept.
+    pub(super) fn record_persistent_run_end(&mut self, task: TaskId, run: Option<&Run>, now: Now) {
         let persistent = self.step_spec(task).is_some_and(|step| step.persistent);
         if !persistent || !self.open_jobs.contains(&task.job) {
             return;
         }
-        let since_ms = self.wait_state.down.entry(task).or_insert(now.steady_ms);
+        let since_ms = self.wait_state.down_since_ms.entry(task).or_insert(now.steady_ms);
         let minion = run.and_then(|run| self.minions.get(&run.place.minion));
         let was_started = run.is_some_and(|run| run.started_ms.is_some());
         if was_started && minion.is_some_and(|minion| !minion.is_unreachable()) {
@@ -60,23 +61,23 @@
 
     fn update_waits(&mut self, now: Now) {
         let mut steps = BTreeMap::new();
-        let mut down = self.down_with_run(now);
+        let mut down = self.persistent_tasks_down_with_run(now);
         for id in &self.open_jobs {
             let Some(job) = self.jobs.get(id) else { continue };
             for (occurrence, step) in ready_steps(&job.record) {
                 let key = (*id, occurrence, step);
-                if let Some(waiting) = self.waiting_step(key, &mut down, now) {
+                if let Some(waiting) = self.collect_waiting_step(key, &mut down, now) {
                     steps.insert(key, waiting);
                 }
             }
         }
         self.wait_state.steps = steps;
-        self.wait_state.down = down;
+        self.wait_state.down_since_ms = down;
     }
 
-    /// Returns since when persistent tasks that have a run have been down: the run has not started,
-    /// or its minion is unreachable.
-    fn down_with_run(&self, now: Now) -> BTreeMap<TaskId, u64> {
+    /// Returns the persistent tasks that are down although they have a run, with the start of their
+    /// downtime: the run has not started, or its minion is unreachable.
+    fn persistent_tasks_down_with_run(&self, now: Now) -> BTreeMap<TaskId, u64> {
         let not_started = self.runs.iter().filter(|(_, run)| run.started_ms.is_none());
         let unreachable = self.minions.values().filter(|minion| minion.is_unreachable());
         not_started
@@ -84,22 +85,23 @@
             .chain(unreachable.flat_map(|minion| minion.runs.iter().copied()))
             .filter(|task| self.open_jobs.contains(&task.job))
             .filter(|task| self.step_spec(*task).is_some_and(|step| step.persistent))
-            .map(|task| (task, self.down_since(task, now)))
+            .map(|task| (task, self.task_down_since_ms(task, now)))
             .collect()
     }
 
-    fn down_since(&self, task: TaskId, now: Now) -> u64 {
-        self.wait_state.down.get(&task).copied().unwrap_or(now.steady_ms)
+    fn task_down_since_ms(&self, task: TaskId, now: Now) -> u64 {
+        self.wait_state.down_since_ms.get(&task).copied().unwrap_or(now.steady_ms)
     }
 
-    /// Returns the waiting tasks of a step, and adds its persistent tasks to `down`.
-    fn waiting_step(
+    /// Returns the wait of a step, or `None` if none of its tasks waits. Adds its waiting
+    /// persistent tasks to `down`, with the start of their downtime.
+    fn collect_waiting_step(
         &self,
         key: StepKey,
         down: &mut BTreeMap<TaskId, u64>,
         now: Now,
     ) -> Option<WaitingStep> {
-        let waiting = self.waiting_tasks_of(key);
+        let waiting = self.waiting_tasks(key);
         let first = waiting.first()?;
         let previous = self.wait_state.steps.get(&key);
         let last_logged_ms = previous.and_then(|previous| previous.last_logged_ms);
@@ -117,7 +119,7 @@
         }
         let mut since_ms = now.steady_ms;
         for task in &waiting {
-            let down_ms = self.down_since(*task, now);
+            let down_ms = self.task_down_since_ms(*task, now);
             down.insert(*task, down_ms);
             since_ms = since_ms.min(down_ms);
         }
@@ -125,7 +127,7 @@
     }
 
     /// Lists the waiting tasks of a step, including those in backoff.
-    fn waiting_tasks_of(&self, (job, occurrence, step): StepKey) -> Vec<TaskId> {
+    fn waiting_tasks(&self, (job, occurrence, step): StepKey) -> Vec<TaskId> {
         let Some(record) = self.jobs.get(&job).map(|job| &job.record) else { return Vec::new() };
         let occurrence_record = record.occurrences.iter().find(|o| o.number == occurrence);
         let tasks =
@@ -156,11 +158,11 @@
         let omitted = due.len().saturating_sub(MAX_LINES_PER_CHECK);
         due.truncate(MAX_LINES_PER_CHECK);
         for (_, _, _, key) in due {
-            self.log_wait(key, omitted, now);
+            self.log_step_wait(key, omitted, now);
         }
     }
 
-    fn log_wait(&mut self, key: StepKey, omitted: usize, now: Now) {
+    fn log_step_wait(&mut self, key: StepKey, omitted: usize, now: Now) {
         if let Some(line) = self.not_placed_line(key, now) {
             self.log(format!("{line}{}", field_unless_zero("omitted", omitted as u64)));
         }
@@ -171,10 +173,11 @@
 
     fn not_placed_line(&self, key: StepKey, now: Now) -> Option<String> {
         let since_ms = self.wait_state.steps.get(&key)?.since_ms;
-        let waiting = self.waiting_tasks_of(key);
+        let waiting = self.waiting_tasks(key);
         let is_ready = |task: &&TaskId| self.remaining_backoff_ms(**task, now) == 0;
-        // Placement begins with the first task that is not in backoff, and ends at one without a
-        // place.
+        // A placement round stops at the first task that no minion accepts, and skips tasks in
+        // backoff. The rejections of the first task that is not in backoff are therefore the
+        // reason.
         let task = *waiting.iter().find(is_ready).or_else(|| waiting.first())?;
         let spec = self.step_spec(task)?;
         let (job, occurrence, step) = key;
@@ -199,8 +202,8 @@
         hint.map_or(0, |hint| hint.not_before_ms.saturating_sub(now.steady_ms))
     }
 
-    /// Returns how many minions reject a task, by reason, and how many accept it, as fields of a
-    /// line.
+    /// Returns how many minions reject a task, by reason, and how many accept it, formatted as
+    /// fields of a log line.
     fn rejection_fields(&self, task: TaskId, spec: &StepSpec, waiting: usize, now: Now) -> String {
         let Some(requirements) = self.requirements(task, spec) else { return String::new() };
         let mut rejections = RejectionCounts::default();
--- a/crates/geraniumpost-batch/src/coordinator/wait_state.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_state.rs
@@ -4,20 +4,22 @@
 
 use crate::{JobId, TaskId};
 
-/// A step of one occurrence: job, occurrence and step.
+/// Identifies a step of one occurrence: job, number of the occurrence, number of the step.
 pub(super) type StepKey = (JobId, u32, u16);
 
 /// State of waiting tasks between two checks, for log lines and metrics.
 #[derive(Debug)]
 pub(super) struct WaitState {
-    /// When this coordinator started, on the steady clock.
+    /// Time at which this coordinator started, on the monotonic clock.
     pub(super) started_ms: u64,
-    /// When waiting tasks were last checked, on the steady clock; `None` before the first check.
+    /// Time at which waiting tasks were last checked, on the monotonic clock; `None` before the
+    /// first check.
     pub(super) last_check_ms: Option<u64>,
-    /// Steps with waiting tasks whose predecessors are done.
+    /// Steps with waiting tasks, if the steps that they depend on are done.
     pub(super) steps: BTreeMap<StepKey, WaitingStep>,
-    /// Since when each persistent task that is down has been down, on the steady clock.
-    pub(super) down: BTreeMap<TaskId, u64>,
+    /// Start of the current downtime of each persistent task that is down, on the monotonic clock:
+    /// it has no started run, or the run's minion is unreachable.
+    pub(super) down_since_ms: BTreeMap<TaskId, u64>,
     /// Minions that were logged as unreachable.
     pub(super) logged_unreachable: BTreeSet<Name>,
     /// Number of lines logged on the wait for a predecessor's leases.
@@ -31,9 +33,10 @@
     pub(super) persistent: bool,
     /// Index of the first waiting task.
     pub(super) first_index: u32,
-    /// Since when that task has been waiting, on the steady clock.
+    /// Start of the wait of that task, on the monotonic clock; for a persistent step the earliest
+    /// start of a downtime of its waiting tasks.
     pub(super) since_ms: u64,
-    /// When the step was last logged, on the steady clock; `None` if never.
+    /// Time at which the step was last logged, on the monotonic clock; `None` if never.
     pub(super) last_logged_ms: Option<u64>,
 }
 
@@ -43,7 +46,7 @@
             started_ms,
             last_check_ms: None,
             steps: BTreeMap::new(),
-            down: BTreeMap::new(),
+            down_since_ms: BTreeMap::new(),
             logged_unreachable: BTreeSet::new(),
             predecessor_wait_lines: 0,
         }
--- a/crates/geraniumpost-batch/src/demand.rs
+++ b/crates/geraniumpost-batch/src/demand.rs
@@ -26,7 +26,7 @@
     SubAssign,
 )]
 pub struct Demand {
-    /// Processor time in thousandths of a processor.
+    /// Processors, in thousandths.
     pub milli_cpus: i64,
     /// Memory in mebibytes.
     pub memory_mb: i64,
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -4,16 +4,15 @@
 
 /// Limit on remembered terminations. A VM rarely has more than one in several minutes; the limit
 /// matters only if a minion restarts continuously while there is no coordinator.
-const MAX_TERMINATED: usize = 16;
+const MAX_TERMINATIONS: usize = 16;
 
-/// Minion incarnations that have left this VM and whose termination no coordinator has recorded
-/// yet.
+/// Minion incarnations that leave this VM, until a coordinator has recorded their termination.
 ///
-/// The tasks of a minion end with it, and its agent may be the only process that knows. A report
-/// that is sent once is lost if the agent has no connection at that moment, or if the coordinator
-/// fails before it has written its records. The next coordinator then waits for a lease that nobody
-/// holds, and persistent tasks are down meanwhile. The agent therefore repeats the report on every
-/// connection until a coordinator confirms that its records hold it.
+/// The tasks of a minion end with it, and its agent may be the only process that knows of their
+/// end. A report that is sent once is lost if the agent has no connection at that moment, or if the
+/// coordinator fails before it has written its records. The next coordinator then waits for a lease
+/// that nobody holds, and persistent tasks are down meanwhile. The agent therefore repeats the
+/// report on every connection until a coordinator confirms that its records hold it.
 #[derive(Debug, Default)]
 pub struct Departures {
     /// Minions that have announced that they leave and may still be running.
@@ -33,13 +32,13 @@
     /// Records that a minion has terminated. Drops the oldest record if there are too many.
     pub fn record_terminated(&mut self, minion: &Name) {
         self.remove(minion);
-        if self.terminated.len() == MAX_TERMINATED {
+        if self.terminated.len() == MAX_TERMINATIONS {
             self.terminated.pop_front();
         }
         self.terminated.push_back(minion.clone());
     }
 
-    /// Removes a minion, either because the job records hold its termination or because it answers
+    /// Removes a minion, either because the job records hold its termination or because it responds
     /// after all.
     pub fn remove(&mut self, minion: &Name) {
         self.leaving.retain(|leaving| leaving != minion);
--- a/crates/geraniumpost-batch/src/entry_message.rs
+++ b/crates/geraniumpost-batch/src/entry_message.rs
@@ -8,16 +8,16 @@
 pub enum CallerRequest {
     /// Submit a job. Submitting the same job id again does not create a second job.
     Submit {
-        /// The job.
+        /// Id of the job, chosen by its submitter.
         job: JobId,
-        /// Its specification.
+        /// Steps, payload and repetitions of the job.
         spec: JobSpec,
-        /// The settings of its queue.
+        /// Settings of the job's queue at submission.
         terms: QueueTerms,
     },
-    /// Cancel a job.
+    /// Cancel a job, and stop its runs.
     Cancel(JobId),
-    /// Read a job's state.
+    /// Read a job's state; the job is unknown before its acceptance is committed.
     State(JobId),
     /// Count a queue's jobs that have not started.
     Pending(Name),
@@ -35,11 +35,11 @@
     },
     /// The job's specification can never be satisfied.
     Invalid,
-    /// The job's committed state.
+    /// The job's committed state, or running if a task has started.
     State(JobState),
     /// The cancellation is committed, or the job had already finished.
     Cancelled,
-    /// No such job exists.
+    /// No job with this id is known.
     Unknown,
     /// Number of jobs that have not started.
     Pending(u64),
@@ -52,17 +52,18 @@
     Ping {
         /// Version of the entry's current configuration; 0 for none.
         configuration: u64,
-        /// When the coordinator sent the last pong that the entry received, if the entry supports
-        /// this coordinator: it promises to follow no successor for a while after that pong.
+        /// Time of the last pong that the entry received, if the entry supports this coordinator.
+        /// The entry then promises to follow no successor for
+        /// [`PROMISE_DURATION_MS`](crate::tuning::PROMISE_DURATION_MS) after that pong.
         supports: Option<TermTime>,
         /// Whether the entry is about to stop and should no longer be a voter.
         stopping: bool,
     },
     /// A caller's request.
     Request {
-        /// Identifies the response.
+        /// Number that the entry chose; the response repeats it.
         request_id: u64,
-        /// The request.
+        /// What the caller asks for.
         request: CallerRequest,
     },
 }
@@ -83,17 +84,16 @@
     Pong {
         /// Whether the coordinator reaches the store.
         store_ok: bool,
-        /// The newest configuration version that the coordinator has or has been told of; 0 for
-        /// none.
+        /// The newest configuration version that is known to the coordinator; 0 for none.
         configuration: u64,
-        /// When the coordinator sends it.
+        /// Time at which the coordinator sent the pong.
         sent: TermTime,
     },
     /// The response to a request.
     Response {
-        /// Ticket of the request.
+        /// Number of the request, from [`FromEntry::Request`].
         request_id: u64,
-        /// The response.
+        /// What the entry passes on to the caller.
         response: CallerResponse,
     },
 }
--- a/crates/geraniumpost-batch/src/interference/mod.rs
+++ b/crates/geraniumpost-batch/src/interference/mod.rs
@@ -1,20 +1,20 @@
 //! Model of how much best-effort tasks slow down serving tasks on the same minion, learned from
-//! gauges of tail latency and processor use.
+//! measurements of tail latency and processor use.
 //!
 //! Submitters cannot declare how much tasks on a shared minion interfere; only the tail latencies
 //! of serving tasks show it. A tail latency grows like that of a queue: a task that is busy for a
 //! share `u` of the time has a tail latency of `idle / (1 - u)`. In terms of this
-//! [utilization](ServingImage::utilization) `u` the causes are additive: the load of the task's own
+//! [utilization](ServingImage::utilization) `u` the causes are additive: the load of the task's
 //! users, and for each best-effort image a [slope](Slope) times the share of the minion's
 //! processors that the image uses. The tail latency itself is not additive; close to its bound it
 //! grows so fast that it does not show which image caused it.
 //!
-//! The load of a task's own users changes within tens of seconds and is not reported. The model
+//! The load of a task's users changes within tens of seconds and is not reported. The model
 //! estimates it for each [`ServingGroup`], the tasks of one step on one minion. [`Baseline`] keeps
-//! running means of a group's gauges; in the deviation of a gauge from them the own load cancels,
-//! so that the deviation is due to the best-effort tasks. [`Slopes`] combines the deviations of all
-//! groups of an image and keeps the uncertainty of the result. docs/design/0602-colocation.md has
-//! the derivation.
+//! running means of a group's measurements. The user load cancels in the deviation of a measurement
+//! from these means, so that the deviation is due to the best-effort tasks. [`Slopes`] combines the
+//! deviations of all groups of an image and keeps the uncertainty of the result.
+//! docs/design/0602-colocation.md has the derivation.
 
 mod baseline;
 mod model;
@@ -26,7 +26,7 @@
 
 pub use model::InterferenceModel;
 pub use serving_group::ServingGroup;
-pub use speed_limits::{Pressure, speed_limits};
+pub use speed_limits::{FullSpeedLoad, speed_limits};
 
 use baseline::Baseline;
 use serving_image::ServingImage;
--- a/crates/geraniumpost-batch/src/interference/model.rs
+++ b/crates/geraniumpost-batch/src/interference/model.rs
@@ -6,11 +6,11 @@
 use super::{ServingGroup, ServingImage, Slope};
 use crate::{InterferencePair, InterferenceSnapshot};
 
-/// Limit on distinct best-effort images. Further ones share the last index, so that matrices stay
+/// Limit on distinct best-effort images. Further images share the last index, so that matrices stay
 /// small.
 const MAX_BEST_EFFORT_IMAGES: usize = 60;
-/// Limit on serving images, above which those without tasks are removed. Tens have tasks at the
-/// same time, and each takes up to 30 KB.
+/// Limit on serving images, above which those without tasks are removed. A few dozen images have
+/// tasks at the same time, and each image takes up to 30 KB of memory.
 const MAX_SERVING_IMAGES: usize = 200;
 /// Limit on pairs in a snapshot; each takes about 30 bytes in the store.
 const MAX_SNAPSHOT_PAIRS: usize = 600;
@@ -25,37 +25,43 @@
 
 impl InterferenceModel {
     /// Learns from the tail latency of a serving group, as a multiple of its bound. `used` holds
-    /// the share of the minion's processors, from 0 to 1, that each best-effort image used
-    /// meanwhile.
+    /// the share of the minion's processors, from 0 to 1, that each best-effort image used at that
+    /// time.
     pub fn observe(
         &mut self,
         image: &Name,
         group: &ServingGroup,
-        tail: f64,
+        tail_latency_ratio: f64,
         used: &BTreeMap<Name, f64>,
         now_ms: u64,
     ) {
         let mut shares = Vec::new();
         for (best_effort, share) in used {
-            let index = self.index(best_effort);
+            let index = self.best_effort_index(best_effort);
             shares.resize(shares.len().max(index + 1), 0.0);
             shares[index] += share;
         }
-        self.serving.entry(image.clone()).or_default().observe(group, tail, &shares, now_ms);
+        self.serving.entry(image.clone()).or_default().observe(
+            group,
+            tail_latency_ratio,
+            &shares,
+            now_ms,
+        );
     }
 
-    fn index(&mut self, best_effort: &Name) -> usize {
+    fn best_effort_index(&mut self, best_effort: &Name) -> usize {
         (self.best_effort.intern(best_effort) as usize).min(MAX_BEST_EFFORT_IMAGES - 1)
     }
 
     /// Returns the utilization at which a serving image reaches a tail latency, given as a multiple
     /// of its bound.
-    pub fn utilization_at(&self, image: &Name, tail: f64) -> f64 {
+    pub fn utilization_at(&self, image: &Name, tail_latency_ratio: f64) -> f64 {
         let unseen = ServingImage::default();
-        self.serving.get(image).unwrap_or(&unseen).utilization(tail)
+        self.serving.get(image).unwrap_or(&unseen).utilization(tail_latency_ratio)
     }
 
-    /// Returns the estimated utilization of a group by its own users.
+    /// Returns the estimated utilization of a group by its users, without the effect of best-effort
+    /// tasks.
     pub fn user_utilization(&self, image: &Name, group: &ServingGroup) -> f64 {
         let unseen = ServingImage::default();
         self.serving.get(image).unwrap_or(&unseen).user_utilization(group)
@@ -89,8 +95,10 @@
         }
         pairs.sort_by(|a, b| a.deviation.total_cmp(&b.deviation));
         pairs.truncate(MAX_SNAPSHOT_PAIRS);
-        let idle_tail_latency_ratios =
-            self.serving.iter().map(|(image, known)| (image.clone(), known.idle_tail));
+        let idle_tail_latency_ratios = self
+            .serving
+            .iter()
+            .map(|(image, known)| (image.clone(), known.idle_tail_latency_ratio));
         InterferenceSnapshot {
             pairs,
             idle_tail_latency_ratios: idle_tail_latency_ratios.take(MAX_SERVING_IMAGES).collect(),
@@ -105,14 +113,17 @@
             if !valid(pair.slope) || !valid(pair.deviation) {
                 continue;
             }
-            let index = self.index(&pair.best_effort);
+            let index = self.best_effort_index(&pair.best_effort);
             let slope = Slope { mean: pair.slope, deviation: pair.deviation };
             self.serving.entry(pair.serving.clone()).or_default().slopes.restore(index, slope);
         }
-        for (image, tail) in
-            snapshot.idle_tail_latency_ratios.iter().filter(|(_, tail)| *tail > 0.0)
+        for (image, tail_latency_ratio) in snapshot
+            .idle_tail_latency_ratios
+            .iter()
+            .filter(|(_, tail_latency_ratio)| *tail_latency_ratio > 0.0)
         {
-            self.serving.entry(image.clone()).or_default().idle_tail = *tail;
+            self.serving.entry(image.clone()).or_default().idle_tail_latency_ratio =
+                *tail_latency_ratio;
         }
     }
 
--- a/crates/geraniumpost-batch/src/interference/serving_group.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_group.rs
@@ -6,7 +6,7 @@
 /// the same tasks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServingGroup {
-    /// The minion.
+    /// Incarnation of the minion on which the tasks run.
     pub minion: Name,
     /// The step, identified by its first task.
     pub step: TaskId,
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -6,18 +6,18 @@
 
 /// Assumed tail latency of an idle serving task, as a multiple of its bound, until a lower one is
 /// seen.
-const IDLE_TAIL: f64 = 0.2;
-/// Highest utilization that a gauge can show. Above it a queue has built up, and the tail latency
-/// depends on the duration of the overload more than on its cause.
-const MAX_UTILIZATION: f64 = 0.95;
+const INITIAL_IDLE_TAIL_LATENCY_RATIO: f64 = 0.2;
+/// Highest utilization that a measurement can show. Above it a queue has built up, and the tail
+/// latency depends on the duration of the overload more than on its cause.
+const MAX_MEASURABLE_UTILIZATION: f64 = 0.95;
 /// Weight of the newest residual in the running mean of squared residuals.
 const RESIDUAL_WEIGHT: f64 = 0.05;
 
 /// The learned model of one serving image.
 #[derive(Debug)]
 pub struct ServingImage {
-    /// Lowest tail latency, as a multiple of its bound.
-    pub idle_tail: f64,
+    /// Lowest tail latency so far, as a multiple of its bound.
+    pub idle_tail_latency_ratio: f64,
     pub slopes: Slopes,
     groups: BTreeMap<ServingGroup, Baseline>,
     steps: BTreeMap<TaskId, ServingStep>,
@@ -25,12 +25,12 @@
 
 /// The model of a serving step over all its minions.
 ///
-/// Depending on how users reach the tasks, the load may be even: all groups have the same own load
+/// Depending on how users reach the tasks, the load may be even: all groups have the same user load
 /// at any time. If so, the groups together show that load sooner and more reliably than each alone,
 /// and a difference between two minions immediately shows which image interferes. If not, a common
-/// baseline would attribute differences in own load to best-effort tasks. Therefore both the step's
-/// and the group's baseline predict each gauge, and the one with the smaller mean squared residual
-/// is used.
+/// baseline would attribute differences in user load to best-effort tasks. Therefore both the
+/// step's and the group's baseline predict each measurement, and the one with the smaller mean
+/// squared residual is used.
 #[derive(Debug, Default)]
 struct ServingStep {
     baseline: Baseline,
@@ -50,7 +50,7 @@
 impl Default for ServingImage {
     fn default() -> Self {
         Self {
-            idle_tail: IDLE_TAIL,
+            idle_tail_latency_ratio: INITIAL_IDLE_TAIL_LATENCY_RATIO,
             slopes: Slopes::default(),
             groups: BTreeMap::new(),
             steps: BTreeMap::new(),
@@ -61,15 +61,22 @@
 impl ServingImage {
     /// Returns the utilization that corresponds to a tail latency, given as a multiple of its
     /// bound.
-    pub fn utilization(&self, tail: f64) -> f64 {
-        (1.0 - self.idle_tail / tail.max(f64::EPSILON)).clamp(0.0, MAX_UTILIZATION)
+    pub fn utilization(&self, tail_latency_ratio: f64) -> f64 {
+        (1.0 - self.idle_tail_latency_ratio / tail_latency_ratio.max(f64::EPSILON))
+            .clamp(0.0, MAX_MEASURABLE_UTILIZATION)
     }
 
     /// Learns from a group's tail latency, as a multiple of its bound, while the best-effort images
     /// used these shares of the minion's processors, by index.
-    pub fn observe(&mut self, group: &ServingGroup, tail: f64, shares: &[f64], now_ms: u64) {
-        self.idle_tail = self.idle_tail.min(tail);
-        let utilization = self.utilization(tail);
+    pub fn observe(
+        &mut self,
+        group: &ServingGroup,
+        tail_latency_ratio: f64,
+        shares: &[f64],
+        now_ms: u64,
+    ) {
+        self.idle_tail_latency_ratio = self.idle_tail_latency_ratio.min(tail_latency_ratio);
+        let utilization = self.utilization(tail_latency_ratio);
         let step = self.steps.entry(group.step).or_default();
         let of_step = step.baseline.update(utilization, shares, now_ms);
         let baseline = self.groups.entry(group.clone()).or_default();
@@ -80,7 +87,7 @@
         self.slopes.observe(if step.is_even() { &of_step } else { &of_group });
     }
 
-    /// Returns the estimated utilization of a group by its own users.
+    /// Returns the estimated utilization of a group by its users.
     pub fn user_utilization(&self, group: &ServingGroup) -> f64 {
         let step = self.steps.get(&group.step).filter(|step| step.is_even());
         let baseline = step.map(|step| &step.baseline).or_else(|| self.groups.get(group));
--- a/crates/geraniumpost-batch/src/interference/slope.rs
+++ b/crates/geraniumpost-batch/src/interference/slope.rs
@@ -2,7 +2,7 @@
 /// minion.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Slope {
-    /// The best estimate.
+    /// Best estimate of the slope.
     pub mean: f64,
     /// Standard deviation of the estimate.
     pub deviation: f64,
--- a/crates/geraniumpost-batch/src/interference/slopes.rs
+++ b/crates/geraniumpost-batch/src/interference/slopes.rs
@@ -1,16 +1,16 @@
 use super::Slope;
 use super::baseline::Deviation;
 
-/// Growth of the variance of a slope with each gauge during which its image ran, because the
+/// Growth of the variance of a slope with each measurement during which its image ran, because the
 /// behaviour of an image's tasks changes over time.
-const DRIFT: f64 = 0.000_07;
-/// Residual, in standard deviations, above which a gauge gets less weight.
-const OUTLIER_DEVIATIONS: f64 = 3.0;
+const SLOPE_VARIANCE_PER_MEASUREMENT: f64 = 0.000_07;
+/// Residual, in standard deviations, above which a measurement gets less weight.
+const OUTLIER_THRESHOLD_DEVIATIONS: f64 = 3.0;
 /// Least variance of a restored slope, so that this process's own observations soon outweigh it.
 const MIN_RESTORED_VARIANCE: f64 = 0.002_5;
 
 /// The slopes of all best-effort images for one serving image: a linear regression that is updated
-/// with each gauge (a Kalman filter whose state hardly changes).
+/// with each measurement (a Kalman filter whose state hardly changes).
 #[derive(Debug, Clone, Default)]
 pub struct Slopes {
     /// Estimated slopes, by index of the best-effort image.
@@ -37,14 +37,16 @@
         self.covariances[index][index] = slope.deviation.powi(2).max(MIN_RESTORED_VARIANCE);
     }
 
-    /// Returns the difference between a gauge's deviation and the one that the slopes predict.
+    /// Returns the difference between the deviation of a measurement and the one that the slopes
+    /// predict.
     pub fn residual(&self, deviation: &Deviation) -> f64 {
         let expected =
             deviation.shares.iter().enumerate().map(|(index, share)| self.get(index).mean * share);
         deviation.utilization - expected.sum::<f64>()
     }
 
-    /// Learns from the deviation of a gauge and of the processor shares from their running means.
+    /// Learns from the deviations of a measured utilization and of the processor shares from their
+    /// running means.
     pub fn observe(&mut self, deviation: &Deviation) {
         let share_deviations = &deviation.shares;
         if share_deviations.iter().all(|share| *share == 0.0) {
@@ -53,14 +55,14 @@
         self.grow(share_deviations.len());
         for (index, share) in share_deviations.iter().enumerate() {
             if *share != 0.0 {
-                self.covariances[index][index] += DRIFT;
+                self.covariances[index][index] += SLOPE_VARIANCE_PER_MEASUREMENT;
             }
         }
         let gains: Vec<f64> =
             self.covariances.iter().map(|row| dot(row, share_deviations)).collect();
         let residual = self.residual(deviation);
         let expected = dot(&gains, share_deviations) + deviation.variance;
-        let variance = expected.max((residual / OUTLIER_DEVIATIONS).powi(2));
+        let variance = expected.max((residual / OUTLIER_THRESHOLD_DEVIATIONS).powi(2));
         for (mean, gain) in self.means.iter_mut().zip(&gains) {
             *mean = (*mean + gain * residual / variance).max(0.0);
         }
--- a/crates/geraniumpost-batch/src/interference/speed_limits.rs
+++ b/crates/geraniumpost-batch/src/interference/speed_limits.rs
@@ -1,6 +1,6 @@
 /// The load that a best-effort image puts on its minion at full speed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Pressure {
+pub struct FullSpeedLoad {
     /// Processors that it uses, in thousandths of a processor.
     pub processors: f64,
     /// The utilization that it adds to each serving group of the minion.
@@ -10,23 +10,21 @@
 /// Returns the share of its speed, from 0 to 1, at which each best-effort image may run, so that
 /// together they add at most `headroom` to the utilization of each serving group.
 ///
-/// The image that adds most per processor is slowed down first, which costs the least work. A limit
-/// that is set for one group also applies to the following ones.
-pub fn speed_limits(headroom: &[f64], pressures: &[Pressure]) -> Vec<f64> {
-    let mut shares = vec![1.0; pressures.len()];
+/// The image that adds the most utilization per processor is slowed down first, which costs the
+/// least work. A limit that is set for one group also applies to the following ones.
+pub fn speed_limits(headroom: &[f64], loads: &[FullSpeedLoad]) -> Vec<f64> {
+    let mut shares = vec![1.0; loads.len()];
     for (group, headroom) in headroom.iter().enumerate() {
-        let added = |index: usize, shares: &[f64]| {
-            pressures[index].added_utilization[group] * shares[index]
-        };
+        let added =
+            |index: usize, shares: &[f64]| loads[index].added_utilization[group] * shares[index];
         let mut excess: f64 =
-            (0..pressures.len()).map(|index| added(index, &shares)).sum::<f64>() - headroom;
-        let by_cost = |index: usize| {
-            pressures[index].added_utilization[group] / pressures[index].processors.max(1.0)
-        };
-        let mut order: Vec<usize> = (0..pressures.len()).collect();
+            (0..loads.len()).map(|index| added(index, &shares)).sum::<f64>() - headroom;
+        let by_cost =
+            |index: usize| loads[index].added_utilization[group] / loads[index].processors.max(1.0);
+        let mut order: Vec<usize> = (0..loads.len()).collect();
         order.sort_by(|a, b| by_cost(*b).total_cmp(&by_cost(*a)));
         for index in order {
-            let added = pressures[index].added_utilization[group];
+            let added = loads[index].added_utilization[group];
             if excess <= 0.0 || added <= 0.0 {
                 break;
             }
--- a/crates/geraniumpost-batch/src/interference_snapshot.rs
+++ b/crates/geraniumpost-batch/src/interference_snapshot.rs
@@ -6,10 +6,10 @@
 /// Interference between images that a coordinator has learned, stored for its successor.
 ///
 /// A coordinator needs seconds to learn which images slow down which others. Until then it
-/// throttles best-effort tasks by default assumptions, and users of the serving tasks beside them
-/// see high latency. Without the snapshot, a rolling restart, which changes the coordinator every
-/// few seconds, would lose this knowledge each time. The loss of a snapshot costs only the time to
-/// learn it again.
+/// throttles best-effort tasks by default assumptions, and users of the serving tasks on the same
+/// minions see high latency. Without the snapshot, a rolling restart, which changes the coordinator
+/// every few seconds, would lose this knowledge each time. The loss of a snapshot costs only the
+/// time to learn it again.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct InterferenceSnapshot {
     /// How much best-effort images slow down serving images.
--- a/crates/geraniumpost-batch/src/job_record.rs
+++ b/crates/geraniumpost-batch/src/job_record.rs
@@ -4,7 +4,7 @@
 use crate::{JobSpec, JobState, QueueTerms};
 
 /// Version of the record's encoding, increased with each change that older code cannot read.
-const LAYOUT: u8 = 1;
+const ENCODING_VERSION: u8 = 1;
 
 /// The stored state of a job, which must survive the loss of every process.
 ///
@@ -17,11 +17,11 @@
     pub spec: JobSpec,
     /// The settings of its queue at submission.
     pub terms: QueueTerms,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time at which the coordinator accepted the job, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// When it reached a final state, in milliseconds since 1970; 0 before that.
+    /// Time at which the job reached a final state, in milliseconds since 1970; 0 before that.
     pub finished_ms: u64,
-    /// State as callers see it.
+    /// State of the job; callers see a queued job as running once a task has started.
     pub state: JobState,
     /// Number of the next occurrence that has not begun.
     pub next_occurrence: u32,
@@ -32,28 +32,28 @@
 /// One execution of a job's steps; a repeated job has several.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occurrence {
-    /// Its number, from 0.
+    /// Number of the occurrence within its job, from 0.
     pub number: u32,
-    /// When it was due, in milliseconds since 1970.
+    /// Time at which the occurrence was due, in milliseconds since 1970.
     pub due_ms: u64,
-    /// The tasks, by step.
+    /// Records of the tasks, by number of the step and index of the task.
     pub steps: Vec<Vec<TaskRecord>>,
 }
 
 /// The stored state of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// Number of its last run; 0 before the first.
+    /// Number of the task's last run; 0 before the first.
     pub run: u32,
     /// Number of failed runs; for a gang, of runs in which any member failed.
     pub failures: u32,
     /// The last run counted in `failures`.
     pub failed_run: u32,
-    /// Progress of the last run.
+    /// Whether the task waits, may have a run, or is done.
     pub phase: TaskPhase,
 }
 
-/// Progress of a task.
+/// Phase of a task. A successor reads from it whether a run may exist.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum TaskPhase {
     /// No run exists; the task waits for a placement.
@@ -65,15 +65,15 @@
     Done,
 }
 
-/// A minion and the agent beside it.
+/// A minion and the agent on the same VM.
 ///
-/// The agent's name is stored because it outlives the incarnation: once another incarnation runs
-/// beside the agent, no run of the earlier one exists.
+/// The agent's name is stored because it outlasts the minion's incarnation: once the agent reports
+/// another incarnation, no run of the earlier one exists.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// The minion's incarnation.
+    /// Name of the minion's incarnation.
     pub minion: Name,
-    /// The agent's name.
+    /// Name of the agent, through which orders reach the minion.
     pub agent: Name,
 }
 
@@ -91,22 +91,22 @@
         }
     }
 
-    /// Returns the total number of occurrences.
-    pub fn repetitions(&self) -> u32 {
+    /// Returns how often the job's steps are executed in total, at least 1.
+    pub fn occurrence_count(&self) -> u32 {
         self.spec.repeat.max(1)
     }
 
     /// Returns when the next occurrence is due in milliseconds since 1970, or `None` if all have
     /// begun.
     pub fn next_due_ms(&self) -> Option<u64> {
-        if self.next_occurrence >= self.repetitions() {
+        if self.next_occurrence >= self.occurrence_count() {
             return None;
         }
         let later = u64::from(self.next_occurrence) * self.spec.interval_ms;
         Some(if self.spec.repeat == 0 { self.accepted_ms } else { self.spec.first_due_ms + later })
     }
 
-    /// Begins the next occurrence.
+    /// Appends the next occurrence; all its tasks wait for a placement.
     pub fn begin_occurrence(&mut self, due_ms: u64) {
         let tasks = |step: &crate::StepSpec| vec![TaskRecord::default(); step.count as usize];
         let steps = self.spec.steps.iter().map(tasks).collect();
@@ -124,7 +124,7 @@
 
     /// Encodes the record for the store.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![LAYOUT];
+        let mut bytes = vec![ENCODING_VERSION];
         let body = postcard::to_stdvec(self).expect("every field of a record can be encoded");
         bytes.extend_from_slice(&body);
         bytes
@@ -137,19 +137,19 @@
     /// Fails if the bytes have another layout version or are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         match bytes.split_first() {
-            Some((&LAYOUT, body)) => postcard::from_bytes(body),
+            Some((&ENCODING_VERSION, body)) => postcard::from_bytes(body),
             _ => Err(postcard::Error::DeserializeBadEncoding),
         }
     }
 }
 
 impl Occurrence {
-    /// Returns whether all tasks of a step are done.
+    /// Returns whether all tasks of the step with this number are done.
     pub fn is_step_done(&self, step: usize) -> bool {
         self.steps[step].iter().all(|task| task.phase == TaskPhase::Done)
     }
 
-    /// Returns whether all tasks are done.
+    /// Returns whether all tasks of all steps are done.
     pub fn is_done(&self) -> bool {
         (0..self.steps.len()).all(|step| self.is_step_done(step))
     }
--- a/crates/geraniumpost-batch/src/job_spec.rs
+++ b/crates/geraniumpost-batch/src/job_spec.rs
@@ -18,7 +18,7 @@
     pub steps: Vec<StepSpec>,
     /// Number of occurrences; 0 for a job that runs once and immediately.
     pub repeat: u32,
-    /// When the first occurrence is due, in milliseconds since 1970.
+    /// Time at which the first occurrence is due, in milliseconds since 1970.
     pub first_due_ms: u64,
     /// Time between the due times of successive occurrences, in milliseconds.
     pub interval_ms: u64,
@@ -69,7 +69,7 @@
 /// its queue's existence.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct QueueTerms {
-    /// Name of the queue.
+    /// Name of the queue to which the job was submitted.
     pub queue: Name,
     /// The service whose minions run the tasks.
     pub service: Name,
--- a/crates/geraniumpost-batch/src/lib.rs
+++ b/crates/geraniumpost-batch/src/lib.rs
@@ -1,9 +1,10 @@
 //! Scheduling of jobs with many steps and tasks: job records, placement and the coordinator's
 //! decisions, without I/O.
 //!
-//! A [`Coordinator`] holds the state of every job and minion. Its methods take events; it returns
-//! [`Effect`]s for its caller to carry out. Durable state is kept in [`JobRecord`]s, which are
-//! written before anything depends on them (docs/design/0601-jobs-on-a-shared-store.md).
+//! A [`Coordinator`] holds the state of every job and minion. Its methods handle events, and
+//! [`Coordinator::take_effects`] returns the [`Effect`]s that its caller has to carry out. Durable
+//! state is kept in [`JobRecord`]s, which are written before any effect that depends on them
+//! (docs/design/0601-jobs-on-a-shared-store.md).
 //!
 //! # Example
 //!
--- a/crates/geraniumpost-batch/src/minion_info.rs
+++ b/crates/geraniumpost-batch/src/minion_info.rs
@@ -6,20 +6,20 @@
 /// Properties that a minion reports in its heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MinionInfo {
-    /// Its incarnation; it changes with each restart.
+    /// Name of the minion's incarnation; it changes with each restart.
     pub id: Name,
-    /// The service whose tasks it runs.
+    /// Service whose tasks the minion runs; it gets no others.
     pub service: Name,
-    /// Its failure domain.
+    /// Failure domain of the minion's VM.
     pub domain: Name,
-    /// Its total resources.
+    /// Total resources, including those in use.
     pub capacity: Demand,
-    /// Its labels, among them its machine type and its rack.
+    /// Labels of the minion, among them its machine type; the last one is its rack.
     pub labels: Vec<Name>,
     /// Whether the minion is draining and will terminate.
     pub draining: bool,
     /// Least time until a draining minion terminates, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// Increases with each heartbeat of an incarnation.
+    /// Increases with each heartbeat of an incarnation; a report with a lower number is outdated.
     pub sequence: u64,
 }
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -6,25 +6,25 @@
 
 use crate::TaskId;
 
-/// An instruction to a minion concerning one run. The minion's agent passes it on.
+/// An instruction to a minion that concerns one run. The agent on the minion's VM passes it on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The incarnation that the order is for; any other one refuses it.
+    /// Name of the incarnation that the order is for; any other one refuses it.
     pub minion: Name,
-    /// The task.
+    /// Task that the run belongs to.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run; a task's later runs have higher numbers.
     pub run: u32,
-    /// What the minion shall do.
+    /// What the minion has to do with the run.
     pub kind: OrderKind,
 }
 
-/// What a minion shall do with a run.
+/// What an order asks a minion to do with a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Start the run.
+    /// Start the run, unless it was started or stopped before.
     Start {
-        /// The job's payload.
+        /// The payload that was submitted with the job.
         payload: Arc<str>,
         /// Id of the checkpoint to resume from; empty for none.
         checkpoint: Name,
@@ -33,27 +33,29 @@
     },
     /// Stop the run, or prevent it from starting later if it does not exist yet.
     Stop,
-    /// Limit the run to a share of its speed.
+    /// Limit the run to a share of its full speed.
     Pace {
         /// The share in percent, from 0 to 100.
         percent: u8,
     },
 }
 
-/// The result of an order.
+/// The result of an order, as the agent reports it to the coordinator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// The incarnation that the order was for.
+    /// Name of the incarnation that the order was for.
     pub minion: Name,
-    /// The task.
+    /// Task of the run that the order was for.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run that the order was for.
     pub run: u32,
-    /// The kind of the order.
+    /// What the order asked for.
     pub kind_tag: OrderKindTag,
-    /// The minion's response.
+    /// The minion's response, or why there is none.
     pub outcome: OrderOutcome,
-    /// Number of results that the agent has reported, including this one.
+    /// Number of order results that the agent has reported, including this one. A later poll has at
+    /// least this number in
+    /// [`PollResult::orders_reported_before`](crate::PollResult::orders_reported_before).
     pub results_reported: u64,
 }
 
@@ -84,7 +86,7 @@
 /// A minion's response to an order.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// The order is carried out, now or by an earlier copy of it.
+    /// The order was carried out, now or when an earlier copy of it arrived.
     #[display("carried out")]
     Done,
     /// The minion has received orders from a newer coordinator.
@@ -108,10 +110,11 @@
     /// The minion rejects the order as malformed; it was not carried out.
     #[display("refused: malformed")]
     Malformed,
-    /// Another incarnation answered: the addressed one has terminated with all its runs.
+    /// Another incarnation responded: the addressed one has terminated with all its runs.
     #[display("minion has terminated")]
     MinionTerminated,
-    /// The agent did not send the order, because it holds no lease or the minion is leaving.
+    /// The agent did not send the order, because it holds no lease or the minion is about to
+    /// terminate.
     #[display("not sent")]
     NotSent,
     /// The minion did not respond. The order may have been carried out, or may still be.
--- a/crates/geraniumpost-batch/src/poll_result.rs
+++ b/crates/geraniumpost-batch/src/poll_result.rs
@@ -7,7 +7,7 @@
 /// A minion's lists of running and ended tasks, as its agent read them in one poll.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PollResult {
-    /// The incarnation that answered.
+    /// Name of the incarnation that responded to the poll.
     pub minion: Name,
     /// All running tasks, or `None` if the poll read only ended ones.
     pub running: Option<Vec<RunningTask>>,
@@ -22,9 +22,9 @@
 /// A run that exists on a minion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningTask {
-    /// The task.
+    /// Task that the run belongs to.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run within its task.
     pub run: u32,
     /// Id of the task's last checkpoint; empty for none.
     pub checkpoint: Name,
@@ -40,11 +40,11 @@
 pub struct EndedTask {
     /// Sequence number among the ended tasks of this incarnation, from 1.
     pub sequence: u64,
-    /// The task.
+    /// Task that the run belongs to.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run within its task.
     pub run: u32,
-    /// How it ended.
+    /// Whether the task is done, or else why the run ended.
     pub kind: EndKind,
     /// Id of the task's last checkpoint; empty for none.
     pub checkpoint: Name,
@@ -62,7 +62,7 @@
     /// An order stopped the run.
     #[display("stopped")]
     Stopped,
-    /// The minion's lease expired.
+    /// The minion ended the run because its lease expired.
     #[display("lease_expired")]
     LeaseExpired,
     /// Another member of its gang ended.
--- a/crates/geraniumpost-batch/src/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/predecessor_leases.rs
@@ -7,13 +7,13 @@
 use crate::lease_expiry_bound_ms;
 use crate::tuning::STORE_OUTAGE_TOLERANCE_MS;
 
-/// A coordinator that stopped answering without stepping down.
+/// A coordinator that stopped responding without stepping down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SilentCoordinator {
-    /// Its term. A process at its address that knows a later term no longer coordinates in this
-    /// one.
+    /// Term of the coordinator. If a process at its address knows a later term, this term has
+    /// ended.
     pub term: u64,
-    /// How long leases that it extends may last, in milliseconds.
+    /// Time until all leases that the coordinator may still extend have expired, in milliseconds.
     pub remaining_ms: u64,
 }
 
@@ -21,26 +21,26 @@
 /// successor.
 ///
 /// A successor does not know which leases its predecessors extended. If it considered only its
-/// direct predecessor, it would miss coordinators that stopped answering earlier, and would start
-/// tasks that still run beside an agent which one of those reaches. If it assumed a full lease for
-/// every agent, the wait would start again at each planned handover, and the persistent tasks of a
-/// crashed minion would be down all that time.
+/// direct predecessor, it would miss coordinators that stopped responding earlier. One of these may
+/// still reach an agent and extend its lease, and the successor would start tasks that still run
+/// there. If it assumed a full lease for every agent, the wait would start again at each planned
+/// handover, and the persistent tasks of a crashed minion would be down all that time.
 ///
-/// All times are in milliseconds from the moment of reporting, so that no two clocks are compared.
-/// A value that is read late is too long and never too short.
+/// All durations count from the time of the report, so that no two clocks are compared. A report
+/// that is read late gives durations that are too long and never too short.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PredecessorLeases {
-    /// Coordinators that stopped answering and may still be running, by address.
+    /// Coordinators that stopped responding and may still be running, by address.
     pub silent: BTreeMap<SocketAddr, SilentCoordinator>,
-    /// Agents that the last coordinator did not reach when it stepped down, and how long their
-    /// leases may last in milliseconds, unless a silent coordinator extends them.
+    /// Agents that the last coordinator did not reach when it stepped down, with the time until
+    /// their leases expire in milliseconds, unless a silent coordinator extends them.
     pub unreached: BTreeMap<Name, u64>,
 }
 
 impl PredecessorLeases {
     /// Returns the leases that a coordinator at address `own` has to expect, given those that its
     /// predecessor reported. `silent` is the predecessor's address and term if it stopped
-    /// answering, `None` if it stepped down.
+    /// responding, `None` if it stepped down.
     #[must_use]
     pub fn after_takeover(
         mut self,
@@ -75,8 +75,8 @@
         self
     }
 
-    /// Returns the leases without the unreached agents, for a record that is valid while its
-    /// coordinator runs and may still reach any agent.
+    /// Returns the leases without the unreached agents, for the record of a running coordinator,
+    /// which may still reach any agent.
     #[must_use]
     pub fn while_coordinating(mut self) -> Self {
         self.unreached.clear();
--- a/crates/geraniumpost-batch/src/quorum/mod.rs
+++ b/crates/geraniumpost-batch/src/quorum/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Without the store, a coordinator may continue only while a majority of entries, including
 //! itself, has promised to follow no successor. Its successor asks the same entries to release
-//! these promises. Any two majorities share an entry, so that the successor then knows until when
-//! leases were extended. See docs/design/0601-jobs-on-a-shared-store.md.
+//! these promises. Any two majorities share an entry, so that the successor then knows after which
+//! time no leases are extended. See docs/design/0601-jobs-on-a-shared-store.md.
 
 mod promises;
 mod releases;
--- a/crates/geraniumpost-batch/src/quorum/promises.rs
+++ b/crates/geraniumpost-batch/src/quorum/promises.rs
@@ -1,12 +1,12 @@
 use std::collections::BTreeMap;
 
-use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_MS};
+use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
 
-/// The promises of an entry to coordinators.
+/// Promises of one entry to support coordinators.
 ///
-/// An entry counts a promise from when it received the coordinator's pong, however late it sends
-/// the promise or the coordinator reads it. The coordinator counts from when it sent that pong,
-/// which was earlier.
+/// For the entry a promise begins when it receives the coordinator's pong, regardless of when it
+/// sends the promise or the coordinator reads it. For the coordinator it begins when it sent that
+/// pong, which was earlier.
 #[derive(Debug, Default)]
 pub struct Promises {
     /// Lowest term that may still get a promise; the promises to earlier terms are released.
@@ -24,13 +24,13 @@
             return false;
         }
         let until_ms = self.until_ms.entry(term).or_default();
-        *until_ms = (*until_ms).max(heard_ms + PROMISE_MS * KEPT_PROMISE_PERCENT / 100);
+        *until_ms = (*until_ms).max(heard_ms + PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100);
         true
     }
 
     /// Withdraws support permanently from the coordinators of all terms before `term`, at the
-    /// request of its coordinator. Returns for how many more milliseconds they may rely on earlier
-    /// promises.
+    /// request of the coordinator of `term`. Returns for how many more milliseconds they may rely
+    /// on earlier promises.
     pub fn release(&mut self, term: u64, now_ms: u64) -> u64 {
         self.lowest_term = self.lowest_term.max(term);
         self.until_ms.retain(|_, until_ms| *until_ms > now_ms);
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -3,50 +3,50 @@
 use geraniumpost_schema::Name;
 
 use super::Voters;
-use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_MS};
+use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
 
-/// The voters of a silent coordinator that have released their promises to it, as known to its
-/// successor.
+/// Which voters of a silent coordinator have released their promises, as far as its successor
+/// knows.
 #[derive(Debug)]
 pub struct Releases {
     voters: Voters,
-    /// Until when the silent coordinator may rely on each, on the successor's monotonic clock.
+    /// End of the promise of each voter that has responded, on the successor's monotonic clock.
     until_ms: BTreeMap<Name, u64>,
 }
 
 impl Releases {
-    /// Returns the state in which none of these voters has answered.
+    /// Returns the state in which none of these voters has responded.
     pub const fn new(voters: Voters) -> Self {
         Self { voters, until_ms: BTreeMap::new() }
     }
 
-    /// Records the answer of an incarnation of an entry, read at `now_ms` on the monotonic clock:
-    /// it gives no earlier coordinator a new promise, and those that it gave last for
-    /// `remaining_ms` more.
+    /// Records the response of an entry's incarnation, read at `now_ms` on the monotonic clock: the
+    /// entry gives no new promises to earlier coordinators, and its existing ones end within
+    /// `remaining_ms`.
     ///
     /// An incarnation other than the voter's does not know the voter's promises. The voter has
-    /// terminated and gives no new ones, so that its last promise may last for a whole promise
-    /// duration.
+    /// terminated and may have given its last promise just before, so that this promise is assumed
+    /// to last for its full duration.
     pub fn record(&mut self, node: &Name, incarnation: u64, remaining_ms: u64, now_ms: u64) {
         let Some(voter) = self.voters.incarnation(node) else { return };
         let same = voter == incarnation;
         let remaining_ms =
-            if same { remaining_ms } else { PROMISE_MS * KEPT_PROMISE_PERCENT / 100 };
+            if same { remaining_ms } else { PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100 };
         self.until_ms.entry(node.clone()).or_insert(now_ms + remaining_ms);
     }
 
-    /// Returns the voters that have not answered.
+    /// Returns the voters that have not responded to a release request.
     pub fn voters_without_response(&self) -> impl Iterator<Item = &Name> {
         self.voters.names().filter(|node| !self.until_ms.contains_key(*node))
     }
 
-    /// Returns the number of voters that have answered.
+    /// Returns the number of voters that have responded, or whose later incarnation has.
     pub fn response_count(&self) -> usize {
         self.until_ms.len()
     }
 
     /// Returns the time on the monotonic clock after which no majority supports the silent
-    /// coordinator, or `None` if too few voters have answered.
+    /// coordinator, or `None` if too few voters have responded.
     pub fn support_end_ms(&self) -> Option<u64> {
         let mut until_ms: Vec<u64> = self.until_ms.values().copied().collect();
         until_ms.sort_unstable();
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -3,14 +3,14 @@
 use geraniumpost_schema::Name;
 
 use super::Voters;
-use crate::tuning::{PROMISE_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS};
+use crate::tuning::{PROMISE_DURATION_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS};
 
 /// The last promise of an entry.
 #[derive(Debug, Clone, Copy)]
 struct Promise {
     incarnation: u64,
-    /// When the coordinator sent the pong that the entry answered, on the coordinator's monotonic
-    /// clock.
+    /// Time at which the coordinator sent the pong that the entry responded to, on the
+    /// coordinator's monotonic clock.
     sent_at_ms: u64,
     /// Whether the entry has announced that it stops.
     stopping: bool,
@@ -21,9 +21,9 @@
 pub struct Support {
     voters: Voters,
     /// The voters that are being written in place of the current ones. Until the write is complete,
-    /// the key may hold either set, and the coordinator needs a majority of both.
+    /// the key may hold either set, and the coordinator needs a majority of each.
     next: Option<Voters>,
-    /// When the last change of the voters began, on the coordinator's monotonic clock.
+    /// Start of the last change of the voters, on the coordinator's monotonic clock.
     changed_ms: u64,
     promises: BTreeMap<Name, Promise>,
 }
@@ -35,8 +35,8 @@
         Self { voters, next: None, changed_ms: now_ms, promises: BTreeMap::new() }
     }
 
-    /// Records an entry's promise in answer to a pong that was sent at `sent_at_ms` on the
-    /// monotonic clock. A promise that answers an earlier pong than the last one is ignored.
+    /// Records an entry's promise in response to a pong that was sent at `sent_at_ms` on the
+    /// monotonic clock. A promise for an earlier pong than the last recorded one is ignored.
     pub fn record_promise(&mut self, node: &Name, incarnation: u64, sent_at_ms: u64) {
         let promise = Promise { incarnation, sent_at_ms, stopping: false };
         match self.promises.get_mut(node) {
@@ -54,23 +54,23 @@
         }
     }
 
-    /// Returns the time since the last pong that an entry answered, in milliseconds, or `None` if
-    /// it never answered.
-    pub fn silent_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
+    /// Returns the time since the coordinator sent the last pong that an entry has responded to, in
+    /// milliseconds, or `None` if the entry never responded.
+    pub fn last_promise_age_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
         self.promises.get(node).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
     }
 
-    /// Returns until when a majority supports the coordinator, on the monotonic clock. A
-    /// coordinator without voters always has a majority: no entry can release a promise to it, so
-    /// that its successor waits for the longest time.
+    /// Returns the time until which a majority supports the coordinator, on the monotonic clock. A
+    /// coordinator without voters always has a majority. No entry can release a promise to it, so
+    /// that its successor waits until it may no longer extend leases without the store.
     pub fn supported_until_ms(&self) -> u64 {
         let sets = std::iter::once(&self.voters).chain(&self.next);
-        sets.map(|voters| self.supported_by_ms(voters)).min().unwrap_or(0)
+        sets.map(|voters| self.majority_end_ms(voters)).min().unwrap_or(0)
     }
 
-    /// Returns until when a majority of these voters supports the coordinator.
-    fn supported_by_ms(&self, voters: &Voters) -> u64 {
-        let mut until_ms: Vec<u64> = self.promises_of(voters).collect();
+    /// Returns the time until which a majority of these voters supports the coordinator.
+    fn majority_end_ms(&self, voters: &Voters) -> u64 {
+        let mut until_ms: Vec<u64> = self.promise_ends_ms(voters).collect();
         until_ms.sort_unstable_by(|a, b| b.cmp(a));
         match voters.needed_to_support() {
             0 => u64::MAX,
@@ -79,17 +79,17 @@
     }
 
     /// Returns the end of each promise that these voters gave, on the monotonic clock.
-    fn promises_of<'a>(&'a self, voters: &'a Voters) -> impl Iterator<Item = u64> + 'a {
+    fn promise_ends_ms<'a>(&'a self, voters: &'a Voters) -> impl Iterator<Item = u64> + 'a {
         let of_voters = self
             .promises
             .iter()
             .filter(|(node, promise)| voters.contains(node, promise.incarnation));
-        of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_MS)
+        of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_DURATION_MS)
     }
 
     /// Returns the number of voters that support the coordinator at `now_ms`.
     pub fn supporter_count(&self, now_ms: u64) -> usize {
-        self.promises_of(&self.voters).filter(|until_ms| *until_ms > now_ms).count()
+        self.promise_ends_ms(&self.voters).filter(|until_ms| *until_ms > now_ms).count()
     }
 
     /// Returns the voters that the coordinator's key holds.
@@ -98,26 +98,27 @@
     }
 
     /// Returns the voters that should be written into the coordinator's key, or `None` if it needs
-    /// no change at `now_ms`. The voters are the entries that answer. They do not change within
-    /// [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term: a coordinator
-    /// that has just taken over has not heard from any entry, and would write an empty set.
+    /// no change at `now_ms`. The voters are the entries that respond to pongs. They do not change
+    /// within [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term: a
+    /// coordinator that has just taken over has not heard from any entry, and would write an empty
+    /// set.
     pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
         if now_ms < self.changed_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
         }
-        let answering = self.answering(now_ms);
-        (answering != self.voters).then_some(answering)
+        let responsive = self.responsive_entries(now_ms);
+        (responsive != self.voters).then_some(responsive)
     }
 
-    /// Returns the entries that have answered recently and are not about to stop.
-    fn answering(&self, now_ms: u64) -> Voters {
+    /// Returns the entries that have responded recently and are not about to stop.
+    fn responsive_entries(&self, now_ms: u64) -> Voters {
         let recent =
             |promise: &Promise| !promise.stopping && promise.sent_at_ms + VOTER_TIMEOUT_MS > now_ms;
-        let answering = self.promises.iter().filter(|(_, promise)| recent(promise));
-        answering.map(|(node, promise)| (node.clone(), promise.incarnation)).collect()
+        let responsive = self.promises.iter().filter(|(_, promise)| recent(promise));
+        responsive.map(|(node, promise)| (node.clone(), promise.incarnation)).collect()
     }
 
-    /// Records that other voters are about to be written into the key.
+    /// Records that a write of other voters into the key began at `now_ms`.
     pub fn begin_voter_change(&mut self, voters: Voters, now_ms: u64) {
         self.next = Some(voters);
         self.changed_ms = now_ms;
--- a/crates/geraniumpost-batch/src/quorum/voters.rs
+++ b/crates/geraniumpost-batch/src/quorum/voters.rs
@@ -22,19 +22,19 @@
         self.0.get(node).copied()
     }
 
-    /// Returns the voters without an entry.
+    /// Returns these voters except for one entry.
     #[must_use]
     pub fn without(mut self, node: &Name) -> Self {
         self.0.remove(node);
         self
     }
 
-    /// Returns the names of the voters.
+    /// Returns the names of the voters, in ascending order.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.0.keys()
     }
 
-    /// Returns the number of voters.
+    /// Returns the number of voters, which do not include the coordinator.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -49,7 +49,7 @@
         self.0.len().div_ceil(2)
     }
 
-    /// Returns the number of voters whose releases leave no such majority. Without voters it is 1,
+    /// Returns the number of voters whose releases prevent such a majority. Without voters it is 1,
     /// which can never be reached.
     pub fn needed_to_release(&self) -> usize {
         self.0.len() + 1 - self.needed_to_support()
--- a/crates/geraniumpost-batch/src/spec_error.rs
+++ b/crates/geraniumpost-batch/src/spec_error.rs
@@ -3,10 +3,10 @@
 /// Why a job specification is invalid.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 pub enum SpecError {
-    /// The job has no steps.
+    /// The list of steps is empty, so that the job would never finish.
     #[display("a job needs at least one step")]
     NoSteps,
-    /// A step has no tasks.
+    /// The step with this number has no tasks.
     #[display("step {_0} has no tasks")]
     EmptyStep(#[error(not(source))] usize),
     /// A step names itself or a later step as predecessor, so that it could never start.
--- a/crates/geraniumpost-batch/src/step_spec.rs
+++ b/crates/geraniumpost-batch/src/step_spec.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[allow(clippy::struct_excessive_bools, reason = "each is a separate option of the submitter")]
 pub struct StepSpec {
-    /// Number of tasks.
+    /// Number of tasks in each occurrence, at least 1 in a valid specification.
     pub count: u32,
     /// Resources that one task occupies.
     pub demand: Demand,
@@ -31,7 +31,7 @@
     pub copies_allowed: bool,
     /// Whether the tasks run until the job is cancelled and are restarted when they end.
     pub persistent: bool,
-    /// The program that the tasks run. Tasks of the same image are taken to behave alike.
+    /// The program that the tasks run. Tasks of the same image are assumed to behave alike.
     pub image: Name,
     /// Bound on the tail latency of a serving task in milliseconds; 0 if the tasks serve no users.
     pub latency_bound_ms: u32,
--- a/crates/geraniumpost-batch/src/task_id.rs
+++ b/crates/geraniumpost-batch/src/task_id.rs
@@ -20,7 +20,7 @@
 )]
 #[display("{job}.{occurrence}.{step}.{index}")]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
     /// Number of the job's occurrence, from 0.
     pub occurrence: u32,
@@ -30,7 +30,7 @@
     pub index: u32,
 }
 
-/// The text is not a task id.
+/// The text does not have the form of a task id.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 #[display("a task id has the form JOB.OCCURRENCE.STEP.INDEX")]
 pub struct TaskIdError;
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -12,77 +12,80 @@
 /// Limit on concurrent writes. One suffices at the store's usual response time of 4 ms; if the
 /// store needs a quarter of a second, four still carry 120 records per round trip.
 pub const MAX_CONCURRENT_WRITES: usize = 4;
-/// Pause after which an order that was not answered is sent again, in milliseconds. It begins after
-/// the agent's own timeout, so that it only has to exceed a round trip.
-pub const ORDER_RETRY_MS: u64 = 300;
-/// Time after which an order whose result has not arrived is sent again, in milliseconds: the
-/// agent's timeout for a call, and a margin for a slow agent.
+/// Delay before a start order whose outcome is unknown is sent again, in milliseconds. For an order
+/// without a response the agent's own timeout has passed already, so that the delay only has to
+/// exceed a round trip.
+pub const ORDER_RETRY_DELAY_MS: u64 = 300;
+/// Time after which a start order is sent again if its agent has reported no result, in
+/// milliseconds: the agent's timeout for a call, and a margin for a slow agent.
 pub const ORDER_RESULT_TIMEOUT_MS: u64 = 2_500;
-/// Pause before a failed task runs again, in milliseconds.
+/// Delay before a failed task is placed again, in milliseconds.
 pub const FAILURE_BACKOFF_MS: u64 = 50;
-/// Pause before a task that a minion refused for lack of resources is placed again, in
+/// Delay before a task that a minion refused for lack of resources is placed again, in
 /// milliseconds.
 pub const NO_CAPACITY_BACKOFF_MS: u64 = 150;
 /// Time until a lease has expired on any minion's clock, in percent of its duration: clocks may be
 /// 2% slow.
 pub const LEASE_EXPIRY_PERCENT: u64 = 103;
-/// Margin on top of [`LEASE_EXPIRY_PERCENT`] in milliseconds, for the delay of the last call.
+/// Margin on top of [`LEASE_EXPIRY_PERCENT`] in milliseconds, for the delay of the last call that
+/// extended the lease.
 pub const LEASE_EXPIRY_MARGIN_MS: u64 = 250;
 /// Consecutive failed runs of different jobs after which a minion is quarantined. About one run in
-/// a hundred fails through its own fault, so that two in a row are one case in ten thousand.
+/// a hundred fails through a fault of its own, so that two in a row are one case in ten thousand.
 pub const QUARANTINE_FAILURES: u32 = 2;
 /// Time for which a quarantined minion gets no tasks, in milliseconds. Afterwards it gets one task
 /// as a trial.
-pub const QUARANTINE_MS: u64 = 2_500;
+pub const QUARANTINE_DURATION_MS: u64 = 2_500;
 /// Time without progress after which a run counts as stalled, in milliseconds.
 pub const STALLED_RUN_TIMEOUT_MS: u64 = 1_800;
 /// Limit on the share of a minion's memory that best-effort tasks may use, in percent. The rest
 /// stays free for small urgent tasks and serving tasks.
 pub const BEST_EFFORT_MEMORY_PERCENT: i64 = 85;
 /// Limit on the share of a minion's processors that persistent tasks may reserve, in percent. They
-/// never release them, so that short urgent tasks would otherwise wait without end; those need
-/// about a twentieth of the fleet on ordinary days.
+/// never release them, so that without this limit short urgent tasks would wait indefinitely. Short
+/// urgent tasks usually need about a twentieth of the fleet.
 pub const PERSISTENT_CPU_PERCENT: i64 = 97;
-/// Share of its reserved processors that a serving task leaves idle, in percent: users declare for
-/// their peaks.
+/// Share of its reserved processors that a serving task leaves idle, in percent: submitters declare
+/// the demand of their load peaks.
 pub const SERVING_UNUSED_CPU_PERCENT: i64 = 50;
 /// Tail latency of serving tasks, as a multiple of its bound, up to which best-effort tasks are
-/// placed beside them. The rest absorbs a rise of the serving tasks' own load between two polls.
+/// placed on the same minion. The rest absorbs a rise of the user load between two polls.
 pub const MAX_SERVING_TAIL_LATENCY_RATIO: f64 = 0.90;
 /// Least time between two writes of the interference snapshot, in milliseconds. It is written along
 /// with job records, and slopes hardly change.
 pub const INTERFERENCE_WRITE_INTERVAL_MS: u64 = 3_000;
 /// Time after which a stop order is sent again if the run has not ended, in milliseconds.
-pub const STOP_RETRY_MS: u64 = 1_500;
+pub const STOP_RETRY_DELAY_MS: u64 = 1_500;
 /// Limit on open jobs. Each takes some kilobytes in this process and in the store, and is examined
-/// in each placement; deployments have some hundreds at their peak.
+/// in each placement round; deployments have some hundreds at their peak.
 pub const MAX_OPEN_JOBS: usize = 3_000;
-/// Wait that a refused caller is advised to keep, in milliseconds: with [`MAX_OPEN_JOBS`] jobs
+/// Time after which a refused caller is told to retry, in milliseconds: with [`MAX_OPEN_JOBS`] jobs
 /// open, some end each second.
 pub const RETRY_AFTER_MS: u64 = 1_000;
 /// How long a coordinator extends leases without a confirmation from the store, in milliseconds. It
 /// covers the store outages that operators report, so that running tasks outlive them. A successor
-/// waits for this time before it takes runs on unreachable minions for ended.
+/// waits for this time before it considers runs on unreachable minions ended.
 pub const STORE_OUTAGE_TOLERANCE_MS: u64 = 8_000;
-/// How long after a request to the store its response alone permits a coordinator to extend leases,
-/// in milliseconds. It may be shorter than the interval between two requests, because one extension
-/// in several heartbeats keeps tasks running. A successor waits for all of this time.
-pub const STORE_CONFIRMATION_MS: u64 = 500;
-/// How long an entry's promise to support a coordinator lasts, in milliseconds, counted from when
-/// the coordinator sent the pong that the entry answers. It covers three pings, and has expired
-/// when an entry takes the silent coordinator for lost.
-pub const PROMISE_MS: u64 = 900;
-/// How long an entry keeps its promise, in percent of the time for which the coordinator relies on
-/// it: clocks may be 2% apart.
+/// Time for which a confirmation by the store alone permits a coordinator to extend leases, in
+/// milliseconds, counted from the request. It may be shorter than the interval between two
+/// requests, because one lease extension in several heartbeats keeps tasks running. A successor
+/// waits until it has passed.
+pub const STORE_CONFIRMATION_VALIDITY_MS: u64 = 500;
+/// Duration of an entry's promise to support a coordinator, in milliseconds, counted from when the
+/// coordinator sent the pong that the entry responds to. It covers three pings, and has passed
+/// before an entry considers a silent coordinator lost.
+pub const PROMISE_DURATION_MS: u64 = 900;
+/// Time for which an entry keeps its promise, in percent of [`PROMISE_DURATION_MS`], for which the
+/// coordinator relies on it: clocks may be 2% apart.
 pub const KEPT_PROMISE_PERCENT: u64 = 104;
-/// Silence of an entry after which it is no longer a voter, in milliseconds.
+/// Age of an entry's last promise from which on the entry is no longer a voter, in milliseconds.
 pub const VOTER_TIMEOUT_MS: u64 = 3_000;
-/// Silence of an entry towards the coordinator after which it is removed from the store's list of
-/// entries, in milliseconds. An entry that is alive adds itself again.
+/// Time without a response from an entry after which the coordinator removes it from the store's
+/// list of entries, in milliseconds. An entry that is alive adds itself again.
 pub const ENTRY_EXPIRY_MS: u64 = 15_000;
 /// Least time between two changes of the voters in the coordinator's key, in milliseconds. Entries
-/// that start together are thus added together, and a new coordinator has heard from all of them by
-/// then.
+/// that start together are thus added in one change, and a new coordinator has received pings from
+/// all entries before its first change.
 pub const VOTER_CHANGE_INTERVAL_MS: u64 = 2_000;
 /// Age of the store's last confirmation from which on a coordinator reports to its peers that it
 /// does not reach the store, in milliseconds.
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use geraniumpost_batch::tuning::PROMISE_MS;
+use geraniumpost_batch::tuning::PROMISE_DURATION_MS;
 use geraniumpost_batch::{
     CallerRequest, CallerResponse, Coordinator, EndedTask, InterferenceSnapshot, JobId, JobRecord,
     JobSpec, JobState, Now, Order, PredecessorLeases, QueueTerms, StepSpec, TaskId, WriteBatch,
@@ -143,7 +143,7 @@
                 self.coordinator.record_store_confirmation(self.now.steady_ms, self.now.steady_ms);
             }
             if self.entries_support {
-                let until_ms = self.now.steady_ms + PROMISE_MS;
+                let until_ms = self.now.steady_ms + PROMISE_DURATION_MS;
                 self.coordinator.set_supported_until(until_ms, SUPPORTERS);
             }
             self.coordinator.tick(self.now);
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -1,4 +1,4 @@
-//! An agent's record of terminated minions.
+//! An agent's list of terminated minions.
 
 use geraniumpost_batch::Departures;
 use geraniumpost_schema::Name;
@@ -7,33 +7,33 @@
     Name::from(name)
 }
 
-fn unrecorded(departures: &Departures) -> Vec<&str> {
+fn unrecorded_names(departures: &Departures) -> Vec<&str> {
     departures.unrecorded_terminations().map(|name| &**name).collect()
 }
 
-/// A minion leaves while there is no coordinator that could be notified. The termination must be
-/// kept for each later coordinator until one has recorded it.
+/// A minion terminates while there is no coordinator that could be notified. The termination must
+/// be kept for each later coordinator until one has recorded it.
 #[test]
 fn termination_is_kept_until_it_is_recorded() {
     let mut departures = Departures::default();
     departures.record_leaving(&name("m1"));
-    assert!(unrecorded(&departures).is_empty(), "it may still be running");
+    assert!(unrecorded_names(&departures).is_empty(), "it may still be running");
     assert!(!departures.is_empty());
     departures.record_terminated(&name("m1"));
-    assert_eq!(unrecorded(&departures), ["m1"]);
+    assert_eq!(unrecorded_names(&departures), ["m1"]);
     departures.remove(&name("m1"));
     assert!(departures.is_empty());
 }
 
 /// A termination is detected twice: by the minion's own notice, and when another incarnation
-/// answers. It must be reported once.
+/// responds. It must be reported once.
 #[test]
 fn termination_is_kept_once() {
     let mut departures = Departures::default();
     departures.record_terminated(&name("m1"));
     departures.record_terminated(&name("m2"));
     departures.record_terminated(&name("m1"));
-    assert_eq!(unrecorded(&departures), ["m2", "m1"]);
+    assert_eq!(unrecorded_names(&departures), ["m2", "m1"]);
 }
 
 /// A minion restarts repeatedly while there is no coordinator. The number of kept incarnations is
@@ -44,7 +44,7 @@
     for incarnation in 0..100 {
         departures.record_terminated(&name(&format!("m1-{incarnation}")));
     }
-    let kept = unrecorded(&departures);
+    let kept = unrecorded_names(&departures);
     assert_eq!(kept.len(), 16);
     assert_eq!(kept.last(), Some(&"m1-99"));
 }
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -1,32 +1,35 @@
-//! Learning interference between images from gauges, and the speed limits that follow from it.
+//! Learning of interference between images from measurements, and the speed limits that follow from
+//! it.
 
 use std::collections::BTreeMap;
 use std::f64::consts::TAU;
 
-use geraniumpost_batch::interference::{InterferenceModel, Pressure, ServingGroup, speed_limits};
+use geraniumpost_batch::interference::{
+    FullSpeedLoad, InterferenceModel, ServingGroup, speed_limits,
+};
 use geraniumpost_batch::{InterferencePair, InterferenceSnapshot, JobId, TaskId};
 use geraniumpost_schema::Name;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// Tail latency of the idle serving image, as a multiple of its bound.
-const IDLE_TAIL: f64 = 0.2;
-/// Interval between the gauges of a minion, in milliseconds.
-const GAUGE_MS: u64 = 400;
-/// Period of the own loads, in milliseconds.
+const IDLE_TAIL_LATENCY_RATIO: f64 = 0.2;
+/// Interval between the measurements of a minion, in milliseconds.
+const MEASUREMENT_INTERVAL_MS: u64 = 400;
+/// Period of the load by each minion's users, in milliseconds.
 const LOAD_PERIOD_MS: f64 = 14_000.0;
 /// Share of a minion's processors that the best-effort image uses while it runs.
-const SHARE: f64 = 0.2;
+const BEST_EFFORT_SHARE: f64 = 0.2;
 
 /// Simulated minions that run one serving step, with a best-effort image that starts and stops on
 /// each.
 struct Simulation {
     minions: u32,
-    /// Phase lag of each minion's own load behind the previous minion's, in radians.
+    /// Phase lag of each minion's user load behind the previous minion's, in radians.
     lag: f64,
     /// Utilization that the best-effort image adds if it uses all processors of a minion.
     slope: f64,
-    /// Amplitude of the noise of the gauges.
+    /// Amplitude of the noise of the measured utilization.
     noise: f64,
 }
 
@@ -44,27 +47,34 @@
         ServingGroup::of(step, &Name::from(format!("m{minion}")))
     }
 
-    fn own(&self, minion: u32, at_ms: u64) -> f64 {
+    fn user_utilization(&self, minion: u32, at_ms: u64) -> f64 {
         let phase = TAU * at_ms as f64 / LOAD_PERIOD_MS + self.lag * f64::from(minion);
         0.45 + 0.2 * phase.sin()
     }
 
-    /// Feeds the gauges of all minions over `ms` milliseconds into a model, and returns it.
+    /// Feeds the measurements of all minions over `ms` milliseconds into a model, and returns it.
     fn run(&self, ms: u64) -> InterferenceModel {
         let mut model = InterferenceModel::default();
-        // A gauge of an idle task of another step shows the image's lowest tail latency.
+        // A measurement of an idle task of another step shows the image's lowest tail latency.
         let step = TaskId { job: JobId(2), occurrence: 0, step: 0, index: 0 };
         let idle = ServingGroup::of(step, &Name::from("idle"));
-        model.observe(&Self::image(), &idle, IDLE_TAIL, &BTreeMap::new(), 0);
-        for at_ms in (GAUGE_MS..ms).step_by(GAUGE_MS as usize) {
+        model.observe(&Self::image(), &idle, IDLE_TAIL_LATENCY_RATIO, &BTreeMap::new(), 0);
+        for at_ms in (MEASUREMENT_INTERVAL_MS..ms).step_by(MEASUREMENT_INTERVAL_MS as usize) {
             for minion in 0..self.minions {
                 let runs = (at_ms / 2_000 + u64::from(minion)).is_multiple_of(2);
-                let share = if runs { SHARE } else { 0.0 };
+                let share = if runs { BEST_EFFORT_SHARE } else { 0.0 };
                 let sample = (at_ms as f64 * 1.7 + f64::from(minion) * 2.3).sin();
-                let busy = self.own(minion, at_ms) + self.slope * share + self.noise * sample;
+                let busy =
+                    self.user_utilization(minion, at_ms) + self.slope * share + self.noise * sample;
                 let used = BTreeMap::from([(Self::best_effort(), share)]);
-                let tail = IDLE_TAIL / (1.0 - busy.min(0.97));
-                model.observe(&Self::image(), &Self::group(minion), tail, &used, at_ms);
+                let tail_latency_ratio = IDLE_TAIL_LATENCY_RATIO / (1.0 - busy.min(0.97));
+                model.observe(
+                    &Self::image(),
+                    &Self::group(minion),
+                    tail_latency_ratio,
+                    &used,
+                    at_ms,
+                );
             }
         }
         model
@@ -86,11 +96,12 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Own loads change, with the same or different phases on the minions, and gauges are noisy.
-    /// Whatever the best-effort image adds, its slope must be known after some seconds: with a
-    /// wrong one, harmless tasks are slowed down or users see high latency.
+    /// The user load of the serving tasks changes, with equal or different phases on the minions,
+    /// and measurements are noisy. Whatever the best-effort image adds, its slope must be known
+    /// after some seconds: with a wrong slope, harmless tasks are slowed down or users see high
+    /// latency.
     #[test]
-    fn slopes_are_learned_while_own_loads_change(
+    fn slopes_are_learned_while_user_loads_change(
         slope in 0.0_f64..1.2,
         lag in prop_oneof![Just(0.0), 0.0_f64..1.5],
         minions in 1_u32..8,
@@ -101,10 +112,10 @@
         prop_assert!((known - slope).abs() < 0.25, "estimated slope {known}, true slope {slope}");
     }
 
-    /// The load by a group's own users must be separated from that of best-effort tasks, also if
-    /// the load has a different phase on each minion.
+    /// The load by a group's users must be separated from that of best-effort tasks, also if the
+    /// load has a different phase on each minion.
     #[test]
-    fn own_loads_are_separated(
+    fn user_loads_are_separated(
         slope in 0.0_f64..1.2,
         lag in prop_oneof![Just(0.0), 0.5_f64..1.5],
         minions in 1_u32..8,
@@ -112,9 +123,9 @@
         let simulation = Simulation { minions, lag, slope, noise: 0.01 };
         let model = simulation.run(20_000);
         for minion in 0..minions {
-            let own = model.user_utilization(&Simulation::image(), &Simulation::group(minion));
-            let expected = simulation.own(minion, 20_000 - GAUGE_MS);
-            prop_assert!((own - expected).abs() < 0.12, "estimated {own}, true own load {expected}");
+            let estimated = model.user_utilization(&Simulation::image(), &Simulation::group(minion));
+            let expected = simulation.user_utilization(minion, 20_000 - MEASUREMENT_INTERVAL_MS);
+            prop_assert!((estimated - expected).abs() < 0.12, "estimated user load {estimated}, true user load {expected}");
         }
     }
 
@@ -145,15 +156,15 @@
         headroom in proptest::collection::vec(-0.3_f64..0.6, 1..4),
         images in proptest::collection::vec((1.0_f64..9_000.0, proptest::collection::vec(0.0_f64..0.6, 3)), 0..5),
     ) {
-        let pressures: Vec<Pressure> = images
+        let loads: Vec<FullSpeedLoad> = images
             .into_iter()
-            .map(|(processors, added_utilization)| Pressure { processors, added_utilization })
+            .map(|(processors, added_utilization)| FullSpeedLoad { processors, added_utilization })
             .collect();
-        let shares = speed_limits(&headroom, &pressures);
+        let shares = speed_limits(&headroom, &loads);
         prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(share)));
         for (group, headroom) in headroom.iter().enumerate() {
             let added: f64 =
-                pressures.iter().zip(&shares).map(|(p, s)| p.added_utilization[group] * s).sum();
+                loads.iter().zip(&shares).map(|(p, s)| p.added_utilization[group] * s).sum();
             prop_assert!(added <= headroom.max(0.0) + 1e-9, "{added} added to headroom {headroom}");
         }
     }
@@ -167,11 +178,17 @@
     let mut model = InterferenceModel::default();
     let used = |share| BTreeMap::from([(Simulation::best_effort(), share)]);
     let (image, group) = (Simulation::image(), Simulation::group(0));
-    model.observe(&image, &group, IDLE_TAIL, &used(0.0), 0);
+    model.observe(&image, &group, IDLE_TAIL_LATENCY_RATIO, &used(0.0), 0);
     for run in 1..20 {
         let at_ms = run * 60_000;
-        model.observe(&image, &group, IDLE_TAIL / 0.4, &used(0.25), at_ms);
-        model.observe(&image, &group, IDLE_TAIL / 0.6, &used(0.0), at_ms + GAUGE_MS);
+        model.observe(&image, &group, IDLE_TAIL_LATENCY_RATIO / 0.4, &used(0.25), at_ms);
+        model.observe(
+            &image,
+            &group,
+            IDLE_TAIL_LATENCY_RATIO / 0.6,
+            &used(0.0),
+            at_ms + MEASUREMENT_INTERVAL_MS,
+        );
     }
     let slope = Simulation::learned_slope(&model);
     assert!((slope - 0.8).abs() < 0.08, "{slope}");
@@ -181,7 +198,7 @@
 /// second one as well would delay its tasks without any benefit.
 #[test]
 fn harmless_image_is_not_limited() {
-    let harmful = Pressure { processors: 4_000.0, added_utilization: vec![0.3] };
-    let harmless = Pressure { processors: 4_000.0, added_utilization: vec![0.0] };
+    let harmful = FullSpeedLoad { processors: 4_000.0, added_utilization: vec![0.3] };
+    let harmless = FullSpeedLoad { processors: 4_000.0, added_utilization: vec![0.0] };
     assert_eq!(speed_limits(&[0.15], &[harmful, harmless]), [0.5, 1.0]);
 }
--- a/crates/geraniumpost-batch/tests/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/tests/predecessor_leases.rs
@@ -6,15 +6,17 @@
 use geraniumpost_batch::{PredecessorLeases, SilentCoordinator, lease_expiry_bound_ms};
 
 const LEASE_MS: u64 = 5_000;
-/// How long leases may last that a coordinator extends which has just stopped answering.
+/// Time until all leases have expired that a coordinator may extend after it has just stopped
+/// responding, in milliseconds.
 const SILENT_MS: u64 = STORE_OUTAGE_TOLERANCE_MS + lease_expiry_bound_ms(LEASE_MS);
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Three coordinators stop answering one after the other. The fourth must wait for each of them,
-/// because the first may still extend the lease of an agent that no other process reaches.
+/// Three coordinators stop responding one after the other. The fourth must wait for the leases of
+/// each of them, because the first may still extend the lease of an agent that no other process
+/// reaches.
 #[test]
 fn every_silent_coordinator_is_waited_for() {
     let second =
@@ -40,8 +42,8 @@
     assert!(third.aged_by(SILENT_MS).silent.is_empty());
 }
 
-/// A coordinator stops answering, recovers and takes over again. Its earlier term has ended, so
-/// that it must not wait for itself.
+/// A coordinator stops responding, recovers and takes over again. Its earlier term has ended, so
+/// that it must not wait for the leases of that term.
 #[test]
 fn coordinator_does_not_wait_for_itself() {
     let second =
