--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -3,12 +3,12 @@
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
-    KEPT_PROMISE_PERCENT, PROMISE_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
+    KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
 };
 use geraniumpost_schema::Name;
 
 /// How long an entry keeps a promise, on its own clock.
-const KEPT_MS: u64 = PROMISE_MS * KEPT_PROMISE_PERCENT / 100;
+const KEPT_MS: u64 = PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100;
 const INCARNATION: u64 = 7;
 
 fn entry(number: usize) -> Name {
@@ -38,16 +38,16 @@
     half_of_many_others_is_needed: 34 others => 17 support, 18 release;
 }
 
-/// The coordinator counts a promise from when it sent the pong that the entry answers: the answer
-/// may be delayed, so that the promise has expired when it arrives.
+/// For the coordinator a promise begins when it sent the pong that the entry responds to: the
+/// response may be delayed, so that the promise has expired when it arrives.
 #[test]
 fn promise_counts_from_the_sending_of_the_pong() {
     let mut support = Support::new(voters(2), 0);
     assert_eq!(support.supported_until_ms(), 0);
     support.record_promise(&entry(1), INCARNATION, 5_000);
-    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
     support.record_promise(&entry(1), INCARNATION, 4_000);
-    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
 /// A majority lasts until the first of its promises expires.
@@ -57,8 +57,8 @@
     for (number, sent_at_ms) in [(1, 900), (2, 300), (3, 600)] {
         support.record_promise(&entry(number), INCARNATION, sent_at_ms);
     }
-    assert_eq!(support.supported_until_ms(), 600 + PROMISE_MS);
-    assert_eq!(support.supporter_count(500 + PROMISE_MS), 2);
+    assert_eq!(support.supported_until_ms(), 600 + PROMISE_DURATION_MS);
+    assert_eq!(support.supporter_count(500 + PROMISE_DURATION_MS), 2);
 }
 
 /// A restarted entry gives promises like any other, but the coordinator must not count them: the
@@ -71,9 +71,9 @@
     assert_eq!(support.supported_until_ms(), 0);
 }
 
-/// While other voters are being written, the key may hold either set, and the successor asks the
-/// voters of the set that it finds. A coordinator that counted only one set might extend leases for
-/// too long.
+/// While other voters are being written, the key may hold either set, and the successor sends
+/// release requests to the voters of the set that it reads. A coordinator that counted only one set
+/// might extend leases for too long.
 #[test]
 fn both_sets_count_while_voters_change() {
     let mut support = Support::new(voters(1), 0);
@@ -81,12 +81,12 @@
     support.begin_voter_change([(entry(2), INCARNATION)].into_iter().collect(), 5_000);
     assert_eq!(support.supported_until_ms(), 0);
     support.record_promise(&entry(2), INCARNATION, 4_900);
-    assert_eq!(support.supported_until_ms(), 4_900 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 4_900 + PROMISE_DURATION_MS);
     support.complete_voter_change();
     assert!(support.voters().contains(&entry(2), INCARNATION));
 }
 
-/// Entries that stop answering must be left out of the next set of voters. Otherwise two lost
+/// Entries that stop responding must be left out of the next set of voters. Otherwise two lost
 /// entries of five would permanently leave no margin for the loss of a third.
 #[test]
 fn silent_entries_are_removed_from_the_voters() {
@@ -107,11 +107,12 @@
     support.record_promise(&entry(1), INCARNATION, 5_000);
     support.mark_stopping(&entry(1));
     assert_eq!(support.voters_to_write(5_100), Some(Voters::default()));
-    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
 /// A new coordinator rewrites its key before it has heard from any entry. If it wrote an empty set
-/// of voters, its successor could ask no entry and would wait for the longest time.
+/// of voters, its successor could send release requests to no entry and would wait until the
+/// coordinator may no longer extend leases without the store.
 #[test]
 fn new_coordinator_keeps_the_voters_at_first() {
     let support = Support::new(voters(2), 1_000);
@@ -132,8 +133,8 @@
     assert_eq!(promises.release(9, 1_000 + KEPT_MS), 200);
 }
 
-/// The successor knows the end of the support once so many voters have answered that no majority is
-/// left.
+/// A successor knows when its predecessor loses its support as soon as the voters that have not
+/// responded are no longer a majority.
 #[test]
 fn end_of_support_is_known_once_no_majority_is_left() {
     let mut releases = Releases::new(voters(3));
@@ -145,8 +146,8 @@
     assert_eq!(releases.support_end_ms(), Some(1_400));
 }
 
-/// A restarted voter knows no promises, but its earlier process may have given one just before it
-/// ended.
+/// A restarted voter does not know the promises of its earlier process, which may have given one
+/// just before it ended.
 #[test]
 fn restarted_voter_counts_as_a_promise_of_full_duration() {
     let mut releases = Releases::new(voters(1));
@@ -154,8 +155,8 @@
     assert_eq!(releases.support_end_ms(), Some(1_000 + KEPT_MS));
 }
 
-/// A coordinator without voters may continue without the store, and no entry can tell when it
-/// stops.
+/// A coordinator without voters may extend leases without the store, and no entry can report when
+/// it stops.
 #[test]
 fn end_of_support_of_a_lone_coordinator_is_unknown() {
     assert_eq!(Releases::new(Voters::default()).support_end_ms(), None);
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -9,29 +9,31 @@
 use crate::process::{Process, Term};
 
 /// Resolution of the simulated time, in milliseconds.
-const STEP_MS: u64 = 10;
+const TICK_MS: u64 = 10;
 /// How long a simulation continues after the last fault, in milliseconds.
-const SETTLE_MS: u64 = 4_000;
-/// Intervals of pings, confirmations by the store, release requests and writes of the voters, in
-/// milliseconds.
-const PING_MS: u64 = 250;
-const CONFIRM_MS: u64 = 600;
-const RELEASE_REQUEST_MS: u64 = 300;
-const WRITE_VOTERS_MS: u64 = 500;
-/// One message in this number is lost.
-const LOSS_ONE_IN: u32 = 12;
+const SETTLE_DURATION_MS: u64 = 4_000;
+/// Interval between two pings of an entry, in milliseconds.
+const PING_INTERVAL_MS: u64 = 250;
+/// Interval between two confirmations by the store, in milliseconds.
+const CONFIRM_INTERVAL_MS: u64 = 600;
+/// Interval between two release requests to each entry, in milliseconds.
+const RELEASE_REQUEST_INTERVAL_MS: u64 = 300;
+/// Interval between two attempts to write the voters, in milliseconds.
+const VOTER_WRITE_INTERVAL_MS: u64 = 500;
+/// One message in this number is lost, on average.
+const MESSAGES_PER_LOSS: u32 = 12;
 
 /// A fault to inject.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// An entry takes the coordinator for lost and tries to take over.
+    /// An entry considers the coordinator lost and tries to take over.
     TakeOver(usize),
     /// An entry is suspended, for a time in milliseconds.
     Freeze(usize, u64),
     /// An entry is replaced by a new process.
     Restart(usize),
     /// Messages from one entry to another are dropped, for a time in milliseconds.
-    Cut(usize, usize, u64),
+    LinkCut(usize, usize, u64),
     /// An entry does not reach the store, for a time in milliseconds.
     StoreCut(usize, u64),
 }
@@ -39,14 +41,14 @@
 /// The result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// A coordinator that extended leases after the time until which its successor expects it to do
-    /// so.
+    /// Description of the first case in which a coordinator extended leases after the time at which
+    /// its successor assumes that it has stopped.
     pub overlap: Option<String>,
-    /// Number of silent coordinators whose end was determined by a successor.
+    /// Number of silent coordinators for which a successor determined the end of their leases.
     pub ends: usize,
-    /// Number of steps in which a coordinator extended leases without the store, on the support of
+    /// Number of ticks in which a coordinator extended leases without the store, on the support of
     /// entries.
-    pub without_store: usize,
+    pub ticks_without_store: usize,
 }
 
 /// A message between entries, or between an entry and the store.
@@ -62,7 +64,7 @@
         from: usize,
         term: u64,
     },
-    /// Answer to `Release`; it repeats the term of the request.
+    /// Response to `Release`; it repeats the term of the request.
     Released {
         from: usize,
         incarnation: u64,
@@ -72,12 +74,12 @@
     /// Requests to the store.
     Confirm {
         from: usize,
-        asked_ms: u64,
+        requested_ms: u64,
     },
     TakeOver {
         from: usize,
         revision: u64,
-        asked_ms: u64,
+        requested_ms: u64,
     },
     WriteVoters {
         from: usize,
@@ -87,11 +89,11 @@
     /// Responses of the store.
     Confirmed {
         term: u64,
-        asked_ms: u64,
+        requested_ms: u64,
     },
     TookOver {
         term: u64,
-        asked_ms: u64,
+        requested_ms: u64,
         voters: BTreeMap<u64, Voters>,
     },
     VotersWritten {
@@ -107,7 +109,8 @@
     revision: u64,
     term: u64,
     holder: usize,
-    /// Number of the last write of voters. A later write bars earlier ones.
+    /// Highest number of an applied write of voters in this term. The store rejects writes with
+    /// lower numbers.
     write: u64,
     voters: BTreeMap<u64, Voters>,
 }
@@ -154,9 +157,9 @@
             self.advance(*gap_ms);
             self.inject(*fault);
         }
-        self.advance(SETTLE_MS);
+        self.advance(SETTLE_DURATION_MS);
         let terms = self.processes.iter().filter_map(|process| process.term.as_ref());
-        self.outcome.ends += terms.map(|term| term.ends_ms.len()).sum::<usize>();
+        self.outcome.ends += terms.map(|term| term.lease_ends_ms.len()).sum::<usize>();
         self.outcome
     }
 
@@ -164,16 +167,16 @@
         let now_ms = self.now_ms;
         match fault {
             Fault::TakeOver(at) => {
-                let asked_ms = self.processes[at].clock(now_ms);
+                let requested_ms = self.processes[at].clock_ms(now_ms);
                 if self.processes[at].term.is_none() {
                     let revision = self.key.revision;
-                    self.call(at, Message::TakeOver { from: at, revision, asked_ms });
+                    self.send_to_store(at, Message::TakeOver { from: at, revision, requested_ms });
                 }
             }
-            Fault::Freeze(at, ms) => self.processes[at].frozen_ms = now_ms + ms,
+            Fault::Freeze(at, ms) => self.processes[at].frozen_until_ms = now_ms + ms,
             Fault::Restart(at) => self.processes[at].restart(),
-            Fault::Cut(from, to, ms) => self.cuts.push((from, to, now_ms + ms)),
-            Fault::StoreCut(at, ms) => self.processes[at].store_cut_ms = now_ms + ms,
+            Fault::LinkCut(from, to, ms) => self.cuts.push((from, to, now_ms + ms)),
+            Fault::StoreCut(at, ms) => self.processes[at].store_cut_until_ms = now_ms + ms,
         }
     }
 
@@ -185,7 +188,7 @@
     }
 
     fn is_lost(&mut self) -> bool {
-        self.rng.random_ratio(1, LOSS_ONE_IN)
+        self.rng.random_ratio(1, MESSAGES_PER_LOSS)
     }
 
     /// Sends a message from one entry to another.
@@ -201,9 +204,9 @@
 
     /// Sends a request from an entry to the store. The store may execute it seconds later, and its
     /// response may be lost.
-    fn call(&mut self, from: usize, message: Message) {
+    fn send_to_store(&mut self, from: usize, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
-        if self.processes[from].store_cut_ms <= self.now_ms {
+        if self.processes[from].store_cut_until_ms <= self.now_ms {
             let incarnation = self.processes[from].incarnation;
             self.in_flight.push((at_ms, None, incarnation, message));
         }
@@ -212,7 +215,7 @@
     /// Sends a response from the store to an entry.
     fn respond(&mut self, to: usize, incarnation: u64, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
-        if !self.is_lost() && self.processes[to].store_cut_ms <= self.now_ms {
+        if !self.is_lost() && self.processes[to].store_cut_until_ms <= self.now_ms {
             self.in_flight.push((at_ms, Some(to), incarnation, message));
         }
     }
@@ -220,21 +223,21 @@
     fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.now_ms < until_ms {
-            self.now_ms += STEP_MS;
+            self.now_ms += TICK_MS;
             self.deliver();
             for at in 0..self.processes.len() {
-                if self.processes[at].frozen_ms <= self.now_ms {
+                if self.processes[at].frozen_until_ms <= self.now_ms {
                     self.run_due(at);
                 }
             }
-            self.check();
+            self.check_lease_overlap();
         }
     }
 
     fn deliver(&mut self) {
         let now_ms = self.now_ms;
         let frozen: Vec<bool> =
-            self.processes.iter().map(|process| process.frozen_ms > now_ms).collect();
+            self.processes.iter().map(|process| process.frozen_until_ms > now_ms).collect();
         let due = |(at_ms, to, ..): &mut (u64, Option<usize>, u64, Message)| {
             *at_ms <= now_ms && !to.is_some_and(|to| frozen[to])
         };
@@ -254,7 +257,7 @@
     /// Executes a request in the store.
     fn execute(&mut self, incarnation: u64, message: Message) {
         match message {
-            Message::TakeOver { from, revision, asked_ms } => {
+            Message::TakeOver { from, revision, requested_ms } => {
                 if revision != self.key.revision {
                     return self.respond(from, incarnation, Message::Superseded);
                 }
@@ -263,11 +266,11 @@
                 let mut voters = std::mem::take(&mut self.key.voters);
                 voters.insert(term, last_voters.without(&name(from)));
                 self.key = Key { revision, term, holder: from, write: 0, voters: voters.clone() };
-                self.respond(from, incarnation, Message::TookOver { term, asked_ms, voters });
+                self.respond(from, incarnation, Message::TookOver { term, requested_ms, voters });
             }
-            Message::Confirm { from, asked_ms } if self.key.holder == from => {
+            Message::Confirm { from, requested_ms } if self.key.holder == from => {
                 let term = self.key.term;
-                self.respond(from, incarnation, Message::Confirmed { term, asked_ms });
+                self.respond(from, incarnation, Message::Confirmed { term, requested_ms });
             }
             Message::WriteVoters { from, write, voters } => {
                 let term = self.processes[from].term.as_ref().map(|term| term.number);
@@ -291,7 +294,7 @@
     /// Handles a message at an entry.
     fn receive(&mut self, at: usize, message: Message) {
         let process = &mut self.processes[at];
-        let clock_ms = process.clock(self.now_ms);
+        let clock_ms = process.clock_ms(self.now_ms);
         match message {
             Message::Ping { from, incarnation, supports } => {
                 let Some(term) = &mut process.term else { return };
@@ -318,15 +321,15 @@
                     releases.record(&name(from), incarnation, remaining_ms, clock_ms);
                 }
             }
-            Message::Confirmed { term, asked_ms } => {
+            Message::Confirmed { term, requested_ms } => {
                 let own = process.term.as_mut().filter(|own| own.number == term);
                 if let Some(own) = own {
-                    own.asked_ms = own.asked_ms.max(asked_ms);
+                    own.requested_ms = own.requested_ms.max(requested_ms);
                 }
             }
-            Message::TookOver { term, asked_ms, voters } => {
-                process.term = Some(Term::new(term, asked_ms, clock_ms, &voters));
-                self.release_own(at);
+            Message::TookOver { term, requested_ms, voters } => {
+                process.term = Some(Term::new(term, requested_ms, clock_ms, &voters));
+                self.release_own_promises(at);
             }
             Message::VotersWritten { term, write } => {
                 let current = |own: &&mut Term| own.number == term && own.voter_writes == write;
@@ -341,10 +344,10 @@
         }
     }
 
-    /// Releases an entry's own promises to its predecessors, when it becomes coordinator.
-    fn release_own(&mut self, at: usize) {
+    /// Releases a new coordinator's own promises to its predecessors.
+    fn release_own_promises(&mut self, at: usize) {
         let process = &mut self.processes[at];
-        let clock_ms = process.clock(self.now_ms);
+        let clock_ms = process.clock_ms(self.now_ms);
         let Some(term) = &mut process.term else { return };
         let remaining_ms = process.promises.release(term.number, clock_ms);
         for releases in term.releases.values_mut() {
@@ -355,14 +358,14 @@
     /// Runs the periodic actions of an entry that are due.
     fn run_due(&mut self, at: usize) {
         let due = |every_ms: u64| (self.now_ms + 40 * at as u64).is_multiple_of(every_ms);
-        let (pings, confirms) = (due(PING_MS), due(CONFIRM_MS));
-        let (requests, writes) = (due(RELEASE_REQUEST_MS), due(WRITE_VOTERS_MS));
+        let (pings, confirms) = (due(PING_INTERVAL_MS), due(CONFIRM_INTERVAL_MS));
+        let (requests, writes) = (due(RELEASE_REQUEST_INTERVAL_MS), due(VOTER_WRITE_INTERVAL_MS));
         if pings {
             self.ping(at);
         }
-        let clock_ms = self.processes[at].clock(self.now_ms);
+        let clock_ms = self.processes[at].clock_ms(self.now_ms);
         let Some(term) = &mut self.processes[at].term else { return };
-        term.record_ends();
+        term.record_lease_ends();
         let number = term.number;
         if writes
             && term.pending_voters.is_none()
@@ -374,10 +377,10 @@
         }
         if writes && let Some(voters) = term.pending_voters.clone() {
             let write = term.voter_writes;
-            self.call(at, Message::WriteVoters { from: at, write, voters });
+            self.send_to_store(at, Message::WriteVoters { from: at, write, voters });
         }
         if confirms {
-            self.call(at, Message::Confirm { from: at, asked_ms: clock_ms });
+            self.send_to_store(at, Message::Confirm { from: at, requested_ms: clock_ms });
         }
         if requests {
             for to in (0..self.processes.len()).filter(|to| *to != at) {
@@ -403,23 +406,24 @@
         }
     }
 
-    /// Checks that no coordinator extends leases after the end that a successor has determined for
-    /// it.
-    fn check(&mut self) {
+    /// Checks that no coordinator extends leases after the time at which a successor assumes that
+    /// it has stopped.
+    fn check_lease_overlap(&mut self) {
         let now_ms = self.now_ms;
         for process in &self.processes {
             let Some(term) = &process.term else { continue };
-            let clock_ms = process.clock(now_ms);
-            let running = process.frozen_ms <= now_ms;
-            if running && term.is_supported(clock_ms) && process.store_cut_ms > now_ms {
-                self.outcome.without_store += 1;
+            let clock_ms = process.clock_ms(now_ms);
+            let running = process.frozen_until_ms <= now_ms;
+            if running && term.is_supported(clock_ms) && process.store_cut_until_ms > now_ms {
+                self.outcome.ticks_without_store += 1;
             }
-            if !running || !term.extends(clock_ms) {
+            if !running || !term.may_extend_leases(clock_ms) {
                 continue;
             }
             let ended = |other: &&Process| {
-                let end_ms = other.term.as_ref().and_then(|other| other.ends_ms.get(&term.number));
-                end_ms.is_some_and(|end_ms| other.clock(now_ms) > *end_ms)
+                let end_ms =
+                    other.term.as_ref().and_then(|other| other.lease_ends_ms.get(&term.number));
+                end_ms.is_some_and(|end_ms| other.clock_ms(now_ms) > *end_ms)
             };
             if let Some(other) = self.processes.iter().find(ended) {
                 let successor = other.term.as_ref().map(|term| term.number);
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -1,9 +1,8 @@
-//! Simulation of entries that take over from each other at any time: no coordinator may extend
-//! leases after the time until which its successor expects it to do so.
+//! Simulates entries that take over from each other. No coordinator may extend leases after the
+//! time at which its successor assumes that it has stopped.
 //!
-//! The rules are those of [`quorum`](geraniumpost_batch::quorum). Around them entries freeze and
-//! restart, messages are delayed, reordered and lost, the store responds late, and clocks run 2%
-//! apart.
+//! The rules are those of [`quorum`](geraniumpost_batch::quorum). Entries freeze and restart,
+//! messages are delayed, reordered and lost, the store responds late, and clocks run 2% apart.
 
 mod fleet;
 mod process;
@@ -25,7 +24,7 @@
         2 => (entry.clone(), duration_ms.clone()).prop_map(|(at, ms)| Fault::Freeze(at, ms)),
         1 => entry.clone().prop_map(Fault::Restart),
         2 => (entry.clone(), entry.clone(), duration_ms.clone())
-            .prop_map(|(from, to, ms)| Fault::Cut(from, to, ms)),
+            .prop_map(|(from, to, ms)| Fault::LinkCut(from, to, ms)),
         2 => (entry, duration_ms).prop_map(|(at, ms)| Fault::StoreCut(at, ms)),
     ];
     vec((0..3_000_u64, fault), 1..=12)
@@ -43,8 +42,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A disconnected or frozen coordinator that continues beside its successor keeps tasks running
-    /// which the successor starts elsewhere, so that a caller gets two results.
+    /// A disconnected or frozen coordinator that extends leases for too long keeps tasks running
+    /// that its successor starts elsewhere, so that a caller gets two results.
     #[test]
     fn no_lease_is_extended_after_its_end(seed in any::<u64>(), faults in faults()) {
         let outcome = Fleet::new(5, seed).run(&faults);
@@ -53,8 +52,8 @@
 }
 
 /// The simulation must cover the relevant cases: successors that determine the end of a
-/// predecessor, and coordinators that continue without the store. Otherwise it would pass whatever
-/// the rules are.
+/// predecessor's leases, and coordinators that extend leases without the store. Otherwise it would
+/// pass whatever the rules are.
 #[test]
 fn simulation_covers_ends_and_extensions() {
     let outcomes = (0..40).map(|seed| {
@@ -62,7 +61,7 @@
         Fleet::new(5, seed).run(&faults)
     });
     let (ends, extended) = outcomes.fold((0, 0), |(ends, extended), outcome| {
-        (ends + outcome.ends, extended + outcome.without_store)
+        (ends + outcome.ends, extended + outcome.ticks_without_store)
     });
     assert!(
         ends >= 30 && extended >= 30,
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -238,7 +238,7 @@
                 }
             }
             Input::PredecessorEnded(address) => {
-                self.coordinator.record_predecessor_end(address, now)
+                self.coordinator.record_predecessor_end(address, now);
             }
             Input::PredecessorExtendsUntil { address, until_ms } => {
                 self.coordinator.record_predecessor_extension_end(address, until_ms);
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use geraniumpost_batch::quorum::{Releases, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_VALIDITY_MS;
 use geraniumpost_schema::Name;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -64,7 +64,7 @@
         while !inputs.is_closed() {
             if let Some(released_ms) = releases.support_end_ms() {
                 // The store may have confirmed the silent coordinator's term until the takeover.
-                let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_MS);
+                let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_VALIDITY_MS);
                 spdlog::info!(
                     "event=predecessor_released term={} entries={} until_in_ms={}",
                     silent.term,
