--- a/crates/geraniumpost-batch/src/agent_message.rs
+++ b/crates/geraniumpost-batch/src/agent_message.rs
@@ -42,7 +42,8 @@
         sent_at_ms: u64,
         /// Duration of the lease from that time, in milliseconds; 0 if it is not extended.
         lease_ms: u64,
-        /// The coordinator's fencing token.
+        /// Fencing token of the coordinator. An agent that knows a higher one does not extend its
+        /// lease.
         fence: u64,
         /// Whether the coordinator reaches the store. If not, a successor may exist.
         store_ok: bool,
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -4,14 +4,15 @@
 use crate::tuning::{MAX_BYTES_PER_WRITE, MAX_CONCURRENT_WRITES, MAX_RECORDS_PER_WRITE};
 use crate::{CallerResponse, JobId, JobState, Now, TaskId, ToAgent};
 
-/// A write in flight.
+/// A batch whose write is not complete: the records that it writes, and the jobs whose records it
+/// removes.
 #[derive(Debug)]
 pub(super) struct PendingBatch {
     jobs: Vec<PendingRecord>,
     removed: Vec<JobId>,
 }
 
-/// One record of a write in flight.
+/// A record that is being written, and the actions that wait for it.
 #[derive(Debug)]
 struct PendingRecord {
     job: JobId,
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -34,7 +34,7 @@
     /// A minion has accepted orders of a newer coordinator, so that the driver has to check which
     /// one is current.
     Superseded,
-    /// Write a log line.
+    /// Write a log line that consists of `key=value` fields.
     Log(String),
 }
 
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which minions can take a task.
+//! Checks of whether a minion can take a task.
 //!
 //! Placement and the log lines on waiting tasks both use these checks, so that they cannot differ.
 //! Every minion is checked for each waiting task, so that the checks are inlined across modules.
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -9,13 +9,13 @@
 use crate::tuning::MAX_SERVING_TAIL_LATENCY_RATIO;
 use crate::{StepSpec, TaskId};
 
-/// Smallest headroom used as a divisor, as a utilization.
+/// Lower bound of a headroom that is used as a divisor, as a utilization.
 const MIN_HEADROOM: f64 = 0.01;
 
-/// Headroom of one group of serving tasks.
+/// Additional utilization that one group of serving tasks tolerates.
 #[derive(Debug, Clone)]
 pub(super) struct Headroom {
-    /// The group's image.
+    /// Image of the group's tasks.
     image: Name,
     /// How much the group's utilization may rise before its tail latency reaches
     /// [`MAX_SERVING_TAIL_LATENCY_RATIO`]; negative if the tail latency is higher already.
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Returns the expected speed of a best-effort task on a minion.
+    /// Estimates how fast a best-effort task would run on a minion, from unused processors and
+    /// learned interference.
     pub(super) fn best_effort_speed(&self, minion: &Minion, spec: &StepSpec) -> BestEffortSpeed {
         let milli_cpus = spec.demand.milli_cpus;
         let unused = minion.unused_milli_cpus().max(0) as f64;
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -32,7 +32,7 @@
 /// State of a task that its next placement takes into account.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PlacementHint {
-    /// The last checkpoint; empty for none.
+    /// Id of the last checkpoint; empty for none.
     pub(super) checkpoint: Name,
     /// Earliest time of the next placement, on the monotonic clock.
     pub(super) not_before_ms: u64,
--- a/crates/geraniumpost-batch/src/coordinator/measurements.rs
+++ b/crates/geraniumpost-batch/src/coordinator/measurements.rs
@@ -110,9 +110,9 @@
     }
 }
 
-/// Returns the lower median of tail latencies.
+/// Returns the lower median of the tail latencies of a group's tasks.
 ///
-/// A single task occasionally shows several times its neighbours' tail latency for a second,
+/// Occasionally a single task shows several times the tail latency of the others for a second,
 /// without any cause on its minion. Using the maximum would attribute that to best-effort tasks on
 /// the same minion and throttle them needlessly.
 fn lower_median(mut tail_latency_ratios: Vec<f64>) -> f64 {
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the unreserved resources.
+    /// Returns the minion's capacity without the resources that runs reserve.
     pub(super) fn free(&self) -> Demand {
         self.info.capacity - self.used
     }
--- a/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
@@ -11,7 +11,8 @@
 const MIN_REMAINING_LEASE_MS: u64 = 1_000;
 
 impl Coordinator {
-    /// Handles a minion's report about itself.
+    /// Handles a report of a minion's properties, which may show a new incarnation or the start of
+    /// draining.
     pub(super) fn update_minion(&mut self, agent: &Name, info: MinionInfo, now: Now) {
         let id = info.id.clone();
         let previous = self.agents.entry(agent.clone()).or_default().minion.replace(id.clone());
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -154,7 +154,7 @@
         self
     }
 
-    /// Loads the records that the store holds.
+    /// Loads job records from the store, with the runs that may exist.
     #[must_use]
     pub fn with_records(mut self, records: Vec<(JobId, JobRecord)>, now: Now) -> Self {
         for (id, record) in records {
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -110,8 +110,8 @@
     }
 
     /// Handles the result of a pace order. An order that was not carried out is sent again when a
-    /// poll next lists the run: otherwise a task that should be suspended would slow its neighbours
-    /// until it ends, or a throttled task would stay slow although processors are idle.
+    /// poll next lists the run: otherwise a task that should be suspended would slow other tasks on
+    /// its minion until it ends, or a throttled task would stay slow although processors are idle.
     fn handle_pace_result(&mut self, result: &OrderResult) {
         if let Some(run) = self.runs.get_mut(&result.task) {
             run.pace_confirmed &= result.outcome == OrderOutcome::Done;
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -8,7 +8,7 @@
 
 /// Pace below which tasks are suspended, in percent.
 const MIN_PACE_PERCENT: u8 = 8;
-/// Smallest change of pace that is worth an order, in percent.
+/// Smallest change of pace for which an order is sent, in percent.
 const MIN_PACE_CHANGE_PERCENT: u8 = 10;
 /// How long a task is throttled before it is moved, in milliseconds: longer than it takes to revert
 /// most changes of pace, but short, as each second of delay makes a whole job late.
@@ -53,7 +53,7 @@
             let current =
                 minion.best_effort_images.get(&image).map_or(100, |tasks| tasks.pace_percent);
             let wanted = if suspend || tolerated < MIN_PACE_PERCENT { 0 } else { tolerated };
-            if is_worth_an_order(current, wanted) {
+            if is_pace_order_due(current, wanted) {
                 changes.push((image, wanted));
             }
         }
@@ -95,7 +95,7 @@
         minion.runs.iter().filter(matches).copied().collect()
     }
 
-    /// Moves throttled tasks to minions on which they can work.
+    /// Stops throttled tasks that another minion accepts, so that they continue there.
     ///
     /// A task is throttled when the user load of serving tasks on its minion rises after its
     /// placement. Its job would be delayed while that lasts, although other minions have free
@@ -130,9 +130,9 @@
     }
 }
 
-/// Returns whether a change of pace is worth its orders: a large one, or one to or from suspension
-/// or full speed.
-const fn is_worth_an_order(current: u8, wanted: u8) -> bool {
+/// Returns whether an order is sent for a change of pace: a large change, or one to or from
+/// suspension or full speed.
+const fn is_pace_order_due(current: u8, wanted: u8) -> bool {
     let ends = (wanted == 0) != (current == 0) || (wanted == 100) != (current == 100);
     wanted.abs_diff(current) >= MIN_PACE_CHANGE_PERCENT || ends
 }
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -1,4 +1,5 @@
-//! Leases that earlier coordinators may have extended, and what remains of them for a successor.
+//! Leases that earlier coordinators may have extended, and their remaining durations for a
+//! successor.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -32,8 +32,8 @@
     /// The minion is draining and will terminate.
     #[display("draining")]
     Draining,
-    /// A serving task there is over its latency bound, so that no more best-effort tasks are
-    /// placed.
+    /// A serving task on the minion is over its latency bound, so that it gets no further
+    /// best-effort tasks.
     #[display("over_bound")]
     OverBound,
     /// The minion's free resources are less than the task reserves.
@@ -49,7 +49,7 @@
     /// never ran.
     #[display("reserved_for_short")]
     ReservedForShort,
-    /// A best-effort task would be too slow there.
+    /// A best-effort task would be too slow on the minion.
     #[display("too_slow")]
     TooSlow,
 }
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Records that a copy of the start order was sent.
+    /// Counts a copy of the start order as sent over the current link.
     pub(super) const fn record_start_sent(&mut self, now_ms: u64) {
         self.start_count += 1;
         self.starts_in_flight += 1;
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -8,7 +8,8 @@
 use crate::{EndKind, EndedTask, JobId, JobState, Now, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 impl Coordinator {
-    /// Handles the end of a run that a minion lists.
+    /// Handles the end of a run that a minion lists. An end that was handled before is only
+    /// acknowledged again.
     pub(super) fn handle_run_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
         let Some(state) = self.minions.get_mut(minion) else { return };
         if end.sequence <= state.last_end_sequence {
@@ -37,7 +38,7 @@
     }
 
     /// Ends a run: releases its resources, and requeues or completes its task or fails its job.
-    /// Returns the version of the record that contains this change.
+    /// Returns the version of the record that contains this change, or 0 if the job is unknown.
     pub(super) fn end_run(
         &mut self,
         task: TaskId,
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -90,7 +90,7 @@
             .collect();
         for task in stalled {
             let Some(step) = self.step_spec(task) else { continue };
-            // Each percent of a long task takes long.
+            // A long task takes long for each percent of its progress.
             let allowed_ms = u64::from(step.estimate_ms) / 10 + STALLED_RUN_TIMEOUT_MS;
             let Some(run) = self.runs.get(&task) else { continue };
             let minion: Name = run.place.minion.clone();
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -13,8 +13,9 @@
 /// Time that a new coordinator gives agents to link before it logs which are missing, in
 /// milliseconds; most link within half a second.
 const LINK_GRACE_MS: u64 = 1_000;
-/// When a new coordinator logs how long it waits for a predecessor's leases, in milliseconds after
-/// its start: at once, as its term may be short, and when most agents have linked.
+/// Times at which a new coordinator logs how long it waits for a predecessor's leases, in
+/// milliseconds after its start: at once, as its term may be short, and when most agents have
+/// linked.
 const PREDECESSOR_WAIT_LOG_DELAYS_MS: [u64; 2] = [0, LINK_GRACE_MS];
 
 impl Minion {
@@ -48,7 +49,7 @@
         ));
     }
 
-    /// Logs each unreachable minion with runs, once per loss.
+    /// Logs each unreachable minion with runs, once until it is reachable again.
     pub(super) fn log_unreachable(&mut self, now: Now) {
         if now.steady_ms < self.wait_state.started_ms + LINK_GRACE_MS {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/wait_state.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_state.rs
@@ -26,10 +26,10 @@
     pub(super) predecessor_wait_lines: usize,
 }
 
-/// A step with waiting tasks.
+/// How long a step has waited, and when that was last logged.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingStep {
-    /// Whether its tasks run until the job is cancelled.
+    /// Whether the tasks of the step run until the job is cancelled.
     pub(super) persistent: bool,
     /// Index of the first waiting task.
     pub(super) first_index: u32,
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -6,7 +6,8 @@
 /// matters only if a minion restarts continuously while there is no coordinator.
 const MAX_TERMINATIONS: usize = 16;
 
-/// Minion incarnations that leave this VM, until a coordinator has recorded their termination.
+/// Minion incarnations that terminate or have terminated on this VM, until a coordinator has
+/// recorded their termination.
 ///
 /// The tasks of a minion end with it, and its agent may be the only process that knows of their
 /// end. A report that is sent once is lost if the agent has no connection at that moment, or if the
@@ -15,14 +16,14 @@
 /// report on every connection until a coordinator confirms that its records hold it.
 #[derive(Debug, Default)]
 pub struct Departures {
-    /// Minions that have announced that they leave and may still be running.
+    /// Minions that have announced their termination and may still be running.
     leaving: Vec<Name>,
     /// Minions that have terminated, the latest last.
     terminated: VecDeque<Name>,
 }
 
 impl Departures {
-    /// Records that a minion has announced that it leaves.
+    /// Records that a minion has announced its termination and may still be running.
     pub fn record_leaving(&mut self, minion: &Name) {
         if !self.leaving.contains(minion) {
             self.leaving.push(minion.clone());
@@ -50,7 +51,7 @@
         self.terminated.iter()
     }
 
-    /// Returns whether no minion is leaving and no termination is left to report.
+    /// Returns whether no minion is terminating and no termination is left to report.
     pub fn is_empty(&self) -> bool {
         self.leaving.is_empty() && self.terminated.is_empty()
     }
--- a/crates/geraniumpost-batch/src/entry_message.rs
+++ b/crates/geraniumpost-batch/src/entry_message.rs
@@ -59,7 +59,7 @@
         /// Whether the entry is about to stop and should no longer be a voter.
         stopping: bool,
     },
-    /// A caller's request.
+    /// A request that the entry passes on for a caller.
     Request {
         /// Number that the entry chose; the response repeats it.
         request_id: u64,
@@ -71,7 +71,7 @@
 /// A time within a coordinator's term, on the coordinator's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermTime {
-    /// The term.
+    /// Number of the coordinator's term.
     pub term: u64,
     /// The coordinator's monotonic clock in milliseconds.
     pub steady_ms: u64,
@@ -80,7 +80,7 @@
 /// A message from the coordinator to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Response to a ping.
+    /// Response to a ping; the entry's next ping names it as the last pong.
     Pong {
         /// Whether the coordinator reaches the store.
         store_ok: bool,
@@ -89,7 +89,8 @@
         /// Time at which the coordinator sent the pong.
         sent: TermTime,
     },
-    /// The response to a request.
+    /// The response to a [`FromEntry::Request`], sent once everything that it confirms is
+    /// committed.
     Response {
         /// Number of the request, from [`FromEntry::Request`].
         request_id: u64,
--- a/crates/geraniumpost-batch/src/interference/model.rs
+++ b/crates/geraniumpost-batch/src/interference/model.rs
@@ -15,10 +15,10 @@
 /// Limit on pairs in a snapshot; each takes about 30 bytes in the store.
 const MAX_SNAPSHOT_PAIRS: usize = 600;
 
-/// The learned interference between images, over all minions.
+/// Learned interference between images. Measurements of all minions contribute to it.
 #[derive(Debug, Default)]
 pub struct InterferenceModel {
-    /// Indices of the best-effort images.
+    /// Assigns each best-effort image its index in the slopes of all serving images.
     best_effort: Interner,
     serving: BTreeMap<Name, ServingImage>,
 }
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -13,7 +13,7 @@
 /// Weight of the newest residual in the running mean of squared residuals.
 const RESIDUAL_WEIGHT: f64 = 0.05;
 
-/// The learned model of one serving image.
+/// Learned behaviour of one serving image: its slopes, and the user load of its groups.
 #[derive(Debug)]
 pub struct ServingImage {
     /// Lowest tail latency so far, as a multiple of its bound.
@@ -23,7 +23,7 @@
     steps: BTreeMap<TaskId, ServingStep>,
 }
 
-/// The model of a serving step over all its minions.
+/// Learned user load of a serving step over all its minions.
 ///
 /// Depending on how users reach the tasks, the load may be even: all groups have the same user load
 /// at any time. If so, the groups together show that load sooner and more reliably than each alone,
--- a/crates/geraniumpost-batch/src/interference/speed_limits.rs
+++ b/crates/geraniumpost-batch/src/interference/speed_limits.rs
@@ -3,12 +3,13 @@
 pub struct FullSpeedLoad {
     /// Processors that it uses, in thousandths of a processor.
     pub processors: f64,
-    /// The utilization that it adds to each serving group of the minion.
+    /// The utilization that it adds to each serving group of the minion, in the order of the
+    /// groups' headroom.
     pub added_utilization: Vec<f64>,
 }
 
-/// Returns the share of its speed, from 0 to 1, at which each best-effort image may run, so that
-/// together they add at most `headroom` to the utilization of each serving group.
+/// Returns the share of its full speed, from 0 to 1, at which each best-effort image may run, so
+/// that together they add at most `headroom` to the utilization of each serving group.
 ///
 /// The image that adds the most utilization per processor is slowed down first, which costs the
 /// least work. A limit that is set for one group also applies to the following ones.
--- a/crates/geraniumpost-batch/src/interference_snapshot.rs
+++ b/crates/geraniumpost-batch/src/interference_snapshot.rs
@@ -19,7 +19,7 @@
 }
 
 impl InterferenceSnapshot {
-    /// Encodes the snapshot for the store.
+    /// Encodes the snapshot for the store. The result is empty if that fails.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
--- a/crates/geraniumpost-batch/src/job_record.rs
+++ b/crates/geraniumpost-batch/src/job_record.rs
@@ -122,7 +122,7 @@
         self.next_occurrence = 1;
     }
 
-    /// Encodes the record for the store.
+    /// Encodes the record for the store, preceded by the version of the encoding.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![ENCODING_VERSION];
         let body = postcard::to_stdvec(self).expect("every field of a record can be encoded");
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the bytes have another layout version or are malformed.
+    /// Fails if the bytes have another version or are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         match bytes.split_first() {
             Some((&ENCODING_VERSION, body)) => postcard::from_bytes(body),
--- a/crates/geraniumpost-batch/tests/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/tests/predecessor_leases.rs
@@ -8,7 +8,7 @@
 const LEASE_MS: u64 = 5_000;
 /// Time until all leases have expired that a coordinator may extend after it has just stopped
 /// responding, in milliseconds.
-const SILENT_MS: u64 = STORE_OUTAGE_TOLERANCE_MS + lease_expiry_bound_ms(LEASE_MS);
+const SILENT_LEASE_EXPIRY_MS: u64 = STORE_OUTAGE_TOLERANCE_MS + lease_expiry_bound_ms(LEASE_MS);
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
@@ -18,15 +18,18 @@
 /// each of them, because the first may still extend the lease of an agent that no other process
 /// reaches.
 #[test]
-fn every_silent_coordinator_is_waited_for() {
+fn leases_of_every_silent_coordinator_are_awaited() {
     let second =
         PredecessorLeases::default().after_takeover(Some((address(1), 1)), address(2), LEASE_MS);
     let third = second.aged_by(1_000).after_takeover(Some((address(2), 2)), address(3), LEASE_MS);
     let fourth = third.aged_by(500).after_takeover(Some((address(3), 3)), address(4), LEASE_MS);
     let waits: Vec<_> =
         fourth.silent.into_iter().map(|(at, silent)| (at, silent.remaining_ms)).collect();
-    let expected =
-        [(address(1), SILENT_MS - 1_500), (address(2), SILENT_MS - 500), (address(3), SILENT_MS)];
+    let expected = [
+        (address(1), SILENT_LEASE_EXPIRY_MS - 1_500),
+        (address(2), SILENT_LEASE_EXPIRY_MS - 500),
+        (address(3), SILENT_LEASE_EXPIRY_MS),
+    ];
     assert_eq!(waits, expected);
 }
 
@@ -37,9 +40,9 @@
     let second =
         PredecessorLeases::default().after_takeover(Some((address(1), 1)), address(2), LEASE_MS);
     let third = second.aged_by(4_000).after_takeover(None, address(3), LEASE_MS);
-    let expected = SilentCoordinator { term: 1, remaining_ms: SILENT_MS - 4_000 };
+    let expected = SilentCoordinator { term: 1, remaining_ms: SILENT_LEASE_EXPIRY_MS - 4_000 };
     assert_eq!(third.silent.get(&address(1)), Some(&expected));
-    assert!(third.aged_by(SILENT_MS).silent.is_empty());
+    assert!(third.aged_by(SILENT_LEASE_EXPIRY_MS).silent.is_empty());
 }
 
 /// A coordinator stops responding, recovers and takes over again. Its earlier term has ended, so
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -45,7 +45,7 @@
     /// its successor assumes that it has stopped.
     pub overlap: Option<String>,
     /// Number of silent coordinators for which a successor determined the end of their leases.
-    pub ends: usize,
+    pub lease_ends_determined: usize,
     /// Number of ticks in which a coordinator extended leases without the store, on the support of
     /// entries.
     pub ticks_without_store: usize,
@@ -129,7 +129,7 @@
     outcome: Outcome,
 }
 
-fn name(at: usize) -> Name {
+fn entry_name(at: usize) -> Name {
     format!("e{at}").into()
 }
 
@@ -159,7 +159,8 @@
         }
         self.advance(SETTLE_DURATION_MS);
         let terms = self.processes.iter().filter_map(|process| process.term.as_ref());
-        self.outcome.ends += terms.map(|term| term.lease_ends_ms.len()).sum::<usize>();
+        self.outcome.lease_ends_determined +=
+            terms.map(|term| term.lease_ends_ms.len()).sum::<usize>();
         self.outcome
     }
 
@@ -227,7 +228,7 @@
             self.deliver();
             for at in 0..self.processes.len() {
                 if self.processes[at].frozen_until_ms <= self.now_ms {
-                    self.run_due(at);
+                    self.run_due_actions(at);
                 }
             }
             self.check_lease_overlap();
@@ -244,7 +245,7 @@
         for (_, to, incarnation, message) in self.in_flight.extract_if(.., due).collect::<Vec<_>>()
         {
             match to {
-                None => self.execute(incarnation, message),
+                None => self.execute_in_store(incarnation, message),
                 // Messages to an earlier process are lost with its connections.
                 Some(to) if self.processes[to].incarnation == incarnation => {
                     self.receive(to, message);
@@ -255,7 +256,7 @@
     }
 
     /// Executes a request in the store.
-    fn execute(&mut self, incarnation: u64, message: Message) {
+    fn execute_in_store(&mut self, incarnation: u64, message: Message) {
         match message {
             Message::TakeOver { from, revision, requested_ms } => {
                 if revision != self.key.revision {
@@ -264,7 +265,7 @@
                 let last_voters = self.key.voters.get(&self.key.term).cloned().unwrap_or_default();
                 let (revision, term) = (revision + 1, revision + 1);
                 let mut voters = std::mem::take(&mut self.key.voters);
-                voters.insert(term, last_voters.without(&name(from)));
+                voters.insert(term, last_voters.without(&entry_name(from)));
                 self.key = Key { revision, term, holder: from, write: 0, voters: voters.clone() };
                 self.respond(from, incarnation, Message::TookOver { term, requested_ms, voters });
             }
@@ -299,7 +300,7 @@
             Message::Ping { from, incarnation, supports } => {
                 let Some(term) = &mut process.term else { return };
                 if let Some(sent) = supports.filter(|sent| sent.term == term.number) {
-                    term.support.record_promise(&name(from), incarnation, sent.steady_ms);
+                    term.support.record_promise(&entry_name(from), incarnation, sent.steady_ms);
                 }
                 let sent = TermTime { term: term.number, steady_ms: clock_ms };
                 self.send(at, from, Message::Pong(sent));
@@ -318,7 +319,7 @@
                 let own = process.term.as_mut().filter(|own| own.number == term);
                 let Some(term) = own else { return };
                 for releases in term.releases.values_mut() {
-                    releases.record(&name(from), incarnation, remaining_ms, clock_ms);
+                    releases.record(&entry_name(from), incarnation, remaining_ms, clock_ms);
                 }
             }
             Message::Confirmed { term, requested_ms } => {
@@ -351,17 +352,17 @@
         let Some(term) = &mut process.term else { return };
         let remaining_ms = process.promises.release(term.number, clock_ms);
         for releases in term.releases.values_mut() {
-            releases.record(&name(at), process.incarnation, remaining_ms, clock_ms);
+            releases.record(&entry_name(at), process.incarnation, remaining_ms, clock_ms);
         }
     }
 
     /// Runs the periodic actions of an entry that are due.
-    fn run_due(&mut self, at: usize) {
+    fn run_due_actions(&mut self, at: usize) {
         let due = |every_ms: u64| (self.now_ms + 40 * at as u64).is_multiple_of(every_ms);
         let (pings, confirms) = (due(PING_INTERVAL_MS), due(CONFIRM_INTERVAL_MS));
         let (requests, writes) = (due(RELEASE_REQUEST_INTERVAL_MS), due(VOTER_WRITE_INTERVAL_MS));
         if pings {
-            self.ping(at);
+            self.send_pings(at);
         }
         let clock_ms = self.processes[at].clock_ms(self.now_ms);
         let Some(term) = &mut self.processes[at].term else { return };
@@ -390,7 +391,7 @@
     }
 
     /// Sends pings from an entry to the holder of the key and to every other coordinator.
-    fn ping(&mut self, at: usize) {
+    fn send_pings(&mut self, at: usize) {
         let holder = self.key.holder;
         let process = &mut self.processes[at];
         let incarnation = process.incarnation;
