--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -115,9 +115,11 @@
         let mut candidates: Vec<(i64, Name)> = self
             .minions
             .iter()
-            .filter(|(_, minion)| super::placement::is_eligible(minion, &service, spec, now))
+            .filter(|(_, minion)| {
+                super::placement::is_eligible_for_step(minion, &service, spec, now)
+            })
             .filter(|(id, _)| is_undecided(id))
-            .map(|(id, minion)| (-minion.free().milli_cpus, id.clone()))
+            .map(|(id, minion)| (-minion.unreserved().milli_cpus, id.clone()))
             .collect();
         candidates.sort();
         candidates.truncate(MAX_MINIONS_PER_REQUEST);
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -65,7 +65,7 @@
         self.jobs.insert(id, job);
         self.open_jobs.insert(id);
         self.dirty.insert(id);
-        self.begin_due_occurrences_of(id, now);
+        self.begin_due_occurrences_of_job(id, now);
         self.placement_due = true;
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -67,7 +67,7 @@
             DeferredAction::Reply(request_id, response) => {
                 self.effects.push(Effect::Reply { request_id, response });
             }
-            DeferredAction::Start(task, run) => self.start_committed(task, run, now),
+            DeferredAction::Start(task, run) => self.send_committed_start(task, run, now),
         }
     }
 
@@ -101,13 +101,13 @@
     /// Gathers changed records into writes, up to the limit of concurrent writes.
     pub(super) fn gather_writes(&mut self, now: Now) {
         while self.batches.len() < MAX_CONCURRENT_WRITES {
-            let Some(mut write) = self.gather_write() else { return };
+            let Some(mut write) = self.gather_batch() else { return };
             write.interference = self.interference_to_write(now);
             self.effects.push(Effect::Write(write));
         }
     }
 
-    fn gather_write(&mut self) -> Option<WriteBatch> {
+    fn gather_batch(&mut self) -> Option<WriteBatch> {
         let number = self.next_batch;
         let mut write =
             WriteBatch { number, put: Vec::new(), remove: Vec::new(), interference: None };
--- a/crates/geraniumpost-batch/src/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/src/coordinator/draining.rs
@@ -6,7 +6,7 @@
 use crate::{Now, TaskId};
 
 /// Remaining time assumed for a draining minion that reports none, in milliseconds.
-pub(super) const DEFAULT_DRAIN_MS: u64 = 2_000;
+pub(super) const DEFAULT_DRAIN_DURATION_MS: u64 = 2_000;
 /// Time that moving a task takes in any case, in milliseconds: a stop, a commit and a start.
 const MOVE_DURATION_MS: u64 = 400;
 /// Interval between two evacuations of a minion, in milliseconds. Minions terminate seconds after
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -36,7 +36,7 @@
 
     /// Returns why a minion cannot take a task, or `None` if it can.
     #[inline]
-    pub(super) fn rejection(
+    pub(super) fn task_rejection(
         &self,
         requirements: &TaskRequirements<'_>,
         minion: &Minion,
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -10,7 +10,7 @@
 use crate::{StepSpec, TaskId};
 
 /// Lower bound of a headroom that is used as a divisor, as a utilization.
-const MIN_HEADROOM: f64 = 0.01;
+const MIN_HEADROOM_DIVISOR: f64 = 0.01;
 
 /// Additional utilization that one group of serving tasks tolerates.
 #[derive(Debug, Clone)]
@@ -88,8 +88,9 @@
                 speed.tolerated_speed =
                     speed.tolerated_speed.min((group.utilization / added).max(0.0));
             }
-            speed.headroom_share =
-                speed.headroom_share.max((added / group.utilization.max(MIN_HEADROOM)).min(1.0));
+            speed.headroom_share = speed
+                .headroom_share
+                .max((added / group.utilization.max(MIN_HEADROOM_DIVISOR)).min(1.0));
         }
         speed
     }
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -8,7 +8,7 @@
 use crate::tuning::{STORE_CONFIRMATION_VALIDITY_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// Minimum interval between two log lines on the lease basis, in milliseconds.
-const LOG_INTERVAL_MS: u64 = 1_000;
+const BASIS_LOG_INTERVAL_MS: u64 = 1_000;
 
 /// The support of other entries, as last set.
 #[derive(Debug, Default)]
@@ -61,7 +61,9 @@
         let basis = self.lease_basis(now);
         let due = match self.support.last_logged {
             None => true,
-            Some((logged, at_ms)) => logged != basis && now.steady_ms >= at_ms + LOG_INTERVAL_MS,
+            Some((logged, at_ms)) => {
+                logged != basis && now.steady_ms >= at_ms + BASIS_LOG_INTERVAL_MS
+            }
         };
         if !due {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/measurements.rs
+++ b/crates/geraniumpost-batch/src/coordinator/measurements.rs
@@ -52,7 +52,7 @@
     pub(super) fn learn_from_measurements(&mut self, id: &Name, now: Now) {
         let MinionMeasurements { tail_latency_ratios, cpu_shares, over_bound } =
             self.collect_measurements(id);
-        self.update_over_bound(id, over_bound, now);
+        self.update_over_bound_times(id, over_bound, now);
         let mut worst: BTreeMap<Name, f64> = BTreeMap::new();
         for ((image, group), tail_latency_ratios) in tail_latency_ratios {
             let tail_latency_ratio = lower_median(tail_latency_ratios);
@@ -95,7 +95,7 @@
     }
 
     /// Records which serving tasks are over their latency bounds, and since when.
-    fn update_over_bound(&mut self, id: &Name, over_bound: Vec<(TaskId, bool)>, now: Now) {
+    fn update_over_bound_times(&mut self, id: &Name, over_bound: Vec<(TaskId, bool)>, now: Now) {
         let mut longest_ms = 0;
         for (task, is_over) in over_bound {
             let Some(run) = self.runs.get_mut(&task) else { continue };
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -94,13 +94,13 @@
     }
 
     /// Returns the minion's capacity without the resources that runs reserve.
-    pub(super) fn free(&self) -> Demand {
+    pub(super) fn unreserved(&self) -> Demand {
         self.info.capacity - self.used
     }
 
     /// Returns the processors, in thousandths, that best-effort runs could use together.
     pub(super) fn unused_milli_cpus(&self) -> i64 {
-        self.free().milli_cpus + self.serving_cpus * SERVING_UNUSED_CPU_PERCENT / 100
+        self.unreserved().milli_cpus + self.serving_cpus * SERVING_UNUSED_CPU_PERCENT / 100
     }
 
     /// Returns an amount of processors, in thousandths, as a fraction of the minion's capacity.
--- a/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::draining::DEFAULT_DRAIN_MS;
+use super::draining::DEFAULT_DRAIN_DURATION_MS;
 use super::minion::Minion;
 use crate::{EndKind, MinionInfo, Now};
 
@@ -43,7 +43,8 @@
         }
         minion.responsive |= !minion.reported && has_lease;
         let starts_draining = info.draining && !(minion.reported && minion.info.draining);
-        minion.drain_deadline_ms = now.steady_ms + info.remaining_ms.unwrap_or(DEFAULT_DRAIN_MS);
+        minion.drain_deadline_ms =
+            now.steady_ms + info.remaining_ms.unwrap_or(DEFAULT_DRAIN_DURATION_MS);
         minion.info = info;
         minion.reported = true;
         minion.linked = linked;
--- a/crates/geraniumpost-batch/src/coordinator/orders.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -12,7 +12,7 @@
 
 impl Coordinator {
     /// Sends the start order of a placement that has just been committed.
-    pub(super) fn start_committed(&mut self, task: TaskId, number: u32, now: Now) {
+    pub(super) fn send_committed_start(&mut self, task: TaskId, number: u32, now: Now) {
         let is_due = self
             .runs
             .get(&task)
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -12,7 +12,7 @@
 const MIN_PACE_CHANGE_PERCENT: u8 = 10;
 /// How long a task is throttled before it is moved, in milliseconds: longer than it takes to revert
 /// most changes of pace, but short, as each second of delay makes a whole job late.
-const MOVE_AFTER_THROTTLED_MS: u64 = 300;
+const MAX_THROTTLED_MS: u64 = 300;
 /// Progress in percent below which a throttled task without checkpoints is moved although it loses
 /// that progress.
 const MAX_RESTART_PROGRESS_PERCENT: u8 = 15;
@@ -21,7 +21,7 @@
 const MAX_MOVES_PER_TICK: u32 = 30;
 /// How long a serving task may stay over its bound before all best-effort tasks on its minion are
 /// suspended, in milliseconds: four polls in which paces by learned interference did not help.
-const SUSPEND_AFTER_OVER_BOUND_MS: u64 = 1_600;
+const MAX_OVER_BOUND_MS: u64 = 1_600;
 
 impl Coordinator {
     /// Sets the paces of best-effort tasks on a minion by the tail latencies of its serving tasks.
@@ -47,7 +47,7 @@
             .values()
             .map(|serving| serving.tail_latency_ratio)
             .fold(0.0, f64::max);
-        let suspend = minion.over_bound_ms >= SUSPEND_AFTER_OVER_BOUND_MS;
+        let suspend = minion.over_bound_ms >= MAX_OVER_BOUND_MS;
         let mut changes = Vec::new();
         for (image, tolerated) in self.tolerated_paces(minion) {
             let current =
@@ -107,7 +107,7 @@
             .filter(|(_, run)| matches!(run.order, OrderState::Started { .. }))
             .filter(|(_, run)| {
                 run.throttled_since_ms
-                    .is_some_and(|since| now.steady_ms >= since + MOVE_AFTER_THROTTLED_MS)
+                    .is_some_and(|since| now.steady_ms >= since + MAX_THROTTLED_MS)
             })
             .map(|(task, _)| *task)
             .collect();
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -9,12 +9,12 @@
 use super::job::Job;
 use super::minion::Minion;
 use super::run::{OrderState, Run, reserved_resources};
-use crate::tuning::{BEST_EFFORT_MEMORY_PERCENT, PERSISTENT_CPU_PERCENT};
+use crate::tuning::{MAX_BEST_EFFORT_MEMORY_PERCENT, MAX_PERSISTENT_CPU_PERCENT};
 use crate::{Demand, JobId, JobRecord, Now, Place, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 /// Minimum speed assumed for any minion, as a fraction of full speed, so that minions remain
 /// comparable.
-const MIN_SPEED: f64 = 0.01;
+const MIN_ASSUMED_SPEED: f64 = 0.01;
 /// Weight of the headroom share that a best-effort task uses, relative to its speed.
 const HEADROOM_WEIGHT: f64 = 0.3;
 /// Factor by which the costs of best-effort tasks, in fractions of full speed, become integers:
@@ -197,7 +197,8 @@
         let job = self.jobs.get(&task.job)?;
         let requirements = self.requirements(task, spec)?;
         let avoided_minion = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
-        let is_eligible = |minion: &&Minion| self.rejection(&requirements, minion, now).is_none();
+        let is_eligible =
+            |minion: &&Minion| self.task_rejection(&requirements, minion, now).is_none();
         let fit = |minion: &&Minion| -> Fit {
             let off_rack = rack.is_some_and(|rack| !minion.has_label(rack));
             let avoided = avoided_minion == Some(&minion.info.id);
@@ -221,15 +222,15 @@
     fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
         /// Weight of one level of [`mixing_cost`], in thousandths of a processor.
         const MIXING_WEIGHT: i64 = 1_000_000;
-        let free_cpus = minion.free().milli_cpus;
+        let free_cpus = minion.unreserved().milli_cpus;
         if spec.best_effort {
             let BestEffortSpeed { cpu_speed, tolerated_speed, headroom_share } =
                 self.best_effort_speed(minion, spec);
             // Among minions at full speed, the one with the most unused processors keeps it
             // longest.
             let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_cpus;
-            let cost =
-                HEADROOM_WEIGHT * headroom_share - cpu_speed * tolerated_speed.max(MIN_SPEED);
+            let cost = HEADROOM_WEIGHT * headroom_share
+                - cpu_speed * tolerated_speed.max(MIN_ASSUMED_SPEED);
             return (cost * COST_SCALE) as i64 - unused_milli_cpus / MILLI_CPUS_PER_CPU;
         }
         if spec.is_serving() {
@@ -260,7 +261,8 @@
         }
         let service = &self.jobs.get(&first.job)?.record.terms.service;
         let mut racks: std::collections::BTreeMap<&Name, usize> = std::collections::BTreeMap::new();
-        for minion in self.minions.values().filter(|m| is_eligible(m, service, spec, now)) {
+        for minion in self.minions.values().filter(|m| is_eligible_for_step(m, service, spec, now))
+        {
             if let Some(rack) = minion.info.labels.last() {
                 *racks.entry(rack).or_default() += task_capacity(minion, spec);
             }
@@ -299,7 +301,12 @@
 
 /// Returns whether a minion can take a task of a step, apart from the limit per minion, the
 /// approval and the reserve for short tasks.
-pub(super) fn is_eligible(minion: &Minion, service: &Name, spec: &StepSpec, now: Now) -> bool {
+pub(super) fn is_eligible_for_step(
+    minion: &Minion,
+    service: &Name,
+    spec: &StepSpec,
+    now: Now,
+) -> bool {
     step_rejection(minion, service, spec, now).is_none()
 }
 
@@ -309,19 +316,19 @@
 /// The reserve does not apply to a task that ran before: users notice its absence.
 #[inline]
 pub(super) fn leaves_short_task_reserve(minion: &Minion, spec: &StepSpec) -> bool {
-    let reserve = minion.info.capacity.milli_cpus * (100 - PERSISTENT_CPU_PERCENT) / 100;
+    let reserve = minion.info.capacity.milli_cpus * (100 - MAX_PERSISTENT_CPU_PERCENT) / 100;
     !spec.persistent
         || spec.best_effort
-        || spec.demand.milli_cpus + reserve <= minion.free().milli_cpus
+        || spec.demand.milli_cpus + reserve <= minion.unreserved().milli_cpus
 }
 
 /// Returns the unreserved resources of a minion; for best-effort steps without the memory that is
 /// kept free for other tasks.
 #[inline]
 pub(super) fn available_resources(minion: &Minion, spec: &StepSpec) -> Demand {
-    let mut free = minion.free();
+    let mut free = minion.unreserved();
     if spec.best_effort {
-        let reserve = minion.info.capacity.memory_mb * (100 - BEST_EFFORT_MEMORY_PERCENT) / 100;
+        let reserve = minion.info.capacity.memory_mb * (100 - MAX_BEST_EFFORT_MEMORY_PERCENT) / 100;
         free.memory_mb -= reserve;
     }
     free
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -43,7 +43,11 @@
         };
         Self {
             predecessor_ms: now.steady_ms + lease_expiry_bound_ms(lease_ms),
-            silent: leases.silent.iter().map(|(at, silent)| (*at, expiry(silent))).collect(),
+            silent: leases
+                .silent
+                .iter()
+                .map(|(address, silent)| (*address, expiry(silent)))
+                .collect(),
             unreached: leases
                 .unreached
                 .iter()
@@ -108,8 +112,11 @@
     /// Returns the leases for which a successor would have to wait if it took over now.
     pub fn leases_for_successor(&self, now: Now) -> PredecessorLeases {
         let left = |until_ms: &u64| until_ms.saturating_sub(now.steady_ms);
-        let silent = self.predecessor_expiry.silent.iter().map(|(at, expiry)| {
-            (*at, SilentCoordinator { term: expiry.term, remaining_ms: left(&expiry.until_ms) })
+        let silent = self.predecessor_expiry.silent.iter().map(|(address, expiry)| {
+            (
+                *address,
+                SilentCoordinator { term: expiry.term, remaining_ms: left(&expiry.until_ms) },
+            )
         });
         let unreached =
             self.unreached_agents.iter().map(|(agent, until)| (agent.clone(), left(until)));
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -30,13 +30,13 @@
 
     fn begin_due_occurrences(&mut self, now: Now) {
         for id in self.open_jobs.iter().copied().collect::<Vec<_>>() {
-            self.begin_due_occurrences_of(id, now);
+            self.begin_due_occurrences_of_job(id, now);
         }
     }
 
     /// Begins every occurrence of a job whose due time has passed; there are several if the
     /// coordinator was absent.
-    pub(super) fn begin_due_occurrences_of(&mut self, id: JobId, now: Now) {
+    pub(super) fn begin_due_occurrences_of_job(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let mut started = false;
         while let Some(due_ms) = job.record.next_due_ms().filter(|due| *due <= now.wall_ms) {
--- a/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
@@ -209,7 +209,7 @@
         let mut rejections = RejectionCounts::default();
         let mut accepting = 0;
         for minion in self.minions.values() {
-            match self.rejection(&requirements, minion, now) {
+            match self.task_rejection(&requirements, minion, now) {
                 Some(rejection) => rejections.add(rejection, 1),
                 None => accepting += 1,
             }
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -40,11 +40,11 @@
 pub const STALLED_RUN_TIMEOUT_MS: u64 = 1_800;
 /// Limit on the share of a minion's memory that best-effort tasks may use, in percent. The rest
 /// stays free for small urgent tasks and serving tasks.
-pub const BEST_EFFORT_MEMORY_PERCENT: i64 = 85;
+pub const MAX_BEST_EFFORT_MEMORY_PERCENT: i64 = 85;
 /// Limit on the share of a minion's processors that persistent tasks may reserve, in percent. They
 /// never release them, so that without this limit short urgent tasks would wait indefinitely. Short
 /// urgent tasks usually need about a twentieth of the fleet.
-pub const PERSISTENT_CPU_PERCENT: i64 = 97;
+pub const MAX_PERSISTENT_CPU_PERCENT: i64 = 97;
 /// Share of its reserved processors that a serving task leaves idle, in percent: submitters declare
 /// the demand of their load peaks.
 pub const SERVING_UNUSED_CPU_PERCENT: i64 = 50;
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -34,11 +34,11 @@
 }
 
 impl Simulation {
-    fn image() -> Name {
+    fn serving_image() -> Name {
         Name::from("serving")
     }
 
-    fn best_effort() -> Name {
+    fn best_effort_image() -> Name {
         Name::from("best-effort")
     }
 
@@ -58,7 +58,7 @@
         // A measurement of an idle task of another step shows the image's lowest tail latency.
         let step = TaskId { job: JobId(2), occurrence: 0, step: 0, index: 0 };
         let idle = ServingGroup::of(step, &Name::from("idle"));
-        model.observe(&Self::image(), &idle, IDLE_TAIL_LATENCY_RATIO, &BTreeMap::new(), 0);
+        model.observe(&Self::serving_image(), &idle, IDLE_TAIL_LATENCY_RATIO, &BTreeMap::new(), 0);
         for at_ms in (MEASUREMENT_INTERVAL_MS..ms).step_by(MEASUREMENT_INTERVAL_MS as usize) {
             for minion in 0..self.minions {
                 let runs = (at_ms / 2_000 + u64::from(minion)).is_multiple_of(2);
@@ -66,10 +66,10 @@
                 let sample = (at_ms as f64 * 1.7 + f64::from(minion) * 2.3).sin();
                 let busy =
                     self.user_utilization(minion, at_ms) + self.slope * share + self.noise * sample;
-                let used = BTreeMap::from([(Self::best_effort(), share)]);
+                let used = BTreeMap::from([(Self::best_effort_image(), share)]);
                 let tail_latency_ratio = IDLE_TAIL_LATENCY_RATIO / (1.0 - busy.min(0.97));
                 model.observe(
-                    &Self::image(),
+                    &Self::serving_image(),
                     &Self::group(minion),
                     tail_latency_ratio,
                     &used,
@@ -81,11 +81,11 @@
     }
 
     fn learned_slope(model: &InterferenceModel) -> f64 {
-        model.added_utilization(&Self::image(), &Self::best_effort(), 1.0)
+        model.added_utilization(&Self::serving_image(), &Self::best_effort_image(), 1.0)
     }
 }
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(602),
         failure_persistence: None,
@@ -94,7 +94,7 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     /// The user load of the serving tasks changes, with equal or different phases on the minions,
     /// and measurements are noisy. Whatever the best-effort image adds, its slope must be known
@@ -123,7 +123,7 @@
         let simulation = Simulation { minions, lag, slope, noise: 0.01 };
         let model = simulation.run(20_000);
         for minion in 0..minions {
-            let estimated = model.user_utilization(&Simulation::image(), &Simulation::group(minion));
+            let estimated = model.user_utilization(&Simulation::serving_image(), &Simulation::group(minion));
             let expected = simulation.user_utilization(minion, 20_000 - MEASUREMENT_INTERVAL_MS);
             prop_assert!((estimated - expected).abs() < 0.12, "estimated user load {estimated}, true user load {expected}");
         }
@@ -142,7 +142,7 @@
     /// Slopes must stay finite whatever values a damaged snapshot holds.
     #[test]
     fn invalid_pairs_are_ignored(slope in any::<f64>(), deviation in any::<f64>()) {
-        let (serving, best_effort) = (Simulation::image(), Simulation::best_effort());
+        let (serving, best_effort) = (Simulation::serving_image(), Simulation::best_effort_image());
         let pairs = vec![InterferencePair { serving, best_effort, slope, deviation }];
         let mut model = InterferenceModel::default();
         model.restore(&InterferenceSnapshot { pairs, idle_tail_latency_ratios: Vec::new() });
@@ -176,8 +176,8 @@
 #[test]
 fn slope_is_learned_from_ends_alone() {
     let mut model = InterferenceModel::default();
-    let used = |share| BTreeMap::from([(Simulation::best_effort(), share)]);
-    let (image, group) = (Simulation::image(), Simulation::group(0));
+    let used = |share| BTreeMap::from([(Simulation::best_effort_image(), share)]);
+    let (image, group) = (Simulation::serving_image(), Simulation::group(0));
     model.observe(&image, &group, IDLE_TAIL_LATENCY_RATIO, &used(0.0), 0);
     for run in 1..20 {
         let at_ms = run * 60_000;
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -105,7 +105,7 @@
 
 /// The coordinator's key in the store.
 #[derive(Debug, Default)]
-struct Key {
+struct CoordinatorKey {
     revision: u64,
     term: u64,
     holder: usize,
@@ -120,7 +120,7 @@
     now_ms: u64,
     rng: StdRng,
     processes: Vec<Process>,
-    key: Key,
+    key: CoordinatorKey,
     /// Messages in flight: time of arrival, receiving entry or `None` for the store, incarnation of
     /// the entry, and content.
     in_flight: Vec<(u64, Option<usize>, u64, Message)>,
@@ -129,8 +129,8 @@
     outcome: Outcome,
 }
 
-fn entry_name(at: usize) -> Name {
-    format!("e{at}").into()
+fn entry_name(entry: usize) -> Name {
+    format!("e{entry}").into()
 }
 
 impl Fleet {
@@ -141,7 +141,7 @@
             now_ms: 10_000,
             rng,
             processes,
-            key: Key::default(),
+            key: CoordinatorKey::default(),
             in_flight: Vec::new(),
             cuts: Vec::new(),
             outcome: Outcome::default(),
@@ -167,17 +167,20 @@
     fn inject(&mut self, fault: Fault) {
         let now_ms = self.now_ms;
         match fault {
-            Fault::TakeOver(at) => {
-                let requested_ms = self.processes[at].clock_ms(now_ms);
-                if self.processes[at].term.is_none() {
+            Fault::TakeOver(entry) => {
+                let requested_ms = self.processes[entry].clock_ms(now_ms);
+                if self.processes[entry].term.is_none() {
                     let revision = self.key.revision;
-                    self.send_to_store(at, Message::TakeOver { from: at, revision, requested_ms });
+                    self.send_to_store(
+                        entry,
+                        Message::TakeOver { from: entry, revision, requested_ms },
+                    );
                 }
             }
-            Fault::Freeze(at, ms) => self.processes[at].frozen_until_ms = now_ms + ms,
-            Fault::Restart(at) => self.processes[at].restart(),
+            Fault::Freeze(entry, ms) => self.processes[entry].frozen_until_ms = now_ms + ms,
+            Fault::Restart(entry) => self.processes[entry].restart(),
             Fault::LinkCut(from, to, ms) => self.cuts.push((from, to, now_ms + ms)),
-            Fault::StoreCut(at, ms) => self.processes[at].store_cut_until_ms = now_ms + ms,
+            Fault::StoreCut(entry, ms) => self.processes[entry].store_cut_until_ms = now_ms + ms,
         }
     }
 
@@ -226,9 +229,9 @@
         while self.now_ms < until_ms {
             self.now_ms += TICK_MS;
             self.deliver();
-            for at in 0..self.processes.len() {
-                if self.processes[at].frozen_until_ms <= self.now_ms {
-                    self.run_due_actions(at);
+            for entry in 0..self.processes.len() {
+                if self.processes[entry].frozen_until_ms <= self.now_ms {
+                    self.run_due_actions(entry);
                 }
             }
             self.check_lease_overlap();
@@ -266,7 +269,13 @@
                 let (revision, term) = (revision + 1, revision + 1);
                 let mut voters = std::mem::take(&mut self.key.voters);
                 voters.insert(term, last_voters.without(&entry_name(from)));
-                self.key = Key { revision, term, holder: from, write: 0, voters: voters.clone() };
+                self.key = CoordinatorKey {
+                    revision,
+                    term,
+                    holder: from,
+                    write: 0,
+                    voters: voters.clone(),
+                };
                 self.respond(from, incarnation, Message::TookOver { term, requested_ms, voters });
             }
             Message::Confirm { from, requested_ms } if self.key.holder == from => {
@@ -293,8 +302,8 @@
     }
 
     /// Handles a message at an entry.
-    fn receive(&mut self, at: usize, message: Message) {
-        let process = &mut self.processes[at];
+    fn receive(&mut self, entry: usize, message: Message) {
+        let process = &mut self.processes[entry];
         let clock_ms = process.clock_ms(self.now_ms);
         match message {
             Message::Ping { from, incarnation, supports } => {
@@ -303,16 +312,16 @@
                     term.support.record_promise(&entry_name(from), incarnation, sent.steady_ms);
                 }
                 let sent = TermTime { term: term.number, steady_ms: clock_ms };
-                self.send(at, from, Message::Pong(sent));
+                self.send(entry, from, Message::Pong(sent));
             }
             Message::Pong(sent) => process.last_pong = Some((sent, clock_ms)),
             Message::Release { from, term } => {
                 let remaining_ms = process.promises.release(term, clock_ms);
                 let incarnation = process.incarnation;
                 self.send(
-                    at,
+                    entry,
                     from,
-                    Message::Released { from: at, incarnation, term, remaining_ms },
+                    Message::Released { from: entry, incarnation, term, remaining_ms },
                 );
             }
             Message::Released { from, incarnation, term, remaining_ms } => {
@@ -330,7 +339,7 @@
             }
             Message::TookOver { term, requested_ms, voters } => {
                 process.term = Some(Term::new(term, requested_ms, clock_ms, &voters));
-                self.release_own_promises(at);
+                self.release_own_promises(entry);
             }
             Message::VotersWritten { term, write } => {
                 let current = |own: &&mut Term| own.number == term && own.voter_writes == write;
@@ -346,26 +355,26 @@
     }
 
     /// Releases a new coordinator's own promises to its predecessors.
-    fn release_own_promises(&mut self, at: usize) {
-        let process = &mut self.processes[at];
+    fn release_own_promises(&mut self, entry: usize) {
+        let process = &mut self.processes[entry];
         let clock_ms = process.clock_ms(self.now_ms);
         let Some(term) = &mut process.term else { return };
         let remaining_ms = process.promises.release(term.number, clock_ms);
         for releases in term.releases.values_mut() {
-            releases.record(&entry_name(at), process.incarnation, remaining_ms, clock_ms);
+            releases.record(&entry_name(entry), process.incarnation, remaining_ms, clock_ms);
         }
     }
 
     /// Runs the periodic actions of an entry that are due.
-    fn run_due_actions(&mut self, at: usize) {
-        let due = |every_ms: u64| (self.now_ms + 40 * at as u64).is_multiple_of(every_ms);
+    fn run_due_actions(&mut self, entry: usize) {
+        let due = |every_ms: u64| (self.now_ms + 40 * entry as u64).is_multiple_of(every_ms);
         let (pings, confirms) = (due(PING_INTERVAL_MS), due(CONFIRM_INTERVAL_MS));
         let (requests, writes) = (due(RELEASE_REQUEST_INTERVAL_MS), due(VOTER_WRITE_INTERVAL_MS));
         if pings {
-            self.send_pings(at);
+            self.send_pings(entry);
         }
-        let clock_ms = self.processes[at].clock_ms(self.now_ms);
-        let Some(term) = &mut self.processes[at].term else { return };
+        let clock_ms = self.processes[entry].clock_ms(self.now_ms);
+        let Some(term) = &mut self.processes[entry].term else { return };
         term.record_lease_ends();
         let number = term.number;
         if writes
@@ -378,31 +387,31 @@
         }
         if writes && let Some(voters) = term.pending_voters.clone() {
             let write = term.voter_writes;
-            self.send_to_store(at, Message::WriteVoters { from: at, write, voters });
+            self.send_to_store(entry, Message::WriteVoters { from: entry, write, voters });
         }
         if confirms {
-            self.send_to_store(at, Message::Confirm { from: at, requested_ms: clock_ms });
+            self.send_to_store(entry, Message::Confirm { from: entry, requested_ms: clock_ms });
         }
         if requests {
-            for to in (0..self.processes.len()).filter(|to| *to != at) {
-                self.send(at, to, Message::Release { from: at, term: number });
+            for to in (0..self.processes.len()).filter(|to| *to != entry) {
+                self.send(entry, to, Message::Release { from: entry, term: number });
             }
         }
     }
 
     /// Sends pings from an entry to the holder of the key and to every other coordinator.
-    fn send_pings(&mut self, at: usize) {
+    fn send_pings(&mut self, entry: usize) {
         let holder = self.key.holder;
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[entry];
         let incarnation = process.incarnation;
         let promise = |(sent, heard_ms): (TermTime, u64)| {
             process.promises.promise(sent.term, heard_ms).then_some(sent)
         };
         let supports = process.last_pong.and_then(promise);
-        for to in (0..self.processes.len()).filter(|to| *to != at) {
+        for to in (0..self.processes.len()).filter(|to| *to != entry) {
             // Entries that do not know the successor still ping a disconnected coordinator.
             if to == holder || self.processes[to].term.is_some() {
-                self.send(at, to, Message::Ping { from: at, incarnation, supports });
+                self.send(entry, to, Message::Ping { from: entry, incarnation, supports });
             }
         }
     }
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -21,16 +21,16 @@
     let duration_ms = prop_oneof![50..900_u64, 900..2_500_u64, 2_500..12_000_u64];
     let fault = prop_oneof![
         4 => entry.clone().prop_map(Fault::TakeOver),
-        2 => (entry.clone(), duration_ms.clone()).prop_map(|(at, ms)| Fault::Freeze(at, ms)),
+        2 => (entry.clone(), duration_ms.clone()).prop_map(|(entry, ms)| Fault::Freeze(entry, ms)),
         1 => entry.clone().prop_map(Fault::Restart),
         2 => (entry.clone(), entry.clone(), duration_ms.clone())
             .prop_map(|(from, to, ms)| Fault::LinkCut(from, to, ms)),
-        2 => (entry, duration_ms).prop_map(|(at, ms)| Fault::StoreCut(at, ms)),
+        2 => (entry, duration_ms).prop_map(|(entry, ms)| Fault::StoreCut(entry, ms)),
     ];
     vec((0..3_000_u64, fault), 1..=12)
 }
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: CASES,
         rng_seed: RngSeed::Fixed(601),
@@ -40,7 +40,7 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     /// A disconnected or frozen coordinator that extends leases for too long keeps tasks running
     /// that its successor starts elsewhere, so that a caller gets two results.
