--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::Name;
 
-use super::commits::DeferredAction;
+use super::commits::Deferred;
 use super::job::Job;
 use super::{Coordinator, Effect};
 use crate::tuning::RETRY_AFTER_MS;
@@ -39,7 +39,7 @@
             if job.is_durable() {
                 self.reply(request_id, CallerResponse::Accepted);
             } else {
-                job.after_commit.push(DeferredAction::Reply(request_id, CallerResponse::Accepted));
+                job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
             }
             return;
         }
@@ -61,7 +61,7 @@
             spec.steps.iter().map(|step| step.count).sum::<u32>(),
         ));
         let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
-        job.after_commit.push(DeferredAction::Reply(request_id, CallerResponse::Accepted));
+        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
         self.jobs.insert(id, job);
         self.open_jobs.insert(id);
         self.dirty.insert(id);
@@ -79,7 +79,7 @@
             self.reply(request_id, CallerResponse::Cancelled);
             return;
         }
-        job.after_commit.push(DeferredAction::Reply(request_id, CallerResponse::Cancelled));
+        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Cancelled));
         if !finished {
             self.finish_job(id, JobState::Cancelled, now);
         }
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -18,12 +18,12 @@
     job: JobId,
     version: u64,
     state: JobState,
-    actions: Vec<DeferredAction>,
+    actions: Vec<Deferred>,
 }
 
 /// An action that waits until a version of a record is committed.
 #[derive(Debug, Clone)]
-pub(super) enum DeferredAction {
+pub(super) enum Deferred {
     /// Respond to a caller's request: request id and response.
     Reply(u64, CallerResponse),
     /// Send the start order of a run, given by its number.
@@ -62,12 +62,12 @@
         self.report_recorded_departures();
     }
 
-    fn run_deferred_action(&mut self, deferred: DeferredAction, now: Now) {
+    fn run_deferred_action(&mut self, deferred: Deferred, now: Now) {
         match deferred {
-            DeferredAction::Reply(request_id, response) => {
+            Deferred::Reply(request_id, response) => {
                 self.effects.push(Effect::Reply { request_id, response });
             }
-            DeferredAction::Start(task, run) => self.send_committed_start(task, run, now),
+            Deferred::Start(task, run) => self.send_committed_start(task, run, now),
         }
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::Name;
 
-use super::commits::DeferredAction;
+use super::commits::Deferred;
 use crate::{JobRecord, JobState, TaskId};
 
 /// A job's record, and state that is not persisted.
@@ -20,7 +20,7 @@
     /// Whether any task has started, so that callers see the job as running.
     pub(super) started: bool,
     /// Actions to run once the current version is committed.
-    pub(super) after_commit: Vec<DeferredAction>,
+    pub(super) after_commit: Vec<Deferred>,
     /// Per-task state for the next placement.
     pub(super) hints: HashMap<TaskId, PlacementHint>,
     /// Start of the time without any run, on the monotonic clock; `None` while the job has runs.
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::commits::DeferredAction;
+use super::commits::Deferred;
 use super::eligibility::step_rejection;
 use super::headroom::BestEffortSpeed;
 use super::job::Job;
@@ -135,7 +135,8 @@
                 record.phase = TaskPhase::Waiting;
             });
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                let is_start = |action: &DeferredAction| matches!(action, DeferredAction::Start(t, _) if t == task);
+                let is_start =
+                    |action: &Deferred| matches!(action, Deferred::Start(t, _) if t == task);
                 job.after_commit.retain(|action| !is_start(action));
             }
         }
@@ -176,7 +177,7 @@
         let run = Run::new(place, number, OrderState::Committing, &spec, now.steady_ms);
         self.insert_run(task, run);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.after_commit.push(DeferredAction::Start(task, number));
+            job.after_commit.push(Deferred::Start(task, number));
         }
     }
 
