--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -4,14 +4,15 @@
 use crate::tuning::{MAX_BYTES_PER_WRITE, MAX_CONCURRENT_WRITES, MAX_RECORDS_PER_WRITE};
 use crate::{CallerResponse, JobId, JobState, Now, TaskId, ToAgent};
 
-/// A write in flight.
+/// A batch whose write is not complete: the records that it writes, and the jobs whose records it
+/// removes.
 #[derive(Debug)]
 pub(super) struct PendingBatch {
     jobs: Vec<PendingRecord>,
     removed: Vec<JobId>,
 }
 
-/// One record of a write in flight.
+/// A record that is being written, and the actions that wait for it.
 #[derive(Debug)]
 struct PendingRecord {
     job: JobId,
@@ -23,7 +24,7 @@
 /// An action that waits until a version of a record is committed.
 #[derive(Debug, Clone)]
 pub(super) enum Deferred {
-    /// Respond to a caller's request: ticket and response.
+    /// Respond to a caller's request: request id and response.
     Reply(u64, CallerResponse),
     /// Send the start order of a run, given by its number.
     Start(TaskId, u32),
@@ -51,7 +52,7 @@
                 job.committed_state = written.state;
             }
             for deferred in written.actions {
-                self.run_deferred(deferred, now);
+                self.run_deferred_action(deferred, now);
             }
         }
         for id in batch.removed {
@@ -61,16 +62,17 @@
         self.report_recorded_departures();
     }
 
-    fn run_deferred(&mut self, deferred: Deferred, now: Now) {
+    fn run_deferred_action(&mut self, deferred: Deferred, now: Now) {
         match deferred {
             Deferred::Reply(request_id, response) => {
                 self.effects.push(Effect::Reply { request_id, response });
             }
-            Deferred::Start(task, run) => self.start_committed(task, run, now),
+            Deferred::Start(task, run) => self.send_committed_start(task, run, now),
         }
     }
 
-    /// Acknowledges the ends that the store holds, so that minions may forget them.
+    /// Acknowledges the ends of runs that the stored records contain, so that minions may discard
+    /// them.
     pub(super) fn acknowledge_ends(&mut self) {
         let jobs = &self.jobs;
         let is_durable = |id: &JobId, version: u64| {
@@ -99,13 +101,13 @@
     /// Gathers changed records into writes, up to the limit of concurrent writes.
     pub(super) fn gather_writes(&mut self, now: Now) {
         while self.batches.len() < MAX_CONCURRENT_WRITES {
-            let Some(mut write) = self.gather_write() else { return };
+            let Some(mut write) = self.gather_batch() else { return };
             write.interference = self.interference_to_write(now);
             self.effects.push(Effect::Write(write));
         }
     }
 
-    fn gather_write(&mut self) -> Option<WriteBatch> {
+    fn gather_batch(&mut self) -> Option<WriteBatch> {
         let number = self.next_batch;
         let mut write =
             WriteBatch { number, put: Vec::new(), remove: Vec::new(), interference: None };
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -8,15 +8,15 @@
 use crate::tuning::{STORE_CONFIRMATION_VALIDITY_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// Minimum interval between two log lines on the lease basis, in milliseconds.
-const LOG_INTERVAL_MS: u64 = 1_000;
+const BASIS_LOG_INTERVAL_MS: u64 = 1_000;
 
 /// The support of other entries, as last set.
 #[derive(Debug, Default)]
 pub(super) struct EntrySupport {
-    /// Until when a majority has promised not to follow a successor, on the steady clock.
+    /// End of the majority's promise to follow no successor, on the monotonic clock.
     until_ms: u64,
     supporters: usize,
-    /// The basis that was last logged, and when.
+    /// The basis that was last logged, and the time of that line on the monotonic clock.
     last_logged: Option<(Option<LeaseBasis>, u64)>,
 }
 
@@ -26,13 +26,13 @@
 pub(super) enum LeaseBasis {
     /// A majority of entries does not follow a successor.
     Entries,
-    /// The store has confirmed the term a moment ago.
+    /// The store has confirmed the term within [`STORE_CONFIRMATION_VALIDITY_MS`].
     Store,
 }
 
 impl Coordinator {
-    /// Sets until when a majority of entries supports this coordinator, on the steady clock, and
-    /// how many other entries support it now.
+    /// Sets the time until which a majority of entries supports this coordinator, on the monotonic
+    /// clock, and the number of other entries that support it now.
     pub const fn set_supported_until(&mut self, steady_ms: u64, supporters: usize) {
         self.support.until_ms = steady_ms;
         self.support.supporters = supporters;
@@ -40,9 +40,9 @@
 
     /// Returns what allows this coordinator to extend leases, if anything does.
     ///
-    /// Nothing does once [`STORE_OUTAGE_TOLERANCE_MS`] have passed since the last confirmed request
-    /// to the store: a successor that hears from too few entries then assumes that the runs have
-    /// ended.
+    /// Returns `None` once [`STORE_OUTAGE_TOLERANCE_MS`] have passed since the last confirmed
+    /// request to the store: a successor that hears from too few entries then assumes that the runs
+    /// have ended.
     pub(super) const fn lease_basis(&self, now: Now) -> Option<LeaseBasis> {
         if now.steady_ms >= self.confirmation_requested_ms + STORE_OUTAGE_TOLERANCE_MS {
             return None;
@@ -61,7 +61,9 @@
         let basis = self.lease_basis(now);
         let due = match self.support.last_logged {
             None => true,
-            Some((logged, at_ms)) => logged != basis && now.steady_ms >= at_ms + LOG_INTERVAL_MS,
+            Some((logged, at_ms)) => {
+                logged != basis && now.steady_ms >= at_ms + BASIS_LOG_INTERVAL_MS
+            }
         };
         if !due {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
@@ -3,22 +3,23 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::draining::DEFAULT_DRAIN_MS;
+use super::draining::DEFAULT_DRAIN_DURATION_MS;
 use super::minion::Minion;
 use crate::{EndKind, MinionInfo, Now};
 
 /// A lease that expires sooner than this, in milliseconds, may end before an order arrives.
-const MIN_LEASE_LEFT_MS: u64 = 1_000;
+const MIN_REMAINING_LEASE_MS: u64 = 1_000;
 
 impl Coordinator {
-    /// Handles a minion's report about itself.
+    /// Handles a report of a minion's properties, which may show a new incarnation or the start of
+    /// draining.
     pub(super) fn update_minion(&mut self, agent: &Name, info: MinionInfo, now: Now) {
         let id = info.id.clone();
         let previous = self.agents.entry(agent.clone()).or_default().minion.replace(id.clone());
         if let Some(previous) = previous.filter(|previous| *previous != id) {
             self.remove_minion(&previous, now);
         }
-        // Records may name earlier incarnations beside this agent, which no longer exist.
+        // Records may name earlier incarnations of this agent's minion, which no longer exist.
         let terminated: Vec<Name> = self
             .minions
             .iter()
@@ -32,7 +33,7 @@
         let has_lease = self
             .agents
             .get(agent)
-            .is_some_and(|a| a.lease_expiry_ms > now.steady_ms + MIN_LEASE_LEFT_MS);
+            .is_some_and(|a| a.lease_expiry_ms > now.steady_ms + MIN_REMAINING_LEASE_MS);
         let minion = self
             .minions
             .entry(id.clone())
@@ -42,7 +43,8 @@
         }
         minion.responsive |= !minion.reported && has_lease;
         let starts_draining = info.draining && !(minion.reported && minion.info.draining);
-        minion.drain_deadline_ms = now.steady_ms + info.remaining_ms.unwrap_or(DEFAULT_DRAIN_MS);
+        minion.drain_deadline_ms =
+            now.steady_ms + info.remaining_ms.unwrap_or(DEFAULT_DRAIN_DURATION_MS);
         minion.info = info;
         minion.reported = true;
         minion.linked = linked;
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -1,7 +1,7 @@
 //! Log lines about runs that are kept because their minions are unreachable.
 //!
-//! Such a run is not replaced before its lease has certainly expired. Until then its users cannot
-//! use it, and only these lines tell an operator what the coordinator waits for.
+//! Such a run is not replaced before its lease has certainly expired. Until then the task is down,
+//! and only these lines tell an operator what the coordinator waits for.
 
 use geraniumpost_schema::Name;
 
@@ -13,8 +13,9 @@
 /// Time that a new coordinator gives agents to link before it logs which are missing, in
 /// milliseconds; most link within half a second.
 const LINK_GRACE_MS: u64 = 1_000;
-/// When a new coordinator logs how long it waits for a predecessor's leases, in milliseconds after
-/// its start: at once, as its term may be short, and when most agents have linked.
+/// Times at which a new coordinator logs how long it waits for a predecessor's leases, in
+/// milliseconds after its start: at once, as its term may be short, and when most agents have
+/// linked.
 const PREDECESSOR_WAIT_LOG_DELAYS_MS: [u64; 2] = [0, LINK_GRACE_MS];
 
 impl Minion {
@@ -33,7 +34,7 @@
         else {
             return;
         };
-        let wait_ms = self.predecessor_expiry.latest_ms().saturating_sub(now.steady_ms);
+        let wait_ms = self.predecessor_expiry.latest_lease_end_ms().saturating_sub(now.steady_ms);
         if wait_ms == 0 || now.steady_ms < self.wait_state.started_ms + after_ms {
             return;
         }
@@ -48,7 +49,7 @@
         ));
     }
 
-    /// Logs each unreachable minion with runs, once per loss.
+    /// Logs each unreachable minion with runs, once until it is reachable again.
     pub(super) fn log_unreachable(&mut self, now: Now) {
         if now.steady_ms < self.wait_state.started_ms + LINK_GRACE_MS {
             return;
@@ -76,7 +77,7 @@
         tasks.filter(|task| self.step_spec(**task).is_some_and(|step| step.persistent)).count()
     }
 
-    /// Logs until when a minion's runs are kept, and whose lease determines that.
+    /// Logs how long a minion's runs are kept, and whose lease determines that.
     fn log_unreachable_minion(&mut self, id: &Name, persistent: usize, omitted: usize, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
         let (until_ms, from_predecessor) = self.lease_expiry(&minion.agent);
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -4,26 +4,26 @@
 
 /// Limit on remembered terminations. A VM rarely has more than one in several minutes; the limit
 /// matters only if a minion restarts continuously while there is no coordinator.
-const MAX_TERMINATED: usize = 16;
+const MAX_TERMINATIONS: usize = 16;
 
-/// Minion incarnations that have left this VM and whose termination no coordinator has recorded
-/// yet.
+/// Minion incarnations that terminate or have terminated on this VM, until a coordinator has
+/// recorded their termination.
 ///
-/// The tasks of a minion end with it, and its agent may be the only process that knows. A report
-/// that is sent once is lost if the agent has no connection at that moment, or if the coordinator
-/// fails before it has written its records. The next coordinator then waits for a lease that nobody
-/// holds, and persistent tasks are down meanwhile. The agent therefore repeats the report on every
-/// connection until a coordinator confirms that its records hold it.
+/// The tasks of a minion end with it, and its agent may be the only process that knows of their
+/// end. A report that is sent once is lost if the agent has no connection at that moment, or if the
+/// coordinator fails before it has written its records. The next coordinator then waits for a lease
+/// that nobody holds, and persistent tasks are down meanwhile. The agent therefore repeats the
+/// report on every connection until a coordinator confirms that its records hold it.
 #[derive(Debug, Default)]
 pub struct Departures {
-    /// Minions that have announced that they leave and may still be running.
+    /// Minions that have announced their termination and may still be running.
     leaving: Vec<Name>,
     /// Minions that have terminated, the latest last.
     terminated: VecDeque<Name>,
 }
 
 impl Departures {
-    /// Records that a minion has announced that it leaves.
+    /// Records that a minion has announced its termination and may still be running.
     pub fn record_leaving(&mut self, minion: &Name) {
         if !self.leaving.contains(minion) {
             self.leaving.push(minion.clone());
@@ -33,13 +33,13 @@
     /// Records that a minion has terminated. Drops the oldest record if there are too many.
     pub fn record_terminated(&mut self, minion: &Name) {
         self.remove(minion);
-        if self.terminated.len() == MAX_TERMINATED {
+        if self.terminated.len() == MAX_TERMINATIONS {
             self.terminated.pop_front();
         }
         self.terminated.push_back(minion.clone());
     }
 
-    /// Removes a minion, either because the job records hold its termination or because it answers
+    /// Removes a minion, either because the job records hold its termination or because it responds
     /// after all.
     pub fn remove(&mut self, minion: &Name) {
         self.leaving.retain(|leaving| leaving != minion);
@@ -51,7 +51,7 @@
         self.terminated.iter()
     }
 
-    /// Returns whether no minion is leaving and no termination is left to report.
+    /// Returns whether no minion is terminating and no termination is left to report.
     pub fn is_empty(&self) -> bool {
         self.leaving.is_empty() && self.terminated.is_empty()
     }
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -8,7 +8,7 @@
 use geraniumpost_schema::Name;
 
 /// How long an entry keeps a promise, on its own clock.
-const KEPT_MS: u64 = PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100;
+const KEPT_PROMISE_MS: u64 = PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100;
 const INCARNATION: u64 = 7;
 
 fn entry(number: usize) -> Name {
@@ -38,8 +38,8 @@
     half_of_many_others_is_needed: 34 others => 17 support, 18 release;
 }
 
-/// The coordinator counts a promise from when it sent the pong that the entry answers: the answer
-/// may be delayed, so that the promise has expired when it arrives.
+/// For the coordinator a promise begins when it sent the pong that the entry responds to: the
+/// response may be delayed, so that the promise has expired when it arrives.
 #[test]
 fn promise_counts_from_the_sending_of_the_pong() {
     let mut support = Support::new(voters(2), 0);
@@ -71,9 +71,9 @@
     assert_eq!(support.supported_until_ms(), 0);
 }
 
-/// While other voters are being written, the key may hold either set, and the successor asks the
-/// voters of the set that it finds. A coordinator that counted only one set might extend leases for
-/// too long.
+/// While other voters are being written, the key may hold either set, and the successor sends
+/// release requests to the voters of the set that it reads. A coordinator that counted only one set
+/// might extend leases for too long.
 #[test]
 fn both_sets_count_while_voters_change() {
     let mut support = Support::new(voters(1), 0);
@@ -86,7 +86,7 @@
     assert!(support.voters().contains(&entry(2), INCARNATION));
 }
 
-/// Entries that stop answering must be left out of the next set of voters. Otherwise two lost
+/// Entries that stop responding must be left out of the next set of voters. Otherwise two lost
 /// entries of five would permanently leave no margin for the loss of a third.
 #[test]
 fn silent_entries_are_removed_from_the_voters() {
@@ -111,7 +111,8 @@
 }
 
 /// A new coordinator rewrites its key before it has heard from any entry. If it wrote an empty set
-/// of voters, its successor could ask no entry and would wait for the longest time.
+/// of voters, its successor could send release requests to no entry and would wait until the
+/// coordinator may no longer extend leases without the store.
 #[test]
 fn new_coordinator_keeps_the_voters_at_first() {
     let support = Support::new(voters(2), 1_000);
@@ -125,15 +126,15 @@
 fn released_promise_is_not_renewed() {
     let mut promises = Promises::default();
     assert!(promises.promise(5, 1_000));
-    assert_eq!(promises.release(8, 1_100), KEPT_MS - 100);
+    assert_eq!(promises.release(8, 1_100), KEPT_PROMISE_MS - 100);
     assert!(!promises.promise(5, 1_200) && !promises.promise(7, 1_200));
     assert!(promises.promise(8, 1_200));
-    assert_eq!(promises.release(8, 1_000 + KEPT_MS), 0);
-    assert_eq!(promises.release(9, 1_000 + KEPT_MS), 200);
+    assert_eq!(promises.release(8, 1_000 + KEPT_PROMISE_MS), 0);
+    assert_eq!(promises.release(9, 1_000 + KEPT_PROMISE_MS), 200);
 }
 
-/// The successor knows the end of the support once so many voters have answered that no majority is
-/// left.
+/// A successor knows when its predecessor loses its support as soon as the voters that have not
+/// responded are no longer a majority.
 #[test]
 fn end_of_support_is_known_once_no_majority_is_left() {
     let mut releases = Releases::new(voters(3));
@@ -145,17 +146,17 @@
     assert_eq!(releases.support_end_ms(), Some(1_400));
 }
 
-/// A restarted voter knows no promises, but its earlier process may have given one just before it
-/// ended.
+/// A restarted voter does not know the promises of its earlier process, which may have given one
+/// just before it ended.
 #[test]
 fn restarted_voter_counts_as_a_promise_of_full_duration() {
     let mut releases = Releases::new(voters(1));
     releases.record(&entry(1), INCARNATION + 1, 0, 1_000);
-    assert_eq!(releases.support_end_ms(), Some(1_000 + KEPT_MS));
+    assert_eq!(releases.support_end_ms(), Some(1_000 + KEPT_PROMISE_MS));
 }
 
-/// A coordinator without voters may continue without the store, and no entry can tell when it
-/// stops.
+/// A coordinator without voters may extend leases without the store, and no entry can report when
+/// it stops.
 #[test]
 fn end_of_support_of_a_lone_coordinator_is_unknown() {
     assert_eq!(Releases::new(Voters::default()).support_end_ms(), None);
