--- a/crates/geraniumpost-core/src/requests/agent_gauge.rs
+++ b/crates/geraniumpost-core/src/requests/agent_counters.rs
@@ -20,7 +20,7 @@
 /// are atomics here, so that a request neither takes a lock nor publishes a snapshot, and a
 /// decision based on an old snapshot still counts the requests that this entry has sent since.
 #[derive(Debug, Default)]
-pub struct AgentGauge {
+pub struct AgentCounters {
     in_flight: AtomicU32,
     reported_in_flight: AtomicU32,
     queued: AtomicU32,
@@ -34,7 +34,7 @@
     has_failures: AtomicBool,
 }
 
-impl AgentGauge {
+impl AgentCounters {
     /// Counts a request sent to the agent until the returned guard is dropped.
     ///
     /// The count is tied to a guard rather than to a pair of calls because the request's future is
@@ -46,7 +46,7 @@
         InFlightGuard::new(Arc::clone(self))
     }
 
-    pub(super) fn end(&self) {
+    pub(super) fn end_request(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Milliseconds since the last report.
-    pub fn report_age(&self, now: Millis) -> u64 {
+    pub fn report_age_ms(&self, now: Millis) -> u64 {
         now.since(Millis(self.reported_at.load(Relaxed)))
     }
 
--- a/crates/geraniumpost-core/src/requests/agent_view.rs
+++ b/crates/geraniumpost-core/src/requests/agent_view.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::{AgentState, Heartbeat, Name};
 
-use super::{AgentGauge, Location};
+use super::{AgentCounters, Location};
 
 /// One incarnation of an agent, as contained in a [`super::Snapshot`].
 ///
@@ -25,7 +25,7 @@
     state: AgentState,
     slots: u32,
     connected: bool,
-    gauge: Arc<AgentGauge>,
+    counters: Arc<AgentCounters>,
 }
 
 impl AgentView {
@@ -40,7 +40,7 @@
             state: AgentState::Ready,
             slots: 8,
             connected: true,
-            gauge: Arc::default(),
+            counters: Arc::default(),
         }
     }
 
@@ -81,8 +81,8 @@
 
     /// Sets the shared counters, so that a new snapshot keeps their values.
     #[must_use]
-    pub fn gauge(mut self, gauge: Arc<AgentGauge>) -> Self {
-        self.gauge = gauge;
+    pub fn with_counters(mut self, counters: Arc<AgentCounters>) -> Self {
+        self.counters = counters;
         self
     }
 
@@ -127,13 +127,13 @@
     }
 
     /// Shared counters of the agent.
-    pub const fn counters(&self) -> &Arc<AgentGauge> {
-        &self.gauge
+    pub const fn counters(&self) -> &Arc<AgentCounters> {
+        &self.counters
     }
 
     /// Whether ordinary requests may be sent to the agent.
     pub fn is_routable(&self) -> bool {
-        self.connected && !self.is_draining() && !self.gauge.is_ejected()
+        self.connected && !self.is_draining() && !self.counters.is_ejected()
     }
 }
 
--- a/crates/geraniumpost-core/src/requests/attempt_ledger.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_ledger.rs
@@ -11,10 +11,10 @@
 
 /// A finished attempt whose answer is still kept.
 #[derive(Debug, Clone, Copy)]
-struct KeptAnswer {
+struct KeptAnswerInfo {
     id: RequestId,
     bytes: usize,
-    since: Millis,
+    finished_at: Millis,
 }
 
 /// Ledger in which an agent records which attempts have run. It is the only authority on that.
@@ -47,7 +47,7 @@
     limits: LedgerLimits,
     records: HashMap<RequestId, AttemptRecord<A>>,
     ended: VecDeque<RequestId>,
-    answers: VecDeque<KeptAnswer>,
+    answers: VecDeque<KeptAnswerInfo>,
     answer_bytes: usize,
     keys: KeyIndex,
     floors: SequenceFloors,
@@ -76,7 +76,7 @@
             let barred = matches!(record.state, AttemptState::Barred);
             return if barred { Admission::Barred } else { Admission::Duplicate };
         }
-        if self.floors.may_be_dropped(id) {
+        if self.floors.may_have_been_dropped(id) {
             return Admission::Forgotten;
         }
         if !key.is_empty() {
@@ -132,7 +132,7 @@
         }
         record.state = AttemptState::Finished(Some(answer));
         let joined = std::mem::take(&mut record.joined);
-        self.answers.push_back(KeptAnswer { id, bytes, since: now });
+        self.answers.push_back(KeptAnswerInfo { id, bytes, finished_at: now });
         self.answer_bytes += bytes;
         self.record_ended(id, &joined);
         self.expire_answers(now);
@@ -191,10 +191,10 @@
     /// Drops answers that exceed the limits on age, number or size. [`Self::admit`] and the queries
     /// do so as well; periodic calls free the memory of an agent that gets no requests.
     pub fn expire_answers(&mut self, now: Millis) {
-        while let Some(&KeptAnswer { id, bytes, since }) = self.answers.front() {
+        while let Some(&KeptAnswerInfo { id, bytes, finished_at }) = self.answers.front() {
             let within_limits = self.answers.len() <= self.limits.answers
                 && self.answer_bytes <= self.limits.answer_bytes
-                && now.since(since) <= self.limits.answer_ms;
+                && now.since(finished_at) <= self.limits.answer_ms;
             if within_limits {
                 return;
             }
@@ -251,7 +251,7 @@
     }
 
     fn bar_unseen_attempt(&mut self, id: RequestId) -> AskReply<A> {
-        if self.floors.may_be_dropped(id) {
+        if self.floors.may_have_been_dropped(id) {
             return AskReply::Unknown;
         }
         self.records.insert(id, AttemptRecord::new(AttemptState::Barred));
--- a/crates/geraniumpost-core/src/requests/baseline_router.rs
+++ b/crates/geraniumpost-core/src/requests/baseline_router.rs
@@ -33,21 +33,24 @@
         query: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
     ) -> Result<RoutingDecision, NoAgent> {
-        let usable: Vec<&Arc<AgentView>> = usable(service, query);
+        let usable: Vec<&Arc<AgentView>> = usable_agents(service, query);
         if usable.is_empty() {
             return Err(NoAgent::NoneReady);
         }
         let agent = match self {
             Self::RoundRobin(position) => round_robin(&usable, position),
-            Self::LeastLoaded => least_by(&usable, load),
+            Self::LeastLoaded => least_by(&usable, known_load),
             Self::LeastReported => least_by(&usable, reported_load),
-            Self::WeightedRandom => weighted(&usable, query, rng),
+            Self::WeightedRandom => weighted_random(&usable, query, rng),
         };
         Ok(RoutingDecision::of(agent, RoutingReason::Baseline))
     }
 }
 
-fn usable<'a>(service: &'a ServiceView, query: &RoutingQuery<'_>) -> Vec<&'a Arc<AgentView>> {
+fn usable_agents<'a>(
+    service: &'a ServiceView,
+    query: &RoutingQuery<'_>,
+) -> Vec<&'a Arc<AgentView>> {
     let agents = service.agents().iter();
     agents.filter(|agent| agent.is_routable() && !query.tried.contains(agent.name())).collect()
 }
@@ -64,7 +67,7 @@
     usable.iter().min_by_key(|agent| load(agent)).expect("checked to be non-empty")
 }
 
-fn load(agent: &AgentView) -> u32 {
+fn known_load(agent: &AgentView) -> u32 {
     agent.counters().others_in_flight() + agent.counters().in_flight()
 }
 
@@ -73,7 +76,7 @@
     load.in_flight + load.queued
 }
 
-fn weighted<'a>(
+fn weighted_random<'a>(
     usable: &[&'a Arc<AgentView>],
     query: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -11,11 +11,11 @@
     incarnation: u64,
     consecutive_failures: u32,
     failures: u64,
-    total: u64,
+    attempts: u64,
     window_start: Millis,
     ejections: u32,
     probe_at: Millis,
-    capped: bool,
+    is_cap_reported: bool,
 }
 
 /// Ejects agents whose minions fail too many requests, and probes them from time to time.
@@ -55,7 +55,7 @@
 
     /// Records whether an attempt at `agent` succeeded.
     ///
-    /// To be called if [`super::AgentGauge::record_result`] returns true. A new snapshot must be
+    /// To be called if [`super::AgentCounters::record_result`] returns true. A new snapshot must be
     /// published if the result is `Ejected` or `Restored`.
     pub fn record(
         &mut self,
@@ -73,13 +73,13 @@
                 ..AgentRecord::default()
             };
         }
-        record.count(agent, success, now, &limits);
-        let gauge = agent.counters();
+        record.count_result(agent, success, now, &limits);
+        let counters = agent.counters();
         if success {
-            gauge.set_has_failures(record.ejections > 0 || record.failures > 0);
+            counters.set_has_failures(record.ejections > 0 || record.failures > 0);
             return record.record_success(agent, now);
         }
-        if gauge.is_ejected() {
+        if counters.is_ejected() {
             return record.record_failure_while_ejected(agent, now, &limits);
         }
         if !record.exceeds_limits(&limits) {
@@ -87,7 +87,7 @@
         }
         let ejected = service.agents().iter().filter(|other| other.counters().is_ejected()).count();
         if ejected >= limits.max_ejected(service.agents().len()) {
-            return record.capped();
+            return record.report_capped();
         }
         record.eject(agent, now, &limits)
     }
@@ -99,16 +99,22 @@
 }
 
 impl AgentRecord {
-    fn count(&mut self, agent: &AgentView, success: bool, now: Millis, limits: &EjectionLimits) {
+    fn count_result(
+        &mut self,
+        agent: &AgentView,
+        success: bool,
+        now: Millis,
+        limits: &EjectionLimits,
+    ) {
         if now.since(self.window_start) > limits.window_ms {
             self.decay(agent, now, limits);
         }
-        self.total += u64::from(agent.counters().take_successes());
+        self.attempts += u64::from(agent.counters().take_successes());
         if success {
-            self.capped = false;
+            self.is_cap_reported = false;
             self.consecutive_failures = 0;
         } else {
-            self.total += 1;
+            self.attempts += 1;
             self.failures += 1;
             self.consecutive_failures += 1;
         }
@@ -122,7 +128,7 @@
     fn decay(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) {
         let windows = now.since(self.window_start) / limits.window_ms.max(1);
         let halvings = windows.min(63) as u32;
-        self.total >>= halvings;
+        self.attempts >>= halvings;
         self.failures >>= halvings;
         if self.failures == 0 && !agent.counters().is_ejected() {
             self.ejections = self.ejections.saturating_sub(halvings);
@@ -131,15 +137,15 @@
     }
 
     const fn exceeds_limits(&self, limits: &EjectionLimits) -> bool {
-        let by_ratio = self.total >= limits.ratio_min_attempts
-            && self.failures * 1000 >= limits.ratio_permille * self.total;
+        let by_ratio = self.attempts >= limits.ratio_min_attempts
+            && self.failures * 1000 >= limits.ratio_permille * self.attempts;
         self.consecutive_failures >= limits.consecutive || by_ratio
     }
 
     fn eject(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) -> EjectionChange {
         self.ejections += 1;
-        self.capped = false;
-        (self.total, self.failures) = (0, 0);
+        self.is_cap_reported = false;
+        (self.attempts, self.failures) = (0, 0);
         let probe_at = now.plus(limits.probe_delay_ms(self.ejections));
         self.probe_at = probe_at;
         agent.counters().eject(probe_at);
@@ -148,11 +154,11 @@
 
     /// Reports [`EjectionChange::Capped`] once: if everything fails, each further report would be
     /// logged for every request.
-    const fn capped(&mut self) -> EjectionChange {
-        if self.capped {
+    const fn report_capped(&mut self) -> EjectionChange {
+        if self.is_cap_reported {
             return EjectionChange::None;
         }
-        self.capped = true;
+        self.is_cap_reported = true;
         EjectionChange::Capped
     }
 
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -26,7 +26,7 @@
 
 /// A request that runs on the minion.
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningRequest {
     flow: FlowKey,
     charged: u64,
 }
@@ -66,11 +66,11 @@
     flows: SlotMap<FlowKey, Flow<T>>,
     by_customer: HashMap<Name, FlowKey>,
     waiting: HashMap<RequestId, FlowKey>,
-    running: HashMap<RequestId, Running>,
-    order: BTreeSet<(u64, FlowKey)>,
+    running: HashMap<RequestId, RunningRequest>,
+    waiting_flows: BTreeSet<(u64, FlowKey)>,
     virtual_time: u64,
     max_virtual_time: u64,
-    times: ServiceTimes,
+    service_times: ServiceTimes,
     reserve: SlotReserve,
     draining: bool,
     now: Millis,
@@ -85,10 +85,10 @@
             by_customer: HashMap::new(),
             waiting: HashMap::new(),
             running: HashMap::new(),
-            order: BTreeSet::new(),
+            waiting_flows: BTreeSet::new(),
             virtual_time: 0,
             max_virtual_time: 0,
-            times: ServiceTimes::default(),
+            service_times: ServiceTimes::default(),
             reserve: SlotReserve::new(),
             draining: false,
             now: Millis(0),
@@ -122,7 +122,7 @@
 
     /// Returns the load to report in heartbeats and answers.
     pub fn load(&self) -> Load {
-        self.times.load(self.running.len(), self.waiting.len())
+        self.service_times.load(self.running.len(), self.waiting.len())
     }
 
     /// Accepts or refuses a request. The request waits if no returned action names it.
@@ -133,7 +133,7 @@
         if now >= request.deadline() {
             return vec![refuse(request, Refusal::Deadline, 0)];
         }
-        let flow = self.update_flow(&request, now);
+        let flow = self.record_arrival(&request, now);
         if self.flows[flow].queue.is_empty() && self.may_start(flow) {
             self.activate(flow);
             return vec![self.start(flow, request)];
@@ -146,7 +146,7 @@
         if self.waiting.len() >= self.limits.queue {
             match self.displace(flow) {
                 Some(victim) => actions.push(refuse(victim, Refusal::Displaced, wait_us)),
-                None => return vec![refuse(request, Refusal::Overloaded, self.drain_us())],
+                None => return vec![refuse(request, Refusal::Overloaded, self.queue_drain_us())],
             }
         }
         self.enqueue(flow, request);
@@ -164,11 +164,11 @@
         success: bool,
         now: Millis,
     ) -> Vec<QueueAction<T>> {
-        let Some(Running { flow, charged }) = self.running.remove(&id) else {
+        let Some(RunningRequest { flow, charged }) = self.running.remove(&id) else {
             return Vec::new();
         };
-        self.times.record(duration, success);
-        self.reorder(flow, |flow| flow.settle(charged, duration, success));
+        self.service_times.record(duration, success);
+        self.modify_flow(flow, |flow| flow.settle(charged, duration, success));
         let actions = self.dispatch(now);
         self.end_busy_period();
         actions
@@ -180,7 +180,7 @@
         let queue = &mut self.flows[flow].queue;
         let index = queue.iter().position(|request| request.id() == id)?;
         let request = queue.remove(index);
-        self.remove_from_order_if_empty(flow);
+        self.remove_waiting_flow_if_empty(flow);
         request
     }
 
@@ -188,23 +188,23 @@
     /// for customers that are now idle, and forgets customers that have been idle for a minute. To
     /// be called every 10 to 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<QueueAction<T>> {
-        let wait_us = self.drain_us();
-        let missing_deadline: Vec<RequestId> = self.missing_deadline(now).collect();
+        let wait_us = self.queue_drain_us();
+        let missing_deadline: Vec<RequestId> = self.requests_missing_deadline(now).collect();
         let removed = missing_deadline.into_iter().filter_map(|id| self.cancel(id));
         let refused = removed.map(|request| refuse(request, Refusal::Deadline, wait_us));
         let mut actions: Vec<QueueAction<T>> = refused.collect();
-        self.forget_idle(now);
+        self.forget_idle_customers(now);
         self.measure_usage(now);
         actions.extend(self.dispatch(now));
         actions
     }
 
     /// Number of customers in memory, for tests of the memory bound.
-    pub fn customers(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.flows.len()
     }
 
-    fn missing_deadline(&self, now: Millis) -> impl Iterator<Item = RequestId> {
+    fn requests_missing_deadline(&self, now: Millis) -> impl Iterator<Item = RequestId> {
         let all = self
             .flows
             .values()
@@ -213,7 +213,7 @@
             .map(|(_, request)| request.id())
     }
 
-    fn update_flow(&mut self, request: &QueuedRequest<T>, now: Millis) -> FlowKey {
+    fn record_arrival(&mut self, request: &QueuedRequest<T>, now: Millis) -> FlowKey {
         self.now = now;
         let key = match self.by_customer.get(request.customer()) {
             Some(&key) => key,
@@ -222,12 +222,12 @@
         let flow = &mut self.flows[key];
         flow.weight = request.share_weight();
         flow.last_request_at = now;
-        self.reserve.note_active_mean(flow.service.mean_us());
+        self.reserve.record_active_mean_us(flow.service_time.mean_us());
         key
     }
 
     fn add_flow(&mut self, customer: Name) -> FlowKey {
-        let key = self.flows.insert(Flow::new(self.times.smoothed()));
+        let key = self.flows.insert(Flow::new(self.service_times.smoothed()));
         self.by_customer.insert(customer, key);
         key
     }
@@ -239,7 +239,7 @@
     /// reached at half of all slots. A customer without recent use gets none: otherwise the first
     /// requests of a burst would precede those of every other customer for several service times.
     fn activate(&mut self, key: FlowKey) {
-        let mean_us = self.times.smoothed().mean_us();
+        let mean_us = self.service_times.smoothed().mean_us();
         let max_allowance_us = BURST_ROUNDS * self.slots().saturating_mul(mean_us);
         let recent_allowance_us =
             2 * BURST_ROUNDS * self.flows[key].busy_milli().saturating_mul(mean_us) / 1000;
@@ -250,34 +250,34 @@
         self.waiting.insert(request.id(), key);
         if self.flows[key].queue.is_empty() {
             self.activate(key);
-            self.order.insert((self.flows[key].virtual_time, key));
+            self.waiting_flows.insert((self.flows[key].virtual_time, key));
         }
         self.flows[key].queue.push_back(request);
     }
 
     fn start(&mut self, key: FlowKey, request: QueuedRequest<T>) -> QueueAction<T> {
         self.virtual_time = self.virtual_time.max(self.flows[key].virtual_time);
-        let charged = self.reorder(key, Flow::charge);
-        self.running.insert(request.id(), Running { flow: key, charged });
+        let charged = self.modify_flow(key, Flow::charge);
+        self.running.insert(request.id(), RunningRequest { flow: key, charged });
         QueueAction::Run(request)
     }
 
     /// Applies `change` to a flow and updates its position in the order.
-    fn reorder<R>(&mut self, key: FlowKey, change: impl FnOnce(&mut Flow<T>) -> R) -> R {
+    fn modify_flow<R>(&mut self, key: FlowKey, change: impl FnOnce(&mut Flow<T>) -> R) -> R {
         let flow = &mut self.flows[key];
-        let listed = self.order.remove(&(flow.virtual_time, key));
+        let is_waiting = self.waiting_flows.remove(&(flow.virtual_time, key));
         let result = change(flow);
-        if listed {
-            self.order.insert((flow.virtual_time, key));
+        if is_waiting {
+            self.waiting_flows.insert((flow.virtual_time, key));
         }
         self.max_virtual_time = self.max_virtual_time.max(flow.virtual_time);
         result
     }
 
-    fn remove_from_order_if_empty(&mut self, key: FlowKey) {
+    fn remove_waiting_flow_if_empty(&mut self, key: FlowKey) {
         let flow = &self.flows[key];
         if flow.queue.is_empty() {
-            self.order.remove(&(flow.virtual_time, key));
+            self.waiting_flows.remove(&(flow.virtual_time, key));
         }
     }
 
@@ -285,13 +285,13 @@
         self.now = now;
         let mut actions = Vec::new();
         loop {
-            let mut customers = self.order.iter().map(|&(_, key)| key);
+            let mut customers = self.waiting_flows.iter().map(|&(_, key)| key);
             let Some(key) = customers.find(|&key| self.may_start(key)) else { break };
             let Some(request) = self.flows[key].queue.pop_front() else { break };
             self.waiting.remove(&request.id());
-            self.remove_from_order_if_empty(key);
+            self.remove_waiting_flow_if_empty(key);
             if self.flows[key].misses_deadline(request.deadline(), now) {
-                actions.push(refuse(request, Refusal::Deadline, self.drain_us()));
+                actions.push(refuse(request, Refusal::Deadline, self.queue_drain_us()));
             } else {
                 actions.push(self.start(key, request));
             }
@@ -309,8 +309,8 @@
     /// Removes the newest waiting request of the customer furthest above its share, if that
     /// customer is further above it than `newcomer` would be with one more request.
     fn displace(&mut self, newcomer: FlowKey) -> Option<QueuedRequest<T>> {
-        let listed = self.order.iter().map(|&(_, key)| key);
-        let furthest_above = listed.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
+        let waiting_keys = self.waiting_flows.iter().map(|&(_, key)| key);
+        let furthest_above = waiting_keys.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
         if self.flows[furthest_above].occupancy(0) <= self.flows[newcomer].occupancy(1) {
             return None;
         }
@@ -324,17 +324,17 @@
     /// longer than all queues together.
     fn wait_us(&self, key: FlowKey) -> u64 {
         let flow = &self.flows[key];
-        let others = self.order.iter().map(|&(_, key)| &self.flows[key]);
+        let others = self.waiting_flows.iter().map(|&(_, key)| &self.flows[key]);
         let weights: u64 = others.map(|flow| u64::from(flow.weight)).sum();
         let own = if flow.queue.is_empty() { u64::from(flow.weight) } else { 0 };
-        let ahead = (flow.queue.len() as u64 + 1).saturating_mul(flow.service.mean_us());
+        let ahead = (flow.queue.len() as u64 + 1).saturating_mul(flow.service_time.mean_us());
         let by_share = ahead * (weights + own) / u64::from(flow.weight) / self.slots();
-        by_share.min(self.drain_us())
+        by_share.min(self.queue_drain_us())
     }
 
     /// Expected time until every waiting request has a slot, in microseconds.
-    fn drain_us(&self) -> u64 {
-        (self.waiting.len() as u64 + 1).saturating_mul(self.times.smoothed().mean_us())
+    fn queue_drain_us(&self) -> u64 {
+        (self.waiting.len() as u64 + 1).saturating_mul(self.service_times.smoothed().mean_us())
             / self.slots()
     }
 
@@ -343,16 +343,16 @@
         if self.running.len() >= self.limits.slots {
             return false;
         }
-        if self.is_last_slot_reserved(key) {
+        if self.is_denied_last_slot(key) {
             return false;
         }
-        let is_long = |flow: &Flow<T>| self.reserve.is_long(flow.service.mean_us());
+        let is_long = |flow: &Flow<T>| self.reserve.is_long(flow.service_time.mean_us());
         if !is_long(&self.flows[key]) {
             return true;
         }
         let running_long =
             self.flows.values().filter(|flow| is_long(flow)).map(|flow| flow.running).sum();
-        self.reserve.allows_long(running_long, self.limits.slots)
+        self.reserve.allows_long_request(running_long, self.limits.slots)
     }
 
     /// Whether at most one slot is free and `key` already uses its share of the slots while others
@@ -360,7 +360,7 @@
     ///
     /// Requests of equal length that start together also end together. Without a reserved slot, a
     /// request of a customer with little load would wait for up to a full run of the others.
-    fn is_last_slot_reserved(&self, key: FlowKey) -> bool {
+    fn is_denied_last_slot(&self, key: FlowKey) -> bool {
         if self.running.len() + 1 < self.limits.slots || self.limits.slots < MIN_SLOTS_FOR_RESERVE {
             return false;
         }
@@ -373,17 +373,17 @@
     }
 
     fn measure_usage(&mut self, now: Millis) {
-        let Some(window_ms) = self.reserve.begin_window(now) else { return };
+        let Some(window_ms) = self.reserve.restart_window_if_due(now) else { return };
         self.flows.values_mut().for_each(|flow| flow.measure_usage(window_ms));
         let uses: Vec<SlotUse> = self.flows.values().map(Flow::slot_use).collect();
-        self.reserve.refresh(&uses, self.limits.slots, now);
+        self.reserve.recompute(&uses, self.limits.slots, now);
     }
 
     const fn slots(&self) -> u64 {
         self.limits.slots as u64
     }
 
-    fn forget_idle(&mut self, now: Millis) {
+    fn forget_idle_customers(&mut self, now: Millis) {
         let virtual_time = self.virtual_time;
         self.flows.retain(|_, flow| {
             let is_ahead = flow.virtual_time > virtual_time;
--- a/crates/geraniumpost-core/src/requests/flow.rs
+++ b/crates/geraniumpost-core/src/requests/flow.rs
@@ -6,7 +6,7 @@
 use crate::{Micros, Millis};
 
 /// Virtual time that one microsecond of slot time costs a customer of weight 1.
-const SCALE: u64 = 1024;
+const WEIGHT_SCALE: u64 = 1024;
 
 /// Requests of one customer at one minion, and the slot time that it has used.
 #[derive(Debug)]
@@ -15,20 +15,20 @@
     pub(super) virtual_time: u64,
     pub(super) queue: VecDeque<QueuedRequest<T>>,
     pub(super) running: usize,
-    pub(super) service: SmoothedTime,
+    pub(super) service_time: SmoothedTime,
     pub(super) last_request_at: Millis,
     used_us: u64,
     busy_milli: u64,
 }
 
 impl<T> Flow<T> {
-    pub(super) const fn new(service: SmoothedTime) -> Self {
+    pub(super) const fn new(service_time: SmoothedTime) -> Self {
         Self {
             weight: 1,
             virtual_time: 0,
             queue: VecDeque::new(),
             running: 0,
-            service,
+            service_time,
             last_request_at: Millis(0),
             used_us: 0,
             busy_milli: 0,
@@ -47,7 +47,7 @@
 
     /// Charges the customer for a run of the smoothed service time, and returns the charge.
     pub(super) fn charge(&mut self) -> u64 {
-        let charge = self.cost(self.service.mean_us());
+        let charge = self.virtual_cost(self.service_time.mean_us());
         self.virtual_time = self.virtual_time.saturating_add(charge);
         self.running += 1;
         charge
@@ -56,12 +56,12 @@
     /// Replaces the expected charge by the actual one, so that a customer with long requests pays
     /// for the slot time used and not for the number of requests.
     pub(super) fn settle(&mut self, charged: u64, duration: Micros, success: bool) {
-        let actual = self.cost(duration.0);
+        let actual = self.virtual_cost(duration.0);
         self.virtual_time = self.virtual_time.saturating_sub(charged).saturating_add(actual);
         self.running -= 1;
         self.used_us = self.used_us.saturating_add(duration.0);
         if success {
-            self.service.record(duration.0);
+            self.service_time.record(duration.0);
         }
     }
 
@@ -72,7 +72,7 @@
     /// others. Without the allowance, a customer that uses less than its share on average would
     /// wait as if it used all of it whenever a few of its requests arrive together.
     pub(super) fn activate(&mut self, current: u64, allowance_us: u64) {
-        let allowance = self.cost(allowance_us);
+        let allowance = self.virtual_cost(allowance_us);
         self.virtual_time = self.virtual_time.max(current.saturating_sub(allowance));
     }
 
@@ -89,7 +89,7 @@
 
     pub(super) const fn slot_use(&self) -> SlotUse {
         SlotUse {
-            mean_us: self.service.mean_us(),
+            mean_us: self.service_time.mean_us(),
             weight: self.weight,
             busy_milli: self.busy_milli,
             last_request_at: self.last_request_at,
@@ -99,15 +99,17 @@
     /// Requests at the minion, with `additional` ones, divided by the weight and scaled to whole
     /// numbers.
     pub(super) fn occupancy(&self, additional: usize) -> u64 {
-        (self.queue.len() + self.running + additional) as u64 * SCALE / u64::from(self.weight)
+        (self.queue.len() + self.running + additional) as u64 * WEIGHT_SCALE
+            / u64::from(self.weight)
     }
 
     /// Whether a request started now would probably end after `deadline`.
     pub(super) const fn misses_deadline(&self, deadline: Millis, now: Millis) -> bool {
-        now.0 >= deadline.0 || now.0 + self.service.mean_plus_deviation_us() / 1000 > deadline.0
+        now.0 >= deadline.0
+            || now.0 + self.service_time.mean_plus_deviation_us() / 1000 > deadline.0
     }
 
-    fn cost(&self, us: u64) -> u64 {
-        us.max(1).saturating_mul(SCALE) / u64::from(self.weight)
+    fn virtual_cost(&self, us: u64) -> u64 {
+        us.max(1).saturating_mul(WEIGHT_SCALE) / u64::from(self.weight)
     }
 }
--- a/crates/geraniumpost-core/src/requests/in_flight_guard.rs
+++ b/crates/geraniumpost-core/src/requests/in_flight_guard.rs
@@ -1,20 +1,20 @@
 use std::sync::Arc;
 
-use super::AgentGauge;
+use super::AgentCounters;
 
 /// Counts one request at an agent as in flight until it is dropped; see
-/// [`AgentGauge::begin_request`].
+/// [`AgentCounters::begin_request`].
 #[derive(Debug)]
-pub struct InFlightGuard(Arc<AgentGauge>);
+pub struct InFlightGuard(Arc<AgentCounters>);
 
 impl InFlightGuard {
-    pub(super) const fn new(gauge: Arc<AgentGauge>) -> Self {
-        Self(gauge)
+    pub(super) const fn new(counters: Arc<AgentCounters>) -> Self {
+        Self(counters)
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.end_request();
     }
 }
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::{AgentState, Heartbeat};
 
-use super::{AgentGauge, AgentView};
+use super::{AgentCounters, AgentView};
 use crate::Millis;
 
 /// Number of superseded incarnations remembered for each agent.
@@ -10,7 +10,7 @@
 
 /// An incarnation that another one of the same agent has superseded.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Retired {
+pub(super) struct RetiredIncarnation {
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) state: AgentState,
@@ -23,20 +23,20 @@
     pub(super) last_heard: Millis,
     pub(super) alive: bool,
     pub(super) connected: bool,
-    pub(super) gauge: Arc<AgentGauge>,
-    pub(super) retired: Vec<Retired>,
+    pub(super) counters: Arc<AgentCounters>,
+    pub(super) retired: Vec<RetiredIncarnation>,
 }
 
 impl Member {
     pub(super) fn new(heartbeat: &Heartbeat, now: Millis) -> Self {
-        let gauge = AgentGauge::default();
-        gauge.record_load(&heartbeat.load, now);
+        let counters = AgentCounters::default();
+        counters.record_load(&heartbeat.load, now);
         Self {
             heartbeat: heartbeat.clone(),
             last_heard: now,
             alive: true,
             connected: false,
-            gauge: Arc::new(gauge),
+            counters: Arc::new(counters),
             retired: Vec::new(),
         }
     }
@@ -57,17 +57,17 @@
             || updated.slots != self.heartbeat.slots;
         self.heartbeat = updated;
         self.last_heard = now;
-        self.gauge.record_load(&heartbeat.load, now);
+        self.counters.record_load(&heartbeat.load, now);
         changed
     }
 
     /// Replaces the state by that of a new incarnation and remembers the old one.
-    pub(super) fn supersede(&mut self, heartbeat: &Heartbeat, now: Millis) {
+    pub(super) fn replace_incarnation(&mut self, heartbeat: &Heartbeat, now: Millis) {
         let Heartbeat { incarnation, sequence, state, .. } = self.heartbeat;
         let mut retired = std::mem::take(&mut self.retired);
         let known = retired.iter().position(|known| known.incarnation == heartbeat.incarnation);
         let previous_state = known.map(|index| retired.remove(index).state);
-        retired.push(Retired { incarnation, sequence, state });
+        retired.push(RetiredIncarnation { incarnation, sequence, state });
         if retired.len() > MAX_RETIRED {
             retired.remove(0);
         }
@@ -78,6 +78,8 @@
     }
 
     pub(super) fn view(&self) -> AgentView {
-        AgentView::from(&self.heartbeat).connected(self.connected).gauge(Arc::clone(&self.gauge))
+        AgentView::from(&self.heartbeat)
+            .connected(self.connected)
+            .with_counters(Arc::clone(&self.counters))
     }
 }
--- a/crates/geraniumpost-core/src/requests/membership.rs
+++ b/crates/geraniumpost-core/src/requests/membership.rs
@@ -37,7 +37,7 @@
 
     /// Records a heartbeat.
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis) -> MembershipChange {
-        let Some(member) = self.find(&heartbeat.agent) else {
+        let Some(member) = self.find_member(&heartbeat.agent) else {
             let key = self.members.insert(Member::new(heartbeat, now));
             self.by_name.insert(heartbeat.agent.clone(), key);
             return MembershipChange::Joined;
@@ -52,7 +52,7 @@
     /// Records the announcement, received over a link, that incarnation `incarnation` of `agent` is
     /// draining. Returns whether a new snapshot must be published.
     pub fn mark_draining(&mut self, agent: &str, incarnation: u64) -> bool {
-        let Some(member) = self.incarnation(agent, incarnation) else { return false };
+        let Some(member) = self.find_incarnation(agent, incarnation) else { return false };
         let previous = std::mem::replace(&mut member.heartbeat.state, AgentState::Draining);
         previous != AgentState::Draining
     }
@@ -60,7 +60,7 @@
     /// Records whether a link to incarnation `incarnation` of `agent` is up. Returns whether a new
     /// snapshot must be published.
     pub fn set_connected(&mut self, agent: &str, incarnation: u64, connected: bool) -> bool {
-        let Some(member) = self.incarnation(agent, incarnation) else { return false };
+        let Some(member) = self.find_incarnation(agent, incarnation) else { return false };
         std::mem::replace(&mut member.connected, connected) != connected
     }
 
@@ -94,12 +94,12 @@
         self.members.values().filter(|member| member.alive).map(|member| &member.heartbeat)
     }
 
-    fn find(&mut self, agent: &str) -> Option<&mut Member> {
+    fn find_member(&mut self, agent: &str) -> Option<&mut Member> {
         self.members.get_mut(*self.by_name.get(agent)?)
     }
 
-    fn incarnation(&mut self, agent: &str, incarnation: u64) -> Option<&mut Member> {
-        self.find(agent).filter(|member| member.heartbeat.incarnation == incarnation)
+    fn find_incarnation(&mut self, agent: &str, incarnation: u64) -> Option<&mut Member> {
+        self.find_member(agent).filter(|member| member.heartbeat.incarnation == incarnation)
     }
 }
 
@@ -148,6 +148,6 @@
         return MembershipChange::Stale;
     }
     let previous = member.heartbeat.incarnation;
-    member.supersede(heartbeat, now);
+    member.replace_incarnation(heartbeat, now);
     MembershipChange::Restarted { previous }
 }
--- a/crates/geraniumpost-core/src/requests/mod.rs
+++ b/crates/geraniumpost-core/src/requests/mod.rs
@@ -7,7 +7,7 @@
 //! described in `docs/design/0101-routing.md` and the documents that follow it.
 
 mod admission;
-mod agent_gauge;
+mod agent_counters;
 mod agent_view;
 mod ask_reply;
 mod attempt_event;
@@ -57,7 +57,7 @@
 mod snapshot;
 
 pub use admission::Admission;
-pub use agent_gauge::AgentGauge;
+pub use agent_counters::AgentCounters;
 pub use agent_view::AgentView;
 pub use ask_reply::AskReply;
 pub use attempt_event::AttemptEvent;
--- a/crates/geraniumpost-core/src/requests/peer_load.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -17,10 +17,10 @@
     pub fn from_agents<'a>(agents: impl Iterator<Item = &'a AgentView>) -> Self {
         let (mut count, mut others_in_flight, mut shortest) = (0, 0, u64::MAX);
         for agent in agents {
-            let gauge = agent.counters();
+            let counters = agent.counters();
             count += 1;
-            others_in_flight += u64::from(gauge.others_in_flight());
-            let reported = gauge.service_us();
+            others_in_flight += u64::from(counters.others_in_flight());
+            let reported = counters.service_us();
             shortest = if reported > 0 { shortest.min(reported) } else { shortest };
         }
         let service_us = if shortest == u64::MAX { UNKNOWN_SERVICE_US } else { shortest };
--- a/crates/geraniumpost-core/src/requests/retry_budget.rs
+++ b/crates/geraniumpost-core/src/requests/retry_budget.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     permille: AtomicU64,
-    burst: u64,
+    burst_tokens: u64,
     tokens: AtomicU64,
 }
 
@@ -35,7 +35,7 @@
         let burst_tokens = burst * TOKENS_PER_RETRY;
         Self {
             permille: AtomicU64::new(permille),
-            burst: burst_tokens,
+            burst_tokens,
             tokens: AtomicU64::new(burst_tokens),
         }
     }
@@ -48,7 +48,7 @@
     /// Deposits the share of one request.
     pub fn deposit(&self) {
         let deposit = self.permille.load(Relaxed);
-        let add = |tokens: u64| Some(tokens.saturating_add(deposit).min(self.burst));
+        let add = |tokens: u64| Some(tokens.saturating_add(deposit).min(self.burst_tokens));
         let _ = self.tokens.fetch_update(Relaxed, Relaxed, add);
     }
 
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -41,7 +41,7 @@
     limits: RetryLimits,
     attempts: u32,
     asks: u32,
-    running: bool,
+    is_running: bool,
     may_have_run: bool,
     run_result: Option<ResultCode>,
     refusal_result: Option<ResultCode>,
@@ -57,7 +57,7 @@
             limits,
             attempts: 1,
             asks: 0,
-            running: false,
+            is_running: false,
             may_have_run: false,
             run_result: None,
             refusal_result: None,
@@ -82,20 +82,22 @@
         budget: impl FnOnce() -> bool,
     ) -> NextStep {
         match event {
-            AttemptEvent::NoAgent => self.refuse(ResultCode::NoAgent),
-            AttemptEvent::NeverSent => self.never_sent(now, budget),
+            AttemptEvent::NoAgent => self.record_refusal_and_give_up(ResultCode::NoAgent),
+            AttemptEvent::NeverSent => self.on_never_sent(now, budget),
             AttemptEvent::Outcome { outcome, retry_after_ms } => {
-                self.outcome(outcome, retry_after_ms, now, budget)
+                self.on_outcome(outcome, retry_after_ms, now, budget)
             }
-            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => self.link_lost(now, budget),
-            AttemptEvent::Verdict(verdict) => self.verdict(verdict, now, budget),
-            AttemptEvent::AskFailed => self.ask_failed(now, budget),
-            AttemptEvent::AgentRestarted => self.outcome_unknown(now, budget),
-            AttemptEvent::DeadlinePassed { sent } => self.deadline_passed(sent),
+            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => {
+                self.on_link_lost(now, budget)
+            }
+            AttemptEvent::Verdict(verdict) => self.on_verdict(verdict, now, budget),
+            AttemptEvent::AskFailed => self.on_ask_failed(now, budget),
+            AttemptEvent::AgentRestarted => self.on_outcome_unknown(now, budget),
+            AttemptEvent::DeadlinePassed { sent } => self.on_deadline_passed(sent),
         }
     }
 
-    fn outcome(
+    fn on_outcome(
         &mut self,
         outcome: Outcome,
         retry_after_ms: u64,
@@ -106,9 +108,9 @@
             Outcome::Answered => NextStep::Deliver,
             Outcome::RunTimedOut => self.finish_with(ResultCode::TimedOut),
             Outcome::RunAnswerLost => self.finish_with(ResultCode::FirstAnswerLost),
-            Outcome::RunFailed => self.failed(ResultCode::MinionFailed, now, budget),
-            Outcome::RunTruncated => self.failed(ResultCode::AnswerTruncated, now, budget),
-            Outcome::Unknown => self.outcome_unknown(now, budget),
+            Outcome::RunFailed => self.on_failure(ResultCode::MinionFailed, now, budget),
+            Outcome::RunTruncated => self.on_failure(ResultCode::AnswerTruncated, now, budget),
+            Outcome::Unknown => self.on_outcome_unknown(now, budget),
             refusal => {
                 let (code, cost) = classify_refusal(refusal);
                 self.may_have_run = false;
@@ -120,7 +122,7 @@
 
     /// Another entry that read the same claim may have sent a keyed request to the agent, so only
     /// the agent can bar the key. Any other request has not been sent at all.
-    fn never_sent(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    fn on_never_sent(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.record_refusal(ResultCode::NoAgent, 0);
         if self.kind == RequestKind::Keyed {
             return self.ask_or_give_up(now);
@@ -130,13 +132,13 @@
 
     /// An idempotent request is sent to another agent immediately, which is faster than a query. If
     /// the budget is exhausted, a query is sent instead, which adds no load to the minions.
-    fn link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    fn on_link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.may_have_run = true;
         let may_resend = self.kind == RequestKind::Idempotent && self.may_retry(now);
         if may_resend && budget() { self.next_attempt() } else { self.ask_or_give_up(now) }
     }
 
-    fn verdict(
+    fn on_verdict(
         &mut self,
         verdict: AskVerdict,
         now: Millis,
@@ -149,29 +151,34 @@
                 self.retry_or_answer(RetryCost::Free, now, budget)
             }
             AskVerdict::Running => {
-                self.running = true;
+                self.is_running = true;
                 self.asks = 0;
                 NextStep::Wait
             }
             AskVerdict::Finished => NextStep::Wait,
-            AskVerdict::Unknown => self.outcome_unknown(now, budget),
+            AskVerdict::Unknown => self.on_outcome_unknown(now, budget),
         }
     }
 
-    fn ask_failed(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    fn on_ask_failed(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         if self.kind == RequestKind::Idempotent && self.may_have_run {
-            return self.outcome_unknown(now, budget);
+            return self.on_outcome_unknown(now, budget);
         }
         self.ask_or_give_up(now)
     }
 
     /// Handles an attempt whose outcome cannot be determined.
-    fn outcome_unknown(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
-        self.failed(ResultCode::OutcomeUnknown, now, budget)
+    fn on_outcome_unknown(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+        self.on_failure(ResultCode::OutcomeUnknown, now, budget)
     }
 
     /// Handles an attempt that has failed, or may have run.
-    fn failed(&mut self, code: ResultCode, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    fn on_failure(
+        &mut self,
+        code: ResultCode,
+        now: Millis,
+        budget: impl FnOnce() -> bool,
+    ) -> NextStep {
         self.run_result = Some(code);
         if self.kind != RequestKind::Idempotent {
             return self.give_up();
@@ -179,12 +186,12 @@
         self.retry_or_answer(RetryCost::Budget, now, budget)
     }
 
-    fn deadline_passed(&mut self, sent: bool) -> NextStep {
-        if self.running {
+    fn on_deadline_passed(&mut self, sent: bool) -> NextStep {
+        if self.is_running {
             return self.finish_with(ResultCode::TimedOut);
         }
         self.may_have_run |= sent;
-        self.refuse(ResultCode::DeadlineTooShort)
+        self.record_refusal_and_give_up(ResultCode::DeadlineTooShort)
     }
 
     fn ask_or_give_up(&mut self, now: Millis) -> NextStep {
@@ -218,7 +225,7 @@
             self.run_result = Some(ResultCode::OutcomeUnknown);
         }
         self.may_have_run = false;
-        self.running = false;
+        self.is_running = false;
         self.attempts += 1;
         self.asks = 0;
         NextStep::Retry
@@ -236,7 +243,7 @@
         }
     }
 
-    fn refuse(&mut self, code: ResultCode) -> NextStep {
+    fn record_refusal_and_give_up(&mut self, code: ResultCode) -> NextStep {
         if self.refusal_result.is_none() {
             self.record_refusal(code, 0);
         }
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -62,10 +62,10 @@
         if let Some(agent) = claim_due_probe(service, query) {
             return Ok(RoutingDecision::of(agent, RoutingReason::Probe));
         }
-        let candidates = self.draw(service, query, rng);
+        let candidates = self.draw_candidates(service, query, rng);
         let cheapest = candidates.iter().flatten().min_by_key(|candidate| candidate.cost_us);
         let Some(agent) = cheapest.map(|candidate| Arc::clone(&candidate.agent)) else {
-            return last_resort(service, query);
+            return choose_last_resort(service, query);
         };
         let reason =
             if candidates[1].is_some() { RoutingReason::Cheapest } else { RoutingReason::Only };
@@ -78,20 +78,20 @@
     /// until the report is `report_max_age_ms` old. Otherwise all entries would repeatedly send
     /// their requests to the agent that last reported itself idle, until its next report.
     pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, query: &RoutingQuery<'_>) -> u64 {
-        let gauge = agent.counters();
+        let counters = agent.counters();
         let max_age_ms = self.tuning.report_max_age_ms;
-        let age = gauge.report_age(query.now).min(max_age_ms);
-        let weighted_others = u64::from(gauge.others_in_flight()) * (max_age_ms - age)
-            + peers.others_in_flight() * age;
-        let own_requests = u64::from(gauge.in_flight()) + 1;
-        let service_us = peers.service_us(gauge.service_us());
+        let age_ms = counters.report_age_ms(query.now).min(max_age_ms);
+        let weighted_others = u64::from(counters.others_in_flight()) * (max_age_ms - age_ms)
+            + peers.others_in_flight() * age_ms;
+        let own_requests = u64::from(counters.in_flight()) + 1;
+        let service_us = peers.service_us(counters.service_us());
         let waiting_us =
             service_us.saturating_mul(own_requests * max_age_ms + weighted_others) / max_age_ms;
-        let failures = u64::from(gauge.failures_permille()).min(MAX_FAILURES_PERMILLE);
+        let failures = u64::from(counters.failures_permille()).min(MAX_FAILURES_PERMILLE);
         waiting_us.saturating_mul(1000) / (1000 - failures) / u64::from(agent.slot_count())
     }
 
-    fn draw(
+    fn draw_candidates(
         &self,
         service: &ServiceView,
         query: &RoutingQuery<'_>,
@@ -100,7 +100,7 @@
         let mut candidates = [const { None }; RoutingDecision::MAX_CANDIDATES];
         let mut len = 0;
         for tier in 0..ServiceView::TIERS {
-            for index in draw_tier(service, tier, query, rng).into_iter().flatten() {
+            for index in draw_from_tier(service, tier, query, rng).into_iter().flatten() {
                 let agent = Arc::clone(service.agent(index));
                 let cost_us = self.tuning.tier_cost_us(tier);
                 candidates[len] = Some(Candidate { agent, cost_us });
@@ -130,13 +130,13 @@
 }
 
 /// Draws two different usable agents of a tier, or as many as there are.
-fn draw_tier(
+fn draw_from_tier(
     service: &ServiceView,
     tier: usize,
     query: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
 ) -> [Option<u32>; DRAWS_PER_TIER] {
-    let indexes = service.tier(tier);
+    let indexes = service.agents_in_tier(tier);
     let len = indexes.len();
     if len == 0 {
         return [None; DRAWS_PER_TIER];
@@ -144,7 +144,7 @@
     let find = |start: usize, excluded: Option<usize>| {
         let mut positions = (start..start + len).map(|position| position % len);
         positions.find(|&position| {
-            Some(position) != excluded && usable(service.agent(indexes[position]), query)
+            Some(position) != excluded && is_usable(service.agent(indexes[position]), query)
         })
     };
     let first = find(random_below(len, rng), None);
@@ -155,7 +155,7 @@
     [first, second].map(|position| position.map(|position| indexes[position]))
 }
 
-fn usable(agent: &AgentView, query: &RoutingQuery<'_>) -> bool {
+fn is_usable(agent: &AgentView, query: &RoutingQuery<'_>) -> bool {
     !agent.counters().is_ejected() && !query.tried.contains(agent.name())
 }
 
@@ -167,7 +167,7 @@
     ejected.find(|agent| agent.counters().claim_probe(query.now, query.retryable))
 }
 
-fn last_resort(
+fn choose_last_resort(
     service: &ServiceView,
     query: &RoutingQuery<'_>,
 ) -> Result<RoutingDecision, NoAgent> {
--- a/crates/geraniumpost-core/src/requests/sequence_floors.rs
+++ b/crates/geraniumpost-core/src/requests/sequence_floors.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether `id` may have been recorded and dropped.
-    pub(super) fn may_be_dropped(&self, id: RequestId) -> bool {
+    pub(super) fn may_have_been_dropped(&self, id: RequestId) -> bool {
         match self.floors.get(&id.entry) {
             Some(&floor) => id.sequence <= floor,
             None => self.overflowed,
--- a/crates/geraniumpost-core/src/requests/service_times.rs
+++ b/crates/geraniumpost-core/src/requests/service_times.rs
@@ -6,14 +6,14 @@
 /// Each sample moves the share of failures by the difference divided by this number.
 const SMOOTHING_DIVISOR: u64 = 16;
 /// Number of recent service times from which the percentile is computed.
-const MAX_RECENT: usize = 256;
+const MAX_RECENT_SAMPLES: usize = 256;
 
 /// Smoothed service time, recent 99th percentile and share of failures of a minion.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
     smoothed: SmoothedTime,
     failures_millionths: u64,
-    recent: Vec<u64>,
+    recent_us: Vec<u64>,
     next_index: usize,
 }
 
@@ -31,12 +31,12 @@
     }
 
     fn record_recent(&mut self, duration_us: u64) {
-        if self.recent.len() < MAX_RECENT {
-            self.recent.push(duration_us);
+        if self.recent_us.len() < MAX_RECENT_SAMPLES {
+            self.recent_us.push(duration_us);
             return;
         }
-        self.recent[self.next_index] = duration_us;
-        self.next_index = (self.next_index + 1) % MAX_RECENT;
+        self.recent_us[self.next_index] = duration_us;
+        self.next_index = (self.next_index + 1) % MAX_RECENT_SAMPLES;
     }
 
     /// Smoothed service time, empty before the first successful run.
@@ -56,11 +56,11 @@
     }
 
     fn p99_us(&self) -> u64 {
-        let mut recent = self.recent.clone();
-        if recent.is_empty() {
+        let mut recent_us = self.recent_us.clone();
+        if recent_us.is_empty() {
             return 0;
         }
-        let rank = recent.len() * 99 / 100;
-        *recent.select_nth_unstable(rank).1
+        let rank = recent_us.len() * 99 / 100;
+        *recent_us.select_nth_unstable(rank).1
     }
 }
--- a/crates/geraniumpost-core/src/requests/service_view.rs
+++ b/crates/geraniumpost-core/src/requests/service_view.rs
@@ -23,7 +23,7 @@
         for (index, agent) in agents.iter().enumerate() {
             let index = index as u32;
             if agent.is_routable() {
-                view.tiers[tier(agent.location(), here)].push(index);
+                view.tiers[tier_of(agent.location(), here)].push(index);
             } else if agent.is_connected() && !agent.is_draining() {
                 view.ejected.push(index);
             }
@@ -37,7 +37,7 @@
         &self.agents
     }
 
-    pub(super) fn tier(&self, tier: usize) -> &[u32] {
+    pub(super) fn agents_in_tier(&self, tier: usize) -> &[u32] {
         &self.tiers[tier]
     }
 
@@ -55,7 +55,7 @@
     }
 }
 
-fn tier(location: &Location, here: &Location) -> usize {
+fn tier_of(location: &Location, here: &Location) -> usize {
     if location.region() != here.region() {
         return 2;
     }
--- a/crates/geraniumpost-core/src/requests/slot_reserve.rs
+++ b/crates/geraniumpost-core/src/requests/slot_reserve.rs
@@ -7,9 +7,9 @@
 /// Time for which a customer counts as active after its last request.
 pub(super) const ACTIVE_WINDOW_MS: u64 = 1_000;
 /// Interval at which the use of slots is measured.
-const WINDOW_MS: u64 = 200;
+const MEASUREMENT_INTERVAL_MS: u64 = 200;
 /// Thousandths of a slot reserved in addition to the use by customers with short requests.
-const SPARE_MILLI: u64 = 500;
+const SPARE_MILLI_SLOTS: u64 = 500;
 
 /// Use of slots by one customer, from which the reserve is computed.
 #[derive(Debug, Clone, Copy, Default)]
@@ -29,37 +29,37 @@
 /// half a slot, but not more than the share of these customers.
 #[derive(Debug, Clone)]
 pub(super) struct SlotReserve {
-    shortest_us: u64,
-    slots: usize,
+    shortest_mean_us: u64,
+    reserved_slots: usize,
     measured_at: Millis,
 }
 
 impl SlotReserve {
     pub(super) const fn new() -> Self {
-        Self { shortest_us: u64::MAX, slots: 1, measured_at: Millis(0) }
+        Self { shortest_mean_us: u64::MAX, reserved_slots: 1, measured_at: Millis(0) }
     }
 
     /// Immediately accounts for an active customer with this mean service time, 0 if unknown.
-    pub(super) fn note_active_mean(&mut self, mean_us: u64) {
+    pub(super) fn record_active_mean_us(&mut self, mean_us: u64) {
         if mean_us > 0 {
-            self.shortest_us = self.shortest_us.min(mean_us);
+            self.shortest_mean_us = self.shortest_mean_us.min(mean_us);
         }
     }
 
     /// Whether requests with this mean service time count as long.
     pub(super) const fn is_long(&self, mean_us: u64) -> bool {
-        mean_us / LONG_FACTOR > self.shortest_us
+        mean_us / LONG_FACTOR > self.shortest_mean_us
     }
 
     /// Whether another long request may start while `running_long` of `slots` run long ones.
-    pub(super) fn allows_long(&self, running_long: usize, slots: usize) -> bool {
-        running_long + self.slots.min(slots.saturating_sub(1)) < slots
+    pub(super) fn allows_long_request(&self, running_long: usize, slots: usize) -> bool {
+        running_long + self.reserved_slots.min(slots.saturating_sub(1)) < slots
     }
 
     /// Milliseconds since the last measurement, if a new one is due.
-    pub(super) fn begin_window(&mut self, now: Millis) -> Option<u64> {
+    pub(super) fn restart_window_if_due(&mut self, now: Millis) -> Option<u64> {
         let window_ms = now.since(self.measured_at);
-        if window_ms < WINDOW_MS {
+        if window_ms < MEASUREMENT_INTERVAL_MS {
             return None;
         }
         self.measured_at = now;
@@ -67,18 +67,18 @@
     }
 
     /// Recomputes the reserve from the use of `slots` by all customers.
-    pub(super) fn refresh(&mut self, uses: &[SlotUse], slots: usize, now: Millis) {
+    pub(super) fn recompute(&mut self, uses: &[SlotUse], slots: usize, now: Millis) {
         let active = || {
             uses.iter().filter(|customer| now.since(customer.last_request_at) <= ACTIVE_WINDOW_MS)
         };
         let known_means = active().map(|customer| customer.mean_us).filter(|&mean_us| mean_us > 0);
-        self.shortest_us = known_means.min().unwrap_or(u64::MAX);
+        self.shortest_mean_us = known_means.min().unwrap_or(u64::MAX);
         let short = || active().filter(|customer| !self.is_long(customer.mean_us));
         let short_busy_milli: u64 = short().map(|customer| customer.busy_milli).sum();
         let short_weight: u64 = short().map(|customer| u64::from(customer.weight)).sum();
         let total_weight: u64 = active().map(|customer| u64::from(customer.weight)).sum();
         let share = (slots as u64 * short_weight).div_ceil(total_weight.max(1));
-        let needed = (short_busy_milli + SPARE_MILLI).div_ceil(1000);
-        self.slots = needed.min(share).max(1) as usize;
+        let needed = (short_busy_milli + SPARE_MILLI_SLOTS).div_ceil(1000);
+        self.reserved_slots = needed.min(share).max(1) as usize;
     }
 }
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -6,7 +6,7 @@
 use geraniumpost_core::{Micros, Millis};
 use proptest::prelude::*;
 use requests_support::id;
-use requests_support::naive_queue::{Decision, NaiveQueue};
+use requests_support::reference_queue::{Decision, ReferenceQueue};
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -22,7 +22,7 @@
     Cancel {
         nth: usize,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
     /// One customer sends three requests, and time passes until all running requests have ended.
@@ -40,8 +40,8 @@
             .prop_map(|(nth, service_us, success)| Step::Finish { nth, service_us, success }),
         1 => (0..8usize).prop_map(|nth| Step::Cancel { nth }),
         6 => (0..3usize, 10..60u64).prop_map(|(customer, ms)| Step::Cycle { customer, ms }),
-        1 => (0..20u64).prop_map(|ms| Step::Pass { ms }),
-        1 => (100..1_200u64).prop_map(|ms| Step::Pass { ms }),
+        1 => (0..20u64).prop_map(|ms| Step::Advance { ms }),
+        1 => (100..1_200u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
@@ -58,7 +58,7 @@
 /// The fair queue and the reference queue, given the same calls.
 struct QueuePair {
     queue: FairQueue<()>,
-    reference: NaiveQueue,
+    reference: ReferenceQueue,
     now: u64,
     sequence: u64,
 }
@@ -81,7 +81,7 @@
         [decisions(actual), self.reference.finish(sequence, service_us, success, self.now)]
     }
 
-    fn pass(&mut self, ms: u64) -> [Vec<Decision>; 2] {
+    fn advance(&mut self, ms: u64) -> [Vec<Decision>; 2] {
         self.now += ms;
         [decisions(self.queue.tick(Millis(self.now))), self.reference.tick(self.now)]
     }
@@ -105,11 +105,11 @@
             Step::Cancel { nth: n } => {
                 nth(&waiting, n).map(|sequence| self.cancel(sequence)).into_iter().collect()
             }
-            Step::Pass { ms } => vec![self.pass(ms)],
+            Step::Advance { ms } => vec![self.advance(ms)],
             Step::Cycle { customer, ms } => {
                 let mut decisions_of_both: Vec<_> =
                     (0..3).map(|_| self.offer(customer, 5_000)).collect();
-                decisions_of_both.push(self.pass(ms));
+                decisions_of_both.push(self.advance(ms));
                 for sequence in running {
                     decisions_of_both.push(self.finish(sequence, ms * 1000, true));
                 }
@@ -123,11 +123,11 @@
     #[test]
     fn decides_like_the_reference_queue(
         slots in 1..7usize,
-        bound in 0..12usize,
+        queue_capacity in 0..12usize,
         steps in prop::collection::vec(step(), 1..250),
     ) {
-        let queue = FairQueue::new(QueueLimits::new().slots(slots).queue(bound));
-        let reference = NaiveQueue::new(slots, bound);
+        let queue = FairQueue::new(QueueLimits::new().slots(slots).queue(queue_capacity));
+        let reference = ReferenceQueue::new(slots, queue_capacity);
         let mut pair = QueuePair { queue, reference, now: 0, sequence: 0 };
         for step in steps {
             for [actual, expected] in pair.step(&step) {
@@ -135,7 +135,7 @@
             }
             let sizes = (pair.queue.running(), pair.queue.queued());
             prop_assert_eq!(sizes, pair.reference.sizes());
-            prop_assert!(sizes.0 <= slots && sizes.1 <= bound);
+            prop_assert!(sizes.0 <= slots && sizes.1 <= queue_capacity);
         }
     }
 }
@@ -187,9 +187,9 @@
         queue.offer(request, Millis(n));
         queue.finish(id(n), Micros(1_000), true, Millis(n + 1));
     }
-    assert_eq!(queue.customers(), 1_000);
+    assert_eq!(queue.customer_count(), 1_000);
     let _ = queue.tick(Millis(62_000));
-    assert_eq!(queue.customers(), 0);
+    assert_eq!(queue.customer_count(), 0);
 }
 
 /// A request accepted by a draining agent would be cut off when the agent exits. Requests that
--- a/crates/geraniumpost-core/tests/requests_fair_share.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_share.rs
@@ -8,13 +8,13 @@
     CAPACITY, CustomerStats, Discipline, MEAN_US, SLOTS, Source, run,
 };
 
-const QUEUE: usize = 32;
+const QUEUE_CAPACITY: usize = 32;
 /// Maximum growth of the 99th percentile of a customer beside a burst of another one.
 const MAX_GROWTH: f64 = 1.5;
 
 /// Growth of the 99th percentile of a customer below its share when another customer sends ten
 /// times its share.
-fn growth(
+fn p99_growth(
     discipline: Discipline,
     load: f64,
     burst_mean_us: u64,
@@ -24,15 +24,15 @@
     let quiet = Source::new("quiet", share * load);
     let slower = MEAN_US as f64 / burst_mean_us as f64;
     let burst = Source { mean_us: burst_mean_us, ..Source::new("burst", share * 10.0 * slower) };
-    let alone = run(&[quiet], discipline, QUEUE, 40, seed);
-    let mut beside = run(&[quiet, burst], discipline, QUEUE, 40, seed);
+    let alone = run(&[quiet], discipline, QUEUE_CAPACITY, 40, seed);
+    let mut beside = run(&[quiet, burst], discipline, QUEUE_CAPACITY, 40, seed);
     let beside = beside.swap_remove(0);
-    (beside.latency(0.99) as f64 / alone[0].latency(0.99) as f64, beside)
+    (beside.latency_quantile_us(0.99) as f64 / alone[0].latency_quantile_us(0.99) as f64, beside)
 }
 
 fn check_burst(load: f64, burst_mean_us: u64) {
     for seed in 1..=2 {
-        let (growth, stats) = growth(Discipline::Fair, load, burst_mean_us, seed);
+        let (growth, stats) = p99_growth(Discipline::Fair, load, burst_mean_us, seed);
         let refused = stats.refused as f64 / stats.latencies_us.len() as f64;
         println!("load={load} burst_mean_us={burst_mean_us} seed={seed} growth={growth:.2}");
         assert!(growth <= MAX_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
@@ -56,9 +56,10 @@
     let quiet = Source { fixed_time: true, ..Source::new("quiet", share * load) };
     let burst = Source { fixed_time: true, ..Source::new("burst", share * 10.0) };
     for seed in 1..=2 {
-        let alone = run(&[quiet], Discipline::Fair, QUEUE, 40, seed);
-        let beside = run(&[quiet, burst], Discipline::Fair, QUEUE, 40, seed);
-        let growth = beside[0].latency(0.99) as f64 / alone[0].latency(0.99) as f64;
+        let alone = run(&[quiet], Discipline::Fair, QUEUE_CAPACITY, 40, seed);
+        let beside = run(&[quiet, burst], Discipline::Fair, QUEUE_CAPACITY, 40, seed);
+        let growth =
+            beside[0].latency_quantile_us(0.99) as f64 / alone[0].latency_quantile_us(0.99) as f64;
         let used = (beside[0].slot_us + beside[1].slot_us) as f64 / (40.0 * 1e6 * SLOTS as f64);
         println!("fixed-time load={load} seed={seed} growth={growth:.2} slots used={used:.3}");
         assert!(growth <= MAX_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
@@ -82,7 +83,7 @@
     let quiet = Source::new("quiet", CAPACITY * 0.1);
     let burst = Source { first_arrival_us: 5_000_000, ..Source::new("burst", CAPACITY * 10.0) };
     for seed in 1..=5 {
-        let stats = run(&[quiet, burst], Discipline::Fair, QUEUE, 6, seed);
+        let stats = run(&[quiet, burst], Discipline::Fair, QUEUE_CAPACITY, 6, seed);
         let waits = &stats[0].waits_us;
         let worst = waits.iter().max().copied().unwrap_or(0);
         assert!(worst <= 2 * MEAN_US, "seed {seed}: waited {worst} us");
@@ -92,7 +93,7 @@
 /// Control: with a queue in order of arrival, the same burst violates the limits above.
 #[test]
 fn without_fairness_a_burst_harms_others() {
-    let (growth, stats) = growth(Discipline::Fifo, 0.5, MEAN_US, 1);
+    let (growth, stats) = p99_growth(Discipline::Fifo, 0.5, MEAN_US, 1);
     assert!(growth > MAX_GROWTH, "{growth:.2}");
     assert!(stats.refused > stats.answered_in_time, "{} refused", stats.refused);
 }
@@ -100,10 +101,10 @@
 /// Goodput in requests per second at `load` times the capacity.
 fn goodput(discipline: Discipline, load: f64, deadline_ms: u64) -> f64 {
     let source = Source { deadline_ms, ..Source::new("a", CAPACITY * load) };
-    run(&[source], discipline, QUEUE, 30, 1)[0].answered_in_time as f64 / 30.0
+    run(&[source], discipline, QUEUE_CAPACITY, 30, 1)[0].answered_in_time as f64 / 30.0
 }
 
-fn overload(discipline: Discipline, deadline_ms: u64) -> f64 {
+fn goodput_kept_in_overload(discipline: Discipline, deadline_ms: u64) -> f64 {
     let loads = [0.7, 0.9, 1.0, 1.5, 2.0, 3.0];
     let goodputs = loads.map(|load| goodput(discipline, load, deadline_ms));
     let peak = goodputs.iter().copied().fold(0.0, f64::max);
@@ -112,7 +113,7 @@
 }
 
 fn check_overload(deadline_ms: u64) {
-    let kept = overload(Discipline::Fair, deadline_ms);
+    let kept = goodput_kept_in_overload(Discipline::Fair, deadline_ms);
     assert!(kept >= 0.9, "{kept:.3} of the peak at three times the capacity");
 }
 
@@ -128,7 +129,7 @@
 /// Control: the same overload with a queue that ignores deadlines.
 #[test]
 fn without_deadlines_overload_wastes_slots() {
-    let kept = overload(Discipline::Fifo, 50);
+    let kept = goodput_kept_in_overload(Discipline::Fifo, 50);
     assert!(kept < 0.9, "{kept:.3}");
 }
 
@@ -137,7 +138,7 @@
 #[test]
 fn a_refusal_comes_long_before_the_deadline() {
     let source = Source { deadline_ms: 500, ..Source::new("a", CAPACITY * 3.0) };
-    let stats = &run(&[source], Discipline::Fair, QUEUE, 20, 1)[0];
+    let stats = &run(&[source], Discipline::Fair, QUEUE_CAPACITY, 20, 1)[0];
     assert!(stats.refused > 1_000);
     let last = stats.refused_after_us.iter().max().unwrap();
     assert!(*last < 100_000, "{last} us");
@@ -150,7 +151,7 @@
     let rate = CAPACITY * 2.0;
     let early = Source::new("early", rate);
     let late = Source { first_arrival_us: 10_000_000, ..Source::new("late", rate) };
-    let stats = run(&[early, late], Discipline::Fair, QUEUE, 11, 1);
+    let stats = run(&[early, late], Discipline::Fair, QUEUE_CAPACITY, 11, 1);
     let expected = CAPACITY * 2.0 / 2.0;
     let late = stats[1].answered_in_time as f64;
     assert!((0.9..1.1).contains(&(late / expected)), "{late} of {expected}");
@@ -161,7 +162,7 @@
 fn slots_follow_the_weights() {
     let source = |name, weight| Source { weight, ..Source::new(name, CAPACITY * 2.0) };
     let sources = [source("one", 1), source("three", 3)];
-    let stats = run(&sources, Discipline::Fair, QUEUE, 20, 1);
+    let stats = run(&sources, Discipline::Fair, QUEUE_CAPACITY, 20, 1);
     let ratio = stats[1].slot_us as f64 / stats[0].slot_us as f64;
     assert!((2.8..3.2).contains(&ratio), "{ratio:.2}");
     let used = (stats[0].slot_us + stats[1].slot_us) as f64 / (20.0 * 1e6 * SLOTS as f64);
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -16,7 +16,7 @@
 enum Step {
     Admit { id: u64, key: u64 },
     Start { id: u64 },
-    NotRun { id: u64 },
+    MarkNotRun { id: u64 },
     Finish { id: u64 },
     Ask { id: u64, incarnation: u64 },
     AskKey { id: u64, key: u64 },
@@ -27,7 +27,7 @@
     prop_oneof![
         4 => (0..ids, 0..6u64).prop_map(|(id, key)| Step::Admit { id, key }),
         3 => (0..ids).prop_map(|id| Step::Start { id }),
-        1 => (0..ids).prop_map(|id| Step::NotRun { id }),
+        1 => (0..ids).prop_map(|id| Step::MarkNotRun { id }),
         3 => (0..ids).prop_map(|id| Step::Finish { id }),
         2 => ask.prop_map(|(id, incarnation)| Step::Ask { id, incarnation }),
         1 => (ids..2 * ids, 1..6u64).prop_map(|(id, key)| Step::AskKey { id, key }),
@@ -65,7 +65,7 @@
         self.attempts.push((id, state));
     }
 
-    fn first(&self, key: u64) -> Option<u64> {
+    fn first_attempt_with_key(&self, key: u64) -> Option<u64> {
         self.keys.iter().find(|record| record.0 == key).map(|record| record.1)
     }
 
@@ -80,7 +80,7 @@
             Some(_) => return Admission::Duplicate,
             None => {}
         }
-        if let Some(first) = self.first(key) {
+        if let Some(first) = self.first_attempt_with_key(key) {
             return self.join(number, first);
         }
         self.set(number, State::Queued);
@@ -112,13 +112,13 @@
                 self.set(number, State::Barred);
                 return AskReply::NeverStarted { joined: sorted(self.joined(number)) };
             }
-            Some(State::Joined(first)) => return self.reply(first),
-            Some(_) => return self.reply(number),
+            Some(State::Joined(first)) => return self.reply_about(first),
+            Some(_) => return self.reply_about(number),
         }
         AskReply::NeverStarted { joined: Vec::new() }
     }
 
-    fn reply(&self, number: u64) -> AskReply<u64> {
+    fn reply_about(&self, number: u64) -> AskReply<u64> {
         match self.state(number) {
             Some(State::Finished) => AskReply::Finished(number),
             Some(State::Barred) => AskReply::NeverStarted { joined: Vec::new() },
@@ -127,7 +127,7 @@
     }
 
     fn ask_key(&mut self, number: u64, key: u64) -> AskReply<u64> {
-        if let Some(first) = self.first(key) {
+        if let Some(first) = self.first_attempt_with_key(key) {
             return match self.join(number, first) {
                 Admission::Barred => AskReply::NeverStarted { joined: Vec::new() },
                 Admission::Replay(answer) => AskReply::Finished(answer),
@@ -177,7 +177,7 @@
                         reference.set(n, State::Running);
                     }
                 }
-                Step::NotRun { id: n } => {
+                Step::MarkNotRun { id: n } => {
                     let joined = ledger.mark_not_run(id(n));
                     if reference.state(n) == Some(State::Queued) {
                         reference.set(n, State::Barred);
@@ -236,7 +236,7 @@
                         prop_assert!(!barred.contains(&n), "{n} started after it was barred");
                     }
                 }
-                Step::NotRun { id: n } => drop(ledger.mark_not_run(id(n))),
+                Step::MarkNotRun { id: n } => drop(ledger.mark_not_run(id(n))),
                 Step::Finish { id: n } => drop(ledger.finish(id(n), n, 1, now)),
                 Step::Ask { id: n, incarnation } => match ledger.ask(id(n), incarnation, now) {
                     AskReply::NeverStarted { .. } => {
--- a/crates/geraniumpost-core/tests/requests_membership.rs
+++ b/crates/geraniumpost-core/tests/requests_membership.rs
@@ -16,7 +16,7 @@
     Membership::new(here(), MembershipLimits::new(500))
 }
 
-fn draining(agent: &str, incarnation: u64, sequence: u64) -> Heartbeat {
+fn draining_heartbeat(agent: &str, incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat { state: AgentState::Draining, ..heartbeat(agent, incarnation, sequence) }
 }
 
@@ -24,7 +24,7 @@
 enum Step {
     Heartbeat { agent: usize, incarnation: u64, sequence: u64, draining: bool },
     MarkDraining { agent: usize, incarnation: u64 },
-    Connected { agent: usize, incarnation: u64, up: bool },
+    SetConnected { agent: usize, incarnation: u64, up: bool },
     Advance { ms: u64 },
 }
 
@@ -37,7 +37,7 @@
         1 => (0..2usize, 0..3u64)
             .prop_map(|(agent, incarnation)| Step::MarkDraining { agent, incarnation }),
         2 => (0..2usize, 0..3u64, any::<bool>())
-            .prop_map(|(agent, incarnation, up)| Step::Connected { agent, incarnation, up }),
+            .prop_map(|(agent, incarnation, up)| Step::SetConnected { agent, incarnation, up }),
         2 => (0..1_200u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
@@ -45,9 +45,9 @@
 /// Complete history of one agent, from which the expected state follows.
 #[derive(Debug, Default)]
 struct History {
-    current: u64,
-    highest: BTreeMap<u64, u64>,
-    drained: Vec<u64>,
+    current_incarnation: u64,
+    highest_sequences: BTreeMap<u64, u64>,
+    draining_incarnations: Vec<u64>,
     last_heard: u64,
     failed: bool,
     connected: bool,
@@ -55,11 +55,11 @@
 
 impl History {
     fn record(&mut self, incarnation: u64, sequence: u64, drains: bool, now: u64) {
-        let known = self.highest.get(&incarnation).copied();
-        let current = self.current == incarnation && known.is_some();
+        let known = self.highest_sequences.get(&incarnation).copied();
+        let current = self.current_incarnation == incarnation && known.is_some();
         let newer = known.is_none_or(|known| sequence > known);
         if drains && (current || known.is_none() || (self.failed && newer)) {
-            self.drained.push(incarnation);
+            self.draining_incarnations.push(incarnation);
         }
         if !newer || (known.is_some() && !current && !self.failed) {
             return;
@@ -67,8 +67,8 @@
         if !current {
             self.connected = false;
         }
-        self.highest.insert(incarnation, sequence);
-        (self.current, self.last_heard, self.failed) = (incarnation, now, false);
+        self.highest_sequences.insert(incarnation, sequence);
+        (self.current_incarnation, self.last_heard, self.failed) = (incarnation, now, false);
     }
 }
 
@@ -100,15 +100,15 @@
                 Step::MarkDraining { agent, incarnation } => {
                     membership.mark_draining(&format!("a{agent}"), incarnation);
                     if let Some(history) = histories.get_mut(&agent)
-                        && history.current == incarnation
+                        && history.current_incarnation == incarnation
                     {
-                        history.drained.push(incarnation);
+                        history.draining_incarnations.push(incarnation);
                     }
                 }
-                Step::Connected { agent, incarnation, up } => {
+                Step::SetConnected { agent, incarnation, up } => {
                     membership.set_connected(&format!("a{agent}"), incarnation, up);
                     if let Some(history) = histories.get_mut(&agent)
-                        && history.current == incarnation
+                        && history.current_incarnation == incarnation
                     {
                         history.connected = up;
                     }
@@ -124,8 +124,8 @@
             let live = histories.iter().filter(|(_, history)| !history.failed);
             let expected: Vec<_> = live
                 .map(|(agent, history)| {
-                    let drained = history.drained.contains(&history.current);
-                    (format!("a{agent}"), history.current, drained, history.connected)
+                    let drained = history.draining_incarnations.contains(&history.current_incarnation);
+                    (format!("a{agent}"), history.current_incarnation, drained, history.connected)
                 })
                 .collect();
             prop_assert_eq!(visible_agents(&membership), expected);
@@ -142,7 +142,7 @@
     membership.record_heartbeat(&heartbeat("a", 7, 1), Millis(0));
     membership.set_connected("a", 7, true);
     assert_eq!(
-        membership.record_heartbeat(&draining("a", 7, 3), Millis(10)),
+        membership.record_heartbeat(&draining_heartbeat("a", 7, 3), Millis(10)),
         MembershipChange::Draining
     );
     assert_eq!(
@@ -163,7 +163,7 @@
     let mut membership = membership();
     membership.record_heartbeat(&heartbeat("a", 7, 5), Millis(0));
     assert_eq!(
-        membership.record_heartbeat(&draining("a", 7, 4), Millis(1)),
+        membership.record_heartbeat(&draining_heartbeat("a", 7, 4), Millis(1)),
         MembershipChange::Draining
     );
 }
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -34,14 +34,14 @@
     (fate, prop::collection::vec((any::<u8>(), 0..300u16), 12))
 }
 
-fn outcome(outcome: Outcome) -> AttemptEvent {
+fn outcome_event(outcome: Outcome) -> AttemptEvent {
     AttemptEvent::Outcome { outcome, retry_after_ms: 7 }
 }
 
 /// Events that an entry may observe for an attempt with this fate after the action `step`.
 fn possible_events(fate: Fate, step: NextStep) -> Vec<AttemptEvent> {
     let mut events = vec![AttemptEvent::LinkLost, AttemptEvent::LinkUnresponsive];
-    events.extend([outcome(Outcome::Unknown), AttemptEvent::DeadlinePassed { sent: true }]);
+    events.extend([outcome_event(Outcome::Unknown), AttemptEvent::DeadlinePassed { sent: true }]);
     if matches!(step, NextStep::Ask { .. }) {
         let unknown = AttemptEvent::Verdict(AskVerdict::Unknown);
         events.extend([AttemptEvent::AskFailed, AttemptEvent::AgentRestarted, unknown]);
@@ -71,11 +71,11 @@
                 Outcome::NotRunUnreachable,
                 Outcome::NotRunUnknownService,
             ]
-            .map(outcome),
+            .map(outcome_event),
         ),
         Fate::Runs => events.extend(
             [Outcome::Answered, Outcome::RunFailed, Outcome::RunTruncated, Outcome::RunTimedOut]
-                .map(outcome),
+                .map(outcome_event),
         ),
         Fate::InTransit => {}
     }
@@ -128,7 +128,7 @@
     end
 }
 
-fn kinds() -> impl Strategy<Value = RequestKind> {
+fn request_kind() -> impl Strategy<Value = RequestKind> {
     prop_oneof![Just(RequestKind::Idempotent), Just(RequestKind::Once), Just(RequestKind::Keyed)]
 }
 
@@ -152,7 +152,7 @@
 proptest! {
     #[test]
     fn never_runs_twice_or_reports_a_false_not_run(
-        kind in kinds(),
+        kind in request_kind(),
         budget_limit in 0..5u32,
         attempts in prop::collection::vec(attempt(), 6),
     ) {
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -122,14 +122,14 @@
             history.push(success);
             let failures = history.iter().filter(|&&ok| !ok).count();
             let consecutive_failures = history.iter().rev().take_while(|&&ok| !ok).count();
-            let bad = consecutive_failures >= 5
+            let exceeds_limits = consecutive_failures >= 5
                 || (history.len() >= 20 && failures * 2 >= history.len());
             let agent = snapshot.agent(&format!("a{index}")).unwrap();
             let was_ejected = agent.counters().is_ejected();
             if agent.counters().record_result(success) {
                 ejector.record(service, agent, success, Millis(1));
             }
-            prop_assert_eq!(agent.counters().is_ejected(), was_ejected || (bad && !success));
+            prop_assert_eq!(agent.counters().is_ejected(), was_ejected || (exceeds_limits && !success));
         }
     }
 
@@ -285,11 +285,11 @@
         assert_eq!(record_failure(&mut ejector, &snapshot, "a3", 0), EjectionChange::None);
     }
     let mut now = 0;
-    for (ejections, pause) in [(1, 1_000), (2, 2_000), (3, 4_000), (4, 8_000), (5, 16_000)] {
-        let expected = EjectionChange::Ejected { probe_at: Millis(now + pause), ejections };
+    for (ejections, delay_ms) in [(1, 1_000), (2, 2_000), (3, 4_000), (4, 8_000), (5, 16_000)] {
+        let expected = EjectionChange::Ejected { probe_at: Millis(now + delay_ms), ejections };
         assert_eq!(record_failure(&mut ejector, &snapshot, "a3", now), expected);
         assert_eq!(record_failure(&mut ejector, &snapshot, "a3", now + 1), EjectionChange::None);
-        now += pause;
+        now += delay_ms;
         assert!(snapshot.agent("a3").unwrap().counters().claim_probe(Millis(now), true));
     }
 }
@@ -346,8 +346,8 @@
     }
     for due in [1_000, 6_000, 11_000] {
         let claim = || {
-            let gauge = snapshot.agent("a1").unwrap().counters();
-            (0..1_000).filter(|_| gauge.claim_probe(Millis(due), true)).count()
+            let counters = snapshot.agent("a1").unwrap().counters();
+            (0..1_000).filter(|_| counters.claim_probe(Millis(due), true)).count()
         };
         let probes: usize = std::thread::scope(|scope| {
             let threads: Vec<_> = (0..4).map(|_| scope.spawn(claim)).collect();
--- a/crates/geraniumpost-core/tests/requests_support/minion_model.rs
+++ b/crates/geraniumpost-core/tests/requests_support/minion_model.rs
@@ -66,7 +66,7 @@
 
 impl CustomerStats {
     /// Latency of the answers in microseconds at `quantile`.
-    pub fn latency(&self, quantile: f64) -> u64 {
+    pub fn latency_quantile_us(&self, quantile: f64) -> u64 {
         let mut sorted = self.latencies_us.clone();
         sorted.sort_unstable();
         let rank = (sorted.len() as f64 * quantile) as usize;
@@ -105,13 +105,13 @@
     sources: &'a [Source],
     rng: SmallRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    order: u64,
+    event_count: u64,
     jobs: BTreeMap<u64, Job>,
     queue: Queue,
-    bound: usize,
+    queue_capacity: usize,
     stats: Vec<CustomerStats>,
     now_us: u64,
-    warm_up_us: u64,
+    warm_up_end_us: u64,
 }
 
 /// Runs `sources` for `seconds` after a warm-up of one second, and returns the results of each
@@ -119,45 +119,45 @@
 pub fn run(
     sources: &[Source],
     discipline: Discipline,
-    bound: usize,
+    queue_capacity: usize,
     seconds: u64,
     seed: u64,
 ) -> Vec<CustomerStats> {
     let queue = match discipline {
-        Discipline::Fair => {
-            Queue::Fair(Box::new(FairQueue::new(QueueLimits::new().slots(SLOTS).queue(bound))))
-        }
+        Discipline::Fair => Queue::Fair(Box::new(FairQueue::new(
+            QueueLimits::new().slots(SLOTS).queue(queue_capacity),
+        ))),
         Discipline::Fifo => Queue::Fifo(Fifo::default()),
     };
     let mut model = Model {
         sources,
         rng: SmallRng::seed_from_u64(seed),
         events: BinaryHeap::new(),
-        order: 0,
+        event_count: 0,
         jobs: BTreeMap::new(),
         queue,
-        bound,
+        queue_capacity,
         stats: sources.iter().map(|_| CustomerStats::default()).collect(),
         now_us: 0,
-        warm_up_us: 1_000_000,
+        warm_up_end_us: 1_000_000,
     };
     for (index, source) in sources.iter().enumerate() {
-        model.push(source.first_arrival_us, Event::Arrive(index));
+        model.schedule(source.first_arrival_us, Event::Arrive(index));
     }
-    model.push(0, Event::Tick);
+    model.schedule(0, Event::Tick);
     model.run((seconds + 1) * 1_000_000);
     model.stats
 }
 
 impl Model<'_> {
-    fn push(&mut self, at_us: u64, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at_us, self.order, event)));
+    fn schedule(&mut self, at_us: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at_us, self.event_count, event)));
     }
 
-    fn run(&mut self, until_us: u64) {
+    fn run(&mut self, end_us: u64) {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
-            if at_us > until_us {
+            if at_us > end_us {
                 return;
             }
             self.now_us = at_us;
@@ -169,7 +169,7 @@
         }
     }
 
-    fn exponential(&mut self, mean: f64) -> u64 {
+    fn draw_exponential(&mut self, mean: f64) -> u64 {
         let uniform: f64 = self.rng.random();
         (-(1.0 - uniform).ln() * mean) as u64 + 1
     }
@@ -180,11 +180,12 @@
 
     fn arrive(&mut self, index: usize) {
         let source = self.sources[index];
-        let gap = self.exponential(1e6 / source.per_second);
-        let drawn_us = self.exponential(source.mean_us as f64);
+        let gap_us = self.draw_exponential(1e6 / source.per_second);
+        let drawn_us = self.draw_exponential(source.mean_us as f64);
         let service_us = if source.fixed_time { source.mean_us } else { drawn_us };
-        self.push(self.now_us + gap, Event::Arrive(index));
-        let job = Job { source: index, sequence: self.order, arrived_us: self.now_us, service_us };
+        self.schedule(self.now_us + gap_us, Event::Arrive(index));
+        let job =
+            Job { source: index, sequence: self.event_count, arrived_us: self.now_us, service_us };
         self.jobs.insert(job.sequence, job);
         let now = self.now();
         let deadline = now.plus(source.deadline_ms);
@@ -202,8 +203,11 @@
         let Queue::Fifo(fifo) = &mut self.queue else { return };
         if fifo.running < SLOTS {
             fifo.running += 1;
-            self.push(self.now_us + job.service_us, Event::Finish(job.sequence, job.service_us));
-        } else if fifo.waiting.len() < self.bound {
+            self.schedule(
+                self.now_us + job.service_us,
+                Event::Finish(job.sequence, job.service_us),
+            );
+        } else if fifo.waiting.len() < self.queue_capacity {
             fifo.waiting.push_back(job);
         } else {
             self.record_refusal(job);
@@ -221,7 +225,7 @@
             }
             Queue::Fifo(fifo) => match fifo.waiting.pop_front() {
                 Some(next) => {
-                    self.push(
+                    self.schedule(
                         self.now_us + next.service_us,
                         Event::Finish(next.sequence, next.service_us),
                     );
@@ -237,7 +241,7 @@
             let actions = queue.tick(now);
             self.apply(actions);
         }
-        self.push(self.now_us + 10_000, Event::Tick);
+        self.schedule(self.now_us + 10_000, Event::Tick);
     }
 
     fn apply(&mut self, actions: Vec<QueueAction<Job>>) {
@@ -245,7 +249,7 @@
             match action {
                 QueueAction::Run(request) => {
                     let job = request.into_payload();
-                    self.push(
+                    self.schedule(
                         self.now_us + job.service_us,
                         Event::Finish(job.sequence, job.service_us),
                     );
@@ -261,21 +265,21 @@
     }
 
     fn record_answer(&mut self, job: Job) {
-        if job.arrived_us < self.warm_up_us {
+        if job.arrived_us < self.warm_up_end_us {
             return;
         }
-        let latency = self.now_us - job.arrived_us;
-        let in_time = latency <= self.sources[job.source].deadline_ms * 1000;
+        let latency_us = self.now_us - job.arrived_us;
+        let in_time = latency_us <= self.sources[job.source].deadline_ms * 1000;
         let stats = &mut self.stats[job.source];
-        stats.latencies_us.push(latency);
-        stats.waits_us.push(latency.saturating_sub(job.service_us));
+        stats.latencies_us.push(latency_us);
+        stats.waits_us.push(latency_us.saturating_sub(job.service_us));
         stats.answered_in_time += u64::from(in_time);
         stats.late += u64::from(!in_time);
         stats.slot_us += job.service_us;
     }
 
     fn record_refusal(&mut self, job: Job) {
-        if job.arrived_us < self.warm_up_us {
+        if job.arrived_us < self.warm_up_end_us {
             return;
         }
         let stats = &mut self.stats[job.source];
--- a/crates/geraniumpost-core/tests/requests_support/mod.rs
+++ b/crates/geraniumpost-core/tests/requests_support/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, unused_macros, unused_imports, reason = "each test file uses a part of it")]
 
 pub mod minion_model;
-pub mod naive_queue;
+pub mod reference_queue;
 
 use geraniumpost_core::requests::{AgentView, Location, Snapshot};
 use geraniumpost_schema::{AgentState, Heartbeat, Load, RequestId, Resources};
--- a/crates/geraniumpost-core/tests/requests_support/naive_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
@@ -11,16 +11,16 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ServiceTimes {
-    mean: u64,
-    deviation: u64,
+    mean_us: u64,
+    deviation_us: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Customer {
-    number: usize,
+    customer_id: usize,
     weight: u64,
     virtual_time: u64,
-    times: ServiceTimes,
+    service_times: ServiceTimes,
     used_us: u64,
     busy_milli: u64,
     last_request_ms: u64,
@@ -34,45 +34,45 @@
 }
 
 #[derive(Debug, Default)]
-pub struct NaiveQueue {
+pub struct ReferenceQueue {
     slots: usize,
-    bound: usize,
+    queue_capacity: usize,
     customers: Vec<Customer>,
     waiting: Vec<QueuedRequest>,
     running: Vec<(u64, usize, u64)>,
     virtual_time: u64,
     max_virtual_time: u64,
-    times: ServiceTimes,
+    service_times: ServiceTimes,
     measured_at_ms: u64,
     now_ms: u64,
 }
 
 impl ServiceTimes {
-    fn record(&mut self, sample: u64) {
-        if self.mean == 0 {
-            self.mean = sample.max(1);
+    fn record(&mut self, sample_us: u64) {
+        if self.mean_us == 0 {
+            self.mean_us = sample_us.max(1);
             return;
         }
-        let sample = sample.min(self.mean * 4);
-        self.deviation = (self.deviation * 15 + sample.abs_diff(self.mean)) / 16;
-        self.mean = ((self.mean * 15 + sample) / 16).max(1);
+        let sample_us = sample_us.min(self.mean_us * 4);
+        self.deviation_us = (self.deviation_us * 15 + sample_us.abs_diff(self.mean_us)) / 16;
+        self.mean_us = ((self.mean_us * 15 + sample_us) / 16).max(1);
     }
 }
 
 impl Customer {
-    fn cost(&self, us: u64) -> u64 {
+    fn virtual_cost(&self, us: u64) -> u64 {
         us.max(1) * 1024 / self.weight
     }
 
     fn misses_deadline(&self, deadline_ms: u64, now_ms: u64) -> bool {
-        let needed_ms = (self.times.mean + self.times.deviation) / 1000;
+        let needed_ms = (self.service_times.mean_us + self.service_times.deviation_us) / 1000;
         now_ms >= deadline_ms || now_ms + needed_ms > deadline_ms
     }
 }
 
-impl NaiveQueue {
-    pub fn new(slots: usize, bound: usize) -> Self {
-        Self { slots, bound, ..Self::default() }
+impl ReferenceQueue {
+    pub fn new(slots: usize, queue_capacity: usize) -> Self {
+        Self { slots, queue_capacity, ..Self::default() }
     }
 
     pub fn sizes(&self) -> (usize, usize) {
@@ -90,7 +90,7 @@
     pub fn offer(
         &mut self,
         sequence: u64,
-        number: usize,
+        customer_id: usize,
         weight: u64,
         deadline_ms: u64,
         now_ms: u64,
@@ -99,7 +99,7 @@
             return vec![Decision::Refuse(sequence, Refusal::Deadline, 1)];
         }
         self.now_ms = now_ms;
-        let customer = self.customer(number, weight);
+        let customer = self.customer(customer_id, weight);
         self.customers[customer].last_request_ms = now_ms;
         let request = QueuedRequest { sequence, customer, deadline_ms };
         if self.queued(customer) == 0 && self.may_start(customer) {
@@ -111,9 +111,9 @@
             return vec![refuse(sequence, Refusal::Deadline, wait_us)];
         }
         let mut decisions = Vec::new();
-        if self.waiting.len() >= self.bound {
+        if self.waiting.len() >= self.queue_capacity {
             let Some(victim) = self.displaced_by(customer) else {
-                return vec![refuse(sequence, Refusal::Overloaded, self.drain_us())];
+                return vec![refuse(sequence, Refusal::Overloaded, self.queue_drain_us())];
             };
             self.waiting.retain(|request| request.sequence != victim);
             decisions.push(refuse(victim, Refusal::Displaced, wait_us));
@@ -137,12 +137,13 @@
         };
         let (_, customer, charged) = self.running.remove(index);
         let state = &mut self.customers[customer];
-        state.virtual_time = state.virtual_time.saturating_sub(charged) + state.cost(service_us);
+        state.virtual_time =
+            state.virtual_time.saturating_sub(charged) + state.virtual_cost(service_us);
         state.used_us += service_us;
         self.max_virtual_time = self.max_virtual_time.max(state.virtual_time);
         if success {
-            state.times.record(service_us);
-            self.times.record(service_us);
+            state.service_times.record(service_us);
+            self.service_times.record(service_us);
         }
         let decisions = self.dispatch(now_ms);
         if self.running.is_empty() && self.waiting.is_empty() {
@@ -159,7 +160,7 @@
 
     /// Refuses requests that can no longer meet their deadlines, customer by customer.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Decision> {
-        let wait_us = self.drain_us();
+        let wait_us = self.queue_drain_us();
         let mut decisions = Vec::new();
         for customer in 0..self.customers.len() {
             let misses_its_deadline = |request: &QueuedRequest| {
@@ -192,16 +193,16 @@
         }
     }
 
-    fn customer(&mut self, number: usize, weight: u64) -> usize {
-        let known = self.customers.iter().position(|other| other.number == number);
+    fn customer(&mut self, customer_id: usize, weight: u64) -> usize {
+        let known = self.customers.iter().position(|other| other.customer_id == customer_id);
         known.unwrap_or_else(|| {
-            let times = self.times;
+            let service_times = self.service_times;
             let (virtual_time, used_us, busy_milli, last_request_ms) = (0, 0, 0, 0);
             self.customers.push(Customer {
-                number,
+                customer_id,
                 weight,
                 virtual_time,
-                times,
+                service_times,
                 used_us,
                 busy_milli,
                 last_request_ms,
@@ -211,17 +212,18 @@
     }
 
     fn activate(&mut self, customer: usize) {
-        let max_us = 4 * self.slots as u64 * self.times.mean;
+        let max_us = 4 * self.slots as u64 * self.service_times.mean_us;
         let state = &mut self.customers[customer];
-        let recent_us = 8 * state.busy_milli * self.times.mean / 1000;
-        let virtual_time = self.virtual_time.saturating_sub(state.cost(recent_us.min(max_us)));
+        let recent_us = 8 * state.busy_milli * self.service_times.mean_us / 1000;
+        let virtual_time =
+            self.virtual_time.saturating_sub(state.virtual_cost(recent_us.min(max_us)));
         state.virtual_time = state.virtual_time.max(virtual_time);
     }
 
     fn start(&mut self, request: QueuedRequest) -> Decision {
         let state = &mut self.customers[request.customer];
         self.virtual_time = self.virtual_time.max(state.virtual_time);
-        let charged = state.cost(state.times.mean);
+        let charged = state.virtual_cost(state.service_times.mean_us);
         state.virtual_time += charged;
         self.max_virtual_time = self.max_virtual_time.max(state.virtual_time);
         self.running.push((request.sequence, request.customer, charged));
@@ -241,7 +243,7 @@
             };
             self.waiting.retain(|request| request.sequence != first.sequence);
             if self.customers[first.customer].misses_deadline(first.deadline_ms, now_ms) {
-                decisions.push(refuse(first.sequence, Refusal::Deadline, self.drain_us()));
+                decisions.push(refuse(first.sequence, Refusal::Deadline, self.queue_drain_us()));
             } else {
                 decisions.push(self.start(first));
             }
@@ -286,16 +288,16 @@
     }
 
     fn wait_us(&self, customer: usize) -> u64 {
-        let has_queue = |&other: &usize| other == customer || self.queued(other) > 0;
-        let all = (0..self.customers.len()).filter(has_queue);
+        let is_counted = |&other: &usize| other == customer || self.queued(other) > 0;
+        let all = (0..self.customers.len()).filter(is_counted);
         let weights: u64 = all.map(|other| self.customers[other].weight).sum();
         let state = self.customers[customer];
-        let ahead = (self.queued(customer) + 1) * state.times.mean;
-        (ahead * weights / state.weight / self.slots as u64).min(self.drain_us())
+        let ahead = (self.queued(customer) + 1) * state.service_times.mean_us;
+        (ahead * weights / state.weight / self.slots as u64).min(self.queue_drain_us())
     }
 
-    fn drain_us(&self) -> u64 {
-        (self.waiting.len() as u64 + 1) * self.times.mean / self.slots as u64
+    fn queue_drain_us(&self) -> u64 {
+        (self.waiting.len() as u64 + 1) * self.service_times.mean_us / self.slots as u64
     }
 }
 
