--- a/crates/geraniumpost-core/src/requests/admission.rs
+++ b/crates/geraniumpost-core/src/requests/admission.rs
@@ -5,19 +5,20 @@
 pub enum Admission<A> {
     /// The attempt is recorded as waiting and is to be offered to the queue.
     Queue,
-    /// The attempt with this id has the same key and waits or runs. Its answer also answers this
-    /// attempt, whose id [`super::AttemptLedger::finish`] will return.
+    /// The attempt with this id has the same key and waits or runs. Its answer is also the answer
+    /// to the new attempt, whose id [`super::AttemptLedger::finish`] returns.
     Join(RequestId),
-    /// An attempt with the same key has run with this answer.
+    /// An attempt with the same key has ended with this answer, which is sent without another run.
     Replay(A),
     /// An attempt with the same key has run, and its answer is no longer kept.
     AnswerLost,
-    /// The attempt is already recorded and is answered through its first copy. No action is needed.
+    /// The attempt is already recorded, because its message arrived twice. No action is needed, as
+    /// the answer to the first copy is the only one.
     Duplicate,
-    /// A query barred the attempt or its key before the attempt arrived. It does not run on this
-    /// agent.
+    /// A query barred the attempt or its key before the attempt arrived, or an attempt with its key
+    /// was refused. It does not run on this agent.
     Barred,
-    /// The attempt, or another with its key, may have run and been dropped from the ledger. It does
-    /// not run.
+    /// The attempt, or another with its key, may have run, but its record has been dropped. The
+    /// attempt does not run.
     Forgotten,
 }
--- a/crates/geraniumpost-core/src/requests/agent_counters.rs
+++ b/crates/geraniumpost-core/src/requests/agent_counters.rs
@@ -8,10 +8,11 @@
 
 /// Value of `probe_at` while the agent is not ejected.
 const NOT_EJECTED: u64 = 0;
-/// Time for which one probe excludes further probes. The claim expires, so that a probe whose
-/// caller disconnects does not leave the agent ejected forever.
+/// Time for which one probe excludes further probes. After it another request may probe, so that an
+/// agent does not remain ejected forever if the caller of a probe disconnects.
 const PROBE_TIMEOUT_MS: u64 = 5_000;
-/// Additional delay before a request that cannot be retried may serve as the probe.
+/// Time by which a probe must be overdue before a request that cannot be retried may serve as the
+/// probe.
 const PROBE_FALLBACK_DELAY_MS: u64 = 2_000;
 
 /// Counters of one incarnation of an agent, shared by all snapshots that contain it.
@@ -35,11 +36,11 @@
 }
 
 impl AgentCounters {
-    /// Counts a request sent to the agent until the returned guard is dropped.
+    /// Counts a request as in flight at the agent until the returned guard is dropped.
     ///
-    /// The count is tied to a guard rather than to a pair of calls because the request's future is
-    /// dropped at any point when the caller disconnects. A count that is never decremented would
-    /// keep work from the agent permanently.
+    /// A guard is used rather than a pair of calls because the future of the request is dropped at
+    /// any point when the caller disconnects. A count that is never decremented would keep requests
+    /// away from the agent permanently.
     #[must_use]
     pub fn begin_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Relaxed);
@@ -50,7 +51,7 @@
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
-    /// Requests that this entry has sent and that have not ended.
+    /// Number of requests that this entry has sent to the agent and that have not ended.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Relaxed)
     }
@@ -67,7 +68,7 @@
         self.reported_at.store(now.0, Relaxed);
     }
 
-    /// Returns the load last reported.
+    /// Returns the load in the last report of the agent, all zero before the first one.
     pub fn load(&self) -> Load {
         Load {
             in_flight: self.reported_in_flight.load(Relaxed),
@@ -78,31 +79,31 @@
         }
     }
 
-    /// Milliseconds since the last report.
+    /// Time since the agent last reported its load, in milliseconds.
     pub fn report_age_ms(&self, now: Millis) -> u64 {
         now.since(Millis(self.reported_at.load(Relaxed)))
     }
 
-    /// Requests of other entries at the agent, as of its last report.
+    /// Number of requests of other entries at the agent, as of its last report.
     ///
-    /// The number is what the report counted beyond the requests that this entry had in flight when
-    /// it arrived. Requests of this entry are counted by [`Self::in_flight`].
+    /// It is the number of requests in the report, less those that this entry had in flight when
+    /// the report arrived. [`Self::in_flight`] counts the requests of this entry.
     pub fn others_in_flight(&self) -> u32 {
         self.others_in_flight.load(Relaxed)
     }
 
-    /// Smoothed service time in microseconds, 0 if unknown.
+    /// Smoothed service time in microseconds, as last reported; 0 if unknown.
     pub fn service_us(&self) -> u64 {
         self.service_us.load(Relaxed)
     }
 
-    /// Smoothed share of failed answers in thousandths.
+    /// Smoothed share of failed runs in thousandths, as last reported.
     pub fn failures_permille(&self) -> u32 {
         self.failures_permille.load(Relaxed)
     }
 
-    /// Counts an attempt that succeeded or failed, and returns whether the [`super::Ejector`] must
-    /// record it. Requests to an agent without failures take no lock.
+    /// Counts an attempt that succeeded or failed. Returns whether [`super::Ejector::record`] must
+    /// be called, which takes a lock; a success of an agent without failures needs no call.
     #[must_use]
     pub fn record_result(&self, success: bool) -> bool {
         if success {
@@ -121,7 +122,7 @@
         self.has_failures.store(has_failures, Relaxed);
     }
 
-    /// Whether the agent gets no ordinary requests because too many attempts failed there.
+    /// Whether the agent gets no requests except probes, because too many attempts failed there.
     pub fn is_ejected(&self) -> bool {
         self.probe_at.load(Relaxed) != NOT_EJECTED
     }
@@ -137,8 +138,8 @@
     /// Claims the right to send one probe to an ejected agent, and returns whether the claim
     /// succeeded.
     ///
-    /// `retryable` says whether the request can be sent to another agent if it fails. Other
-    /// requests probe only after no retryable one has done so for two seconds.
+    /// `retryable` says whether the request can be sent to another agent if it fails. A request
+    /// that is not retryable can claim a probe only once the probe is two seconds overdue.
     #[must_use]
     pub fn claim_probe(&self, now: Millis, retryable: bool) -> bool {
         let due = self.probe_at.load(Relaxed);
--- a/crates/geraniumpost-core/src/requests/agent_view.rs
+++ b/crates/geraniumpost-core/src/requests/agent_view.rs
@@ -4,7 +4,8 @@
 
 use super::{AgentCounters, Location};
 
-/// One incarnation of an agent, as contained in a [`super::Snapshot`].
+/// Properties of one incarnation of an agent that routing uses, as contained in a
+/// [`super::Snapshot`].
 ///
 /// # Example
 ///
@@ -29,7 +30,8 @@
 }
 
 impl AgentView {
-    /// Returns a ready, connected agent with eight slots and no load.
+    /// Returns a ready, connected agent with eight slots, no load, and no service, location or
+    /// address.
     pub fn new(name: impl Into<Name>, incarnation: u64) -> Self {
         Self {
             name: name.into(),
@@ -44,14 +46,14 @@
         }
     }
 
-    /// Sets the service of the minion beside the agent.
+    /// Sets the service of the minion on the same VM as the agent.
     #[must_use]
     pub fn service(mut self, service: impl Into<Name>) -> Self {
         self.service = service.into();
         self
     }
 
-    /// Sets the location of the agent.
+    /// Sets the region and failure domain of the agent.
     #[must_use]
     pub fn at_location(mut self, location: Location) -> Self {
         self.location = location;
@@ -72,21 +74,21 @@
         self
     }
 
-    /// Sets whether a link to the agent is up.
+    /// Sets whether this entry has a link to the agent.
     #[must_use]
     pub const fn connected(mut self, connected: bool) -> Self {
         self.connected = connected;
         self
     }
 
-    /// Sets the shared counters, so that a new snapshot keeps their values.
+    /// Sets the counters, which the views of this incarnation in successive snapshots share.
     #[must_use]
     pub fn with_counters(mut self, counters: Arc<AgentCounters>) -> Self {
         self.counters = counters;
         self
     }
 
-    /// Name of the agent.
+    /// Name of the agent, which a restart does not change.
     pub const fn name(&self) -> &Name {
         &self.name
     }
@@ -96,12 +98,12 @@
         self.incarnation
     }
 
-    /// Service of the minion beside the agent, empty if there is none.
+    /// Service of the minion on the same VM as the agent, empty if there is none.
     pub const fn service_name(&self) -> &Name {
         &self.service
     }
 
-    /// Location of the agent.
+    /// Region and failure domain of the agent.
     pub const fn location(&self) -> &Location {
         &self.location
     }
@@ -121,17 +123,18 @@
         self.state == AgentState::Draining
     }
 
-    /// Whether a link to the agent is up.
+    /// Whether this entry has a link to the agent.
     pub const fn is_connected(&self) -> bool {
         self.connected
     }
 
-    /// Shared counters of the agent.
+    /// Counters of this incarnation, shared with its views in other snapshots.
     pub const fn counters(&self) -> &Arc<AgentCounters> {
         &self.counters
     }
 
-    /// Whether ordinary requests may be sent to the agent.
+    /// Whether requests other than probes may be sent to the agent: it is connected and neither
+    /// draining nor ejected.
     pub fn is_routable(&self) -> bool {
         self.connected && !self.is_draining() && !self.counters.is_ejected()
     }
--- a/crates/geraniumpost-core/src/requests/ask_reply.rs
+++ b/crates/geraniumpost-core/src/requests/ask_reply.rs
@@ -1,21 +1,22 @@
 use geraniumpost_schema::{AskVerdict, RequestId};
 
-/// What an agent knows about an attempt for which it received a query.
+/// Reply of an agent to a query about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AskReply<A> {
-    /// The attempt has not started and never will, because the query barred it. The agent removes
-    /// it from the queue and refuses the attempts in `joined`, which waited for its answer.
+    /// The attempt has not started and never will, because the query barred it. The agent must
+    /// remove it from the queue, and refuse the attempts in `joined`, which waited for its answer.
     NeverStarted {
-        /// Attempts with the same key, to be answered as not run.
+        /// Attempts with the same key, which must be refused as not run.
         joined: Vec<RequestId>,
     },
-    /// The attempt is running, and its answer will follow.
+    /// The attempt runs, or has joined one that waits or runs. Its answer follows.
     Running,
-    /// The attempt has run with this answer.
+    /// The attempt has ended with this answer.
     Finished(A),
     /// The attempt has run, and its answer is no longer kept.
     AnswerLost,
-    /// The agent cannot know, because it has restarted or has dropped the record.
+    /// It is unknown whether the attempt has run, because the agent has restarted or has dropped
+    /// the record.
     Unknown,
 }
 
--- a/crates/geraniumpost-core/src/requests/attempt_event.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_event.rs
@@ -1,6 +1,7 @@
 use geraniumpost_schema::{AskVerdict, Outcome};
 
-/// Event that an entry observes for the current attempt of a request.
+/// Event that an entry observes for the current attempt of a request, from which
+/// [`super::RetryPolicy`] decides the next action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
     /// Routing found no agent that accepts the request.
@@ -9,9 +10,9 @@
     NeverSent,
     /// The agent reported the outcome of the attempt.
     Outcome {
-        /// Outcome of the attempt.
+        /// Whether the attempt ran, and how it ended.
         outcome: Outcome,
-        /// Advised delay before a retry, 0 if unknown.
+        /// Advised delay before a retry in milliseconds, 0 if the agent gave none.
         retry_after_ms: u64,
     },
     /// The link was lost after a byte of the request was written.
--- a/crates/geraniumpost-core/src/requests/attempt_ledger.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_ledger.rs
@@ -9,7 +9,7 @@
 use super::{Admission, AskReply, LedgerLimits};
 use crate::Millis;
 
-/// A finished attempt whose answer is still kept.
+/// Size and age of a kept answer, which is stored in the record of its attempt.
 #[derive(Debug, Clone, Copy)]
 struct KeptAnswerInfo {
     id: RequestId,
@@ -17,15 +17,17 @@
     finished_at: Millis,
 }
 
-/// Ledger in which an agent records which attempts have run. It is the only authority on that.
+/// Ledger in which an agent records which attempts have run. Only the ledger can tell whether an
+/// attempt has run.
 ///
 /// If a link fails after a request was written to it, only the agent knows whether the request has
-/// run. The entry then sends a query over another link. The query itself bars an attempt that has
-/// not started, so that "never started" remains true if the bytes of the request arrive later. A
-/// restart of the agent loses the record. A query therefore names the incarnation that the attempt
-/// was sent to, and any other incarnation answers "unknown".
+/// run. The entry then sends a query over another link. The query bars an attempt that has not
+/// started, so that the reply "never started" remains true if the request arrives later. A restart
+/// of the agent loses the record. A query therefore names the incarnation that the attempt was sent
+/// to, and any other incarnation replies "unknown".
 ///
-/// `A` is a kept answer and must be cheap to clone. See `docs/design/0104-at-most-once.md`.
+/// `A` is the type of the kept answers and must be cheap to clone. See
+/// `docs/design/0104-at-most-once.md`.
 ///
 /// # Example
 ///
@@ -54,7 +56,8 @@
 }
 
 impl<A: Clone> AttemptLedger<A> {
-    /// Returns an empty ledger for the agent's `incarnation`.
+    /// Returns an empty ledger of the agent's incarnation `incarnation`. Queries that name another
+    /// incarnation get the reply "unknown".
     pub fn new(incarnation: u64, limits: LedgerLimits) -> Self {
         Self {
             incarnation,
@@ -68,8 +71,8 @@
         }
     }
 
-    /// Records an arriving attempt and decides whether it runs. `key` is empty if the caller sent
-    /// none.
+    /// Records an arriving attempt and decides whether it runs. `key` is the idempotency key, empty
+    /// if the caller sent none.
     pub fn admit(&mut self, id: RequestId, key: &Name, now: Millis) -> Admission<A> {
         self.expire_answers(now);
         if let Some(record) = self.records.get(&id) {
@@ -91,8 +94,8 @@
         Admission::Queue
     }
 
-    /// Marks an attempt as running. Returns false if the attempt must not run because a query
-    /// barred it while it waited.
+    /// Marks a waiting attempt as running. Returns false if the attempt is not waiting, for example
+    /// because a query barred it; it must not run then.
     #[must_use]
     pub fn start(&mut self, id: RequestId) -> bool {
         match self.records.get_mut(&id) {
@@ -104,11 +107,13 @@
         }
     }
 
-    /// Records that a waiting attempt was refused or cancelled. It never runs, and no other attempt
-    /// with its key runs on this agent. Returns the attempts that joined it, to be refused as well.
+    /// Records that a waiting attempt was refused or cancelled. Neither the attempt nor any other
+    /// one with its key runs on this agent. Returns the attempts that joined it, to be refused as
+    /// well.
     ///
-    /// The key remains barred because the entry now moves the claim on the key to another agent. A
-    /// repeat that another entry sent here under the old claim would otherwise run a second time.
+    /// The key remains barred because the entry now moves the key claim, a record in the store that
+    /// names the agent for the key, to another agent. A repeat that another entry sent to this
+    /// agent under the old claim would otherwise run a second time.
     #[must_use]
     pub fn mark_not_run(&mut self, id: RequestId) -> Vec<RequestId> {
         match self.records.get(&id) {
@@ -117,8 +122,8 @@
         }
     }
 
-    /// Records that a running attempt ended at the minion with `answer` of `bytes` bytes, whether
-    /// it succeeded or failed. Returns the attempts that joined it and get the same answer.
+    /// Records that a running attempt ended at the minion, successfully or not, with `answer` of
+    /// `bytes` bytes. Returns the attempts that joined it and get the same answer.
     pub fn finish(
         &mut self,
         id: RequestId,
@@ -139,9 +144,9 @@
         joined
     }
 
-    /// Answers a query about an attempt that was sent to `incarnation`, and bars the attempt if it
-    /// has not started. After [`AskReply::NeverStarted`] the attempt must also be removed from the
-    /// queue.
+    /// Answers a query about the attempt `id`, which was sent to `incarnation`, and bars the
+    /// attempt if it has not started. After [`AskReply::NeverStarted`] the attempt must also be
+    /// removed from the queue.
     #[must_use]
     pub fn ask(&mut self, id: RequestId, incarnation: u64, now: Millis) -> AskReply<A> {
         self.expire_answers(now);
@@ -157,11 +162,12 @@
         }
     }
 
-    /// Answers a query by `id`, a repeat of the request with `key` that was sent to `incarnation`.
+    /// Answers a query about `key`. `id` is an attempt of the repeated request, and `incarnation`
+    /// the one that the first request with the key was sent to.
     ///
-    /// If the first request waits or runs, the repeat gets its answer when it ends. A key that is
-    /// not recorded is barred, so that after [`AskReply::NeverStarted`] the claim may be moved to
-    /// another agent even though the first request may still arrive here.
+    /// If the first request waits or runs, the repeat joins it and gets its answer. A key that has
+    /// never been used is barred, so that after [`AskReply::NeverStarted`] the key claim may be
+    /// moved to another agent even though the first request may still arrive here.
     #[must_use]
     pub fn ask_key(
         &mut self,
@@ -188,8 +194,9 @@
         }
     }
 
-    /// Drops answers that exceed the limits on age, number or size. [`Self::admit`] and the queries
-    /// do so as well; periodic calls free the memory of an agent that gets no requests.
+    /// Drops the oldest answers until the limits on age, number and size hold. [`Self::admit`],
+    /// [`Self::finish`] and the queries do so as well; periodic calls free the memory of an agent
+    /// that gets no requests.
     pub fn expire_answers(&mut self, now: Millis) {
         while let Some(&KeptAnswerInfo { id, bytes, finished_at }) = self.answers.front() {
             let within_limits = self.answers.len() <= self.limits.answers
@@ -233,7 +240,7 @@
         admission
     }
 
-    /// Records an attempt whose key has been used and is no longer recorded with its attempt.
+    /// Records an attempt whose key was used by an attempt that is no longer recorded.
     fn record_unknown_repeat(&mut self, id: RequestId) -> Admission<A> {
         self.records.insert(id, AttemptRecord::new(AttemptState::UnknownRepeat));
         self.record_ended(id, &[]);
@@ -287,7 +294,7 @@
         joined
     }
 
-    /// Lists attempts that have reached their final state, and drops the oldest above the limit.
+    /// Appends ended attempts to the order of expiry, and drops the oldest records above the limit.
     fn record_ended(&mut self, id: RequestId, joined: &[RequestId]) {
         self.ended.push_back(id);
         self.ended.extend(joined);
--- a/crates/geraniumpost-core/src/requests/attempt_record.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_record.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::RequestId;
 
-/// State of an attempt.
+/// Whether an attempt waits, runs or has ended, or why it does not run.
 #[derive(Debug)]
 pub(super) enum AttemptState<A> {
     /// The attempt does not run and never will.
@@ -18,7 +18,7 @@
     UnknownRepeat,
 }
 
-/// Record of one attempt in the ledger.
+/// State of an attempt, and the attempts with the same key that wait for its answer.
 #[derive(Debug)]
 pub(super) struct AttemptRecord<A> {
     pub(super) state: AttemptState<A>,
--- a/crates/geraniumpost-core/src/requests/baseline_router.rs
+++ b/crates/geraniumpost-core/src/requests/baseline_router.rs
@@ -6,27 +6,27 @@
     AgentView, NoAgent, PeerLoad, Router, RoutingDecision, RoutingQuery, RoutingReason, ServiceView,
 };
 
-/// Simple policies that the [`Router`] is compared with in benchmarks and tests. None is used in
+/// Simple policies to which benchmarks and tests compare the [`Router`]. None is used in
 /// production.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BaselineRouter {
-    /// Each agent in turn, regardless of its load. The number counts the decisions.
+    /// Each agent in turn, regardless of its load. The value is the number of earlier decisions.
     RoundRobin(usize),
-    /// The agent with the fewest requests by its last report and this entry's own counter, found by
+    /// The agent with the fewest requests by its last report and the entry's own counter, found by
     /// scanning all agents.
     LeastLoaded,
     /// The agent with the fewest requests by its last report alone, found by scanning all agents.
     LeastReported,
-    /// A random agent, with a probability inversely proportional to its cost.
+    /// A random agent, with a probability inversely proportional to [`Router::cost_us`].
     WeightedRandom,
 }
 
 impl BaselineRouter {
-    /// Chooses an agent of `service`.
+    /// Chooses a routable agent of `service` that the request has not tried.
     ///
     /// # Errors
     ///
-    /// Returns the reason if no agent can be chosen.
+    /// Returns [`NoAgent::NoneReady`] if there is none.
     pub fn choose(
         &mut self,
         service: &ServiceView,
--- a/crates/geraniumpost-core/src/requests/customer_limiter.rs
+++ b/crates/geraniumpost-core/src/requests/customer_limiter.rs
@@ -16,7 +16,8 @@
         Self { in_flight: AtomicU32::new(0), max_in_flight: AtomicU32::new(max_in_flight) }
     }
 
-    /// Admits one request until the permit is dropped. Returns `None` if the limit is reached.
+    /// Admits one request, which counts as in flight until the returned permit is dropped. Returns
+    /// `None` if the limit is reached.
     ///
     /// The counter is incremented first and decremented on refusal, so that two requests can never
     /// both take the last permit.
@@ -29,7 +30,7 @@
         Some(Permit::new(Arc::clone(self)))
     }
 
-    /// Number of requests in flight.
+    /// Number of requests of the customer in flight at this entry.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Relaxed)
     }
--- a/crates/geraniumpost-core/src/requests/ejection_change.rs
+++ b/crates/geraniumpost-core/src/requests/ejection_change.rs
@@ -9,15 +9,15 @@
     /// Nothing changed; no new snapshot is needed.
     #[display("unchanged")]
     None,
-    /// The agent no longer gets ordinary requests.
+    /// The agent gets no requests except probes.
     #[display("ejected probe_at={probe_at}ms ejections={ejections}")]
     Ejected {
         /// Time from which the agent may be probed.
         probe_at: Millis,
-        /// Consecutive ejections, which determine the delay before the probe.
+        /// Number of recent ejections, which determines the delay before the probe.
         ejections: u32,
     },
-    /// A probe succeeded, and the agent gets ordinary requests again.
+    /// A probe succeeded, and the agent gets all kinds of requests again.
     #[display("restored")]
     Restored,
     /// The agent exceeds the failure limits but is not ejected, because too many agents of its
--- a/crates/geraniumpost-core/src/requests/ejection_limits.rs
+++ b/crates/geraniumpost-core/src/requests/ejection_limits.rs
@@ -1,9 +1,9 @@
-/// Limits that decide when an agent is ejected, and for how long.
+/// Limits that decide when an agent is ejected, and when it is probed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EjectionLimits {
-    pub(super) consecutive: u32,
-    pub(super) ratio_permille: u64,
-    pub(super) ratio_min_attempts: u64,
+    pub(super) consecutive_failures: u32,
+    pub(super) failure_permille: u64,
+    pub(super) failure_min_attempts: u64,
     pub(super) window_ms: u64,
     pub(super) max_ejected_permille: usize,
     pub(super) backoff_ms: u64,
@@ -11,12 +11,14 @@
 }
 
 impl EjectionLimits {
-    /// Returns defaults that suit a few requests per second as well as thousands.
+    /// Returns the defaults, for a few requests per second as well as for thousands: 5 consecutive
+    /// failures, or half of at least 20 attempts within about 10 s; at most 34 % of a service;
+    /// probes after 1 s to 30 s.
     pub const fn new() -> Self {
         Self {
-            consecutive: 5,
-            ratio_permille: 500,
-            ratio_min_attempts: 20,
+            consecutive_failures: 5,
+            failure_permille: 500,
+            failure_min_attempts: 20,
             window_ms: 10_000,
             max_ejected_permille: 340,
             backoff_ms: 1_000,
@@ -26,15 +28,15 @@
 
     /// Sets the number of consecutive failures that ejects an agent.
     #[must_use]
-    pub const fn consecutive(mut self, failures: u32) -> Self {
-        self.consecutive = failures;
+    pub const fn consecutive_failures(mut self, failures: u32) -> Self {
+        self.consecutive_failures = failures;
         self
     }
 
-    /// Sets the share of failures, in thousandths, that ejects an agent.
+    /// Sets the share of failures, in thousandths, that ejects an agent with at least 20 attempts.
     #[must_use]
-    pub const fn ratio_permille(mut self, permille: u64) -> Self {
-        self.ratio_permille = permille;
+    pub const fn failure_permille(mut self, permille: u64) -> Self {
+        self.failure_permille = permille;
         self
     }
 
@@ -53,11 +55,11 @@
         self
     }
 
-    /// Maximum number of agents among `total` that may be ejected.
+    /// Maximum number of agents that may be ejected in a service with `total` agents.
     ///
-    /// One of two agents may always be ejected, because a single failing minion is the most common
-    /// fault. A sole agent is never ejected, because an attempt there may succeed and a refusal
-    /// cannot.
+    /// One of two or more agents may always be ejected, because a single failing minion is the most
+    /// common fault. A sole agent is never ejected: an attempt there may succeed, whereas without
+    /// it every request would be refused.
     pub(super) fn max_ejected(&self, total: usize) -> usize {
         if total < 2 { 0 } else { (total * self.max_ejected_permille / 1000).max(1) }
     }
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -5,7 +5,7 @@
 use super::{AgentView, EjectionChange, EjectionLimits, ServiceView};
 use crate::Millis;
 
-/// Counts of the attempts at one incarnation of an agent.
+/// Results of the attempts at one incarnation of an agent, and its ejections.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentRecord {
     incarnation: u64,
@@ -21,10 +21,10 @@
 /// Ejects agents whose minions fail too many requests, and probes them from time to time.
 ///
 /// A minion that fails every request immediately is always idle, so load balancing alone would send
-/// it most of the requests. The ejector takes such an agent out of routing after several
+/// it most of the requests. The ejector removes such an agent from routing after several
 /// consecutive failures or a high share of failures, and lets one request probe it after a delay
-/// that doubles with each ejection. It never ejects more than a share of a service: if all minions
-/// fail, the requests are at fault, and ejecting all agents would cause an outage.
+/// that doubles with each ejection. It never ejects more than a share of the agents of a service:
+/// if all minions fail, the requests are at fault, and ejecting all agents would cause an outage.
 ///
 /// # Example
 ///
@@ -55,8 +55,8 @@
 
     /// Records whether an attempt at `agent` succeeded.
     ///
-    /// To be called if [`super::AgentCounters::record_result`] returns true. A new snapshot must be
-    /// published if the result is `Ejected` or `Restored`.
+    /// Must be called if [`super::AgentCounters::record_result`] returns true. The caller must
+    /// publish a new snapshot if the result is `Ejected` or `Restored`.
     pub fn record(
         &mut self,
         service: &ServiceView,
@@ -92,7 +92,7 @@
         record.eject(agent, now, &limits)
     }
 
-    /// Removes the counts of a departed agent.
+    /// Removes the results of a departed agent.
     pub fn forget(&mut self, agent: &str) {
         self.records.remove(agent);
     }
@@ -120,11 +120,11 @@
         }
     }
 
-    /// Halves the counts for each window that has passed and, if no failures remain, reduces the
-    /// number of ejections by one per window.
+    /// Halves the counts once for each window that has passed. If no failures remain, also reduces
+    /// the number of ejections by one per window.
     ///
-    /// Time spent ejected does not reduce the number, or the delay would stop growing once it
-    /// exceeds a window.
+    /// The number of ejections is not reduced while the agent is ejected. Otherwise the delay
+    /// before a probe would stop growing once it exceeds a window.
     fn decay(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) {
         let windows = now.since(self.window_start) / limits.window_ms.max(1);
         let halvings = windows.min(63) as u32;
@@ -137,9 +137,9 @@
     }
 
     const fn exceeds_limits(&self, limits: &EjectionLimits) -> bool {
-        let by_ratio = self.attempts >= limits.ratio_min_attempts
-            && self.failures * 1000 >= limits.ratio_permille * self.attempts;
-        self.consecutive_failures >= limits.consecutive || by_ratio
+        let by_failure_share = self.attempts >= limits.failure_min_attempts
+            && self.failures * 1000 >= limits.failure_permille * self.attempts;
+        self.consecutive_failures >= limits.consecutive_failures || by_failure_share
     }
 
     fn eject(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) -> EjectionChange {
@@ -152,7 +152,7 @@
         EjectionChange::Ejected { probe_at, ejections: self.ejections }
     }
 
-    /// Reports [`EjectionChange::Capped`] once: if everything fails, each further report would be
+    /// Returns [`EjectionChange::Capped`] only once: if all requests fail, it would otherwise be
     /// logged for every request.
     const fn report_capped(&mut self) -> EjectionChange {
         if self.is_cap_reported {
@@ -162,8 +162,8 @@
         EjectionChange::Capped
     }
 
-    /// Ejects an agent again after a failed probe. Failures before the probe was due belong to
-    /// requests sent before the ejection; if they counted, the requests in flight at that moment
+    /// Ejects an agent again after a failed probe. Failures before the probe was due are those of
+    /// requests sent before the ejection. If they counted, the requests in flight at the ejection
     /// would double the delay repeatedly.
     fn record_failure_while_ejected(
         &mut self,
--- a/crates/geraniumpost-core/src/requests/entry_limits.rs
+++ b/crates/geraniumpost-core/src/requests/entry_limits.rs
@@ -30,8 +30,8 @@
     /// Returns the limits for a newer configuration document, given as customers with their maximum
     /// number of requests in flight.
     ///
-    /// The counters are kept, so that a change of configuration does not admit requests beyond the
-    /// limit.
+    /// Requests in flight continue to count for customers that remain, so that a change of
+    /// configuration does not admit requests beyond the limit.
     #[must_use]
     pub fn updated(&self, customers: impl IntoIterator<Item = (Name, u32)>) -> Self {
         let limiter = |(name, max_in_flight): (Name, u32)| {
@@ -47,7 +47,8 @@
         Self { limiters: customers.into_iter().map(limiter).collect() }
     }
 
-    /// Admits a request of `customer` until the permit is dropped.
+    /// Admits a request of `customer`, which counts as in flight until the returned permit is
+    /// dropped.
     ///
     /// # Errors
     ///
@@ -58,7 +59,7 @@
         limiter.try_acquire().ok_or(ResultCode::CustomerLimit)
     }
 
-    /// Number of requests of `customer` in flight.
+    /// Number of requests of `customer` in flight, 0 if there is no such customer.
     pub fn in_flight(&self, customer: &str) -> u32 {
         self.limiters.get(customer).map_or(0, |limiter| limiter.in_flight())
     }
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -10,21 +10,21 @@
 use crate::{Micros, Millis};
 
 new_key_type! {
-    /// Key of a customer's flow.
+    /// Key of the [`Flow`] of one customer.
     struct FlowKey;
 }
 
 /// Time after which an idle customer and its smoothed service time are forgotten.
 const IDLE_CUSTOMER_TTL_MS: u64 = 60_000;
 
-/// Maximum slot time, in rounds of all slots, by which a customer that becomes active may be ahead
-/// of its share.
+/// Maximum lead over its share that a customer gets when it becomes active, as a multiple of one
+/// mean service time on every slot.
 const BURST_ROUNDS: u64 = 4;
 
 /// Minimum number of slots at which one slot is reserved for customers below their share.
 const MIN_SLOTS_FOR_RESERVE: usize = 4;
 
-/// A request that runs on the minion.
+/// Flow of a running request, and the virtual time charged to it at the start.
 #[derive(Debug, Clone, Copy)]
 struct RunningRequest {
     flow: FlowKey,
@@ -37,15 +37,15 @@
 /// The queue uses start-time fair queueing. Each customer has a virtual time that grows by the slot
 /// time it has used divided by its weight, and the customer with the lowest virtual time is served
 /// next. A customer that becomes active starts a small allowance before the current virtual time,
-/// so it is served next but accumulates no credit while idle. One slot remains free of customers
-/// above their share while others are active. Otherwise a burst of one customer would fill the
-/// queue, and every other customer would wait behind it.
+/// so it is served next but accumulates no credit while idle. While several customers are active,
+/// the last free slot is denied to those above their share. Otherwise a burst of one customer would
+/// occupy all slots, and every other customer would wait behind it.
 ///
-/// A request that would miss its deadline by the smoothed service time is refused on arrival. The
-/// caller then learns immediately when to retry, and no slots are spent on answers that nobody
-/// awaits. A free slot always accepts a request: otherwise a smoothed service time that is too high
-/// would cause every request to be refused and would never be corrected. See
-/// `docs/design/0103-fair-queue.md`.
+/// A request is refused on arrival if, judged by smoothed service times, it would miss its
+/// deadline. The caller then learns immediately when to retry, and no slots are spent on answers
+/// that nobody awaits. A free slot accepts a request regardless of the estimate: otherwise an
+/// estimate that is too high would cause every request to be refused and would never be corrected.
+/// See `docs/design/0103-fair-queue.md`.
 ///
 /// # Example
 ///
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Changes the limits. Requests that already run or wait are not affected.
+    /// Replaces the limits. Requests that already run or wait are not affected.
     pub fn set_limits(&mut self, limits: QueueLimits) {
         self.limits = limits;
     }
@@ -105,7 +105,7 @@
         self.draining = true;
     }
 
-    /// Whether no request runs or waits, so that a draining agent may exit.
+    /// Whether no request runs or waits; a draining agent may then exit.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
@@ -125,7 +125,8 @@
         self.service_times.load(self.running.len(), self.waiting.len())
     }
 
-    /// Accepts or refuses a request. The request waits if no returned action names it.
+    /// Accepts or refuses a request. If no returned action names the request, it waits; an action
+    /// may also refuse a waiting request that is displaced.
     pub fn offer(&mut self, request: QueuedRequest<T>, now: Millis) -> Vec<QueueAction<T>> {
         if self.draining {
             return vec![refuse(request, Refusal::Draining, 0)];
@@ -138,7 +139,7 @@
             self.activate(flow);
             return vec![self.start(flow, request)];
         }
-        let wait_us = self.wait_us(flow);
+        let wait_us = self.expected_wait_us(flow);
         if self.flows[flow].misses_deadline(request.deadline(), now.plus(wait_us / 1000)) {
             return vec![refuse(request, Refusal::Deadline, wait_us)];
         }
@@ -153,10 +154,11 @@
         actions
     }
 
-    /// Records that a request ended at the minion after `duration`, and fills the free slot.
+    /// Records that a request ended at the minion after `duration`, and returns the waiting
+    /// requests to run in its place or to refuse.
     ///
-    /// `success` is false if the minion failed, in which case the duration does not count as
-    /// service time. An id that is not running is ignored.
+    /// `success` is false if the minion failed; the duration is then charged to the customer but
+    /// not used to estimate service times. An id that is not running is ignored.
     pub fn finish(
         &mut self,
         id: RequestId,
@@ -185,8 +187,8 @@
     }
 
     /// Refuses waiting requests that can no longer meet their deadlines, releases slots reserved
-    /// for customers that are now idle, and forgets customers that have been idle for a minute. To
-    /// be called every 10 to 50 ms.
+    /// for customers that have become idle, and forgets customers that have been idle for a minute.
+    /// Must be called every 10 to 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<QueueAction<T>> {
         let wait_us = self.queue_drain_us();
         let missing_deadline: Vec<RequestId> = self.requests_missing_deadline(now).collect();
@@ -194,12 +196,13 @@
         let refused = removed.map(|request| refuse(request, Refusal::Deadline, wait_us));
         let mut actions: Vec<QueueAction<T>> = refused.collect();
         self.forget_idle_customers(now);
-        self.measure_usage(now);
+        self.measure_slot_use(now);
         actions.extend(self.dispatch(now));
         actions
     }
 
-    /// Number of customers in memory, for tests of the memory bound.
+    /// Number of customers with a flow, including recently idle ones, for tests of the memory
+    /// bound.
     pub fn customer_count(&self) -> usize {
         self.flows.len()
     }
@@ -236,13 +239,14 @@
     /// less an allowance.
     ///
     /// The allowance grows with the slots that the customer has used recently, up to a maximum
-    /// reached at half of all slots. A customer without recent use gets none: otherwise the first
-    /// requests of a burst would precede those of every other customer for several service times.
+    /// reached at half of all slots. A customer that has used none gets no allowance: otherwise the
+    /// first requests of a burst would precede those of every other customer for several service
+    /// times.
     fn activate(&mut self, key: FlowKey) {
         let mean_us = self.service_times.smoothed().mean_us();
         let max_allowance_us = BURST_ROUNDS * self.slots().saturating_mul(mean_us);
         let recent_allowance_us =
-            2 * BURST_ROUNDS * self.flows[key].busy_milli().saturating_mul(mean_us) / 1000;
+            2 * BURST_ROUNDS * self.flows[key].busy_milli_slots().saturating_mul(mean_us) / 1000;
         self.flows[key].activate(self.virtual_time, recent_allowance_us.min(max_allowance_us));
     }
 
@@ -262,7 +266,7 @@
         QueueAction::Run(request)
     }
 
-    /// Applies `change` to a flow and updates its position in the order.
+    /// Applies `change` to a flow and updates its position in `waiting_flows`.
     fn modify_flow<R>(&mut self, key: FlowKey, change: impl FnOnce(&mut Flow<T>) -> R) -> R {
         let flow = &mut self.flows[key];
         let is_waiting = self.waiting_flows.remove(&(flow.virtual_time, key));
@@ -299,15 +303,16 @@
         actions
     }
 
-    /// Ends a busy period, so that all customers start the next one with equal virtual times.
+    /// Advances the virtual time if the queue is empty, so that all customers start the next busy
+    /// period with equal virtual times.
     fn end_busy_period(&mut self) {
         if self.is_empty() {
             self.virtual_time = self.max_virtual_time;
         }
     }
 
-    /// Removes the newest waiting request of the customer furthest above its share, if that
-    /// customer is further above it than `newcomer` would be with one more request.
+    /// Removes and returns the newest waiting request of the customer furthest above its share, if
+    /// that customer is further above it than `newcomer` would be with one more request.
     fn displace(&mut self, newcomer: FlowKey) -> Option<QueuedRequest<T>> {
         let waiting_keys = self.waiting_flows.iter().map(|&(_, key)| key);
         let furthest_above = waiting_keys.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
@@ -318,27 +323,29 @@
         self.cancel(newest)
     }
 
-    /// Expected time until one more request of `key` gets a slot, in microseconds.
+    /// Expected time until one more request of the customer `key` gets a slot, in microseconds.
     ///
     /// The queue of the customer drains at its share among the waiting customers, and never takes
     /// longer than all queues together.
-    fn wait_us(&self, key: FlowKey) -> u64 {
+    fn expected_wait_us(&self, key: FlowKey) -> u64 {
         let flow = &self.flows[key];
         let others = self.waiting_flows.iter().map(|&(_, key)| &self.flows[key]);
         let weights: u64 = others.map(|flow| u64::from(flow.weight)).sum();
-        let own = if flow.queue.is_empty() { u64::from(flow.weight) } else { 0 };
-        let ahead = (flow.queue.len() as u64 + 1).saturating_mul(flow.service_time.mean_us());
-        let by_share = ahead * (weights + own) / u64::from(flow.weight) / self.slots();
-        by_share.min(self.queue_drain_us())
+        let own_weight = if flow.queue.is_empty() { u64::from(flow.weight) } else { 0 };
+        let work_ahead_us =
+            (flow.queue.len() as u64 + 1).saturating_mul(flow.service_time.mean_us());
+        let wait_by_share_us =
+            work_ahead_us * (weights + own_weight) / u64::from(flow.weight) / self.slots();
+        wait_by_share_us.min(self.queue_drain_us())
     }
 
-    /// Expected time until every waiting request has a slot, in microseconds.
+    /// Expected time until every waiting request and one more have a slot, in microseconds.
     fn queue_drain_us(&self) -> u64 {
         (self.waiting.len() as u64 + 1).saturating_mul(self.service_times.smoothed().mean_us())
             / self.slots()
     }
 
-    /// Whether a request of `key` may start now.
+    /// Whether a slot is free that a request of the customer `key` may use.
     fn may_start(&self, key: FlowKey) -> bool {
         if self.running.len() >= self.limits.slots {
             return false;
@@ -355,8 +362,8 @@
         self.reserve.allows_long_request(running_long, self.limits.slots)
     }
 
-    /// Whether at most one slot is free and `key` already uses its share of the slots while others
-    /// are active.
+    /// Whether at most one slot is free and the customer `key`, which already uses its share of the
+    /// slots, must leave it to other active customers.
     ///
     /// Requests of equal length that start together also end together. Without a reserved slot, a
     /// request of a customer with little load would wait for up to a full run of the others.
@@ -369,12 +376,12 @@
         let flow = &self.flows[key];
         let share = self.slots() * u64::from(flow.weight);
         let holds_share = flow.running as u64 * weights >= share;
-        holds_share && flow.busy_milli() * weights >= share * 1000
+        holds_share && flow.busy_milli_slots() * weights >= share * 1000
     }
 
-    fn measure_usage(&mut self, now: Millis) {
+    fn measure_slot_use(&mut self, now: Millis) {
         let Some(window_ms) = self.reserve.restart_window_if_due(now) else { return };
-        self.flows.values_mut().for_each(|flow| flow.measure_usage(window_ms));
+        self.flows.values_mut().for_each(|flow| flow.measure_slot_use(window_ms));
         let uses: Vec<SlotUse> = self.flows.values().map(Flow::slot_use).collect();
         self.reserve.recompute(&uses, self.limits.slots, now);
     }
--- a/crates/geraniumpost-core/src/requests/flow.rs
+++ b/crates/geraniumpost-core/src/requests/flow.rs
@@ -5,10 +5,10 @@
 use super::smoothed_time::SmoothedTime;
 use crate::{Micros, Millis};
 
-/// Virtual time that one microsecond of slot time costs a customer of weight 1.
+/// Virtual time of one microsecond of slot time at weight 1. Also scales [`Flow::occupancy`].
 const WEIGHT_SCALE: u64 = 1024;
 
-/// Requests of one customer at one minion, and the slot time that it has used.
+/// Waiting requests of one customer at one minion, and its use of the slots.
 #[derive(Debug)]
 pub(super) struct Flow<T> {
     pub(super) weight: u32,
@@ -18,7 +18,7 @@
     pub(super) service_time: SmoothedTime,
     pub(super) last_request_at: Millis,
     used_us: u64,
-    busy_milli: u64,
+    busy_milli_slots: u64,
 }
 
 impl<T> Flow<T> {
@@ -31,21 +31,22 @@
             service_time,
             last_request_at: Millis(0),
             used_us: 0,
-            busy_milli: 0,
+            busy_milli_slots: 0,
         }
     }
 
-    /// Whether the customer has no request at the minion.
+    /// Whether no request of the customer waits or runs.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running == 0
     }
 
-    /// Whether the customer sent a request recently.
+    /// Whether the customer sent a request in the last [`ACTIVE_WINDOW_MS`].
     pub(super) const fn is_active(&self, now: Millis) -> bool {
         now.since(self.last_request_at) <= ACTIVE_WINDOW_MS
     }
 
-    /// Charges the customer for a run of the smoothed service time, and returns the charge.
+    /// Charges the customer for the start of a run, which is expected to take the smoothed service
+    /// time. Returns the charge in virtual time.
     pub(super) fn charge(&mut self) -> u64 {
         let charge = self.virtual_cost(self.service_time.mean_us());
         self.virtual_time = self.virtual_time.saturating_add(charge);
@@ -53,8 +54,8 @@
         charge
     }
 
-    /// Replaces the expected charge by the actual one, so that a customer with long requests pays
-    /// for the slot time used and not for the number of requests.
+    /// Replaces the charge of an ended run by the actual one, so that a customer with long requests
+    /// pays for the slot time used and not for the number of requests.
     pub(super) fn settle(&mut self, charged: u64, duration: Micros, success: bool) {
         let actual = self.virtual_cost(duration.0);
         self.virtual_time = self.virtual_time.saturating_sub(charged).saturating_add(actual);
@@ -76,28 +77,28 @@
         self.virtual_time = self.virtual_time.max(current.saturating_sub(allowance));
     }
 
-    /// Ends a measurement window of `window_ms` and updates the smoothed use of slots.
-    pub(super) fn measure_usage(&mut self, window_ms: u64) {
-        let recent_milli = std::mem::take(&mut self.used_us) / window_ms.max(1);
-        self.busy_milli = (self.busy_milli * 3 + recent_milli) / 4;
+    /// Updates the smoothed use of slots at the end of a measurement window of `window_ms`.
+    pub(super) fn measure_slot_use(&mut self, window_ms: u64) {
+        let recent_milli_slots = std::mem::take(&mut self.used_us) / window_ms.max(1);
+        self.busy_milli_slots = (self.busy_milli_slots * 3 + recent_milli_slots) / 4;
     }
 
-    /// Smoothed number of slots in use, in thousandths.
-    pub(super) const fn busy_milli(&self) -> u64 {
-        self.busy_milli
+    /// Smoothed number of slots that the customer uses, in thousandths.
+    pub(super) const fn busy_milli_slots(&self) -> u64 {
+        self.busy_milli_slots
     }
 
     pub(super) const fn slot_use(&self) -> SlotUse {
         SlotUse {
             mean_us: self.service_time.mean_us(),
             weight: self.weight,
-            busy_milli: self.busy_milli,
+            busy_milli_slots: self.busy_milli_slots,
             last_request_at: self.last_request_at,
         }
     }
 
-    /// Requests at the minion, with `additional` ones, divided by the weight and scaled to whole
-    /// numbers.
+    /// Number of waiting and running requests, plus `additional`, divided by the weight; scaled by
+    /// [`WEIGHT_SCALE`].
     pub(super) fn occupancy(&self, additional: usize) -> u64 {
         (self.queue.len() + self.running + additional) as u64 * WEIGHT_SCALE
             / u64::from(self.weight)
--- a/crates/geraniumpost-core/src/requests/key_index.rs
+++ b/crates/geraniumpost-core/src/requests/key_index.rs
@@ -10,17 +10,17 @@
 pub(super) struct KeyIndex {
     capacity: usize,
     first_attempts: HashMap<Name, RequestId>,
-    order: VecDeque<(Name, RequestId)>,
+    insertion_order: VecDeque<(Name, RequestId)>,
     expired: ExpiredKeys,
 }
 
 impl KeyIndex {
     pub(super) fn new(capacity: usize, expired_capacity: usize) -> Self {
         let expired = ExpiredKeys::new(expired_capacity);
-        Self { capacity, first_attempts: HashMap::new(), order: VecDeque::new(), expired }
+        Self { capacity, first_attempts: HashMap::new(), insertion_order: VecDeque::new(), expired }
     }
 
-    /// Returns what is known about `key`.
+    /// Returns whether `key` has been used, and its attempt if that is still recorded.
     pub(super) fn status(&self, key: &Name) -> KeyStatus {
         if let Some(&first) = self.first_attempts.get(key) {
             return KeyStatus::First(first);
@@ -31,8 +31,8 @@
         if self.expired.has_dropped() { KeyStatus::PossiblyForgotten } else { KeyStatus::New }
     }
 
-    /// Records `id` as the attempt for `key`. The oldest key above the capacity expires, unless
-    /// `is_active` says that its attempt still waits or runs.
+    /// Records `id` as the attempt for `key`. The oldest keys above the capacity expire, except
+    /// those whose attempt still waits or runs according to `is_active`.
     pub(super) fn insert(
         &mut self,
         key: Name,
@@ -40,11 +40,11 @@
         is_active: impl Fn(RequestId) -> bool,
     ) {
         self.first_attempts.insert(key.clone(), id);
-        self.order.push_back((key, id));
-        for _ in 0..self.order.len().saturating_sub(self.capacity) {
-            let Some((key, id)) = self.order.pop_front() else { return };
+        self.insertion_order.push_back((key, id));
+        for _ in 0..self.insertion_order.len().saturating_sub(self.capacity) {
+            let Some((key, id)) = self.insertion_order.pop_front() else { return };
             if is_active(id) {
-                self.order.push_back((key, id));
+                self.insertion_order.push_back((key, id));
                 continue;
             }
             self.first_attempts.remove(&key);
--- a/crates/geraniumpost-core/src/requests/key_status.rs
+++ b/crates/geraniumpost-core/src/requests/key_status.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::RequestId;
 
-/// What an agent knows about an idempotency key.
+/// Whether an idempotency key has been used on an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum KeyStatus {
     /// The key has certainly never been used.
--- a/crates/geraniumpost-core/src/requests/ledger_limits.rs
+++ b/crates/geraniumpost-core/src/requests/ledger_limits.rs
@@ -1,7 +1,8 @@
-/// Limits on the attempts, answers and keys that an agent remembers.
+/// Limits on the attempts, answers and keys that the [`super::AttemptLedger`] of an agent keeps.
 ///
-/// The ledger never guesses about what it has dropped: a query about it is answered "unknown", and
-/// the caller is told so. Lower limits therefore reduce certainty and never cause a second run.
+/// The ledger never guesses about records that it has dropped: a query about one gets the reply
+/// "unknown", which is reported to the caller. With lower limits more outcomes are unknown, but no
+/// request runs a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerLimits {
     pub(super) answers: usize,
@@ -13,8 +14,9 @@
 }
 
 impl LedgerLimits {
-    /// Returns limits that bound the memory to about 20 MB: answers of the last two minutes (8 MB),
-    /// the last 16,384 attempts, 8,192 keys, and digests of 65,536 more keys.
+    /// Returns the defaults, which bound the memory to about 20 MB: answers of the last two minutes
+    /// (at most 4,096 or 8 MB), the last 16,384 attempts, 8,192 keys, and digests of 65,536 more
+    /// keys.
     pub const fn new() -> Self {
         Self {
             answers: 4_096,
--- a/crates/geraniumpost-core/src/requests/location.rs
+++ b/crates/geraniumpost-core/src/requests/location.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::Name;
 
-/// Region and failure domain of a process, by which routing determines distance.
+/// Region and failure domain of a process, from which routing determines its distance.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Location {
     region: Name,
@@ -8,17 +8,17 @@
 }
 
 impl Location {
-    /// Returns the location in failure domain `domain` of `region`.
+    /// Returns the location in the failure domain `domain` of `region`.
     pub fn new(region: impl Into<Name>, domain: impl Into<Name>) -> Self {
         Self { region: region.into(), domain: domain.into() }
     }
 
-    /// Name of the region.
+    /// Name of the region, as configured for the process.
     pub const fn region(&self) -> &Name {
         &self.region
     }
 
-    /// Name of the failure domain.
+    /// Name of the failure domain, which is unique only within its region.
     pub const fn domain(&self) -> &Name {
         &self.domain
     }
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -8,7 +8,7 @@
 /// Number of superseded incarnations remembered for each agent.
 const MAX_RETIRED: usize = 8;
 
-/// An incarnation that another one of the same agent has superseded.
+/// State of an incarnation that has been superseded by another one of the same agent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RetiredIncarnation {
     pub(super) incarnation: u64,
@@ -16,7 +16,7 @@
     pub(super) state: AgentState,
 }
 
-/// State of one agent in the [`super::Membership`].
+/// Last heartbeat of one agent, and the state derived from its heartbeats and its link.
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) heartbeat: Heartbeat,
@@ -41,10 +41,11 @@
         }
     }
 
-    /// Applies a newer heartbeat of the same incarnation, and returns whether routing is affected.
+    /// Applies a newer heartbeat of the same incarnation. Returns whether a property that routing
+    /// uses has changed, other than the load and the state.
     ///
     /// Draining is final for an incarnation. A heartbeat sent before the announcement may arrive
-    /// after it and would otherwise send new work to a process that is about to exit.
+    /// after it; if it were applied, new work would be sent to a process that is about to exit.
     pub(super) fn refresh(&mut self, heartbeat: &Heartbeat, now: Millis) -> bool {
         let mut updated = heartbeat.clone();
         if self.heartbeat.state == AgentState::Draining {
@@ -61,7 +62,8 @@
         changed
     }
 
-    /// Replaces the state by that of a new incarnation and remembers the old one.
+    /// Replaces the current incarnation by that of `heartbeat` and adds the current one to
+    /// `retired`.
     pub(super) fn replace_incarnation(&mut self, heartbeat: &Heartbeat, now: Millis) {
         let Heartbeat { incarnation, sequence, state, .. } = self.heartbeat;
         let mut retired = std::mem::take(&mut self.retired);
--- a/crates/geraniumpost-core/src/requests/membership.rs
+++ b/crates/geraniumpost-core/src/requests/membership.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 
 new_key_type! {
-    /// Key of a member.
+    /// Key of a [`Member`].
     struct MemberKey;
 }
 
@@ -18,7 +18,7 @@
 /// was suspended or partitioned may resume where it stopped. Each heartbeat carries the incarnation
 /// of the agent and a sequence number, by which late ones are recognized and ignored. Incarnations
 /// are random and have no order: an unknown one supersedes the current one, and a superseded one
-/// returns only if its sequence still advances while the current one has failed.
+/// becomes current again only if its sequence still advances after the current one has failed.
 ///
 /// See `docs/design/0102-membership.md`.
 #[derive(Debug)]
@@ -30,12 +30,14 @@
 }
 
 impl Membership {
-    /// Returns a membership without agents for an entry at the location `here`.
+    /// Returns a membership without agents for an entry at the location `here`, from which the
+    /// distance of agents is measured.
     pub fn new(here: Location, limits: MembershipLimits) -> Self {
         Self { here, limits, members: SlotMap::with_key(), by_name: HashMap::new() }
     }
 
-    /// Records a heartbeat.
+    /// Records a heartbeat received at `now` and returns the change that it caused. A late or
+    /// repeated one is ignored.
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis) -> MembershipChange {
         let Some(member) = self.find_member(&heartbeat.agent) else {
             let key = self.members.insert(Member::new(heartbeat, now));
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Records the announcement, received over a link, that incarnation `incarnation` of `agent` is
+    /// Records that the incarnation `incarnation` of `agent` announced over a link that it is
     /// draining. Returns whether a new snapshot must be published.
     pub fn mark_draining(&mut self, agent: &str, incarnation: u64) -> bool {
         let Some(member) = self.find_incarnation(agent, incarnation) else { return false };
@@ -57,15 +59,15 @@
         previous != AgentState::Draining
     }
 
-    /// Records whether a link to incarnation `incarnation` of `agent` is up. Returns whether a new
-    /// snapshot must be published.
+    /// Records whether a link to the incarnation `incarnation` of `agent` is up. Returns whether a
+    /// new snapshot must be published.
     pub fn set_connected(&mut self, agent: &str, incarnation: u64, connected: bool) -> bool {
         let Some(member) = self.find_incarnation(agent, incarnation) else { return false };
         std::mem::replace(&mut member.connected, connected) != connected
     }
 
-    /// Returns the agents that have newly failed by missing heartbeats. If any is returned, a new
-    /// snapshot must be published. To be called about every 100 ms.
+    /// Marks agents as failed that have missed heartbeats, and returns those newly marked. If there
+    /// are any, a new snapshot must be published. Must be called about every 100 ms.
     #[must_use]
     pub fn tick(&mut self, now: Millis) -> Vec<Name> {
         let limits = self.limits;
@@ -123,8 +125,8 @@
     }
 }
 
-/// Ignores a late heartbeat unless it announces draining, which is final and applies whenever it
-/// arrives.
+/// Ignores a late heartbeat unless it announces draining, which is final and applies whenever the
+/// announcement arrives.
 fn record_late_heartbeat(member: &mut Member, heartbeat: &Heartbeat) -> MembershipChange {
     let starts_draining =
         heartbeat.state == AgentState::Draining && member.heartbeat.state == AgentState::Ready;
--- a/crates/geraniumpost-core/src/requests/membership_change.rs
+++ b/crates/geraniumpost-core/src/requests/membership_change.rs
@@ -3,25 +3,26 @@
 /// Change to the [`super::Membership`] caused by a heartbeat. `Display` gives the text for the log.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// The agent was unknown or had failed.
+    /// The agent was unknown or had failed, and is now live.
     #[display("joined")]
     Joined,
     /// A new incarnation of a known agent. The old one can no longer be queried.
     #[display("restarted previous={previous:x}")]
     Restarted {
-        /// The previous incarnation.
+        /// The incarnation that was superseded.
         previous: u64,
     },
     /// The agent began to drain.
     #[display("draining")]
     Draining,
-    /// A property that routing uses changed, such as the number of slots.
+    /// A property that routing uses changed, such as the number of slots of the minion.
     #[display("changed")]
     Changed,
-    /// Only the load changed, which existing snapshots share.
+    /// Only the load changed, which existing snapshots see through the shared
+    /// [`super::AgentCounters`].
     #[display("refreshed")]
     Refreshed,
-    /// A delayed or repeated heartbeat, which was ignored.
+    /// The heartbeat was delayed or repeated, and was ignored.
     #[display("stale")]
     Stale,
 }
--- a/crates/geraniumpost-core/src/requests/next_step.rs
+++ b/crates/geraniumpost-core/src/requests/next_step.rs
@@ -10,12 +10,13 @@
     Deliver,
     /// Send the request to another agent under a new attempt number.
     ///
-    /// For a keyed request, the claim is first moved from the agent that just barred the key, by
-    /// compare-and-swap on the claim as it was read. If that fails, the request follows the new
-    /// claim.
+    /// For a keyed request, the entry first moves the key claim in the store from the agent that
+    /// just barred the key, by compare-and-swap on the claim as it was read. If that fails, the
+    /// request follows the new claim.
     #[display("retry")]
     Retry,
-    /// Query the agent over another link about the attempt, for a keyed request by its key.
+    /// Send the agent a query about the attempt over another link; for a keyed request, about its
+    /// key.
     #[display("ask after={after_ms}ms")]
     Ask {
         /// Delay before the query, in milliseconds.
@@ -24,12 +25,13 @@
     /// Continue to wait for the answer.
     #[display("wait")]
     Wait,
-    /// Answer the caller now with a result code.
+    /// Give the caller a final answer without the minion.
     #[display("answer code={code} retry_after={retry_after_ms}ms")]
     Answer {
-        /// Final result of the request.
+        /// Result reported to the caller.
         code: ResultCode,
-        /// Advised delay before a retry by the caller, 0 for no advice.
+        /// Advised delay before a retry by the caller, in milliseconds; 0 if a retry is not
+        /// advised.
         retry_after_ms: u64,
     },
 }
--- a/crates/geraniumpost-core/src/requests/no_agent.rs
+++ b/crates/geraniumpost-core/src/requests/no_agent.rs
@@ -1,12 +1,12 @@
 use derive_more::{Display, Error};
 
-/// Reason why no agent could be chosen.
+/// Reason why routing found no agent for a request.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 pub enum NoAgent {
     /// No live, connected agent of the service accepts work.
     #[display("no agent of the service accepts work")]
     NoneReady,
-    /// Every agent that accepts work has been tried.
+    /// Every agent that accepts work has been tried for this request.
     #[display("all agents of the service were tried")]
     AllTried,
 }
--- a/crates/geraniumpost-core/src/requests/peer_load.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -1,9 +1,9 @@
 use super::AgentView;
 
-/// Service time assumed when none of the agents has reported one, in microseconds.
+/// Service time in microseconds that is assumed when none of the agents has reported one.
 const UNKNOWN_SERVICE_US: u64 = 10_000;
 
-/// Load assumed for the candidates of a routing decision, which replaces outdated or doubtful
+/// Load of the candidates of a routing decision as a whole, which replaces outdated or doubtful
 /// reports of single agents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerLoad {
@@ -12,8 +12,8 @@
 }
 
 impl PeerLoad {
-    /// Computes the mean number of requests of other entries and the shortest reported service
-    /// time.
+    /// Computes the mean number of requests of other entries and the shortest reported service time
+    /// of `agents`.
     pub fn from_agents<'a>(agents: impl Iterator<Item = &'a AgentView>) -> Self {
         let (mut count, mut others_in_flight, mut shortest) = (0, 0, u64::MAX);
         for agent in agents {
@@ -27,17 +27,18 @@
         Self { others_in_flight: others_in_flight / count.max(1), service_us }
     }
 
-    /// Requests of other entries assumed at an agent whose own report is too old.
+    /// Number of requests of other entries that is assumed at an agent whose own report is too old.
     pub const fn others_in_flight(&self) -> u64 {
         self.others_in_flight
     }
 
-    /// Service time assumed for an agent that reported `reported_us`, or 0 for none.
+    /// Service time in microseconds that is assumed for an agent that reported `reported_us`, or 0
+    /// if it has reported none.
     ///
-    /// Smoothed service times differ by chance. If they were used as reported, the agent that looks
-    /// fastest would get nearly twice its share of the requests until its next report: 16 entries
-    /// with reports 2 s old sent one agent 1.4 times the mean. Only an agent with more than twice
-    /// the shortest time counts as slower.
+    /// Only an agent with more than twice the shortest time counts as slower, because smoothed
+    /// service times differ by chance. If they were used as reported, the agent that looks fastest
+    /// would get nearly twice its share of the requests until its next report: 16 entries with
+    /// reports 2 s old sent one agent 1.4 times the mean.
     pub const fn service_us(&self, reported_us: u64) -> u64 {
         if reported_us / 2 > self.service_us { reported_us } else { self.service_us }
     }
--- a/crates/geraniumpost-core/src/requests/queue_limits.rs
+++ b/crates/geraniumpost-core/src/requests/queue_limits.rs
@@ -1,4 +1,4 @@
-/// Limits of the queue of one minion.
+/// Number of slots of one minion, and of the requests that may wait for them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     pub(super) slots: usize,
@@ -18,7 +18,7 @@
         self
     }
 
-    /// Sets how many requests may wait for a slot.
+    /// Sets how many requests may wait for a slot; 0 means that requests only run or are refused.
     #[must_use]
     pub const fn queue(mut self, queue: usize) -> Self {
         self.queue = queue;
--- a/crates/geraniumpost-core/src/requests/queued_request.rs
+++ b/crates/geraniumpost-core/src/requests/queued_request.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// A request for a slot of the minion. `T` is the payload that the agent needs to run it.
+/// A request for a slot of the minion. `T` is the payload that the agent needs to run the request.
 ///
 /// # Example
 ///
@@ -23,29 +23,30 @@
 }
 
 impl<T> QueuedRequest<T> {
-    /// Returns a request of `customer` with weight 1, whose answer is useless after `deadline`.
+    /// Returns a request of `customer` with weight 1, whose answer is useless after `deadline` on
+    /// the clock of the agent.
     pub fn new(id: RequestId, customer: impl Into<Name>, deadline: Millis, payload: T) -> Self {
         Self { id, customer: customer.into(), weight: 1, deadline, payload }
     }
 
-    /// Sets the share weight of the customer; 0 counts as 1.
+    /// Sets the weight by which the customer shares the slots with others; 0 counts as 1.
     #[must_use]
     pub const fn weight(mut self, weight: u32) -> Self {
         self.weight = if weight == 0 { 1 } else { weight };
         self
     }
 
-    /// Identifier of the attempt.
+    /// Identifier of the attempt, by which the queue finds the request.
     pub const fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Customer whose share the request uses.
+    /// Customer to whose share of the slots the request is charged.
     pub const fn customer(&self) -> &Name {
         &self.customer
     }
 
-    /// Share weight of the customer, at least 1.
+    /// Weight by which the customer shares the slots with others, at least 1.
     pub const fn share_weight(&self) -> u32 {
         self.weight
     }
@@ -55,12 +56,12 @@
         self.deadline
     }
 
-    /// Payload of the request.
+    /// Data that the agent needs to run the request.
     pub const fn payload(&self) -> &T {
         &self.payload
     }
 
-    /// Returns the payload.
+    /// Returns the payload without copying it.
     pub fn into_payload(self) -> T {
         self.payload
     }
--- a/crates/geraniumpost-core/src/requests/refusal.rs
+++ b/crates/geraniumpost-core/src/requests/refusal.rs
@@ -4,10 +4,12 @@
 /// Reason why the queue refused a request, which therefore does not run.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The queue is full, and no other customer is further above its share.
+    /// The queue is full, and no other customer is further above its share than the one of the
+    /// request.
     #[display("overloaded")]
     Overloaded,
-    /// The request waited and was displaced by one of a customer further below its share.
+    /// The request waited, and was removed from the full queue for one of a customer that is less
+    /// far above its share.
     #[display("displaced")]
     Displaced,
     /// The request cannot be answered before its deadline.
@@ -19,7 +21,7 @@
 }
 
 impl Refusal {
-    /// Returns the outcome reported to the entry.
+    /// Returns the outcome of the attempt that the agent reports to the entry.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Overloaded | Self::Displaced => Outcome::NotRunOverloaded,
--- a/crates/geraniumpost-core/src/requests/request_kind.rs
+++ b/crates/geraniumpost-core/src/requests/request_kind.rs
@@ -6,17 +6,18 @@
     /// A second run has no further effect.
     #[display("idempotent")]
     Idempotent,
-    /// A second run is harmful, and repeats by the caller cannot be recognized.
+    /// A second run is harmful, and the request has no key by which repeats by the caller could be
+    /// recognized.
     #[display("once")]
     Once,
-    /// A second run is harmful, and a key identifies repeats by the caller. The claim on the key in
-    /// the store names the only agent that may run it.
+    /// A second run is harmful, and an idempotency key identifies repeats by the caller. The key
+    /// claim, a record in the store, names the only agent that may run the request.
     #[display("keyed")]
     Keyed,
 }
 
 impl RequestKind {
-    /// Returns the kind of a request with these properties.
+    /// Returns the kind of a request. The key of an idempotent request is irrelevant.
     pub const fn of(idempotent: bool, keyed: bool) -> Self {
         match (idempotent, keyed) {
             (true, _) => Self::Idempotent,
--- a/crates/geraniumpost-core/src/requests/retry_budget.rs
+++ b/crates/geraniumpost-core/src/requests/retry_budget.rs
@@ -1,6 +1,6 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Tokens of one retry, which is counted in thousandths.
+/// Tokens that one retry withdraws.
 const TOKENS_PER_RETRY: u64 = 1000;
 
 /// Token bucket that limits retries to a share of the requests.
@@ -8,7 +8,7 @@
 /// When many attempts fail, unlimited retries multiply the load while capacity is missing, and the
 /// service remains overloaded after the fault has ended. Each request deposits a few thousandths of
 /// a retry and each retry withdraws a whole one, so in the long run retries remain below that
-/// share. The burst covers the requests that were at one agent when it failed.
+/// share. The initial balance covers the requests that were at one agent when it failed.
 ///
 /// # Example
 ///
@@ -29,8 +29,8 @@
 }
 
 impl RetryBudget {
-    /// Returns a full budget of `burst` retries that is refilled by `permille` retries per thousand
-    /// requests.
+    /// Returns a budget that holds at most `burst` retries, initially all of them, and is refilled
+    /// by `permille` retries per thousand requests.
     pub const fn new(permille: u64, burst: u64) -> Self {
         let burst_tokens = burst * TOKENS_PER_RETRY;
         Self {
@@ -45,7 +45,8 @@
         self.permille.store(permille, Relaxed);
     }
 
-    /// Deposits the share of one request.
+    /// Deposits the tokens for one request. Must be called once for each request that is not a
+    /// retry.
     pub fn deposit(&self) {
         let deposit = self.permille.load(Relaxed);
         let add = |tokens: u64| Some(tokens.saturating_add(deposit).min(self.burst_tokens));
--- a/crates/geraniumpost-core/src/requests/retry_limits.rs
+++ b/crates/geraniumpost-core/src/requests/retry_limits.rs
@@ -1,4 +1,4 @@
-/// Limits on the attempts and queries of an entry for one request.
+/// Limits on the attempts and queries that an entry makes for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryLimits {
     pub(super) attempts: u32,
@@ -8,12 +8,12 @@
 
 impl RetryLimits {
     /// Returns the defaults: four attempts, three queries about each, and an advised delay of one
-    /// second when no agent remains.
+    /// second if no agent named one.
     pub const fn new() -> Self {
         Self { attempts: 4, asks: 3, no_agent_retry_ms: 1_000 }
     }
 
-    /// Sets the maximum number of agents that one request is sent to.
+    /// Sets the maximum number of attempts, each of which is made at another agent.
     #[must_use]
     pub const fn attempts(mut self, attempts: u32) -> Self {
         self.attempts = attempts;
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -3,12 +3,12 @@
 use super::{AttemptEvent, NextStep, RequestKind, RetryLimits};
 use crate::{Millis, ResultCode};
 
-/// Delay before each query about one attempt. A link that was cut is usually restored within a
-/// second or not before the deadline, and an agent that refuses connections would use up all
-/// queries at once.
+/// Delay before each query about one attempt, in milliseconds. A link that was cut is usually
+/// restored either within a second or not before the deadline. Without delays, an agent that
+/// refuses connections would use up all queries at once.
 const ASK_DELAYS_MS: [u64; 3] = [0, 100, 400];
 
-/// Whether a retry increases the load of the minions and must be paid from the budget.
+/// Whether a retry increases the load of the minions and must be paid from the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RetryCost {
     Free,
@@ -18,8 +18,8 @@
 /// State of one request at an entry, which decides the next action after each event.
 ///
 /// A request is reported as "not run" only if no attempt can have run. As soon as any attempt may
-/// have run, later refusals are no longer reported as "not run". A request that is given up gets
-/// its final answer immediately, without waiting for its deadline. See
+/// have run, later refusals are no longer reported as "not run". When the entry gives up, the
+/// caller gets the final answer immediately, without waiting for its deadline. See
 /// `docs/design/0105-retries.md`.
 ///
 /// # Example
@@ -65,15 +65,15 @@
         }
     }
 
-    /// Number of the current attempt, from 1.
+    /// Number of the current attempt; the first one is 1.
     pub const fn attempt(&self) -> u32 {
         self.attempts
     }
 
     /// Records an event of the current attempt and returns the next action.
     ///
-    /// `budget` is called at most once, and only if a retry would increase the load of the minions.
-    /// It withdraws from the [`super::RetryBudget`].
+    /// `budget` withdraws one retry from the [`super::RetryBudget`] and returns whether there was
+    /// one. It is called at most once, and only if a retry would increase the load of the minions.
     #[must_use]
     pub fn on_event(
         &mut self,
@@ -120,8 +120,10 @@
         }
     }
 
-    /// Another entry that read the same claim may have sent a keyed request to the agent, so only
-    /// the agent can bar the key. Any other request has not been sent at all.
+    /// Handles an attempt that this entry did not send. Another entry that read the same key claim
+    /// may have sent a request with the key to the agent, so a keyed request is not retried before
+    /// the agent has barred the key. Any other request has not been sent at all, and its retry is
+    /// free.
     fn on_never_sent(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.record_refusal(ResultCode::NoAgent, 0);
         if self.kind == RequestKind::Keyed {
@@ -130,8 +132,9 @@
         self.retry_or_answer(RetryCost::Free, now, budget)
     }
 
-    /// An idempotent request is sent to another agent immediately, which is faster than a query. If
-    /// the budget is exhausted, a query is sent instead, which adds no load to the minions.
+    /// Sends an idempotent request to another agent immediately if attempts, time and budget allow,
+    /// which is faster than a query. Otherwise queries the agent, which adds no load to the
+    /// minions, or gives up if the queries or the time are used up.
     fn on_link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.may_have_run = true;
         let may_resend = self.kind == RequestKind::Idempotent && self.may_retry(now);
@@ -172,7 +175,7 @@
         self.on_failure(ResultCode::OutcomeUnknown, now, budget)
     }
 
-    /// Handles an attempt that has failed, or may have run.
+    /// Handles an attempt that has failed or may have run. Only an idempotent request is retried.
     fn on_failure(
         &mut self,
         code: ResultCode,
@@ -219,7 +222,8 @@
         self.attempts < self.limits.attempts && now < self.deadline
     }
 
-    /// If the current attempt may have run, this remains true of the request.
+    /// Starts the next attempt. If the current one may have run, the result of the request can no
+    /// longer be "not run".
     const fn next_attempt(&mut self) -> NextStep {
         if self.may_have_run {
             self.run_result = Some(ResultCode::OutcomeUnknown);
@@ -231,8 +235,9 @@
         NextStep::Retry
     }
 
-    /// An overload remains the reported reason if later agents cannot be reached, because it is
-    /// more informative to the caller.
+    /// Records the result and the shortest retry delay to report if no attempt can have run. An
+    /// overload remains the reported result if later agents cannot be reached, because it is more
+    /// informative to the caller.
     fn record_refusal(&mut self, code: ResultCode, retry_after_ms: u64) {
         if self.refusal_result != Some(ResultCode::Overloaded) {
             self.refusal_result = Some(code);
@@ -255,7 +260,7 @@
         self.give_up()
     }
 
-    /// Reports "not run" only if no attempt can have run.
+    /// Returns the final answer, which is "not run" only if no attempt can have run.
     fn give_up(&self) -> NextStep {
         let unknown = self.may_have_run.then_some(ResultCode::OutcomeUnknown);
         let possible_run = self.run_result.or(unknown);
@@ -272,9 +277,9 @@
     }
 }
 
-/// Retries after refusals for lack of capacity are paid from the budget, since trying all agents
-/// would multiply an overload. Other retries are free, so that no request fails because an agent is
-/// draining.
+/// Returns the result and the retry cost of a refusal. Retries after refusals for lack of capacity
+/// are paid from the budget, since trying all agents would multiply an overload. Other retries are
+/// free, so that no request fails because an agent is draining.
 const fn classify_refusal(outcome: Outcome) -> (ResultCode, RetryCost) {
     match outcome {
         Outcome::NotRunOverloaded => (ResultCode::Overloaded, RetryCost::Budget),
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -7,19 +7,20 @@
     RoutingReason, ServiceView,
 };
 
-/// Number of agents drawn from the nearest tier with any, and again from the next one.
+/// Maximum number of agents drawn from one distance tier.
 const DRAWS_PER_TIER: usize = 2;
-/// Maximum share of failures that is taken into account, in thousandths; it bounds the cost.
+/// Maximum share of failures, in thousandths, that the cost takes into account; it keeps the cost
+/// finite.
 const MAX_FAILURES_PERMILLE: u64 = 950;
 
 /// Routes by the power of two choices, with the cost (requests at the agent) x (smoothed service
 /// time).
 ///
-/// Two agents are drawn at random from the failure domain of the entry and two from the next
-/// farther tier, whose cost includes a surcharge. The own domain is thus preferred until its cost
-/// exceeds that of the longer distance. Random draws keep several entries with equally old reports
-/// from sending all requests to the one agent that appeared idle; see
-/// `docs/design/0101-routing.md`.
+/// Two agents are drawn at random from the nearest tier that has any, usually the failure domain of
+/// the entry, and two from the next farther one, whose cost includes a surcharge. A nearer agent is
+/// thus preferred until its cost exceeds that of the longer distance. Random draws keep several
+/// entries with equally old reports from sending all requests to the one agent that appeared idle;
+/// see `docs/design/0101-routing.md`.
 ///
 /// # Example
 ///
@@ -43,16 +44,18 @@
 }
 
 impl Router {
-    /// Returns a router with `tuning`.
+    /// Returns a router that weighs load against distance by `tuning`.
     pub const fn new(tuning: RouterTuning) -> Self {
         Self { tuning }
     }
 
-    /// Chooses an agent of `service`.
+    /// Chooses an agent of `service` that the request has not tried, or claims a due probe of an
+    /// ejected agent.
     ///
     /// # Errors
     ///
-    /// Returns the reason if no agent can be chosen, in which case the request is not sent.
+    /// Returns [`NoAgent`] if every agent was tried or none accepts work. The request is then not
+    /// sent.
     pub fn choose(
         &self,
         service: &ServiceView,
@@ -74,9 +77,10 @@
 
     /// Expected cost of one more request at `agent`, in microseconds of waiting.
     ///
-    /// The reported number of other entries' requests loses weight to the mean of the candidates
-    /// until the report is `report_max_age_ms` old. Otherwise all entries would repeatedly send
-    /// their requests to the agent that last reported itself idle, until its next report.
+    /// The reported number of requests of other entries is blended with the mean of the candidates,
+    /// and the older the report, the less it counts; it is ignored at an age of
+    /// `report_max_age_ms`. Otherwise all entries would send their requests to the agent that last
+    /// reported itself idle, until its next report.
     pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, query: &RoutingQuery<'_>) -> u64 {
         let counters = agent.counters();
         let max_age_ms = self.tuning.report_max_age_ms;
@@ -114,7 +118,7 @@
         candidates
     }
 
-    /// Adds the expected cost of waiting at each drawn agent to its surcharge.
+    /// Adds the expected cost of waiting at each candidate to the surcharge for its distance.
     fn add_load_cost(
         &self,
         query: &RoutingQuery<'_>,
@@ -129,7 +133,7 @@
     }
 }
 
-/// Draws two different usable agents of a tier, or as many as there are.
+/// Draws up to two different usable agents of `tier`.
 fn draw_from_tier(
     service: &ServiceView,
     tier: usize,
--- a/crates/geraniumpost-core/src/requests/routing_decision.rs
+++ b/crates/geraniumpost-core/src/requests/routing_decision.rs
@@ -12,7 +12,7 @@
 }
 
 impl RoutingDecision {
-    /// Maximum number of agents that one decision compares: two near ones and two farther ones.
+    /// Maximum number of agents that one decision compares: two each of two distance tiers.
     pub const MAX_CANDIDATES: usize = 4;
 
     pub(super) fn of(agent: &Arc<AgentView>, reason: RoutingReason) -> Self {
@@ -23,17 +23,18 @@
         }
     }
 
-    /// The chosen agent.
+    /// The agent to which the attempt must be sent.
     pub const fn agent(&self) -> &Arc<AgentView> {
         &self.agent
     }
 
-    /// The compared agents, in the order in which they were drawn.
+    /// The compared agents with their costs, in the order in which they were drawn; empty unless
+    /// the reason is `Cheapest` or `Only`.
     pub fn candidates(&self) -> impl Iterator<Item = &Candidate> {
         self.candidates.iter().flatten()
     }
 
-    /// Reason why the agent was chosen.
+    /// Reason for the choice, for logs and tests.
     pub const fn reason(&self) -> RoutingReason {
         self.reason
     }
--- a/crates/geraniumpost-core/src/requests/routing_query.rs
+++ b/crates/geraniumpost-core/src/requests/routing_query.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Properties of a request that a routing decision depends on.
+/// Properties of a request on which a routing decision depends.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoutingQuery<'a> {
     pub(super) now: Millis,
@@ -16,15 +16,15 @@
         Self { now, tried: &[], retryable: false }
     }
 
-    /// Sets the agents of earlier attempts, none of which is chosen again.
+    /// Sets the agents of earlier attempts at the request, none of which is chosen again.
     #[must_use]
     pub const fn tried(mut self, tried: &'a [Name]) -> Self {
         self.tried = tried;
         self
     }
 
-    /// Sets whether the request can be sent to another agent if it fails, and so may serve as a
-    /// probe.
+    /// Sets whether the request can be sent to another agent if it fails. Such a request is
+    /// preferred as a probe of an ejected agent.
     #[must_use]
     pub const fn retryable(mut self, retryable: bool) -> Self {
         self.retryable = retryable;
--- a/crates/geraniumpost-core/src/requests/sequence_floors.rs
+++ b/crates/geraniumpost-core/src/requests/sequence_floors.rs
@@ -2,15 +2,16 @@
 
 use geraniumpost_schema::RequestId;
 
-/// Number of entry incarnations tracked. Above it, an attempt of any untracked one counts as
-/// possibly dropped.
+/// Maximum number of entry incarnations in [`SequenceFloors`]. Once it is exceeded, any attempt of
+/// an entry that is not tracked counts as possibly dropped.
 const MAX_ENTRIES: usize = 65_536;
 
-/// Highest sequence number dropped from the ledger for each entry.
+/// Highest sequence number of the dropped attempts of each entry.
 ///
 /// An entry numbers its attempts in ascending order, so one number per entry covers all dropped
 /// attempts in a few bytes. Without it, an agent would mistake a dropped attempt for one that never
-/// arrived and answer "never started", and the entry would print a badge a second time.
+/// arrived and reply "never started", and a request that must run once, such as a badge print,
+/// would run a second time.
 #[derive(Debug, Default)]
 pub(super) struct SequenceFloors {
     floors: HashMap<u64, u64>,
@@ -29,7 +30,7 @@
         *floor = (*floor).max(id.sequence);
     }
 
-    /// Whether `id` may have been recorded and dropped.
+    /// Whether the attempt `id` may have been recorded and dropped.
     pub(super) fn may_have_been_dropped(&self, id: RequestId) -> bool {
         match self.floors.get(&id.entry) {
             Some(&floor) => id.sequence <= floor,
--- a/crates/geraniumpost-core/src/requests/service_times.rs
+++ b/crates/geraniumpost-core/src/requests/service_times.rs
@@ -3,9 +3,9 @@
 use super::smoothed_time::SmoothedTime;
 use crate::Micros;
 
-/// Each sample moves the share of failures by the difference divided by this number.
+/// Each run moves the share of failures by its difference from the share divided by this number.
 const SMOOTHING_DIVISOR: u64 = 16;
-/// Number of recent service times from which the percentile is computed.
+/// Number of successful runs from which the 99th percentile is computed.
 const MAX_RECENT_SAMPLES: usize = 256;
 
 /// Smoothed service time, recent 99th percentile and share of failures of a minion.
@@ -39,12 +39,12 @@
         self.next_index = (self.next_index + 1) % MAX_RECENT_SAMPLES;
     }
 
-    /// Smoothed service time, empty before the first successful run.
+    /// Smoothed service time; its mean is 0 before the first successful run.
     pub(super) const fn smoothed(&self) -> SmoothedTime {
         self.smoothed
     }
 
-    /// Returns the load with `in_flight` requests running and `queued` waiting.
+    /// Returns the load report for `in_flight` running and `queued` waiting requests.
     pub(super) fn load(&self, in_flight: usize, queued: usize) -> Load {
         Load {
             in_flight: in_flight as u32,
--- a/crates/geraniumpost-core/src/requests/service_view.rs
+++ b/crates/geraniumpost-core/src/requests/service_view.rs
@@ -11,13 +11,15 @@
 }
 
 impl ServiceView {
-    /// Number of distance tiers: own failure domain, own region, and any region.
+    /// Number of distance tiers: the failure domain of the entry, the rest of its region, and all
+    /// other regions.
     pub const TIERS: usize = 3;
 
-    /// Groups `agents` by distance from `here`.
+    /// Groups the `agents` of one service by distance from `here`, the location of the entry.
     ///
-    /// Agents that cannot be routed to are omitted from the tiers, so that a decision draws only
-    /// from usable agents and takes as long among 570 agents as among 11.
+    /// Agents that are not routable are omitted from the tiers. A decision therefore draws only
+    /// from usable agents, and the time that it takes does not grow with their number: 570 agents
+    /// take as long as 11.
     pub fn new(agents: Vec<Arc<AgentView>>, here: &Location) -> Self {
         let mut view = Self::default();
         for (index, agent) in agents.iter().enumerate() {
@@ -32,7 +34,7 @@
         view
     }
 
-    /// All agents of the service, including those that cannot be routed to.
+    /// All live agents of the service, including those that are draining, ejected or not connected.
     pub fn agents(&self) -> &[Arc<AgentView>] {
         &self.agents
     }
@@ -49,7 +51,7 @@
         &self.agents[index as usize]
     }
 
-    /// Number of agents that could get ordinary requests when the view was created.
+    /// Number of agents that could get requests other than probes when the view was created.
     pub fn routable_count(&self) -> usize {
         self.tiers.iter().map(Vec::len).sum()
     }
--- a/crates/geraniumpost-core/src/requests/slot_reserve.rs
+++ b/crates/geraniumpost-core/src/requests/slot_reserve.rs
@@ -1,32 +1,33 @@
 use crate::Millis;
 
-/// Requests whose mean service time exceeds the shortest mean by this factor count as long. Waiting
-/// for one of eight slots that run such requests takes at least half the service time of a short
-/// request.
+/// A request counts as long if its mean service time exceeds the shortest mean by this factor. If
+/// such requests run on all of eight slots, the wait for one of them takes at least half the
+/// service time of a short request.
 const LONG_FACTOR: u64 = 8;
 /// Time for which a customer counts as active after its last request.
 pub(super) const ACTIVE_WINDOW_MS: u64 = 1_000;
-/// Interval at which the use of slots is measured.
+/// Minimum interval at which the use of slots is measured.
 const MEASUREMENT_INTERVAL_MS: u64 = 200;
-/// Thousandths of a slot reserved in addition to the use by customers with short requests.
+/// Thousandths of a slot that are reserved in addition to those used by customers with short
+/// requests.
 const SPARE_MILLI_SLOTS: u64 = 500;
 
-/// Use of slots by one customer, from which the reserve is computed.
+/// Use of slots by one customer, from which [`SlotReserve`] is computed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct SlotUse {
     pub(super) mean_us: u64,
     pub(super) weight: u32,
-    pub(super) busy_milli: u64,
+    pub(super) busy_milli_slots: u64,
     pub(super) last_request_at: Millis,
 }
 
 /// Slots that are not available to long requests while customers with short requests are active.
 ///
-/// Fair queueing alone decides which request gets the next free slot, but no run is interrupted.
-/// When long studies of one customer occupy every slot for seconds, a short check of another
-/// customer waits for the first study to end although that customer has used nothing. A few slots
-/// are therefore reserved for short requests: as many as customers with short requests use plus
-/// half a slot, but not more than the share of these customers.
+/// Fair queueing decides only which request gets the next free slot; no run is interrupted. When
+/// long studies of one customer occupy every slot for seconds, a short check of another customer
+/// waits for the first study to end although that customer has used nothing. A few slots are
+/// therefore reserved for short requests: as many as customers with short requests use plus half a
+/// slot, but not more than the share of these customers, and at least one.
 #[derive(Debug, Clone)]
 pub(super) struct SlotReserve {
     shortest_mean_us: u64,
@@ -39,7 +40,8 @@
         Self { shortest_mean_us: u64::MAX, reserved_slots: 1, measured_at: Millis(0) }
     }
 
-    /// Immediately accounts for an active customer with this mean service time, 0 if unknown.
+    /// Lowers the shortest mean service time to that of an active customer, without waiting for the
+    /// next measurement. A mean of 0 is unknown and ignored.
     pub(super) fn record_active_mean_us(&mut self, mean_us: u64) {
         if mean_us > 0 {
             self.shortest_mean_us = self.shortest_mean_us.min(mean_us);
@@ -51,12 +53,13 @@
         mean_us / LONG_FACTOR > self.shortest_mean_us
     }
 
-    /// Whether another long request may start while `running_long` of `slots` run long ones.
+    /// Whether another long request may start while `running_long` of `slots` slots run long ones.
     pub(super) fn allows_long_request(&self, running_long: usize, slots: usize) -> bool {
         running_long + self.reserved_slots.min(slots.saturating_sub(1)) < slots
     }
 
-    /// Milliseconds since the last measurement, if a new one is due.
+    /// Starts a new measurement window if one is due, and returns the length of the previous one in
+    /// milliseconds.
     pub(super) fn restart_window_if_due(&mut self, now: Millis) -> Option<u64> {
         let window_ms = now.since(self.measured_at);
         if window_ms < MEASUREMENT_INTERVAL_MS {
@@ -66,7 +69,8 @@
         Some(window_ms)
     }
 
-    /// Recomputes the reserve from the use of `slots` by all customers.
+    /// Recomputes the shortest mean service time and the reserved slots from the `uses` of all
+    /// customers of a minion with `slots` slots.
     pub(super) fn recompute(&mut self, uses: &[SlotUse], slots: usize, now: Millis) {
         let active = || {
             uses.iter().filter(|customer| now.since(customer.last_request_at) <= ACTIVE_WINDOW_MS)
@@ -74,11 +78,11 @@
         let known_means = active().map(|customer| customer.mean_us).filter(|&mean_us| mean_us > 0);
         self.shortest_mean_us = known_means.min().unwrap_or(u64::MAX);
         let short = || active().filter(|customer| !self.is_long(customer.mean_us));
-        let short_busy_milli: u64 = short().map(|customer| customer.busy_milli).sum();
+        let short_busy_milli_slots: u64 = short().map(|customer| customer.busy_milli_slots).sum();
         let short_weight: u64 = short().map(|customer| u64::from(customer.weight)).sum();
         let total_weight: u64 = active().map(|customer| u64::from(customer.weight)).sum();
         let share = (slots as u64 * short_weight).div_ceil(total_weight.max(1));
-        let needed = (short_busy_milli + SPARE_MILLI_SLOTS).div_ceil(1000);
+        let needed = (short_busy_milli_slots + SPARE_MILLI_SLOTS).div_ceil(1000);
         self.reserved_slots = needed.min(share).max(1) as usize;
     }
 }
--- a/crates/geraniumpost-core/src/requests/smoothed_time.rs
+++ b/crates/geraniumpost-core/src/requests/smoothed_time.rs
@@ -1,4 +1,4 @@
-/// Each sample moves the mean by the difference divided by this number.
+/// Each sample moves the mean by its difference from the mean divided by this number.
 const SMOOTHING_DIVISOR: u64 = 16;
 /// A sample counts as at most this multiple of the mean, so that a single stuck request does not
 /// make every deadline appear unreachable.
@@ -27,12 +27,12 @@
         self.mean_us = if mean_us == 0 { 1 } else { mean_us };
     }
 
-    /// Smoothed mean, 0 before the first sample.
+    /// Smoothed mean in microseconds, 0 before the first sample.
     pub(super) const fn mean_us(&self) -> u64 {
         self.mean_us
     }
 
-    /// Time within which most runs end: the mean plus one mean deviation.
+    /// Time within which most runs end, in microseconds: the mean plus one mean deviation.
     ///
     /// With the mean alone, half of the requests that start just in time would end too late, and
     /// their slot time would be wasted; see `docs/design/0103-fair-queue.md` for the measurements.
--- a/crates/geraniumpost-core/src/requests/snapshot.rs
+++ b/crates/geraniumpost-core/src/requests/snapshot.rs
@@ -5,7 +5,8 @@
 
 use super::{AgentView, Location, ServiceView};
 
-/// Immutable view of all live agents by service, replaced as a whole when the set changes.
+/// Immutable view of all live agents by service. The view is replaced as a whole when the set of
+/// agents or one of their properties changes.
 ///
 /// # Example
 ///
@@ -23,7 +24,7 @@
 }
 
 impl Snapshot {
-    /// Groups `agents` by service and by distance from `here`.
+    /// Groups `agents` by service and by distance from `here`, the location of the entry.
     pub fn new(agents: impl IntoIterator<Item = AgentView>, here: &Location) -> Self {
         let mut groups: HashMap<Name, Vec<Arc<AgentView>>> = HashMap::new();
         let mut by_name = HashMap::new();
@@ -35,12 +36,12 @@
         Self { services: services.collect(), agents: by_name }
     }
 
-    /// Returns the agents of `service`, if there are any.
+    /// Returns the agents of `service`, or `None` if it has no live agent.
     pub fn service(&self, service: &str) -> Option<&ServiceView> {
         self.services.get(service)
     }
 
-    /// Returns the agent named `name`, if it is live.
+    /// Returns the agent named `name`, or `None` if it is not live.
     pub fn agent(&self, name: &str) -> Option<&Arc<AgentView>> {
         self.agents.get(name)
     }
--- a/crates/geraniumpost-core/tests/requests_basics.rs
+++ b/crates/geraniumpost-core/tests/requests_basics.rs
@@ -1,4 +1,4 @@
-//! Basic uses of each decision on requests.
+//! Smoke tests of routing, membership, ejection, queueing and the attempt ledger.
 
 mod requests_support;
 
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -1,4 +1,5 @@
-//! The fair queue makes the same decisions as a reference queue that scans everything.
+//! Comparison of the fair queue with a reference queue, and tests of its reserved slot, its memory
+//! and its refusals.
 
 mod requests_support;
 
@@ -25,7 +26,7 @@
     Advance {
         ms: u64,
     },
-    /// One customer sends three requests, and time passes until all running requests have ended.
+    /// One customer sends three requests, time passes, and all requests that were running end.
     Cycle {
         customer: usize,
         ms: u64,
@@ -55,7 +56,7 @@
     actions.into_iter().map(decision).collect()
 }
 
-/// The fair queue and the reference queue, given the same calls.
+/// A fair queue and a reference queue that get the same calls.
 struct QueuePair {
     queue: FairQueue<()>,
     reference: ReferenceQueue,
@@ -92,7 +93,8 @@
         [Vec::new(), Vec::new()]
     }
 
-    /// Applies a step and returns the decisions of both queues, one pair for each call.
+    /// Applies a step to both queues and returns a pair of decisions, actual and expected, for each
+    /// call.
     fn step(&mut self, step: &Step) -> Vec<[Vec<Decision>; 2]> {
         let (running, waiting) = (self.reference.running(), self.reference.waiting());
         let nth = |list: &[u64], nth: usize| list.get(nth % list.len().max(1)).copied();
@@ -140,8 +142,9 @@
     }
 }
 
-/// Keeps `slots` busy with customer b for three seconds, with a request of customer a every 50 ms
-/// in the first half, and returns how many slots b occupies at the end of each half.
+/// Keeps `slots` slots busy with requests of customer b for three seconds. In the first half
+/// customer a sends a request every 50 ms. Returns how many slots b occupies at the end of each
+/// half.
 fn slots_of_b(slots: usize) -> [usize; 2] {
     let mut queue = FairQueue::new(QueueLimits::new().slots(slots));
     let (mut running, mut sequence, mut slots_in_use) = (Vec::new(), 0, [0, 0]);
@@ -168,17 +171,17 @@
     slots_in_use
 }
 
-/// One slot is reserved while another customer is active, and released once that customer has been
-/// idle for a second. With fewer than four slots none is reserved, because one would be too large a
-/// share.
+/// One slot is kept free of customer b while customer a is active, and released once a has been
+/// idle for a second. With fewer than four slots none is kept free, because one would be too large
+/// a share.
 #[test]
 fn a_reserved_slot_is_released_when_others_are_idle() {
     assert_eq!(slots_of_b(8), [7, 8]);
     assert_eq!(slots_of_b(2), [2, 2]);
 }
 
-/// If idle customers were never forgotten, the memory of an agent would grow until it is killed,
-/// and its requests would end as "outcome unknown".
+/// If idle customers were never forgotten, the memory of the agent would grow until the agent is
+/// killed, and its requests would end as "outcome unknown".
 #[test]
 fn idle_customers_are_forgotten() {
     let mut queue = FairQueue::new(QueueLimits::new());
@@ -192,8 +195,8 @@
     assert_eq!(queue.customer_count(), 0);
 }
 
-/// A request accepted by a draining agent would be cut off when the agent exits. Requests that
-/// already wait must still run.
+/// A request accepted by a draining agent would be cut off when the agent exits. Requests that wait
+/// already must still run.
 #[test]
 fn a_draining_queue_refuses_new_requests_and_runs_waiting_ones() {
     let mut queue = FairQueue::new(QueueLimits::new().slots(1));
@@ -208,9 +211,9 @@
     assert!(!queue.is_empty());
 }
 
-/// After a run of ten seconds, every request appears to miss its deadline. If the queue refused
-/// requests for that reason while the minion is idle, it would refuse all of them forever, because
-/// no run would correct the estimate.
+/// After a run of ten seconds, every request is expected to miss its deadline. If the queue refused
+/// requests for that reason while the minion is idle, no run would correct the estimate, and the
+/// queue would refuse all requests forever.
 #[test]
 fn a_free_slot_accepts_a_request_expected_to_miss_its_deadline() {
     let mut queue = FairQueue::new(QueueLimits::new().slots(1));
--- a/crates/geraniumpost-core/tests/requests_fair_share.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_share.rs
@@ -1,5 +1,4 @@
-//! Effects of the customers of one minion on each other, in a discrete-event model with fixed
-//! seeds.
+//! How customers of one minion affect each other, in a discrete-event model with fixed seeds.
 
 mod requests_support;
 
@@ -9,11 +8,12 @@
 };
 
 const QUEUE_CAPACITY: usize = 32;
-/// Maximum growth of the 99th percentile of a customer beside a burst of another one.
+/// Maximum factor by which the 99th percentile of the latency of a customer may grow when another
+/// customer sends a burst.
 const MAX_GROWTH: f64 = 1.5;
 
-/// Growth of the 99th percentile of a customer below its share when another customer sends ten
-/// times its share.
+/// Returns the factor by which the 99th percentile of the latency of a customer below its share
+/// grows when another customer sends ten times its share, and the results of the former.
 fn p99_growth(
     discipline: Discipline,
     load: f64,
@@ -25,9 +25,12 @@
     let slower = MEAN_US as f64 / burst_mean_us as f64;
     let burst = Source { mean_us: burst_mean_us, ..Source::new("burst", share * 10.0 * slower) };
     let alone = run(&[quiet], discipline, QUEUE_CAPACITY, 40, seed);
-    let mut beside = run(&[quiet, burst], discipline, QUEUE_CAPACITY, 40, seed);
-    let beside = beside.swap_remove(0);
-    (beside.latency_quantile_us(0.99) as f64 / alone[0].latency_quantile_us(0.99) as f64, beside)
+    let mut with_burst = run(&[quiet, burst], discipline, QUEUE_CAPACITY, 40, seed);
+    let with_burst = with_burst.swap_remove(0);
+    (
+        with_burst.latency_quantile_us(0.99) as f64 / alone[0].latency_quantile_us(0.99) as f64,
+        with_burst,
+    )
 }
 
 fn check_burst(load: f64, burst_mean_us: u64) {
@@ -40,12 +43,12 @@
     }
 }
 
-// One customer sends a batch of checks at ten times its share. In order of arrival, every other
-// customer would wait behind a full queue and be refused more often than served.
+// One customer sends a batch of checks at ten times its share. With a queue in order of arrival,
+// every other customer would wait behind a full queue and have more requests refused than answered.
 cases! { check_burst;
-    burst_beside_a_tenth_of_the_share: 0.1, MEAN_US;
-    burst_beside_half_of_the_share: 0.5, MEAN_US;
-    burst_beside_nine_tenths_of_the_share: 0.9, MEAN_US;
+    burst_while_another_customer_uses_a_tenth_of_its_share: 0.1, MEAN_US;
+    burst_while_another_customer_uses_half_of_its_share: 0.5, MEAN_US;
+    burst_while_another_customer_uses_nine_tenths_of_its_share: 0.9, MEAN_US;
     burst_of_requests_four_times_as_long: 0.5, 4 * MEAN_US;
     burst_of_requests_ten_times_as_long: 0.5, 10 * MEAN_US;
     burst_of_studies_forty_times_as_long: 0.75, 40 * MEAN_US;
@@ -57,27 +60,28 @@
     let burst = Source { fixed_time: true, ..Source::new("burst", share * 10.0) };
     for seed in 1..=2 {
         let alone = run(&[quiet], Discipline::Fair, QUEUE_CAPACITY, 40, seed);
-        let beside = run(&[quiet, burst], Discipline::Fair, QUEUE_CAPACITY, 40, seed);
-        let growth =
-            beside[0].latency_quantile_us(0.99) as f64 / alone[0].latency_quantile_us(0.99) as f64;
-        let used = (beside[0].slot_us + beside[1].slot_us) as f64 / (40.0 * 1e6 * SLOTS as f64);
+        let with_burst = run(&[quiet, burst], Discipline::Fair, QUEUE_CAPACITY, 40, seed);
+        let growth = with_burst[0].latency_quantile_us(0.99) as f64
+            / alone[0].latency_quantile_us(0.99) as f64;
+        let used =
+            (with_burst[0].slot_us + with_burst[1].slot_us) as f64 / (40.0 * 1e6 * SLOTS as f64);
         println!("fixed-time load={load} seed={seed} growth={growth:.2} slots used={used:.3}");
         assert!(growth <= MAX_GROWTH, "seed {seed}: 99th percentile grew by {growth:.2}");
         assert!(used >= 0.87, "seed {seed}: {used:.3} of the slots used");
     }
 }
 
-// If all requests take equally long, those of a burst that started together end together. Without a
-// reserved slot, the request of a customer below its share that arrives just after would wait for a
-// full run.
+// If all requests take equally long, those of a burst that start together also end together. Unless
+// one slot is kept free, a request of a customer below its share that arrives just after the start
+// would wait for a full run.
 cases! { check_fixed_time;
     fixed_time_burst_beside_a_tenth_of_the_share: 0.1;
     fixed_time_burst_beside_half_of_the_share: 0.5;
     fixed_time_burst_beside_eight_tenths_of_the_share: 0.8;
 }
 
-/// A customer that starts to send hundreds of requests could have its first 32 served before those
-/// of all others. Requests of another customer then waited four additional service times.
+/// A customer starts to send hundreds of requests. Without a limit on the burst allowance, its
+/// first 32 were served before those of all others, which waited four additional service times.
 #[test]
 fn start_of_a_burst_delays_others_by_at_most_two_service_times() {
     let quiet = Source::new("quiet", CAPACITY * 0.1);
@@ -90,7 +94,7 @@
     }
 }
 
-/// Control: with a queue in order of arrival, the same burst violates the limits above.
+/// Control: with a first-in, first-out queue, the same burst violates the limits above.
 #[test]
 fn without_fairness_a_burst_harms_others() {
     let (growth, stats) = p99_growth(Discipline::Fifo, 0.5, MEAN_US, 1);
@@ -98,7 +102,7 @@
     assert!(stats.refused > stats.answered_in_time, "{} refused", stats.refused);
 }
 
-/// Goodput in requests per second at `load` times the capacity.
+/// Number of requests answered in time per second, at a load of `load` times the capacity.
 fn goodput(discipline: Discipline, load: f64, deadline_ms: u64) -> f64 {
     let source = Source { deadline_ms, ..Source::new("a", CAPACITY * load) };
     run(&[source], discipline, QUEUE_CAPACITY, 30, 1)[0].answered_in_time as f64 / 30.0
@@ -117,8 +121,8 @@
     assert!(kept >= 0.9, "{kept:.3} of the peak at three times the capacity");
 }
 
-// The minion gets three times as many requests as it can answer. A queue that starts requests which
-// are already too late spends its slots on answers nobody awaits, and the goodput collapses.
+// The minion gets three times as many requests as it can answer. If a queue starts requests that
+// are already too late, its slots are spent on answers nobody awaits, and the goodput collapses.
 cases! { check_overload;
     overload_with_a_deadline_of_three_service_times: 30;
     overload_with_a_deadline_of_five_service_times: 50;
@@ -126,15 +130,16 @@
     overload_with_a_long_deadline: 2_000;
 }
 
-/// Control: the same overload with a queue that ignores deadlines.
+/// Control: with a first-in, first-out queue, which ignores deadlines, the same overload lowers the
+/// goodput.
 #[test]
 fn without_deadlines_overload_wastes_slots() {
     let kept = goodput_kept_in_overload(Discipline::Fifo, 50);
     assert!(kept < 0.9, "{kept:.3}");
 }
 
-/// A caller that learns of a refusal only at its deadline is too late to try elsewhere, and has
-/// held a connection meanwhile.
+/// A caller that gets a refusal only at its deadline is too late to try elsewhere, and has kept a
+/// connection open meanwhile.
 #[test]
 fn a_refusal_comes_long_before_the_deadline() {
     let source = Source { deadline_ms: 500, ..Source::new("a", CAPACITY * 3.0) };
@@ -144,8 +149,8 @@
     assert!(*last < 100_000, "{last} us");
 }
 
-/// A customer that was idle while another used the whole minion must immediately get its share, but
-/// no credit for the idle time, or it would lock out the other one.
+/// A customer that was idle while another one used the whole minion must immediately get its share.
+/// It must get no credit for the idle time, or it would lock out the other one.
 #[test]
 fn a_customer_that_becomes_active_gets_its_share_and_no_credit() {
     let rate = CAPACITY * 2.0;
@@ -157,7 +162,7 @@
     assert!((0.9..1.1).contains(&(late / expected)), "{late} of {expected}");
 }
 
-/// The use of slots must follow the weights configured for the customers.
+/// Customers that exceed their shares must get slot time in proportion to their configured weights.
 #[test]
 fn slots_follow_the_weights() {
     let source = |name, weight| Source { weight, ..Source::new(name, CAPACITY * 2.0) };
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -1,4 +1,4 @@
-//! Which attempts have run, according to the ledger of an agent.
+//! Replies of the attempt ledger of an agent, compared with the attempts that have run.
 
 mod requests_support;
 
@@ -34,7 +34,7 @@
     ]
 }
 
-/// Key 0 means a request without a key.
+/// Returns the idempotency key with number `key`; 0 means none.
 fn key_name(key: u64) -> Name {
     if key == 0 { Name::default() } else { Name::from(format!("k{key}")) }
 }
@@ -48,7 +48,7 @@
     Joined(u64),
 }
 
-/// Unbounded reference ledger that searches all attempts for each answer.
+/// Reference ledger without limits, which searches all attempts for each reply.
 #[derive(Debug, Default)]
 struct ReferenceLedger {
     attempts: Vec<(u64, State)>,
@@ -260,9 +260,8 @@
     }
 }
 
-/// A badge print runs, and so many attempts follow that the ledger drops its record. If the entry,
-/// whose link was lost, then got the answer "never started", the badge would be printed a second
-/// time.
+/// A badge print runs, and so many attempts follow that the ledger drops its record. If a query
+/// over a new link then got the reply "never started", the badge would be printed a second time.
 #[test]
 fn a_dropped_attempt_is_unknown_and_not_never_started() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::new().records(4));
@@ -278,8 +277,8 @@
     assert_eq!(ledger.sizes()[0], 4);
 }
 
-/// An agent that was killed during a print and restarted knows nothing about attempts before the
-/// restart, and must not answer as if it did.
+/// An agent that was killed during a print and restarted has no record of attempts before the
+/// restart, and must not reply that they never started.
 #[test]
 fn a_restarted_agent_answers_unknown_for_its_predecessor() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
@@ -290,8 +289,8 @@
     );
 }
 
-/// A request is refused for lack of capacity, and its entry moves the claim on the key to another
-/// agent. If a late repeat sent here under the old claim ran, both agents would print.
+/// A request is refused for lack of capacity, and its entry moves the key claim to another agent.
+/// If a late repeat sent to this agent under the old claim ran, both agents would print.
 #[test]
 fn a_refused_key_never_runs_on_this_agent() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
@@ -303,8 +302,8 @@
     assert!(!ledger.start(id(3)));
 }
 
-/// A repeat queries the key before the first request has arrived, and its entry then moves the
-/// claim. The first request must not run when it arrives.
+/// A repeat queries the key before the first request has arrived, and its entry then moves the key
+/// claim to another agent. The first request must not run when it arrives.
 #[test]
 fn a_queried_key_never_runs_on_this_agent() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
@@ -313,7 +312,8 @@
     assert_eq!(ledger.admit(id(1), &key_name(1), Millis(0)), Admission::Barred);
 }
 
-/// Runs one request under each key, so that a ledger with low limits drops the oldest.
+/// Returns a ledger in which one request has run under each of the keys 1 to `keys`. With low
+/// limits it has dropped the oldest ones.
 fn ledger_with_keys(limits: LedgerLimits, keys: u64) -> AttemptLedger<u64> {
     let mut ledger = AttemptLedger::new(OWN_INCARNATION, limits);
     for n in 1..=keys {
@@ -324,8 +324,8 @@
     ledger
 }
 
-/// A kiosk repeats a badge print hours later, and its entry sends it to the agent that ran it. The
-/// agent must still know that the key was used, although it has many newer keys.
+/// A kiosk repeats a badge print hours later, and its entry sends it to the agent that ran the
+/// first one. The agent must still recognize the key, although it has recorded many newer ones.
 #[test]
 fn an_expired_key_does_not_run_again() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 10), 6);
@@ -336,8 +336,8 @@
     assert_eq!(ledger.admit(id(11), &key_name(7), Millis(0)), Admission::Queue);
 }
 
-/// The ledger has dropped keys entirely. A queried key that it does not know may be one of them,
-/// whose request has run.
+/// The ledger has dropped the digests of old keys as well. A queried key that is unknown may be one
+/// of them, whose request has run.
 #[test]
 fn an_unknown_key_may_have_been_dropped() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 0), 3);
--- a/crates/geraniumpost-core/tests/requests_membership.rs
+++ b/crates/geraniumpost-core/tests/requests_membership.rs
@@ -1,4 +1,5 @@
-//! Set of live agents when heartbeats are lost, repeated, delayed and reordered.
+//! Set of live agents in the membership of an entry when heartbeats are lost, repeated, delayed and
+//! reordered.
 
 mod requests_support;
 
@@ -42,7 +43,7 @@
     ]
 }
 
-/// Complete history of one agent, from which the expected state follows.
+/// Events of one agent, from which its expected state in a snapshot follows.
 #[derive(Debug, Default)]
 struct History {
     current_incarnation: u64,
@@ -133,9 +134,9 @@
     }
 }
 
-/// An agent announces on SIGTERM that it drains. A heartbeat sent just before arrives after the
-/// announcement. If it were applied, the agent would get new requests, which are cut off when the
-/// process exits.
+/// An agent announces on SIGTERM that it is draining. A heartbeat sent just before arrives after
+/// the announcement. If it were applied, the agent would get new requests, which would be cut off
+/// when the process exits.
 #[test]
 fn a_late_heartbeat_does_not_undo_draining() {
     let mut membership = membership();
@@ -156,8 +157,8 @@
     assert_eq!(membership.snapshot().service("filing").unwrap().routable_count(), 0);
 }
 
-/// A heartbeat that announces draining arrives after a later one. It is late, but draining is
-/// final.
+/// A heartbeat that announces draining arrives after a later one without it. Draining is final, so
+/// the announcement must not be ignored as late.
 #[test]
 fn a_late_announcement_of_draining_is_applied() {
     let mut membership = membership();
@@ -169,7 +170,7 @@
 }
 
 /// An agent is killed and immediately restarted. Delayed heartbeats of the old incarnation must not
-/// revive it: requests for it would be sent to a process that refuses them.
+/// make it current again: requests would be sent to a process that has ended.
 #[test]
 fn old_heartbeats_do_not_revive_a_killed_agent() {
     let mut membership = membership();
@@ -185,9 +186,9 @@
     assert_eq!(membership.snapshot().agent("a").unwrap().incarnation(), 8);
 }
 
-/// The first heartbeat of a new agent arrives before the last one of the old incarnation, which
-/// this entry has never seen. The delayed one is treated as a restart, but the live agent must
-/// prevail.
+/// The first heartbeat of a new incarnation arrives before a delayed one of the old incarnation,
+/// which is unknown to this entry. The delayed heartbeat looks like a restart, but the live
+/// incarnation must prevail.
 #[test]
 fn a_live_agent_prevails_over_a_delayed_heartbeat_of_an_unknown_incarnation() {
     let mut membership = membership();
@@ -204,7 +205,7 @@
 }
 
 /// The VM of an agent is suspended for a minute. Requests sent there would not be answered, so the
-/// agent must be removed from routing within two seconds and return once it resumes.
+/// agent must be removed from routing within two seconds and return once the VM resumes.
 #[test]
 fn a_suspended_agent_fails_within_two_seconds_and_rejoins() {
     let mut membership = membership();
@@ -222,7 +223,7 @@
     );
 }
 
-/// A snapshot is published while requests are in flight. If the counters were reset, the agent
+/// A new snapshot is published while requests are in flight. If it had new counters, the agent
 /// would appear idle to this entry after each change and get too many requests.
 #[test]
 fn requests_in_flight_are_counted_across_snapshots() {
@@ -236,8 +237,8 @@
     assert_eq!(membership.snapshot().agent("a").unwrap().counters().in_flight(), 0);
 }
 
-/// A load report affects routing without a new snapshot. Otherwise each of 570 heartbeats would
-/// copy the whole set.
+/// A load report affects routing without a new snapshot. Otherwise each heartbeat of 570 agents
+/// would copy the whole set.
 #[test]
 fn a_heartbeat_that_changes_only_the_load_needs_no_snapshot() {
     let mut membership = membership();
@@ -250,8 +251,8 @@
     assert_eq!(snapshot.agent("a").unwrap().counters().load().queued, 9);
 }
 
-/// Agents are continually replaced under new names. If failed ones were never forgotten, they would
-/// fill the memory.
+/// Agents are continually replaced under new names. If failed ones were never forgotten, the memory
+/// of the entry would grow without limit.
 #[test]
 fn failed_agents_are_forgotten() {
     let mut membership = membership();
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -1,4 +1,5 @@
-//! Results that an entry reports to a caller, compared with what has run.
+//! Results that an entry reports to a caller, compared with the attempts that have run; limits on
+//! retries and on customers.
 
 mod requests_support;
 
@@ -15,18 +16,19 @@
 
 const DEADLINE: Millis = Millis(2_000);
 
-/// Actual fate of one attempt, which the entry cannot observe.
+/// Whether an attempt runs, which the entry cannot observe directly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fate {
     /// The attempt will never run.
     NeverRuns,
     /// The attempt runs or has run.
     Runs,
-    /// The bytes of the attempt are in transit: it runs unless a query bars it first.
+    /// The message with the attempt is in transit: the attempt runs unless a query bars it first.
     InTransit,
 }
 
-/// One attempt: its actual fate and random numbers that select its events.
+/// Fate of an attempt, and random numbers: each pair selects an event and the milliseconds before
+/// it.
 type Attempt = (Fate, Vec<(u8, u16)>);
 
 fn attempt() -> impl Strategy<Value = Attempt> {
@@ -38,7 +40,7 @@
     AttemptEvent::Outcome { outcome, retry_after_ms: 7 }
 }
 
-/// Events that an entry may observe for an attempt with this fate after the action `step`.
+/// Events that an entry may observe for an attempt with the fate `fate` after the action `step`.
 fn possible_events(fate: Fate, step: NextStep) -> Vec<AttemptEvent> {
     let mut events = vec![AttemptEvent::LinkLost, AttemptEvent::LinkUnresponsive];
     events.extend([outcome_event(Outcome::Unknown), AttemptEvent::DeadlinePassed { sent: true }]);
@@ -82,7 +84,7 @@
     events
 }
 
-/// Outcome of one request.
+/// Last action for a request, and what led to it.
 #[derive(Debug)]
 struct RequestOutcome {
     last: NextStep,
@@ -91,7 +93,8 @@
     budget_calls: u32,
 }
 
-/// Applies the attempts to `decide` until the request has its answer.
+/// Passes events of the attempts to `decide` until it returns a final action. The budget allows
+/// `budget_limit` retries.
 fn simulate(
     attempts: &[Attempt],
     budget_limit: u32,
@@ -132,7 +135,7 @@
     prop_oneof![Just(RequestKind::Idempotent), Just(RequestKind::Once), Just(RequestKind::Keyed)]
 }
 
-/// Returns which guarantee the outcome violates, if any.
+/// Returns a description of the guarantee that the outcome violates, if any.
 fn violated_guarantee(kind: RequestKind, end: &RequestOutcome) -> Option<&'static str> {
     if kind != RequestKind::Idempotent && end.may_have_run > 1 {
         return Some("ran twice");
@@ -167,7 +170,7 @@
     }
 }
 
-/// Control: a policy that retries after any failure violates the guarantees under the same events.
+/// Control: a policy that retries after any failure violates the guarantees in the same model.
 #[test]
 fn a_naive_policy_violates_the_guarantees() {
     let naive = |event, _, _: &mut dyn FnMut() -> bool| match event {
@@ -188,7 +191,7 @@
     );
 }
 
-/// Applies events in order with an unlimited budget and returns the last action.
+/// Returns the action after the last of `events`, with an unlimited budget.
 fn last_step(kind: RequestKind, events: &[AttemptEvent]) -> NextStep {
     let mut policy = RetryPolicy::new(kind, DEADLINE, RetryLimits::default());
     let mut step = NextStep::Wait;
@@ -258,7 +261,7 @@
 }
 
 /// The budget is exhausted because many agents fail at once. An idempotent request whose link was
-/// lost is not run again, but the agent may still have its answer, so it is queried.
+/// lost is not sent again, but its agent may still have the answer, so it is queried.
 #[test]
 fn without_budget_a_lost_request_is_queried() {
     let mut policy = RetryPolicy::new(RequestKind::Idempotent, DEADLINE, RetryLimits::default());
@@ -268,8 +271,8 @@
     assert_eq!(end, answer(ResultCode::OutcomeUnknown, 1_000));
 }
 
-/// Half of all attempts fail. Without a budget each request would be sent up to four times, and the
-/// load would nearly double while minions are missing.
+/// Half of all attempts fail. Without a budget, each request would be sent up to four times, and
+/// the load would nearly double while minions are failing.
 #[test]
 fn retries_remain_within_the_budget() {
     let budget = RetryBudget::new(100, 20);
@@ -289,8 +292,8 @@
     assert!(attempts >= 10_900, "{attempts}");
 }
 
-/// Many threads admit requests of one customer concurrently. If two could take the last permit, the
-/// limit would not hold under load.
+/// Many threads admit requests of one customer concurrently. If two of them could take the last
+/// permit, the limit would be exceeded under load.
 #[test]
 fn the_limit_of_a_customer_holds_across_threads() {
     let limits = Arc::new(EntryLimits::default().updated([("a".into(), 10)]));
@@ -307,7 +310,8 @@
     assert_eq!(limits.in_flight("a"), 0);
 }
 
-/// Two codes with one number, or a number that changed, would give callers a wrong result.
+/// Callers interpret the numbers of result codes. If two codes had one number, callers could not
+/// tell them apart.
 #[test]
 fn result_codes_are_distinct_and_complete() {
     let numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -19,7 +19,7 @@
     Load { in_flight, service_us, ..Load::default() }
 }
 
-/// Records a failure of an agent and returns the change.
+/// Reports a failed attempt at the agent `name` to the ejector.
 fn record_failure(
     ejector: &mut Ejector,
     snapshot: &Snapshot,
@@ -151,8 +151,8 @@
     }
 }
 
-/// All agents are equal, and one entry sends a thousand requests that all remain in flight. No
-/// agent may get many more than the others: each request counts immediately, without waiting for a
+/// All agents are equal, and one entry sends 1,100 requests that all remain in flight. No agent may
+/// get many more than the others: each request must count immediately, without waiting for a
 /// report.
 #[test]
 fn stale_reports_do_not_concentrate_requests() {
@@ -170,8 +170,8 @@
     assert!(snapshot.agents().all(|agent| agent.counters().in_flight() == 0));
 }
 
-/// Number of times each agent is chosen in 1,000 decisions at `now`, none of which remains in
-/// flight.
+/// Number of times that each agent is chosen in 1,000 decisions at `now`, if none of the requests
+/// remains in flight.
 fn choice_counts(snapshot: &Snapshot, now: u64) -> HashMap<Name, usize> {
     let service = snapshot.service("filing").unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -194,8 +194,9 @@
     assert!(expected_first.contains(&actual_first), "{actual_first} of 1000");
 }
 
-// An agent reported itself idle, or reported a service time that was short by chance, and has not
-// reported since. All entries would send their requests there until its next report.
+// An agent reported no requests, or a service time that was short by chance, and has not reported
+// since. If the report were used unchanged, all entries would send their requests to the agent
+// until its next report.
 cases! { check_first_of_two;
     a_recent_idle_report_is_used:
         [load(0, 10_000), load(20, 10_000)], 0, 1_000..=1_000;
@@ -209,8 +210,8 @@
 }
 
 /// Sixteen entries have the same reports of eleven agents, one second old. Each routes a hundred
-/// requests before the next report. Together they must not concentrate on the agents with the best
-/// reports.
+/// requests before the next report. In sum, these must not concentrate on the agents with the
+/// lowest reported loads.
 #[test]
 fn entries_with_equal_reports_spread_their_requests() {
     let mut totals: HashMap<Name, u32> = HashMap::new();
@@ -234,11 +235,11 @@
     assert!(f64::from(*max) < 1.4 * mean, "{totals:?}");
 }
 
-/// The agents of the own domain each run one request, and the others are idle. Leaving the failure
-/// domain for such a small difference costs the caller half a millisecond each way and makes the
-/// request depend on two domains.
+/// Each agent in the entry's failure domain runs one request, and the others are idle. Leaving the
+/// failure domain for such a small difference costs the caller half a millisecond each way and
+/// makes the request depend on two domains.
 #[test]
-fn the_own_domain_is_preferred_while_it_has_capacity() {
+fn the_local_domain_is_preferred_while_it_has_capacity() {
     let far = |n| agent(format!("far{n}")).at_location(Location::new("lima", "callao"));
     let near = |n| agent(format!("near{n}"));
     let snapshot = Snapshot::new((0..3).map(near).chain((0..8).map(far)), &here());
@@ -255,10 +256,11 @@
     }
 }
 
-/// The agent in the own failure domain has a queue of one second, and an agent in another domain is
-/// idle. The longer distance costs half a millisecond, which is less than the wait.
+/// The agent in the entry's failure domain has a queue of one second, and an agent in another
+/// domain is idle. The longer distance costs half a millisecond each way, which is less than the
+/// wait.
 #[test]
-fn another_domain_is_used_when_the_own_one_is_slower() {
+fn another_domain_is_used_when_the_local_one_is_slower() {
     let far = agent("far").at_location(Location::new("lima", "callao"));
     let snapshot = Snapshot::new([agent("near"), far], &here());
     let service = snapshot.service("filing").unwrap();
@@ -275,8 +277,8 @@
     assert_eq!(chosen(&mut rng), "far");
 }
 
-/// A minion that fails every request immediately is always idle. Unless it is ejected, it attracts
-/// most of the requests, and most callers get an error although ten healthy minions are available.
+/// A minion that fails every request immediately is always idle. Unless it is ejected, it gets most
+/// of the requests, and most callers get an error although ten healthy minions are available.
 #[test]
 fn a_failing_agent_is_ejected_and_probed_with_growing_delays() {
     let snapshot = fleet(11);
@@ -311,9 +313,9 @@
     assert_eq!((ejected, capped), (3, 8), "each of the others is logged once");
 }
 
-/// An ejected agent is probed with one request. If every waiting request served as a probe, the
-/// agent would get many requests that fail. A badge print should be the probe only if no retryable
-/// request is available.
+/// An ejected agent must be probed with one request. If every request served as a probe, many would
+/// fail. A badge print, which cannot be retried, may be the probe only if no retryable request is
+/// available.
 #[test]
 fn one_retryable_request_serves_as_probe() {
     let snapshot = fleet(3);
@@ -335,8 +337,8 @@
     assert_eq!(probes(8_100, false), 1);
 }
 
-/// Many threads route requests when a probe is due. If two of them probed, two callers would depend
-/// on a minion that probably still fails.
+/// Many threads route requests when a probe is due. If two of them sent a probe, two callers would
+/// depend on a minion that probably still fails.
 #[test]
 fn only_one_thread_claims_a_probe() {
     let snapshot = fleet(2);
@@ -357,8 +359,8 @@
     }
 }
 
-/// One of two agents is ejected and the other one fails. The ejected one may still answer, which is
-/// better for the caller than a certain refusal.
+/// One of two agents is ejected and the other one fails and departs. The ejected one may still
+/// answer, which is better for the caller than a certain refusal.
 #[test]
 fn an_ejected_agent_is_the_last_resort() {
     let snapshot = fleet(2);
@@ -378,7 +380,7 @@
     assert_eq!(Router::default().choose(service, &query, &mut rng).unwrap_err(), NoAgent::AllTried);
 }
 
-/// A failing minion was repaired. It must get its share of requests again, and its earlier
+/// A failing minion has been repaired. Its agent must get its share of requests again, and earlier
 /// ejections must not lengthen later delays.
 #[test]
 fn a_repaired_agent_is_restored() {
--- a/crates/geraniumpost-core/tests/requests_support/minion_model.rs
+++ b/crates/geraniumpost-core/tests/requests_support/minion_model.rs
@@ -12,19 +12,19 @@
 
 pub const SLOTS: usize = 8;
 pub const MEAN_US: u64 = 10_000;
-/// Requests per second that the slots can answer.
+/// Number of requests with the mean service time that all slots together can run per second.
 pub const CAPACITY: f64 = SLOTS as f64 * 1e6 / MEAN_US as f64;
 
-/// Open-loop arrivals of one customer.
+/// Requests of one customer, which arrive at random times regardless of the answers.
 #[derive(Debug, Clone, Copy)]
 pub struct Source {
     pub name: &'static str,
     pub per_second: f64,
     pub weight: u32,
     pub deadline_ms: u64,
-    /// Time of the first arrival, so that a customer can start later than the others.
+    /// Time of the first arrival, which lets a customer start later than the others.
     pub first_arrival_us: u64,
-    /// Mean service time of its requests.
+    /// Mean service time of the requests.
     pub mean_us: u64,
     /// Whether each request takes exactly the mean time instead of a random one.
     pub fixed_time: bool,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Queue in front of the minion.
+/// How requests for the slots of the minion are queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discipline {
     Fair,
@@ -52,7 +52,7 @@
     Fifo,
 }
 
-/// Results of the requests of one customer.
+/// Results of the requests that one customer sent after the warm-up.
 #[derive(Debug, Default)]
 pub struct CustomerStats {
     pub latencies_us: Vec<u64>,
@@ -65,7 +65,7 @@
 }
 
 impl CustomerStats {
-    /// Latency of the answers in microseconds at `quantile`.
+    /// Quantile `quantile`, from 0 to 1, of the latencies of the answers, in microseconds.
     pub fn latency_quantile_us(&self, quantile: f64) -> u64 {
         let mut sorted = self.latencies_us.clone();
         sorted.sort_unstable();
@@ -76,11 +76,14 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A request of the source with this index arrives.
     Arrive(usize),
+    /// The job with this sequence number ends; the second value is its service time in microseconds.
     Finish(u64, u64),
     Tick,
 }
 
+/// One request in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Job {
     source: usize,
@@ -89,7 +92,7 @@
     service_us: u64,
 }
 
-/// Reference queue with no rule but its bound.
+/// First-in, first-out queue of limited length.
 #[derive(Debug, Default)]
 struct Fifo {
     waiting: VecDeque<Job>,
@@ -114,8 +117,8 @@
     warm_up_end_us: u64,
 }
 
-/// Runs `sources` for `seconds` after a warm-up of one second, and returns the results of each
-/// customer.
+/// Runs requests of `sources` for `seconds` seconds after a warm-up of one second, and returns the
+/// results by customer.
 pub fn run(
     sources: &[Source],
     discipline: Discipline,
--- a/crates/geraniumpost-core/tests/requests_support/mod.rs
+++ b/crates/geraniumpost-core/tests/requests_support/mod.rs
@@ -7,7 +7,7 @@
 use geraniumpost_core::requests::{AgentView, Location, Snapshot};
 use geraniumpost_schema::{AgentState, Heartbeat, Load, RequestId, Resources};
 
-/// Turns each case of a test into a function with its own name.
+/// Generates one `#[test]` function per line, which calls `$check` with the given arguments.
 macro_rules! cases {
     ($check:path; $($(#[$meta:meta])* $name:ident: $($argument:expr),+;)+) => {
         $($(#[$meta])* #[test] fn $name() { $check($($argument),+); })+
@@ -23,12 +23,12 @@
     Location::new("lima", "surco")
 }
 
-/// A ready agent of the filing service in the entry's failure domain.
+/// A ready, connected agent of the service `filing` at the location [`here`].
 pub fn agent(name: impl Into<String>) -> AgentView {
     AgentView::new(name.into(), 1).service("filing").at_location(here())
 }
 
-/// `count` ready agents named `a0`, `a1` and so on.
+/// Snapshot of `count` agents as returned by [`agent`], named `a0`, `a1` and so on.
 pub fn fleet(count: usize) -> Snapshot {
     Snapshot::new((0..count).map(|n| agent(format!("a{n}"))), &here())
 }
--- a/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
@@ -1,8 +1,10 @@
-//! Reference implementation of `FairQueue` that scans everything for each decision.
+//! Reference implementation of `FairQueue`, which is slow and simple: it searches all requests and
+//! customers for each decision and keeps no index. It omits the slots reserved for short requests.
 
 use geraniumpost_core::requests::Refusal;
 
-/// Decision of the reference queue on a request.
+/// Action on a request, identified by its sequence number. A refusal has a reason and a retry delay
+/// in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     Run(u64),
@@ -22,7 +24,7 @@
     virtual_time: u64,
     service_times: ServiceTimes,
     used_us: u64,
-    busy_milli: u64,
+    busy_milli_slots: u64,
     last_request_ms: u64,
 }
 
@@ -106,7 +108,7 @@
             self.activate(customer);
             return vec![self.start(request)];
         }
-        let wait_us = self.wait_us(customer);
+        let wait_us = self.expected_wait_us(customer);
         if self.customers[customer].misses_deadline(deadline_ms, now_ms + wait_us / 1000) {
             return vec![refuse(sequence, Refusal::Deadline, wait_us)];
         }
@@ -158,7 +160,8 @@
         self.waiting.len() < before
     }
 
-    /// Refuses requests that can no longer meet their deadlines, customer by customer.
+    /// Refuses waiting requests that can no longer meet their deadlines, in the order of their
+    /// customers.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Decision> {
         let wait_us = self.queue_drain_us();
         let mut decisions = Vec::new();
@@ -175,20 +178,20 @@
                 removed.iter().map(|request| refuse(request.sequence, Refusal::Deadline, wait_us)),
             );
         }
-        self.measure_usage(now_ms);
+        self.measure_slot_use(now_ms);
         decisions.extend(self.dispatch(now_ms));
         decisions
     }
 
-    /// Updates the smoothed use of slots of each customer, in windows of at least 200 ms.
-    fn measure_usage(&mut self, now_ms: u64) {
+    /// Updates the smoothed use of slots of each customer, at intervals of at least 200 ms.
+    fn measure_slot_use(&mut self, now_ms: u64) {
         let window_ms = now_ms - self.measured_at_ms;
         if window_ms < 200 {
             return;
         }
         self.measured_at_ms = now_ms;
         for state in &mut self.customers {
-            state.busy_milli = (state.busy_milli * 3 + state.used_us / window_ms) / 4;
+            state.busy_milli_slots = (state.busy_milli_slots * 3 + state.used_us / window_ms) / 4;
             state.used_us = 0;
         }
     }
@@ -197,14 +200,14 @@
         let known = self.customers.iter().position(|other| other.customer_id == customer_id);
         known.unwrap_or_else(|| {
             let service_times = self.service_times;
-            let (virtual_time, used_us, busy_milli, last_request_ms) = (0, 0, 0, 0);
+            let (virtual_time, used_us, busy_milli_slots, last_request_ms) = (0, 0, 0, 0);
             self.customers.push(Customer {
                 customer_id,
                 weight,
                 virtual_time,
                 service_times,
                 used_us,
-                busy_milli,
+                busy_milli_slots,
                 last_request_ms,
             });
             self.customers.len() - 1
@@ -214,7 +217,7 @@
     fn activate(&mut self, customer: usize) {
         let max_us = 4 * self.slots as u64 * self.service_times.mean_us;
         let state = &mut self.customers[customer];
-        let recent_us = 8 * state.busy_milli * self.service_times.mean_us / 1000;
+        let recent_us = 8 * state.busy_milli_slots * self.service_times.mean_us / 1000;
         let virtual_time =
             self.virtual_time.saturating_sub(state.virtual_cost(recent_us.min(max_us)));
         state.virtual_time = state.virtual_time.max(virtual_time);
@@ -250,7 +253,8 @@
         }
     }
 
-    /// Whether a slot is free, other than the last one if the customer is above its share.
+    /// Whether a slot is free that the customer may use: the last free one only if the customer is
+    /// below its share.
     fn may_start(&self, customer: usize) -> bool {
         let free_slots = self.slots - self.running.len().min(self.slots);
         if free_slots != 1 || self.slots < 4 {
@@ -262,7 +266,7 @@
         let weights: u64 = active.map(|other| other.weight).sum();
         let share = self.slots as u64 * state.weight;
         let running = self.running.iter().filter(|run| run.1 == customer).count() as u64;
-        running * weights < share || state.busy_milli * weights < share * 1000
+        running * weights < share || state.busy_milli_slots * weights < share * 1000
     }
 
     fn queued(&self, customer: usize) -> u64 {
@@ -287,13 +291,13 @@
             .map(|request| request.sequence)
     }
 
-    fn wait_us(&self, customer: usize) -> u64 {
+    fn expected_wait_us(&self, customer: usize) -> u64 {
         let is_counted = |&other: &usize| other == customer || self.queued(other) > 0;
         let all = (0..self.customers.len()).filter(is_counted);
         let weights: u64 = all.map(|other| self.customers[other].weight).sum();
         let state = self.customers[customer];
-        let ahead = (self.queued(customer) + 1) * state.service_times.mean_us;
-        (ahead * weights / state.weight / self.slots as u64).min(self.queue_drain_us())
+        let work_ahead_us = (self.queued(customer) + 1) * state.service_times.mean_us;
+        (work_ahead_us * weights / state.weight / self.slots as u64).min(self.queue_drain_us())
     }
 
     fn queue_drain_us(&self) -> u64 {
