--- a/crates/geraniumpost-core/src/requests/ejection_limits.rs
+++ b/crates/geraniumpost-core/src/requests/ejection_limits.rs
@@ -1,4 +1,4 @@
-/// Limits that decide when an agent is ejected, and when it is probed.
+/// Limits that decide when an agent is ejected and when it is probed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EjectionLimits {
     pub(super) consecutive_failures: u32,
@@ -57,9 +57,9 @@
 
     /// Maximum number of agents that may be ejected in a service with `total` agents.
     ///
-    /// One of two or more agents may always be ejected, because a single failing minion is the most
-    /// common fault. A sole agent is never ejected: an attempt there may succeed, whereas without
-    /// it every request would be refused.
+    /// In a service of two or more agents, one may always be ejected, because a single failing
+    /// minion is the most common fault. A sole agent is never ejected: an attempt there may
+    /// succeed, whereas without it every request would be refused.
     pub(super) fn max_ejected(&self, total: usize) -> usize {
         if total < 2 { 0 } else { (total * self.max_ejected_permille / 1000).max(1) }
     }
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -18,7 +18,7 @@
     is_cap_reported: bool,
 }
 
-/// Ejects agents whose minions fail too many requests, and probes them from time to time.
+/// Ejects agents whose minions fail too many requests, and restores them after a successful probe.
 ///
 /// A minion that fails every request immediately is always idle, so load balancing alone would send
 /// it most of the requests. The ejector removes such an agent from routing after several
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -230,7 +230,7 @@
     }
 
     fn add_flow(&mut self, customer: Name) -> FlowKey {
-        let key = self.flows.insert(Flow::new(self.service_times.smoothed()));
+        let key = self.flows.insert(Flow::new(self.service_times.smoothed_time()));
         self.by_customer.insert(customer, key);
         key
     }
@@ -243,7 +243,7 @@
     /// first requests of a burst would precede those of every other customer for several service
     /// times.
     fn activate(&mut self, key: FlowKey) {
-        let mean_us = self.service_times.smoothed().mean_us();
+        let mean_us = self.service_times.smoothed_time().mean_us();
         let max_allowance_us = BURST_ROUNDS * self.slots().saturating_mul(mean_us);
         let recent_allowance_us =
             2 * BURST_ROUNDS * self.flows[key].busy_milli_slots().saturating_mul(mean_us) / 1000;
@@ -341,7 +341,7 @@
 
     /// Expected time until every waiting request and one more have a slot, in microseconds.
     fn queue_drain_us(&self) -> u64 {
-        (self.waiting.len() as u64 + 1).saturating_mul(self.service_times.smoothed().mean_us())
+        (self.waiting.len() as u64 + 1).saturating_mul(self.service_times.smoothed_time().mean_us())
             / self.slots()
     }
 
--- a/crates/geraniumpost-core/src/requests/location.rs
+++ b/crates/geraniumpost-core/src/requests/location.rs
@@ -18,7 +18,7 @@
         &self.region
     }
 
-    /// Name of the failure domain, which is unique only within its region.
+    /// Name of the failure domain, which is compared only within a region.
     pub const fn domain(&self) -> &Name {
         &self.domain
     }
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -6,7 +6,7 @@
 use crate::Millis;
 
 /// Number of superseded incarnations remembered for each agent.
-const MAX_RETIRED: usize = 8;
+const MAX_RETIRED_INCARNATIONS: usize = 8;
 
 /// State of an incarnation that has been superseded by another one of the same agent.
 #[derive(Debug, Clone, Copy)]
@@ -70,7 +70,7 @@
         let known = retired.iter().position(|known| known.incarnation == heartbeat.incarnation);
         let previous_state = known.map(|index| retired.remove(index).state);
         retired.push(RetiredIncarnation { incarnation, sequence, state });
-        if retired.len() > MAX_RETIRED {
+        if retired.len() > MAX_RETIRED_INCARNATIONS {
             retired.remove(0);
         }
         *self = Self { retired, ..Self::new(heartbeat, now) };
--- a/crates/geraniumpost-core/src/requests/next_step.rs
+++ b/crates/geraniumpost-core/src/requests/next_step.rs
@@ -25,7 +25,7 @@
     /// Continue to wait for the answer.
     #[display("wait")]
     Wait,
-    /// Give the caller a final answer without the minion.
+    /// Report a result code to the caller instead of an answer of the minion.
     #[display("answer code={code} retry_after={retry_after_ms}ms")]
     Answer {
         /// Result reported to the caller.
--- a/crates/geraniumpost-core/src/requests/queue_limits.rs
+++ b/crates/geraniumpost-core/src/requests/queue_limits.rs
@@ -1,4 +1,4 @@
-/// Number of slots of one minion, and of the requests that may wait for them.
+/// Limits on the requests that run on one minion and on those that wait for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     pub(super) slots: usize,
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -106,8 +106,8 @@
     ) -> NextStep {
         match outcome {
             Outcome::Answered => NextStep::Deliver,
-            Outcome::RunTimedOut => self.finish_with(ResultCode::TimedOut),
-            Outcome::RunAnswerLost => self.finish_with(ResultCode::FirstAnswerLost),
+            Outcome::RunTimedOut => self.give_up_with(ResultCode::TimedOut),
+            Outcome::RunAnswerLost => self.give_up_with(ResultCode::FirstAnswerLost),
             Outcome::RunFailed => self.on_failure(ResultCode::MinionFailed, now, budget),
             Outcome::RunTruncated => self.on_failure(ResultCode::AnswerTruncated, now, budget),
             Outcome::Unknown => self.on_outcome_unknown(now, budget),
@@ -191,7 +191,7 @@
 
     fn on_deadline_passed(&mut self, sent: bool) -> NextStep {
         if self.is_running {
-            return self.finish_with(ResultCode::TimedOut);
+            return self.give_up_with(ResultCode::TimedOut);
         }
         self.may_have_run |= sent;
         self.record_refusal_and_give_up(ResultCode::DeadlineTooShort)
@@ -255,7 +255,7 @@
         self.give_up()
     }
 
-    fn finish_with(&mut self, code: ResultCode) -> NextStep {
+    fn give_up_with(&mut self, code: ResultCode) -> NextStep {
         self.run_result = Some(code);
         self.give_up()
     }
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -13,14 +13,14 @@
 /// finite.
 const MAX_FAILURES_PERMILLE: u64 = 950;
 
-/// Routes by the power of two choices, with the cost (requests at the agent) x (smoothed service
-/// time).
+/// Routes by the power of two choices. The cost of an agent is (requests at the agent) x (smoothed
+/// service time) / (slots of its minion), increased according to its share of failures.
 ///
 /// Two agents are drawn at random from the nearest tier that has any, usually the failure domain of
 /// the entry, and two from the next farther one, whose cost includes a surcharge. A nearer agent is
-/// thus preferred until its cost exceeds that of the longer distance. Random draws keep several
-/// entries with equally old reports from sending all requests to the one agent that appeared idle;
-/// see `docs/design/0101-routing.md`.
+/// thus preferred until its cost exceeds the cost of a farther one plus the surcharge. Random draws
+/// keep several entries with equally old reports from sending all requests to the one agent that
+/// appeared idle; see `docs/design/0101-routing.md`.
 ///
 /// # Example
 ///
--- a/crates/geraniumpost-core/src/requests/service_times.rs
+++ b/crates/geraniumpost-core/src/requests/service_times.rs
@@ -26,11 +26,11 @@
             (self.failures_millionths * (SMOOTHING_DIVISOR - 1) + failure) / SMOOTHING_DIVISOR;
         if success {
             self.smoothed.record(duration.0);
-            self.record_recent(duration.0);
+            self.record_recent_us(duration.0);
         }
     }
 
-    fn record_recent(&mut self, duration_us: u64) {
+    fn record_recent_us(&mut self, duration_us: u64) {
         if self.recent_us.len() < MAX_RECENT_SAMPLES {
             self.recent_us.push(duration_us);
             return;
@@ -40,7 +40,7 @@
     }
 
     /// Smoothed service time; its mean is 0 before the first successful run.
-    pub(super) const fn smoothed(&self) -> SmoothedTime {
+    pub(super) const fn smoothed_time(&self) -> SmoothedTime {
         self.smoothed
     }
 
--- a/crates/geraniumpost-core/src/requests/slot_reserve.rs
+++ b/crates/geraniumpost-core/src/requests/slot_reserve.rs
@@ -1,9 +1,9 @@
 use crate::Millis;
 
 /// A request counts as long if its mean service time exceeds the shortest mean by this factor. If
-/// such requests run on all of eight slots, the wait for one of them takes at least half the
+/// long requests occupy all of eight slots, the wait for a free slot takes at least half the
 /// service time of a short request.
-const LONG_FACTOR: u64 = 8;
+const LONG_REQUEST_FACTOR: u64 = 8;
 /// Time for which a customer counts as active after its last request.
 pub(super) const ACTIVE_WINDOW_MS: u64 = 1_000;
 /// Minimum interval at which the use of slots is measured.
@@ -50,7 +50,7 @@
 
     /// Whether requests with this mean service time count as long.
     pub(super) const fn is_long(&self, mean_us: u64) -> bool {
-        mean_us / LONG_FACTOR > self.shortest_mean_us
+        mean_us / LONG_REQUEST_FACTOR > self.shortest_mean_us
     }
 
     /// Whether another long request may start while `running_long` of `slots` slots run long ones.
--- a/crates/geraniumpost-core/tests/requests_fair_share.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_share.rs
@@ -4,7 +4,7 @@
 
 use requests_support::cases;
 use requests_support::minion_model::{
-    CAPACITY, CustomerStats, Discipline, MEAN_US, SLOTS, Source, run,
+    CAPACITY_PER_SECOND, CustomerStats, Discipline, MEAN_US, SLOTS, Source, run,
 };
 
 const QUEUE_CAPACITY: usize = 32;
@@ -20,7 +20,7 @@
     burst_mean_us: u64,
     seed: u64,
 ) -> (f64, CustomerStats) {
-    let share = CAPACITY / 2.0;
+    let share = CAPACITY_PER_SECOND / 2.0;
     let quiet = Source::new("quiet", share * load);
     let slower = MEAN_US as f64 / burst_mean_us as f64;
     let burst = Source { mean_us: burst_mean_us, ..Source::new("burst", share * 10.0 * slower) };
@@ -55,7 +55,7 @@
 }
 
 fn check_fixed_time(load: f64) {
-    let share = CAPACITY / 2.0;
+    let share = CAPACITY_PER_SECOND / 2.0;
     let quiet = Source { fixed_time: true, ..Source::new("quiet", share * load) };
     let burst = Source { fixed_time: true, ..Source::new("burst", share * 10.0) };
     for seed in 1..=2 {
@@ -75,17 +75,18 @@
 // one slot is kept free, a request of a customer below its share that arrives just after the start
 // would wait for a full run.
 cases! { check_fixed_time;
-    fixed_time_burst_beside_a_tenth_of_the_share: 0.1;
-    fixed_time_burst_beside_half_of_the_share: 0.5;
-    fixed_time_burst_beside_eight_tenths_of_the_share: 0.8;
+    fixed_time_burst_while_another_customer_uses_a_tenth_of_its_share: 0.1;
+    fixed_time_burst_while_another_customer_uses_half_of_its_share: 0.5;
+    fixed_time_burst_while_another_customer_uses_eight_tenths_of_its_share: 0.8;
 }
 
 /// A customer starts to send hundreds of requests. Without a limit on the burst allowance, its
 /// first 32 were served before those of all others, which waited four additional service times.
 #[test]
 fn start_of_a_burst_delays_others_by_at_most_two_service_times() {
-    let quiet = Source::new("quiet", CAPACITY * 0.1);
-    let burst = Source { first_arrival_us: 5_000_000, ..Source::new("burst", CAPACITY * 10.0) };
+    let quiet = Source::new("quiet", CAPACITY_PER_SECOND * 0.1);
+    let burst =
+        Source { first_arrival_us: 5_000_000, ..Source::new("burst", CAPACITY_PER_SECOND * 10.0) };
     for seed in 1..=5 {
         let stats = run(&[quiet, burst], Discipline::Fair, QUEUE_CAPACITY, 6, seed);
         let waits = &stats[0].waits_us;
@@ -104,7 +105,7 @@
 
 /// Number of requests answered in time per second, at a load of `load` times the capacity.
 fn goodput(discipline: Discipline, load: f64, deadline_ms: u64) -> f64 {
-    let source = Source { deadline_ms, ..Source::new("a", CAPACITY * load) };
+    let source = Source { deadline_ms, ..Source::new("a", CAPACITY_PER_SECOND * load) };
     run(&[source], discipline, QUEUE_CAPACITY, 30, 1)[0].answered_in_time as f64 / 30.0
 }
 
@@ -142,7 +143,7 @@
 /// connection open meanwhile.
 #[test]
 fn a_refusal_comes_long_before_the_deadline() {
-    let source = Source { deadline_ms: 500, ..Source::new("a", CAPACITY * 3.0) };
+    let source = Source { deadline_ms: 500, ..Source::new("a", CAPACITY_PER_SECOND * 3.0) };
     let stats = &run(&[source], Discipline::Fair, QUEUE_CAPACITY, 20, 1)[0];
     assert!(stats.refused > 1_000);
     let last = stats.refused_after_us.iter().max().unwrap();
@@ -153,11 +154,11 @@
 /// It must get no credit for the idle time, or it would lock out the other one.
 #[test]
 fn a_customer_that_becomes_active_gets_its_share_and_no_credit() {
-    let rate = CAPACITY * 2.0;
+    let rate = CAPACITY_PER_SECOND * 2.0;
     let early = Source::new("early", rate);
     let late = Source { first_arrival_us: 10_000_000, ..Source::new("late", rate) };
     let stats = run(&[early, late], Discipline::Fair, QUEUE_CAPACITY, 11, 1);
-    let expected = CAPACITY * 2.0 / 2.0;
+    let expected = CAPACITY_PER_SECOND * 2.0 / 2.0;
     let late = stats[1].answered_in_time as f64;
     assert!((0.9..1.1).contains(&(late / expected)), "{late} of {expected}");
 }
@@ -165,7 +166,7 @@
 /// Customers that exceed their shares must get slot time in proportion to their configured weights.
 #[test]
 fn slots_follow_the_weights() {
-    let source = |name, weight| Source { weight, ..Source::new(name, CAPACITY * 2.0) };
+    let source = |name, weight| Source { weight, ..Source::new(name, CAPACITY_PER_SECOND * 2.0) };
     let sources = [source("one", 1), source("three", 3)];
     let stats = run(&sources, Discipline::Fair, QUEUE_CAPACITY, 20, 1);
     let ratio = stats[1].slot_us as f64 / stats[0].slot_us as f64;
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum AttemptState {
     Barred,
     Queued,
     Running,
@@ -51,16 +51,16 @@
 /// Reference ledger without limits, which searches all attempts for each reply.
 #[derive(Debug, Default)]
 struct ReferenceLedger {
-    attempts: Vec<(u64, State)>,
+    attempts: Vec<(u64, AttemptState)>,
     keys: Vec<(u64, u64)>,
 }
 
 impl ReferenceLedger {
-    fn state(&self, id: u64) -> Option<State> {
+    fn state(&self, id: u64) -> Option<AttemptState> {
         self.attempts.iter().find(|record| record.0 == id).map(|record| record.1)
     }
 
-    fn set(&mut self, id: u64, state: State) {
+    fn set(&mut self, id: u64, state: AttemptState) {
         self.attempts.retain(|record| record.0 != id);
         self.attempts.push((id, state));
     }
@@ -70,20 +70,20 @@
     }
 
     fn joined(&self, first: u64) -> HashSet<RequestId> {
-        let is_waiting = |record: &&(u64, State)| record.1 == State::Joined(first);
+        let is_waiting = |record: &&(u64, AttemptState)| record.1 == AttemptState::Joined(first);
         self.attempts.iter().filter(is_waiting).map(|record| id(record.0)).collect()
     }
 
     fn admit(&mut self, number: u64, key: u64) -> Admission<u64> {
         match self.state(number) {
-            Some(State::Barred) => return Admission::Barred,
+            Some(AttemptState::Barred) => return Admission::Barred,
             Some(_) => return Admission::Duplicate,
             None => {}
         }
         if let Some(first) = self.first_attempt_with_key(key) {
             return self.join(number, first);
         }
-        self.set(number, State::Queued);
+        self.set(number, AttemptState::Queued);
         self.index_key(key, number);
         Admission::Queue
     }
@@ -96,23 +96,23 @@
 
     fn join(&mut self, number: u64, first: u64) -> Admission<u64> {
         if self.state(number).is_none() {
-            self.set(number, State::Joined(first));
+            self.set(number, AttemptState::Joined(first));
         }
         match self.state(first) {
-            Some(State::Barred) => Admission::Barred,
-            Some(State::Finished) => Admission::Replay(first),
+            Some(AttemptState::Barred) => Admission::Barred,
+            Some(AttemptState::Finished) => Admission::Replay(first),
             _ => Admission::Join(id(first)),
         }
     }
 
     fn ask(&mut self, number: u64) -> AskReply<u64> {
         match self.state(number) {
-            None => self.set(number, State::Barred),
-            Some(State::Queued) => {
-                self.set(number, State::Barred);
+            None => self.set(number, AttemptState::Barred),
+            Some(AttemptState::Queued) => {
+                self.set(number, AttemptState::Barred);
                 return AskReply::NeverStarted { joined: sorted(self.joined(number)) };
             }
-            Some(State::Joined(first)) => return self.reply_about(first),
+            Some(AttemptState::Joined(first)) => return self.reply_about(first),
             Some(_) => return self.reply_about(number),
         }
         AskReply::NeverStarted { joined: Vec::new() }
@@ -120,8 +120,8 @@
 
     fn reply_about(&self, number: u64) -> AskReply<u64> {
         match self.state(number) {
-            Some(State::Finished) => AskReply::Finished(number),
-            Some(State::Barred) => AskReply::NeverStarted { joined: Vec::new() },
+            Some(AttemptState::Finished) => AskReply::Finished(number),
+            Some(AttemptState::Barred) => AskReply::NeverStarted { joined: Vec::new() },
             _ => AskReply::Running,
         }
     }
@@ -137,7 +137,7 @@
         if self.state(number).is_some() {
             return AskReply::Unknown;
         }
-        self.set(number, State::Barred);
+        self.set(number, AttemptState::Barred);
         self.index_key(key, number);
         AskReply::NeverStarted { joined: Vec::new() }
     }
@@ -171,23 +171,23 @@
                     );
                 }
                 Step::Start { id: n } => {
-                    let is_waiting = reference.state(n) == Some(State::Queued);
+                    let is_waiting = reference.state(n) == Some(AttemptState::Queued);
                     prop_assert_eq!(ledger.start(id(n)), is_waiting);
                     if is_waiting {
-                        reference.set(n, State::Running);
+                        reference.set(n, AttemptState::Running);
                     }
                 }
                 Step::MarkNotRun { id: n } => {
                     let joined = ledger.mark_not_run(id(n));
-                    if reference.state(n) == Some(State::Queued) {
-                        reference.set(n, State::Barred);
+                    if reference.state(n) == Some(AttemptState::Queued) {
+                        reference.set(n, AttemptState::Barred);
                         prop_assert_eq!(sorted(joined), sorted(reference.joined(n)));
                     }
                 }
                 Step::Finish { id: n } => {
                     let joined = ledger.finish(id(n), n, 1, now);
-                    if reference.state(n) == Some(State::Running) {
-                        reference.set(n, State::Finished);
+                    if reference.state(n) == Some(AttemptState::Running) {
+                        reference.set(n, AttemptState::Finished);
                         prop_assert_eq!(sorted(joined), sorted(reference.joined(n)));
                     }
                 }
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -310,8 +310,8 @@
     assert_eq!(limits.in_flight("a"), 0);
 }
 
-/// Callers interpret the numbers of result codes. If two codes had one number, callers could not
-/// tell them apart.
+/// Callers interpret the numbers of result codes. If two codes had one number, or a number changed,
+/// callers would see a wrong result.
 #[test]
 fn result_codes_are_distinct_and_complete() {
     let numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
--- a/crates/geraniumpost-core/tests/requests_support/minion_model.rs
+++ b/crates/geraniumpost-core/tests/requests_support/minion_model.rs
@@ -13,7 +13,7 @@
 pub const SLOTS: usize = 8;
 pub const MEAN_US: u64 = 10_000;
 /// Number of requests with the mean service time that all slots together can run per second.
-pub const CAPACITY: f64 = SLOTS as f64 * 1e6 / MEAN_US as f64;
+pub const CAPACITY_PER_SECOND: f64 = SLOTS as f64 * 1e6 / MEAN_US as f64;
 
 /// Requests of one customer, which arrive at random times regardless of the answers.
 #[derive(Debug, Clone, Copy)]
