--- a/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Customer {
-    customer_id: usize,
+    id: usize,
     weight: u64,
     virtual_time: u64,
     service_times: ServiceTimes,
@@ -196,13 +196,13 @@
         }
     }
 
-    fn customer(&mut self, customer_id: usize, weight: u64) -> usize {
-        let known = self.customers.iter().position(|other| other.customer_id == customer_id);
+    fn customer(&mut self, id: usize, weight: u64) -> usize {
+        let known = self.customers.iter().position(|other| other.id == id);
         known.unwrap_or_else(|| {
             let service_times = self.service_times;
             let (virtual_time, used_us, busy_milli_slots, last_request_ms) = (0, 0, 0, 0);
             self.customers.push(Customer {
-                customer_id,
+                id,
                 weight,
                 virtual_time,
                 service_times,
