--- a/crates/geraniumpost-core/src/requests/baseline_router.rs
+++ b/crates/geraniumpost-core/src/requests/baseline_router.rs
@@ -6,48 +6,51 @@
     AgentView, NoAgent, PeerLoad, Router, RoutingDecision, RoutingQuery, RoutingReason, ServiceView,
 };
 
-/// Simple policies that the [`Router`] is compared with in benchmarks and tests. None is used in
+/// Simple policies to which benchmarks and tests compare the [`Router`]. None is used in
 /// production.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BaselineRouter {
-    /// Each agent in turn, regardless of its load. The number counts the decisions.
+    /// Each agent in turn, regardless of its load. The value is the number of earlier decisions.
     RoundRobin(usize),
-    /// The agent with the fewest requests by its last report and this entry's own counter, found by
+    /// The agent with the fewest requests by its last report and the entry's own counter, found by
     /// scanning all agents.
     LeastLoaded,
     /// The agent with the fewest requests by its last report alone, found by scanning all agents.
     LeastReported,
-    /// A random agent, with a probability inversely proportional to its cost.
+    /// A random agent, with a probability inversely proportional to [`Router::cost_us`].
     WeightedRandom,
 }
 
 impl BaselineRouter {
-    /// Chooses an agent of `service`.
+    /// Chooses a routable agent of `service` that the request has not tried.
     ///
     /// # Errors
     ///
-    /// Returns the reason if no agent can be chosen.
+    /// Returns [`NoAgent::NoneReady`] if there is none.
     pub fn choose(
         &mut self,
         service: &ServiceView,
         query: &RoutingQuery<'_>,
         rng: &mut impl RngCore,
     ) -> Result<RoutingDecision, NoAgent> {
-        let usable: Vec<&Arc<AgentView>> = usable(service, query);
+        let usable: Vec<&Arc<AgentView>> = usable_agents(service, query);
         if usable.is_empty() {
             return Err(NoAgent::NoneReady);
         }
         let agent = match self {
             Self::RoundRobin(position) => round_robin(&usable, position),
-            Self::LeastLoaded => least_by(&usable, load),
+            Self::LeastLoaded => least_by(&usable, known_load),
             Self::LeastReported => least_by(&usable, reported_load),
-            Self::WeightedRandom => weighted(&usable, query, rng),
+            Self::WeightedRandom => weighted_random(&usable, query, rng),
         };
         Ok(RoutingDecision::of(agent, RoutingReason::Baseline))
     }
 }
 
-fn usable<'a>(service: &'a ServiceView, query: &RoutingQuery<'_>) -> Vec<&'a Arc<AgentView>> {
+fn usable_agents<'a>(
+    service: &'a ServiceView,
+    query: &RoutingQuery<'_>,
+) -> Vec<&'a Arc<AgentView>> {
     let agents = service.agents().iter();
     agents.filter(|agent| agent.is_routable() && !query.tried.contains(agent.name())).collect()
 }
@@ -64,7 +67,7 @@
     usable.iter().min_by_key(|agent| load(agent)).expect("checked to be non-empty")
 }
 
-fn load(agent: &AgentView) -> u32 {
+fn known_load(agent: &AgentView) -> u32 {
     agent.counters().others_in_flight() + agent.counters().in_flight()
 }
 
@@ -73,7 +76,7 @@
     load.in_flight + load.queued
 }
 
-fn weighted<'a>(
+fn weighted_random<'a>(
     usable: &[&'a Arc<AgentView>],
     query: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -5,26 +5,26 @@
 use super::{AgentView, EjectionChange, EjectionLimits, ServiceView};
 use crate::Millis;
 
-/// Counts of the attempts at one incarnation of an agent.
+/// Results of the attempts at one incarnation of an agent, and its ejections.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentRecord {
     incarnation: u64,
     consecutive_failures: u32,
     failures: u64,
-    total: u64,
+    attempts: u64,
     window_start: Millis,
     ejections: u32,
     probe_at: Millis,
-    capped: bool,
+    is_cap_reported: bool,
 }
 
-/// Ejects agents whose minions fail too many requests, and probes them from time to time.
+/// Ejects agents whose minions fail too many requests, and restores them after a successful probe.
 ///
 /// A minion that fails every request immediately is always idle, so load balancing alone would send
-/// it most of the requests. The ejector takes such an agent out of routing after several
+/// it most of the requests. The ejector removes such an agent from routing after several
 /// consecutive failures or a high share of failures, and lets one request probe it after a delay
-/// that doubles with each ejection. It never ejects more than a share of a service: if all minions
-/// fail, the requests are at fault, and ejecting all agents would cause an outage.
+/// that doubles with each ejection. It never ejects more than a share of the agents of a service:
+/// if all minions fail, the requests are at fault, and ejecting all agents would cause an outage.
 ///
 /// # Example
 ///
@@ -55,8 +55,8 @@
 
     /// Records whether an attempt at `agent` succeeded.
     ///
-    /// To be called if [`super::AgentGauge::record_result`] returns true. A new snapshot must be
-    /// published if the result is `Ejected` or `Restored`.
+    /// Must be called if [`super::AgentCounters::record_result`] returns true. The caller must
+    /// publish a new snapshot if the result is `Ejected` or `Restored`.
     pub fn record(
         &mut self,
         service: &ServiceView,
@@ -73,13 +73,13 @@
                 ..AgentRecord::default()
             };
         }
-        record.count(agent, success, now, &limits);
-        let gauge = agent.counters();
+        record.count_result(agent, success, now, &limits);
+        let counters = agent.counters();
         if success {
-            gauge.set_has_failures(record.ejections > 0 || record.failures > 0);
+            counters.set_has_failures(record.ejections > 0 || record.failures > 0);
             return record.record_success(agent, now);
         }
-        if gauge.is_ejected() {
+        if counters.is_ejected() {
             return record.record_failure_while_ejected(agent, now, &limits);
         }
         if !record.exceeds_limits(&limits) {
@@ -87,42 +87,48 @@
         }
         let ejected = service.agents().iter().filter(|other| other.counters().is_ejected()).count();
         if ejected >= limits.max_ejected(service.agents().len()) {
-            return record.capped();
+            return record.report_capped();
         }
         record.eject(agent, now, &limits)
     }
 
-    /// Removes the counts of a departed agent.
+    /// Removes the results of a departed agent.
     pub fn forget(&mut self, agent: &str) {
         self.records.remove(agent);
     }
 }
 
 impl AgentRecord {
-    fn count(&mut self, agent: &AgentView, success: bool, now: Millis, limits: &EjectionLimits) {
+    fn count_result(
+        &mut self,
+        agent: &AgentView,
+        success: bool,
+        now: Millis,
+        limits: &EjectionLimits,
+    ) {
         if now.since(self.window_start) > limits.window_ms {
             self.decay(agent, now, limits);
         }
-        self.total += u64::from(agent.counters().take_successes());
+        self.attempts += u64::from(agent.counters().take_successes());
         if success {
-            self.capped = false;
+            self.is_cap_reported = false;
             self.consecutive_failures = 0;
         } else {
-            self.total += 1;
+            self.attempts += 1;
             self.failures += 1;
             self.consecutive_failures += 1;
         }
     }
 
-    /// Halves the counts for each window that has passed and, if no failures remain, reduces the
-    /// number of ejections by one per window.
+    /// Halves the counts once for each window that has passed. If no failures remain, also reduces
+    /// the number of ejections by one per window.
     ///
-    /// Time spent ejected does not reduce the number, or the delay would stop growing once it
-    /// exceeds a window.
+    /// The number of ejections is not reduced while the agent is ejected. Otherwise the delay
+    /// before a probe would stop growing once it exceeds a window.
     fn decay(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) {
         let windows = now.since(self.window_start) / limits.window_ms.max(1);
         let halvings = windows.min(63) as u32;
-        self.total >>= halvings;
+        self.attempts >>= halvings;
         self.failures >>= halvings;
         if self.failures == 0 && !agent.counters().is_ejected() {
             self.ejections = self.ejections.saturating_sub(halvings);
@@ -131,33 +137,33 @@
     }
 
     const fn exceeds_limits(&self, limits: &EjectionLimits) -> bool {
-        let by_ratio = self.total >= limits.ratio_min_attempts
-            && self.failures * 1000 >= limits.ratio_permille * self.total;
-        self.consecutive_failures >= limits.consecutive || by_ratio
+        let by_failure_share = self.attempts >= limits.failure_min_attempts
+            && self.failures * 1000 >= limits.failure_permille * self.attempts;
+        self.consecutive_failures >= limits.consecutive_failures || by_failure_share
     }
 
     fn eject(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) -> EjectionChange {
         self.ejections += 1;
-        self.capped = false;
-        (self.total, self.failures) = (0, 0);
+        self.is_cap_reported = false;
+        (self.attempts, self.failures) = (0, 0);
         let probe_at = now.plus(limits.probe_delay_ms(self.ejections));
         self.probe_at = probe_at;
         agent.counters().eject(probe_at);
         EjectionChange::Ejected { probe_at, ejections: self.ejections }
     }
 
-    /// Reports [`EjectionChange::Capped`] once: if everything fails, each further report would be
+    /// Returns [`EjectionChange::Capped`] only once: if all requests fail, it would otherwise be
     /// logged for every request.
-    const fn capped(&mut self) -> EjectionChange {
-        if self.capped {
+    const fn report_capped(&mut self) -> EjectionChange {
+        if self.is_cap_reported {
             return EjectionChange::None;
         }
-        self.capped = true;
+        self.is_cap_reported = true;
         EjectionChange::Capped
     }
 
-    /// Ejects an agent again after a failed probe. Failures before the probe was due belong to
-    /// requests sent before the ejection; if they counted, the requests in flight at that moment
+    /// Ejects an agent again after a failed probe. Failures before the probe was due are those of
+    /// requests sent before the ejection. If they counted, the requests in flight at the ejection
     /// would double the delay repeatedly.
     fn record_failure_while_ejected(
         &mut self,
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -2,49 +2,50 @@
 
 use geraniumpost_schema::{AgentState, Heartbeat};
 
-use super::{AgentGauge, AgentView};
+use super::{AgentCounters, AgentView};
 use crate::Millis;
 
 /// Number of superseded incarnations remembered for each agent.
-const MAX_RETIRED: usize = 8;
+const MAX_RETIRED_INCARNATIONS: usize = 8;
 
-/// An incarnation that another one of the same agent has superseded.
+/// State of an incarnation that has been superseded by another one of the same agent.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Retired {
+pub(super) struct RetiredIncarnation {
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) state: AgentState,
 }
 
-/// State of one agent in the [`super::Membership`].
+/// Last heartbeat of one agent, and the state derived from its heartbeats and its link.
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) heartbeat: Heartbeat,
     pub(super) last_heard: Millis,
     pub(super) alive: bool,
     pub(super) connected: bool,
-    pub(super) gauge: Arc<AgentGauge>,
-    pub(super) retired: Vec<Retired>,
+    pub(super) counters: Arc<AgentCounters>,
+    pub(super) retired: Vec<RetiredIncarnation>,
 }
 
 impl Member {
     pub(super) fn new(heartbeat: &Heartbeat, now: Millis) -> Self {
-        let gauge = AgentGauge::default();
-        gauge.record_load(&heartbeat.load, now);
+        let counters = AgentCounters::default();
+        counters.record_load(&heartbeat.load, now);
         Self {
             heartbeat: heartbeat.clone(),
             last_heard: now,
             alive: true,
             connected: false,
-            gauge: Arc::new(gauge),
+            counters: Arc::new(counters),
             retired: Vec::new(),
         }
     }
 
-    /// Applies a newer heartbeat of the same incarnation, and returns whether routing is affected.
+    /// Applies a newer heartbeat of the same incarnation. Returns whether a property that routing
+    /// uses has changed, other than the load and the state.
     ///
     /// Draining is final for an incarnation. A heartbeat sent before the announcement may arrive
-    /// after it and would otherwise send new work to a process that is about to exit.
+    /// after it; if it were applied, new work would be sent to a process that is about to exit.
     pub(super) fn refresh(&mut self, heartbeat: &Heartbeat, now: Millis) -> bool {
         let mut updated = heartbeat.clone();
         if self.heartbeat.state == AgentState::Draining {
@@ -57,18 +58,19 @@
             || updated.slots != self.heartbeat.slots;
         self.heartbeat = updated;
         self.last_heard = now;
-        self.gauge.record_load(&heartbeat.load, now);
+        self.counters.record_load(&heartbeat.load, now);
         changed
     }
 
-    /// Replaces the state by that of a new incarnation and remembers the old one.
-    pub(super) fn supersede(&mut self, heartbeat: &Heartbeat, now: Millis) {
+    /// Replaces the current incarnation by that of `heartbeat` and adds the current one to
+    /// `retired`.
+    pub(super) fn replace_incarnation(&mut self, heartbeat: &Heartbeat, now: Millis) {
         let Heartbeat { incarnation, sequence, state, .. } = self.heartbeat;
         let mut retired = std::mem::take(&mut self.retired);
         let known = retired.iter().position(|known| known.incarnation == heartbeat.incarnation);
         let previous_state = known.map(|index| retired.remove(index).state);
-        retired.push(Retired { incarnation, sequence, state });
-        if retired.len() > MAX_RETIRED {
+        retired.push(RetiredIncarnation { incarnation, sequence, state });
+        if retired.len() > MAX_RETIRED_INCARNATIONS {
             retired.remove(0);
         }
         *self = Self { retired, ..Self::new(heartbeat, now) };
@@ -78,6 +80,8 @@
     }
 
     pub(super) fn view(&self) -> AgentView {
-        AgentView::from(&self.heartbeat).connected(self.connected).gauge(Arc::clone(&self.gauge))
+        AgentView::from(&self.heartbeat)
+            .connected(self.connected)
+            .with_counters(Arc::clone(&self.counters))
     }
 }
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -3,12 +3,12 @@
 use super::{AttemptEvent, NextStep, RequestKind, RetryLimits};
 use crate::{Millis, ResultCode};
 
-/// Delay before each query about one attempt. A link that was cut is usually restored within a
-/// second or not before the deadline, and an agent that refuses connections would use up all
-/// queries at once.
+/// Delay before each query about one attempt, in milliseconds. A link that was cut is usually
+/// restored either within a second or not before the deadline. Without delays, an agent that
+/// refuses connections would use up all queries at once.
 const ASK_DELAYS_MS: [u64; 3] = [0, 100, 400];
 
-/// Whether a retry increases the load of the minions and must be paid from the budget.
+/// Whether a retry increases the load of the minions and must be paid from the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RetryCost {
     Free,
@@ -18,8 +18,8 @@
 /// State of one request at an entry, which decides the next action after each event.
 ///
 /// A request is reported as "not run" only if no attempt can have run. As soon as any attempt may
-/// have run, later refusals are no longer reported as "not run". A request that is given up gets
-/// its final answer immediately, without waiting for its deadline. See
+/// have run, later refusals are no longer reported as "not run". When the entry gives up, the
+/// caller gets the final answer immediately, without waiting for its deadline. See
 /// `docs/design/0105-retries.md`.
 ///
 /// # Example
@@ -41,7 +41,7 @@
     limits: RetryLimits,
     attempts: u32,
     asks: u32,
-    running: bool,
+    is_running: bool,
     may_have_run: bool,
     run_result: Option<ResultCode>,
     refusal_result: Option<ResultCode>,
@@ -57,7 +57,7 @@
             limits,
             attempts: 1,
             asks: 0,
-            running: false,
+            is_running: false,
             may_have_run: false,
             run_result: None,
             refusal_result: None,
@@ -65,15 +65,15 @@
         }
     }
 
-    /// Number of the current attempt, from 1.
+    /// Number of the current attempt; the first one is 1.
     pub const fn attempt(&self) -> u32 {
         self.attempts
     }
 
     /// Records an event of the current attempt and returns the next action.
     ///
-    /// `budget` is called at most once, and only if a retry would increase the load of the minions.
-    /// It withdraws from the [`super::RetryBudget`].
+    /// `budget` withdraws one retry from the [`super::RetryBudget`] and returns whether there was
+    /// one. It is called at most once, and only if a retry would increase the load of the minions.
     #[must_use]
     pub fn on_event(
         &mut self,
@@ -82,20 +82,22 @@
         budget: impl FnOnce() -> bool,
     ) -> NextStep {
         match event {
-            AttemptEvent::NoAgent => self.refuse(ResultCode::NoAgent),
-            AttemptEvent::NeverSent => self.never_sent(now, budget),
+            AttemptEvent::NoAgent => self.record_refusal_and_give_up(ResultCode::NoAgent),
+            AttemptEvent::NeverSent => self.on_never_sent(now, budget),
             AttemptEvent::Outcome { outcome, retry_after_ms } => {
-                self.outcome(outcome, retry_after_ms, now, budget)
+                self.on_outcome(outcome, retry_after_ms, now, budget)
             }
-            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => self.link_lost(now, budget),
-            AttemptEvent::Verdict(verdict) => self.verdict(verdict, now, budget),
-            AttemptEvent::AskFailed => self.ask_failed(now, budget),
-            AttemptEvent::AgentRestarted => self.outcome_unknown(now, budget),
-            AttemptEvent::DeadlinePassed { sent } => self.deadline_passed(sent),
+            AttemptEvent::LinkLost | AttemptEvent::LinkUnresponsive => {
+                self.on_link_lost(now, budget)
+            }
+            AttemptEvent::Verdict(verdict) => self.on_verdict(verdict, now, budget),
+            AttemptEvent::AskFailed => self.on_ask_failed(now, budget),
+            AttemptEvent::AgentRestarted => self.on_outcome_unknown(now, budget),
+            AttemptEvent::DeadlinePassed { sent } => self.on_deadline_passed(sent),
         }
     }
 
-    fn outcome(
+    fn on_outcome(
         &mut self,
         outcome: Outcome,
         retry_after_ms: u64,
@@ -104,11 +106,11 @@
     ) -> NextStep {
         match outcome {
             Outcome::Answered => NextStep::Deliver,
-            Outcome::RunTimedOut => self.finish_with(ResultCode::TimedOut),
-            Outcome::RunAnswerLost => self.finish_with(ResultCode::FirstAnswerLost),
-            Outcome::RunFailed => self.failed(ResultCode::MinionFailed, now, budget),
-            Outcome::RunTruncated => self.failed(ResultCode::AnswerTruncated, now, budget),
-            Outcome::Unknown => self.outcome_unknown(now, budget),
+            Outcome::RunTimedOut => self.give_up_with(ResultCode::TimedOut),
+            Outcome::RunAnswerLost => self.give_up_with(ResultCode::FirstAnswerLost),
+            Outcome::RunFailed => self.on_failure(ResultCode::MinionFailed, now, budget),
+            Outcome::RunTruncated => self.on_failure(ResultCode::AnswerTruncated, now, budget),
+            Outcome::Unknown => self.on_outcome_unknown(now, budget),
             refusal => {
                 let (code, cost) = classify_refusal(refusal);
                 self.may_have_run = false;
@@ -118,9 +120,11 @@
         }
     }
 
-    /// Another entry that read the same claim may have sent a keyed request to the agent, so only
-    /// the agent can bar the key. Any other request has not been sent at all.
-    fn never_sent(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    /// Handles an attempt that this entry did not send. Another entry that read the same key claim
+    /// may have sent a request with the key to the agent, so a keyed request is not retried before
+    /// the agent has barred the key. Any other request has not been sent at all, and its retry is
+    /// free.
+    fn on_never_sent(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.record_refusal(ResultCode::NoAgent, 0);
         if self.kind == RequestKind::Keyed {
             return self.ask_or_give_up(now);
@@ -128,15 +132,16 @@
         self.retry_or_answer(RetryCost::Free, now, budget)
     }
 
-    /// An idempotent request is sent to another agent immediately, which is faster than a query. If
-    /// the budget is exhausted, a query is sent instead, which adds no load to the minions.
-    fn link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    /// Sends an idempotent request to another agent immediately if attempts, time and budget allow,
+    /// which is faster than a query. Otherwise queries the agent, which adds no load to the
+    /// minions, or gives up if the queries or the time are used up.
+    fn on_link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.may_have_run = true;
         let may_resend = self.kind == RequestKind::Idempotent && self.may_retry(now);
         if may_resend && budget() { self.next_attempt() } else { self.ask_or_give_up(now) }
     }
 
-    fn verdict(
+    fn on_verdict(
         &mut self,
         verdict: AskVerdict,
         now: Millis,
@@ -149,29 +154,34 @@
                 self.retry_or_answer(RetryCost::Free, now, budget)
             }
             AskVerdict::Running => {
-                self.running = true;
+                self.is_running = true;
                 self.asks = 0;
                 NextStep::Wait
             }
             AskVerdict::Finished => NextStep::Wait,
-            AskVerdict::Unknown => self.outcome_unknown(now, budget),
+            AskVerdict::Unknown => self.on_outcome_unknown(now, budget),
         }
     }
 
-    fn ask_failed(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    fn on_ask_failed(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         if self.kind == RequestKind::Idempotent && self.may_have_run {
-            return self.outcome_unknown(now, budget);
+            return self.on_outcome_unknown(now, budget);
         }
         self.ask_or_give_up(now)
     }
 
     /// Handles an attempt whose outcome cannot be determined.
-    fn outcome_unknown(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
-        self.failed(ResultCode::OutcomeUnknown, now, budget)
+    fn on_outcome_unknown(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+        self.on_failure(ResultCode::OutcomeUnknown, now, budget)
     }
 
-    /// Handles an attempt that has failed, or may have run.
-    fn failed(&mut self, code: ResultCode, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
+    /// Handles an attempt that has failed or may have run. Only an idempotent request is retried.
+    fn on_failure(
+        &mut self,
+        code: ResultCode,
+        now: Millis,
+        budget: impl FnOnce() -> bool,
+    ) -> NextStep {
         self.run_result = Some(code);
         if self.kind != RequestKind::Idempotent {
             return self.give_up();
@@ -179,12 +189,12 @@
         self.retry_or_answer(RetryCost::Budget, now, budget)
     }
 
-    fn deadline_passed(&mut self, sent: bool) -> NextStep {
-        if self.running {
-            return self.finish_with(ResultCode::TimedOut);
+    fn on_deadline_passed(&mut self, sent: bool) -> NextStep {
+        if self.is_running {
+            return self.give_up_with(ResultCode::TimedOut);
         }
         self.may_have_run |= sent;
-        self.refuse(ResultCode::DeadlineTooShort)
+        self.record_refusal_and_give_up(ResultCode::DeadlineTooShort)
     }
 
     fn ask_or_give_up(&mut self, now: Millis) -> NextStep {
@@ -212,20 +222,22 @@
         self.attempts < self.limits.attempts && now < self.deadline
     }
 
-    /// If the current attempt may have run, this remains true of the request.
+    /// Starts the next attempt. If the current one may have run, the result of the request can no
+    /// longer be "not run".
     const fn next_attempt(&mut self) -> NextStep {
         if self.may_have_run {
             self.run_result = Some(ResultCode::OutcomeUnknown);
         }
         self.may_have_run = false;
-        self.running = false;
+        self.is_running = false;
         self.attempts += 1;
         self.asks = 0;
         NextStep::Retry
     }
 
-    /// An overload remains the reported reason if later agents cannot be reached, because it is
-    /// more informative to the caller.
+    /// Records the result and the shortest retry delay to report if no attempt can have run. An
+    /// overload remains the reported result if later agents cannot be reached, because it is more
+    /// informative to the caller.
     fn record_refusal(&mut self, code: ResultCode, retry_after_ms: u64) {
         if self.refusal_result != Some(ResultCode::Overloaded) {
             self.refusal_result = Some(code);
@@ -236,19 +248,19 @@
         }
     }
 
-    fn refuse(&mut self, code: ResultCode) -> NextStep {
+    fn record_refusal_and_give_up(&mut self, code: ResultCode) -> NextStep {
         if self.refusal_result.is_none() {
             self.record_refusal(code, 0);
         }
         self.give_up()
     }
 
-    fn finish_with(&mut self, code: ResultCode) -> NextStep {
+    fn give_up_with(&mut self, code: ResultCode) -> NextStep {
         self.run_result = Some(code);
         self.give_up()
     }
 
-    /// Reports "not run" only if no attempt can have run.
+    /// Returns the final answer, which is "not run" only if no attempt can have run.
     fn give_up(&self) -> NextStep {
         let unknown = self.may_have_run.then_some(ResultCode::OutcomeUnknown);
         let possible_run = self.run_result.or(unknown);
@@ -265,9 +277,9 @@
     }
 }
 
-/// Retries after refusals for lack of capacity are paid from the budget, since trying all agents
-/// would multiply an overload. Other retries are free, so that no request fails because an agent is
-/// draining.
+/// Returns the result and the retry cost of a refusal. Retries after refusals for lack of capacity
+/// are paid from the budget, since trying all agents would multiply an overload. Other retries are
+/// free, so that no request fails because an agent is draining.
 const fn classify_refusal(outcome: Outcome) -> (ResultCode, RetryCost) {
     match outcome {
         Outcome::NotRunOverloaded => (ResultCode::Overloaded, RetryCost::Budget),
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -7,19 +7,20 @@
     RoutingReason, ServiceView,
 };
 
-/// Number of agents drawn from the nearest tier with any, and again from the next one.
+/// Maximum number of agents drawn from one distance tier.
 const DRAWS_PER_TIER: usize = 2;
-/// Maximum share of failures that is taken into account, in thousandths; it bounds the cost.
+/// Maximum share of failures, in thousandths, that the cost takes into account; it keeps the cost
+/// finite.
 const MAX_FAILURES_PERMILLE: u64 = 950;
 
-/// Routes by the power of two choices, with the cost (requests at the agent) x (smoothed service
-/// time).
+/// Routes by the power of two choices. The cost of an agent is (requests at the agent) x (smoothed
+/// service time) / (slots of its minion), increased according to its share of failures.
 ///
-/// Two agents are drawn at random from the failure domain of the entry and two from the next
-/// farther tier, whose cost includes a surcharge. The own domain is thus preferred until its cost
-/// exceeds that of the longer distance. Random draws keep several entries with equally old reports
-/// from sending all requests to the one agent that appeared idle; see
-/// `docs/design/0101-routing.md`.
+/// Two agents are drawn at random from the nearest tier that has any, usually the failure domain of
+/// the entry, and two from the next farther one, whose cost includes a surcharge. A nearer agent is
+/// thus preferred until its cost exceeds the cost of a farther one plus the surcharge. Random draws
+/// keep several entries with equally old reports from sending all requests to the one agent that
+/// appeared idle; see `docs/design/0101-routing.md`.
 ///
 /// # Example
 ///
@@ -43,16 +44,18 @@
 }
 
 impl Router {
-    /// Returns a router with `tuning`.
+    /// Returns a router that weighs load against distance by `tuning`.
     pub const fn new(tuning: RouterTuning) -> Self {
         Self { tuning }
     }
 
-    /// Chooses an agent of `service`.
+    /// Chooses an agent of `service` that the request has not tried, or claims a due probe of an
+    /// ejected agent.
     ///
     /// # Errors
     ///
-    /// Returns the reason if no agent can be chosen, in which case the request is not sent.
+    /// Returns [`NoAgent`] if every agent was tried or none accepts work. The request is then not
+    /// sent.
     pub fn choose(
         &self,
         service: &ServiceView,
@@ -62,10 +65,10 @@
         if let Some(agent) = claim_due_probe(service, query) {
             return Ok(RoutingDecision::of(agent, RoutingReason::Probe));
         }
-        let candidates = self.draw(service, query, rng);
+        let candidates = self.draw_candidates(service, query, rng);
         let cheapest = candidates.iter().flatten().min_by_key(|candidate| candidate.cost_us);
         let Some(agent) = cheapest.map(|candidate| Arc::clone(&candidate.agent)) else {
-            return last_resort(service, query);
+            return choose_last_resort(service, query);
         };
         let reason =
             if candidates[1].is_some() { RoutingReason::Cheapest } else { RoutingReason::Only };
@@ -74,24 +77,25 @@
 
     /// Expected cost of one more request at `agent`, in microseconds of waiting.
     ///
-    /// The reported number of other entries' requests loses weight to the mean of the candidates
-    /// until the report is `report_max_age_ms` old. Otherwise all entries would repeatedly send
-    /// their requests to the agent that last reported itself idle, until its next report.
+    /// The reported number of requests of other entries is blended with the mean of the candidates,
+    /// and the older the report, the less it counts; it is ignored at an age of
+    /// `report_max_age_ms`. Otherwise all entries would send their requests to the agent that last
+    /// reported itself idle, until its next report.
     pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, query: &RoutingQuery<'_>) -> u64 {
-        let gauge = agent.counters();
+        let counters = agent.counters();
         let max_age_ms = self.tuning.report_max_age_ms;
-        let age = gauge.report_age(query.now).min(max_age_ms);
-        let weighted_others = u64::from(gauge.others_in_flight()) * (max_age_ms - age)
-            + peers.others_in_flight() * age;
-        let own_requests = u64::from(gauge.in_flight()) + 1;
-        let service_us = peers.service_us(gauge.service_us());
+        let age_ms = counters.report_age_ms(query.now).min(max_age_ms);
+        let weighted_others = u64::from(counters.others_in_flight()) * (max_age_ms - age_ms)
+            + peers.others_in_flight() * age_ms;
+        let own_requests = u64::from(counters.in_flight()) + 1;
+        let service_us = peers.service_us(counters.service_us());
         let waiting_us =
             service_us.saturating_mul(own_requests * max_age_ms + weighted_others) / max_age_ms;
-        let failures = u64::from(gauge.failures_permille()).min(MAX_FAILURES_PERMILLE);
+        let failures = u64::from(counters.failures_permille()).min(MAX_FAILURES_PERMILLE);
         waiting_us.saturating_mul(1000) / (1000 - failures) / u64::from(agent.slot_count())
     }
 
-    fn draw(
+    fn draw_candidates(
         &self,
         service: &ServiceView,
         query: &RoutingQuery<'_>,
@@ -100,7 +104,7 @@
         let mut candidates = [const { None }; RoutingDecision::MAX_CANDIDATES];
         let mut len = 0;
         for tier in 0..ServiceView::TIERS {
-            for index in draw_tier(service, tier, query, rng).into_iter().flatten() {
+            for index in draw_from_tier(service, tier, query, rng).into_iter().flatten() {
                 let agent = Arc::clone(service.agent(index));
                 let cost_us = self.tuning.tier_cost_us(tier);
                 candidates[len] = Some(Candidate { agent, cost_us });
@@ -114,7 +118,7 @@
         candidates
     }
 
-    /// Adds the expected cost of waiting at each drawn agent to its surcharge.
+    /// Adds the expected cost of waiting at each candidate to the surcharge for its distance.
     fn add_load_cost(
         &self,
         query: &RoutingQuery<'_>,
@@ -129,14 +133,14 @@
     }
 }
 
-/// Draws two different usable agents of a tier, or as many as there are.
-fn draw_tier(
+/// Draws up to two different usable agents of `tier`.
+fn draw_from_tier(
     service: &ServiceView,
     tier: usize,
     query: &RoutingQuery<'_>,
     rng: &mut impl RngCore,
 ) -> [Option<u32>; DRAWS_PER_TIER] {
-    let indexes = service.tier(tier);
+    let indexes = service.agents_in_tier(tier);
     let len = indexes.len();
     if len == 0 {
         return [None; DRAWS_PER_TIER];
@@ -144,7 +148,7 @@
     let find = |start: usize, excluded: Option<usize>| {
         let mut positions = (start..start + len).map(|position| position % len);
         positions.find(|&position| {
-            Some(position) != excluded && usable(service.agent(indexes[position]), query)
+            Some(position) != excluded && is_usable(service.agent(indexes[position]), query)
         })
     };
     let first = find(random_below(len, rng), None);
@@ -155,7 +159,7 @@
     [first, second].map(|position| position.map(|position| indexes[position]))
 }
 
-fn usable(agent: &AgentView, query: &RoutingQuery<'_>) -> bool {
+fn is_usable(agent: &AgentView, query: &RoutingQuery<'_>) -> bool {
     !agent.counters().is_ejected() && !query.tried.contains(agent.name())
 }
 
@@ -167,7 +171,7 @@
     ejected.find(|agent| agent.counters().claim_probe(query.now, query.retryable))
 }
 
-fn last_resort(
+fn choose_last_resort(
     service: &ServiceView,
     query: &RoutingQuery<'_>,
 ) -> Result<RoutingDecision, NoAgent> {
--- a/crates/geraniumpost-core/src/requests/service_times.rs
+++ b/crates/geraniumpost-core/src/requests/service_times.rs
@@ -3,17 +3,17 @@
 use super::smoothed_time::SmoothedTime;
 use crate::Micros;
 
-/// Each sample moves the share of failures by the difference divided by this number.
+/// Each run moves the share of failures by its difference from the share divided by this number.
 const SMOOTHING_DIVISOR: u64 = 16;
-/// Number of recent service times from which the percentile is computed.
-const MAX_RECENT: usize = 256;
+/// Number of successful runs from which the 99th percentile is computed.
+const MAX_RECENT_SAMPLES: usize = 256;
 
 /// Smoothed service time, recent 99th percentile and share of failures of a minion.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
     smoothed: SmoothedTime,
     failures_millionths: u64,
-    recent: Vec<u64>,
+    recent_us: Vec<u64>,
     next_index: usize,
 }
 
@@ -26,25 +26,25 @@
             (self.failures_millionths * (SMOOTHING_DIVISOR - 1) + failure) / SMOOTHING_DIVISOR;
         if success {
             self.smoothed.record(duration.0);
-            self.record_recent(duration.0);
+            self.record_recent_us(duration.0);
         }
     }
 
-    fn record_recent(&mut self, duration_us: u64) {
-        if self.recent.len() < MAX_RECENT {
-            self.recent.push(duration_us);
+    fn record_recent_us(&mut self, duration_us: u64) {
+        if self.recent_us.len() < MAX_RECENT_SAMPLES {
+            self.recent_us.push(duration_us);
             return;
         }
-        self.recent[self.next_index] = duration_us;
-        self.next_index = (self.next_index + 1) % MAX_RECENT;
+        self.recent_us[self.next_index] = duration_us;
+        self.next_index = (self.next_index + 1) % MAX_RECENT_SAMPLES;
     }
 
-    /// Smoothed service time, empty before the first successful run.
-    pub(super) const fn smoothed(&self) -> SmoothedTime {
+    /// Smoothed service time; its mean is 0 before the first successful run.
+    pub(super) const fn smoothed_time(&self) -> SmoothedTime {
         self.smoothed
     }
 
-    /// Returns the load with `in_flight` requests running and `queued` waiting.
+    /// Returns the load report for `in_flight` running and `queued` waiting requests.
     pub(super) fn load(&self, in_flight: usize, queued: usize) -> Load {
         Load {
             in_flight: in_flight as u32,
@@ -56,11 +56,11 @@
     }
 
     fn p99_us(&self) -> u64 {
-        let mut recent = self.recent.clone();
-        if recent.is_empty() {
+        let mut recent_us = self.recent_us.clone();
+        if recent_us.is_empty() {
             return 0;
         }
-        let rank = recent.len() * 99 / 100;
-        *recent.select_nth_unstable(rank).1
+        let rank = recent_us.len() * 99 / 100;
+        *recent_us.select_nth_unstable(rank).1
     }
 }
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -1,4 +1,4 @@
-//! Which attempts have run, according to the ledger of an agent.
+//! Replies of the attempt ledger of an agent, compared with the attempts that have run.
 
 mod requests_support;
 
@@ -16,7 +16,7 @@
 enum Step {
     Admit { id: u64, key: u64 },
     Start { id: u64 },
-    NotRun { id: u64 },
+    MarkNotRun { id: u64 },
     Finish { id: u64 },
     Ask { id: u64, incarnation: u64 },
     AskKey { id: u64, key: u64 },
@@ -27,20 +27,20 @@
     prop_oneof![
         4 => (0..ids, 0..6u64).prop_map(|(id, key)| Step::Admit { id, key }),
         3 => (0..ids).prop_map(|id| Step::Start { id }),
-        1 => (0..ids).prop_map(|id| Step::NotRun { id }),
+        1 => (0..ids).prop_map(|id| Step::MarkNotRun { id }),
         3 => (0..ids).prop_map(|id| Step::Finish { id }),
         2 => ask.prop_map(|(id, incarnation)| Step::Ask { id, incarnation }),
         1 => (ids..2 * ids, 1..6u64).prop_map(|(id, key)| Step::AskKey { id, key }),
     ]
 }
 
-/// Key 0 means a request without a key.
+/// Returns the idempotency key with number `key`; 0 means none.
 fn key_name(key: u64) -> Name {
     if key == 0 { Name::default() } else { Name::from(format!("k{key}")) }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum AttemptState {
     Barred,
     Queued,
     Running,
@@ -48,42 +48,42 @@
     Joined(u64),
 }
 
-/// Unbounded reference ledger that searches all attempts for each answer.
+/// Reference ledger without limits, which searches all attempts for each reply.
 #[derive(Debug, Default)]
 struct ReferenceLedger {
-    attempts: Vec<(u64, State)>,
+    attempts: Vec<(u64, AttemptState)>,
     keys: Vec<(u64, u64)>,
 }
 
 impl ReferenceLedger {
-    fn state(&self, id: u64) -> Option<State> {
+    fn state(&self, id: u64) -> Option<AttemptState> {
         self.attempts.iter().find(|record| record.0 == id).map(|record| record.1)
     }
 
-    fn set(&mut self, id: u64, state: State) {
+    fn set(&mut self, id: u64, state: AttemptState) {
         self.attempts.retain(|record| record.0 != id);
         self.attempts.push((id, state));
     }
 
-    fn first(&self, key: u64) -> Option<u64> {
+    fn first_attempt_with_key(&self, key: u64) -> Option<u64> {
         self.keys.iter().find(|record| record.0 == key).map(|record| record.1)
     }
 
     fn joined(&self, first: u64) -> HashSet<RequestId> {
-        let is_waiting = |record: &&(u64, State)| record.1 == State::Joined(first);
+        let is_waiting = |record: &&(u64, AttemptState)| record.1 == AttemptState::Joined(first);
         self.attempts.iter().filter(is_waiting).map(|record| id(record.0)).collect()
     }
 
     fn admit(&mut self, number: u64, key: u64) -> Admission<u64> {
         match self.state(number) {
-            Some(State::Barred) => return Admission::Barred,
+            Some(AttemptState::Barred) => return Admission::Barred,
             Some(_) => return Admission::Duplicate,
             None => {}
         }
-        if let Some(first) = self.first(key) {
+        if let Some(first) = self.first_attempt_with_key(key) {
             return self.join(number, first);
         }
-        self.set(number, State::Queued);
+        self.set(number, AttemptState::Queued);
         self.index_key(key, number);
         Admission::Queue
     }
@@ -96,38 +96,38 @@
 
     fn join(&mut self, number: u64, first: u64) -> Admission<u64> {
         if self.state(number).is_none() {
-            self.set(number, State::Joined(first));
+            self.set(number, AttemptState::Joined(first));
         }
         match self.state(first) {
-            Some(State::Barred) => Admission::Barred,
-            Some(State::Finished) => Admission::Replay(first),
+            Some(AttemptState::Barred) => Admission::Barred,
+            Some(AttemptState::Finished) => Admission::Replay(first),
             _ => Admission::Join(id(first)),
         }
     }
 
     fn ask(&mut self, number: u64) -> AskReply<u64> {
         match self.state(number) {
-            None => self.set(number, State::Barred),
-            Some(State::Queued) => {
-                self.set(number, State::Barred);
+            None => self.set(number, AttemptState::Barred),
+            Some(AttemptState::Queued) => {
+                self.set(number, AttemptState::Barred);
                 return AskReply::NeverStarted { joined: sorted(self.joined(number)) };
             }
-            Some(State::Joined(first)) => return self.reply(first),
-            Some(_) => return self.reply(number),
+            Some(AttemptState::Joined(first)) => return self.reply_about(first),
+            Some(_) => return self.reply_about(number),
         }
         AskReply::NeverStarted { joined: Vec::new() }
     }
 
-    fn reply(&self, number: u64) -> AskReply<u64> {
+    fn reply_about(&self, number: u64) -> AskReply<u64> {
         match self.state(number) {
-            Some(State::Finished) => AskReply::Finished(number),
-            Some(State::Barred) => AskReply::NeverStarted { joined: Vec::new() },
+            Some(AttemptState::Finished) => AskReply::Finished(number),
+            Some(AttemptState::Barred) => AskReply::NeverStarted { joined: Vec::new() },
             _ => AskReply::Running,
         }
     }
 
     fn ask_key(&mut self, number: u64, key: u64) -> AskReply<u64> {
-        if let Some(first) = self.first(key) {
+        if let Some(first) = self.first_attempt_with_key(key) {
             return match self.join(number, first) {
                 Admission::Barred => AskReply::NeverStarted { joined: Vec::new() },
                 Admission::Replay(answer) => AskReply::Finished(answer),
@@ -137,7 +137,7 @@
         if self.state(number).is_some() {
             return AskReply::Unknown;
         }
-        self.set(number, State::Barred);
+        self.set(number, AttemptState::Barred);
         self.index_key(key, number);
         AskReply::NeverStarted { joined: Vec::new() }
     }
@@ -171,23 +171,23 @@
                     );
                 }
                 Step::Start { id: n } => {
-                    let is_waiting = reference.state(n) == Some(State::Queued);
+                    let is_waiting = reference.state(n) == Some(AttemptState::Queued);
                     prop_assert_eq!(ledger.start(id(n)), is_waiting);
                     if is_waiting {
-                        reference.set(n, State::Running);
+                        reference.set(n, AttemptState::Running);
                     }
                 }
-                Step::NotRun { id: n } => {
+                Step::MarkNotRun { id: n } => {
                     let joined = ledger.mark_not_run(id(n));
-                    if reference.state(n) == Some(State::Queued) {
-                        reference.set(n, State::Barred);
+                    if reference.state(n) == Some(AttemptState::Queued) {
+                        reference.set(n, AttemptState::Barred);
                         prop_assert_eq!(sorted(joined), sorted(reference.joined(n)));
                     }
                 }
                 Step::Finish { id: n } => {
                     let joined = ledger.finish(id(n), n, 1, now);
-                    if reference.state(n) == Some(State::Running) {
-                        reference.set(n, State::Finished);
+                    if reference.state(n) == Some(AttemptState::Running) {
+                        reference.set(n, AttemptState::Finished);
                         prop_assert_eq!(sorted(joined), sorted(reference.joined(n)));
                     }
                 }
@@ -236,7 +236,7 @@
                         prop_assert!(!barred.contains(&n), "{n} started after it was barred");
                     }
                 }
-                Step::NotRun { id: n } => drop(ledger.mark_not_run(id(n))),
+                Step::MarkNotRun { id: n } => drop(ledger.mark_not_run(id(n))),
                 Step::Finish { id: n } => drop(ledger.finish(id(n), n, 1, now)),
                 Step::Ask { id: n, incarnation } => match ledger.ask(id(n), incarnation, now) {
                     AskReply::NeverStarted { .. } => {
@@ -260,9 +260,8 @@
     }
 }
 
-/// A badge print runs, and so many attempts follow that the ledger drops its record. If the entry,
-/// whose link was lost, then got the answer "never started", the badge would be printed a second
-/// time.
+/// A badge print runs, and so many attempts follow that the ledger drops its record. If a query
+/// over a new link then got the reply "never started", the badge would be printed a second time.
 #[test]
 fn a_dropped_attempt_is_unknown_and_not_never_started() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::new().records(4));
@@ -278,8 +277,8 @@
     assert_eq!(ledger.sizes()[0], 4);
 }
 
-/// An agent that was killed during a print and restarted knows nothing about attempts before the
-/// restart, and must not answer as if it did.
+/// An agent that was killed during a print and restarted has no record of attempts before the
+/// restart, and must not reply that they never started.
 #[test]
 fn a_restarted_agent_answers_unknown_for_its_predecessor() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
@@ -290,8 +289,8 @@
     );
 }
 
-/// A request is refused for lack of capacity, and its entry moves the claim on the key to another
-/// agent. If a late repeat sent here under the old claim ran, both agents would print.
+/// A request is refused for lack of capacity, and its entry moves the key claim to another agent.
+/// If a late repeat sent to this agent under the old claim ran, both agents would print.
 #[test]
 fn a_refused_key_never_runs_on_this_agent() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
@@ -303,8 +302,8 @@
     assert!(!ledger.start(id(3)));
 }
 
-/// A repeat queries the key before the first request has arrived, and its entry then moves the
-/// claim. The first request must not run when it arrives.
+/// A repeat queries the key before the first request has arrived, and its entry then moves the key
+/// claim to another agent. The first request must not run when it arrives.
 #[test]
 fn a_queried_key_never_runs_on_this_agent() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::default());
@@ -313,7 +312,8 @@
     assert_eq!(ledger.admit(id(1), &key_name(1), Millis(0)), Admission::Barred);
 }
 
-/// Runs one request under each key, so that a ledger with low limits drops the oldest.
+/// Returns a ledger in which one request has run under each of the keys 1 to `keys`. With low
+/// limits it has dropped the oldest ones.
 fn ledger_with_keys(limits: LedgerLimits, keys: u64) -> AttemptLedger<u64> {
     let mut ledger = AttemptLedger::new(OWN_INCARNATION, limits);
     for n in 1..=keys {
@@ -324,8 +324,8 @@
     ledger
 }
 
-/// A kiosk repeats a badge print hours later, and its entry sends it to the agent that ran it. The
-/// agent must still know that the key was used, although it has many newer keys.
+/// A kiosk repeats a badge print hours later, and its entry sends it to the agent that ran the
+/// first one. The agent must still recognize the key, although it has recorded many newer ones.
 #[test]
 fn an_expired_key_does_not_run_again() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 10), 6);
@@ -336,8 +336,8 @@
     assert_eq!(ledger.admit(id(11), &key_name(7), Millis(0)), Admission::Queue);
 }
 
-/// The ledger has dropped keys entirely. A queried key that it does not know may be one of them,
-/// whose request has run.
+/// The ledger has dropped the digests of old keys as well. A queried key that is unknown may be one
+/// of them, whose request has run.
 #[test]
 fn an_unknown_key_may_have_been_dropped() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 0), 3);
--- a/crates/geraniumpost-core/tests/requests_membership.rs
+++ b/crates/geraniumpost-core/tests/requests_membership.rs
@@ -1,4 +1,5 @@
-//! Set of live agents when heartbeats are lost, repeated, delayed and reordered.
+//! Set of live agents in the membership of an entry when heartbeats are lost, repeated, delayed and
+//! reordered.
 
 mod requests_support;
 
@@ -16,7 +17,7 @@
     Membership::new(here(), MembershipLimits::new(500))
 }
 
-fn draining(agent: &str, incarnation: u64, sequence: u64) -> Heartbeat {
+fn draining_heartbeat(agent: &str, incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat { state: AgentState::Draining, ..heartbeat(agent, incarnation, sequence) }
 }
 
@@ -24,7 +25,7 @@
 enum Step {
     Heartbeat { agent: usize, incarnation: u64, sequence: u64, draining: bool },
     MarkDraining { agent: usize, incarnation: u64 },
-    Connected { agent: usize, incarnation: u64, up: bool },
+    SetConnected { agent: usize, incarnation: u64, up: bool },
     Advance { ms: u64 },
 }
 
@@ -37,17 +38,17 @@
         1 => (0..2usize, 0..3u64)
             .prop_map(|(agent, incarnation)| Step::MarkDraining { agent, incarnation }),
         2 => (0..2usize, 0..3u64, any::<bool>())
-            .prop_map(|(agent, incarnation, up)| Step::Connected { agent, incarnation, up }),
+            .prop_map(|(agent, incarnation, up)| Step::SetConnected { agent, incarnation, up }),
         2 => (0..1_200u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
-/// Complete history of one agent, from which the expected state follows.
+/// Events of one agent, from which its expected state in a snapshot follows.
 #[derive(Debug, Default)]
 struct History {
-    current: u64,
-    highest: BTreeMap<u64, u64>,
-    drained: Vec<u64>,
+    current_incarnation: u64,
+    highest_sequences: BTreeMap<u64, u64>,
+    draining_incarnations: Vec<u64>,
     last_heard: u64,
     failed: bool,
     connected: bool,
@@ -55,11 +56,11 @@
 
 impl History {
     fn record(&mut self, incarnation: u64, sequence: u64, drains: bool, now: u64) {
-        let known = self.highest.get(&incarnation).copied();
-        let current = self.current == incarnation && known.is_some();
+        let known = self.highest_sequences.get(&incarnation).copied();
+        let current = self.current_incarnation == incarnation && known.is_some();
         let newer = known.is_none_or(|known| sequence > known);
         if drains && (current || known.is_none() || (self.failed && newer)) {
-            self.drained.push(incarnation);
+            self.draining_incarnations.push(incarnation);
         }
         if !newer || (known.is_some() && !current && !self.failed) {
             return;
@@ -67,8 +68,8 @@
         if !current {
             self.connected = false;
         }
-        self.highest.insert(incarnation, sequence);
-        (self.current, self.last_heard, self.failed) = (incarnation, now, false);
+        self.highest_sequences.insert(incarnation, sequence);
+        (self.current_incarnation, self.last_heard, self.failed) = (incarnation, now, false);
     }
 }
 
@@ -100,15 +101,15 @@
                 Step::MarkDraining { agent, incarnation } => {
                     membership.mark_draining(&format!("a{agent}"), incarnation);
                     if let Some(history) = histories.get_mut(&agent)
-                        && history.current == incarnation
+                        && history.current_incarnation == incarnation
                     {
-                        history.drained.push(incarnation);
+                        history.draining_incarnations.push(incarnation);
                     }
                 }
-                Step::Connected { agent, incarnation, up } => {
+                Step::SetConnected { agent, incarnation, up } => {
                     membership.set_connected(&format!("a{agent}"), incarnation, up);
                     if let Some(history) = histories.get_mut(&agent)
-                        && history.current == incarnation
+                        && history.current_incarnation == incarnation
                     {
                         history.connected = up;
                     }
@@ -124,8 +125,8 @@
             let live = histories.iter().filter(|(_, history)| !history.failed);
             let expected: Vec<_> = live
                 .map(|(agent, history)| {
-                    let drained = history.drained.contains(&history.current);
-                    (format!("a{agent}"), history.current, drained, history.connected)
+                    let drained = history.draining_incarnations.contains(&history.current_incarnation);
+                    (format!("a{agent}"), history.current_incarnation, drained, history.connected)
                 })
                 .collect();
             prop_assert_eq!(visible_agents(&membership), expected);
@@ -133,16 +134,16 @@
     }
 }
 
-/// An agent announces on SIGTERM that it drains. A heartbeat sent just before arrives after the
-/// announcement. If it were applied, the agent would get new requests, which are cut off when the
-/// process exits.
+/// An agent announces on SIGTERM that it is draining. A heartbeat sent just before arrives after
+/// the announcement. If it were applied, the agent would get new requests, which would be cut off
+/// when the process exits.
 #[test]
 fn a_late_heartbeat_does_not_undo_draining() {
     let mut membership = membership();
     membership.record_heartbeat(&heartbeat("a", 7, 1), Millis(0));
     membership.set_connected("a", 7, true);
     assert_eq!(
-        membership.record_heartbeat(&draining("a", 7, 3), Millis(10)),
+        membership.record_heartbeat(&draining_heartbeat("a", 7, 3), Millis(10)),
         MembershipChange::Draining
     );
     assert_eq!(
@@ -156,20 +157,20 @@
     assert_eq!(membership.snapshot().service("filing").unwrap().routable_count(), 0);
 }
 
-/// A heartbeat that announces draining arrives after a later one. It is late, but draining is
-/// final.
+/// A heartbeat that announces draining arrives after a later one without it. Draining is final, so
+/// the announcement must not be ignored as late.
 #[test]
 fn a_late_announcement_of_draining_is_applied() {
     let mut membership = membership();
     membership.record_heartbeat(&heartbeat("a", 7, 5), Millis(0));
     assert_eq!(
-        membership.record_heartbeat(&draining("a", 7, 4), Millis(1)),
+        membership.record_heartbeat(&draining_heartbeat("a", 7, 4), Millis(1)),
         MembershipChange::Draining
     );
 }
 
 /// An agent is killed and immediately restarted. Delayed heartbeats of the old incarnation must not
-/// revive it: requests for it would be sent to a process that refuses them.
+/// make it current again: requests would be sent to a process that has ended.
 #[test]
 fn old_heartbeats_do_not_revive_a_killed_agent() {
     let mut membership = membership();
@@ -185,9 +186,9 @@
     assert_eq!(membership.snapshot().agent("a").unwrap().incarnation(), 8);
 }
 
-/// The first heartbeat of a new agent arrives before the last one of the old incarnation, which
-/// this entry has never seen. The delayed one is treated as a restart, but the live agent must
-/// prevail.
+/// The first heartbeat of a new incarnation arrives before a delayed one of the old incarnation,
+/// which is unknown to this entry. The delayed heartbeat looks like a restart, but the live
+/// incarnation must prevail.
 #[test]
 fn a_live_agent_prevails_over_a_delayed_heartbeat_of_an_unknown_incarnation() {
     let mut membership = membership();
@@ -204,7 +205,7 @@
 }
 
 /// The VM of an agent is suspended for a minute. Requests sent there would not be answered, so the
-/// agent must be removed from routing within two seconds and return once it resumes.
+/// agent must be removed from routing within two seconds and return once the VM resumes.
 #[test]
 fn a_suspended_agent_fails_within_two_seconds_and_rejoins() {
     let mut membership = membership();
@@ -222,7 +223,7 @@
     );
 }
 
-/// A snapshot is published while requests are in flight. If the counters were reset, the agent
+/// A new snapshot is published while requests are in flight. If it had new counters, the agent
 /// would appear idle to this entry after each change and get too many requests.
 #[test]
 fn requests_in_flight_are_counted_across_snapshots() {
@@ -236,8 +237,8 @@
     assert_eq!(membership.snapshot().agent("a").unwrap().counters().in_flight(), 0);
 }
 
-/// A load report affects routing without a new snapshot. Otherwise each of 570 heartbeats would
-/// copy the whole set.
+/// A load report affects routing without a new snapshot. Otherwise each heartbeat of 570 agents
+/// would copy the whole set.
 #[test]
 fn a_heartbeat_that_changes_only_the_load_needs_no_snapshot() {
     let mut membership = membership();
@@ -250,8 +251,8 @@
     assert_eq!(snapshot.agent("a").unwrap().counters().load().queued, 9);
 }
 
-/// Agents are continually replaced under new names. If failed ones were never forgotten, they would
-/// fill the memory.
+/// Agents are continually replaced under new names. If failed ones were never forgotten, the memory
+/// of the entry would grow without limit.
 #[test]
 fn failed_agents_are_forgotten() {
     let mut membership = membership();
