--- a/crates/geraniumpost-core/src/placement/reason.rs
+++ b/crates/geraniumpost-core/src/placement/reason.rs
@@ -8,10 +8,7 @@
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Reason {
     /// The worker has one of the best scores among those with capacity.
-    #[display(
-        "least predicted interference of {considered} with capacity [{}]",
-        join_candidates(best)
-    )]
+    #[display("least predicted harm of {considered} with room [{}]", join_candidates(best))]
     LeastInterference {
         /// Number of workers with capacity.
         considered: u32,
@@ -19,14 +16,14 @@
         best: Vec<Candidate>,
     },
     /// No worker has capacity now.
-    #[display("no available worker has capacity for {} now", format_amount(need))]
+    #[display("no open worker has room for {} now", format_amount(need))]
     NoCapacity {
         /// Resources that the job needs.
         need: Resources,
     },
     /// No worker has capacity for an urgent job, and the eviction budget of this minute is used up.
     #[display(
-        "no capacity for {} now, and the eviction budget of this minute is used up",
+        "no room for {} now, and the evictions of this minute are spent",
         format_amount(need)
     )]
     EvictionBudgetSpent {
@@ -91,9 +88,7 @@
         predicted_permille: u32,
     },
     /// The service's latency is above its target.
-    #[display(
-        "p99 at {p99_permille} permille of the target, {task_permille} of it due to this task"
-    )]
+    #[display("p99 at {p99_permille} permille of the target, {task_permille} of it by this task")]
     LatencyHigh {
         /// Smoothed p99, in thousandths of the target.
         p99_permille: u32,
@@ -108,7 +103,7 @@
     },
     /// The tasks of a VM use more than their allowance.
     #[display(
-        "tasks use {used} of {resource}, {allowed} is allowed; this one exceeds its need most"
+        "tasks use {used} of {resource}, {allowed} is theirs; this one outgrew its size most"
     )]
     OverAllowance {
         /// The resource of which they use too much.
@@ -130,10 +125,10 @@
     #[display("probed with one job at a time")]
     ProbeStarted,
     /// The worker's probe succeeded.
-    #[display("its probe succeeded")]
+    #[display("its probe ran well")]
     ProbeSucceeded,
     /// The job failed on several workers that were not quarantined for it.
-    #[display("failed {failures} times on healthy workers, last on {last}")]
+    #[display("failed {failures} times on sound workers, last on {last}")]
     FailsOnSeveralWorkers {
         /// Number of failures.
         failures: u32,
@@ -141,13 +136,13 @@
         last: Name,
     },
     /// The job has waited long and a worker is reserved for it.
-    #[display("waited long; {worker} is reserved for it")]
+    #[display("waited long; {worker} is kept for it")]
     WorkerReserved {
         /// Name of the worker.
         worker: Name,
     },
     /// An urgent job needs the resources.
-    #[display("cheapest eviction for urgent {for_job}, losing {lost_ms} ms of work")]
+    #[display("cheapest room for urgent {for_job}, losing {lost_ms} ms of work")]
     PreemptedByUrgent {
         /// Id of the urgent job.
         for_job: Name,
