--- a/crates/geraniumpost-core/src/placement/amounts.rs
+++ b/crates/geraniumpost-core/src/placement/amounts.rs
@@ -1,13 +1,14 @@
-//! Arithmetic on [`Resources`]. It saturates, so that no report can make a sum overflow.
+//! Saturating arithmetic on [`Resources`], so that no reported value can make a sum overflow.
 
 use geraniumpost_schema::{Quota, Reserve, Resources};
 
 use super::Resource;
 
-/// Zero of each resource.
+/// An amount of 0 for each resource.
 pub const NONE: Resources = Resources { milli_cpus: 0, memory_mb: 0, accelerators: 0 };
 
-/// Returns the first resource of which `need` exceeds `available`, or none if `need` fits.
+/// Returns a resource of which `need` exceeds `available`, or `None` if `need` fits. Accelerators
+/// are checked first, then memory, then processors.
 ///
 /// # Example
 ///
@@ -31,13 +32,13 @@
     }
 }
 
-/// Returns whether `need` fits into `available`.
+/// Returns whether `need` exceeds `available` in no resource.
 #[must_use]
 pub const fn fits(need: &Resources, available: &Resources) -> bool {
     exceeded_resource(need, available).is_none()
 }
 
-/// Returns the sum of each resource.
+/// Returns the sum of `a` and `b` for each resource.
 #[must_use]
 pub const fn plus(a: &Resources, b: &Resources) -> Resources {
     Resources {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Returns the difference of each resource, 0 where `b` is larger.
+/// Returns `a` minus `b` for each resource, or 0 where `b` is larger.
 #[must_use]
 pub const fn minus(a: &Resources, b: &Resources) -> Resources {
     Resources {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Returns the larger amount of each resource.
+/// Returns the larger of `a` and `b` for each resource separately.
 #[must_use]
 pub fn component_max(a: &Resources, b: &Resources) -> Resources {
     Resources {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Returns the smaller amount of each resource.
+/// Returns the smaller of `a` and `b` for each resource separately.
 #[must_use]
 pub fn component_min(a: &Resources, b: &Resources) -> Resources {
     Resources {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Returns the largest share that `part` has of any resource of `total`.
+/// Returns the largest ratio of `part` to `total` over all resources; a total of 0 counts as 1.
 ///
 /// # Example
 ///
@@ -96,7 +97,7 @@
         .max(share(part.accelerators.into(), total.accelerators.into()))
 }
 
-/// Returns a customer's quota as resources.
+/// Converts a customer's quota from the configuration document.
 #[must_use]
 pub const fn of_quota(quota: &Quota) -> Resources {
     Resources {
@@ -106,7 +107,7 @@
     }
 }
 
-/// Returns a service's reserve as resources.
+/// Converts a service's reserve from the configuration document.
 #[must_use]
 pub const fn of_reserve(reserve: &Reserve) -> Resources {
     Resources {
--- a/crates/geraniumpost-core/src/placement/decide.rs
+++ b/crates/geraniumpost-core/src/placement/decide.rs
@@ -8,22 +8,25 @@
 use super::{Candidate, Decision, Fleet, PlacementRequest, Placer, Reason, WorkerKey, amounts};
 use crate::Millis;
 
-/// Predicted p99, in targets, above which a job waits for a better worker.
+/// Predicted p99, as a multiple of the target, above which a job waits for a better worker.
 const MAX_PREDICTED_P99: f64 = 0.85;
-/// Interference, in targets, below which a job does not wait for a better worker.
+/// Predicted increase of the p99, as a multiple of the target, up to which a job starts without
+/// waiting for a better worker.
 const NEGLIGIBLE_INTERFERENCE: f64 = 0.02;
-/// How long a normal job waits for a worker on which it does not interfere too much.
+/// Maximum time for which a normal job waits for a worker on which it interferes less.
 const NORMAL_MAX_WAIT_MS: u64 = 600_000;
-/// How long a scavenger job waits for a worker on which it does not interfere too much.
+/// Maximum time for which a scavenger job waits for a worker on which it interferes less.
 const SCAVENGER_MAX_WAIT_MS: u64 = 900_000;
-/// One start in this many goes to another of the best candidates, so that the model also learns
-/// pairs of class and service that it would otherwise avoid.
+/// On average one start in this many uses a candidate other than the best, so that the model also
+/// learns about pairs of class and service that placement would otherwise avoid.
 const EXPLORE_ONE_IN: u32 = 50;
-/// Predicted p99, in targets, up to which a start may explore.
+/// Predicted p99, as a multiple of the target, below which a candidate other than the best may be
+/// used.
 const EXPLORE_MAX_P99: f64 = 0.7;
 
 impl Placer {
-    /// Decides on one job. If the job starts, its start is the last decision.
+    /// Returns the decisions on one job. The last one is its start, wait or rejection, which
+    /// follows the evictions for the job.
     pub(super) fn decide<R: Rng + ?Sized>(
         &mut self,
         now: Millis,
@@ -32,16 +35,16 @@
         planned: &mut PlannedFleet,
         rng: &mut R,
     ) -> Vec<Decision> {
-        if let Some(rejection) = self.rejection(request, fleet) {
-            return vec![rejection];
+        if let Some(decision) = self.decide_ineligible(request, fleet) {
+            return vec![decision];
         }
         if now < request.not_before {
-            return vec![wait(request, Reason::BackOff { until: request.not_before })];
+            return vec![wait_decision(request, Reason::BackOff { until: request.not_before })];
         }
         let context = JobContext { now, request, need: self.reserved_need(request, fleet), fleet };
-        if let Some(reason) = self.over_quota(&context, planned) {
+        if let Some(reason) = self.quota_reason(&context, planned) {
             self.release_reservation(request, planned);
-            return vec![wait(request, reason)];
+            return vec![wait_decision(request, reason)];
         }
         if self.cannot_fit(&context, planned) {
             return vec![self.wait_or_reserve(&context, planned)];
@@ -53,15 +56,17 @@
         vec![self.start_or_wait(&context, &result, planned, rng)]
     }
 
-    /// Returns the resources to reserve for a job: at least what it declares, and otherwise at most
-    /// what the largest suitable worker offers and the quota allows.
+    /// Returns the resources to reserve for a job: the estimate from measured usage, limited by the
+    /// quota and by the largest worker that fits the job, but at least the declared need.
     fn reserved_need(&self, request: &PlacementRequest, fleet: &Fleet) -> Resources {
-        let Some(largest) = fleet.largest_for(&request.need) else { return request.need };
+        let Some(largest) = fleet.largest_allowance_for(&request.need) else { return request.need };
         let quota = self.policy.customer(&request.customer).map_or(largest, |share| share.quota);
         self.usage_estimates.estimate(request, &amounts::component_min(&largest, &quota))
     }
 
-    fn over_quota(&self, context: &JobContext<'_>, planned: &PlannedFleet) -> Option<Reason> {
+    /// Returns the reason for waiting if the start would exceed the customer's quota. Allocations
+    /// include running tasks, planned starts, and reservations of other jobs.
+    fn quota_reason(&self, context: &JobContext<'_>, planned: &PlannedFleet) -> Option<Reason> {
         let customer = &context.request.customer;
         let quota = self.policy.customer(customer)?.quota;
         let own = self
@@ -74,51 +79,55 @@
         Some(Reason::QuotaReached { customer: customer.clone(), resource })
     }
 
-    /// Returns whether the scan can be skipped because a smaller need already fitted on no worker.
+    /// Returns whether the scan can be skipped, as no worker had capacity for a need that was no
+    /// larger. Urgent jobs and jobs with a reservation are always scanned.
     fn cannot_fit(&self, context: &JobContext<'_>, planned: &PlannedFleet) -> bool {
         context.request.priority != Priority::Urgent
             && self.reservations.get(&context.request.job).is_none()
             && planned.cannot_fit(&context.need)
     }
 
+    /// Scores the workers with capacity, without those on which the job failed unless there is no
+    /// other.
     fn search(&self, context: &JobContext<'_>, planned: &mut PlannedFleet) -> ScanResult {
         let (request, fleet) = (context.request, context.fleet);
         let compute = || {
-            let class = self.model.class_number(&request.class);
+            let class = self.model.class_index(&request.class);
             fleet.service_names().iter().map(|name| self.model.slope(name, class)).collect()
         };
         let slopes = planned.slopes(&request.class, compute).to_vec();
-        let avoided = self.avoided(context);
+        let avoided = self.avoided_workers(context);
         let groups = [fleet.group(&request.customer, &request.class), planned.group(request)];
         let mut scan = Scan {
             need: &context.need,
             slopes: &slopes,
-            excluded: &avoided,
+            skipped: &avoided,
             reserved: self.reservations.get(&request.job).map(|reservation| reservation.worker),
             urgent: request.priority == Priority::Urgent,
-            proximity: &Proximity::new(fleet.locations(), &groups),
+            proximity: &Proximity::new(fleet.location_count(), &groups),
         };
         let result = scan.run(planned);
         if !result.best.is_empty() || self.failures.failed_on(&request.job).is_empty() {
             return result;
         }
-        // In a small fleet a job may have failed on every worker with capacity, so it may retry
-        // there.
-        let excluded = excluded(context);
-        scan.excluded = &excluded;
+        // In a small fleet the job may have failed on every worker with capacity. It may then retry
+        // on one of them.
+        let excluded = excluded_workers(context);
+        scan.skipped = &excluded;
         scan.run(planned)
     }
 
-    /// Returns the workers that a job should avoid: those that its caller excludes and those on
+    /// Returns the workers that a job should avoid: those that its request excludes and those on
     /// which it failed.
-    pub(super) fn avoided(&self, context: &JobContext<'_>) -> Vec<WorkerKey> {
+    pub(super) fn avoided_workers(&self, context: &JobContext<'_>) -> Vec<WorkerKey> {
         let failed_on = self.failures.failed_on(&context.request.job).iter();
-        let mut avoided = excluded(context);
+        let mut avoided = excluded_workers(context);
         avoided.extend(failed_on.filter_map(|name| context.fleet.key(name)));
         avoided
     }
 
-    /// Starts a job on the best worker of the scan, unless it should wait for less interference.
+    /// Starts a job on the best worker of the scan, or on another good one to explore. The job
+    /// waits instead if its interference would be too high.
     fn start_or_wait<R: Rng + ?Sized>(
         &mut self,
         context: &JobContext<'_>,
@@ -131,8 +140,8 @@
             |scored: &ScoredWorker| context.fleet.view(planned.rows[scored.index].key).name.clone();
         let best = result.best[0];
         if interferes_too_much(context.now, request, &best) {
-            let predicted_permille = (best.predicted * 1000.0) as u32;
-            return wait(
+            let predicted_permille = (best.predicted_p99 * 1000.0) as u32;
+            return wait_decision(
                 request,
                 Reason::ExcessiveInterference { best: name(&best), predicted_permille },
             );
@@ -144,7 +153,7 @@
         let reason =
             Reason::LeastInterference { considered: result.considered, best: candidates.collect() };
         let worker = name(&chosen);
-        planned.start(chosen.index, request, &context.need, chosen.added);
+        planned.apply_start(chosen.index, request, &context.need, chosen.added_p99);
         self.release_reservation(request, planned);
         if request.priority == Priority::Urgent {
             self.urgent_demand.record_start(context.now, &context.need);
@@ -154,11 +163,12 @@
     }
 }
 
-/// Returns the workers that the caller excludes for a job.
-fn excluded(context: &JobContext<'_>) -> Vec<WorkerKey> {
+/// Returns the workers that the job's request excludes, without those that are not in the fleet.
+fn excluded_workers(context: &JobContext<'_>) -> Vec<WorkerKey> {
     context.request.excluded.iter().filter_map(|name| context.fleet.key(name)).collect()
 }
 
+/// Returns whether a job should wait although a worker has capacity. Urgent jobs never do.
 fn interferes_too_much(now: Millis, request: &PlacementRequest, best: &ScoredWorker) -> bool {
     let max_wait_ms = match request.priority {
         Priority::Urgent => return false,
@@ -166,23 +176,23 @@
         Priority::Scavenger => SCAVENGER_MAX_WAIT_MS,
     };
     let waited = now.since(request.submitted.max(request.not_before));
-    best.predicted > MAX_PREDICTED_P99
-        && best.added > NEGLIGIBLE_INTERFERENCE
+    best.predicted_p99 > MAX_PREDICTED_P99
+        && best.added_p99 > NEGLIGIBLE_INTERFERENCE
         && waited < max_wait_ms
 }
 
-/// Occasionally moves another good candidate to the front, unless its predicted p99 is too high.
+/// Swaps a random candidate to the front in one of [`EXPLORE_ONE_IN`] calls, unless its predicted
+/// p99 is too high.
 fn explore<R: Rng + ?Sized>(ranked: &mut [ScoredWorker], rng: &mut R) {
     if ranked.len() < 2 || rng.random_range(0..EXPLORE_ONE_IN) != 0 {
         return;
     }
     let other = rng.random_range(1..ranked.len());
-    if ranked[other].predicted < EXPLORE_MAX_P99 {
+    if ranked[other].predicted_p99 < EXPLORE_MAX_P99 {
         ranked.swap(0, other);
     }
 }
 
-/// Returns the decision to keep a job waiting.
-pub(super) fn wait(request: &PlacementRequest, reason: Reason) -> Decision {
+pub(super) fn wait_decision(request: &PlacementRequest, reason: Reason) -> Decision {
     Decision::Wait { job: request.job.clone(), reason }
 }
--- a/crates/geraniumpost-core/src/placement/decision.rs
+++ b/crates/geraniumpost-core/src/placement/decision.rs
@@ -3,7 +3,8 @@
 
 use super::{Reason, Resource};
 
-/// An action for the planner to carry out. Its `Display` form is the log line of the decision.
+/// A decision of [`Placer::place`](super::Placer::place), for the planner to carry out. Its
+/// `Display` form is logged and shown to operators.
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Decision {
     /// Start a job on a worker.
@@ -11,41 +12,43 @@
     Start {
         /// Id of the job.
         job: Name,
-        /// The worker that runs it.
+        /// The worker on which the job runs.
         worker: Name,
-        /// Resources to reserve: the declared need, or more if similar jobs were measured to use
-        /// more.
+        /// Resources to reserve: the declared need, or more if recent jobs of the same customer and
+        /// class used more.
         need: Resources,
-        /// Increase in the predicted latency cost plus tie-breakers; lower is better.
+        /// Increase in the predicted latency cost plus small terms for packing and spreading; the
+        /// lowest score is the best.
         score: f64,
-        /// Why this worker was chosen.
+        /// The best candidates, of which the first was chosen.
         reason: Reason,
     },
-    /// Checkpoint and stop a task. Its resources are free once the agent reports its end.
+    /// Checkpoint and stop a task. Its resources stay allocated until the agent reports its end.
     #[display("evict job={job} worker={worker} for={for_job} why={reason}")]
     Evict {
         /// Id of the job to evict.
         job: Name,
-        /// The worker that runs it.
+        /// The worker on which the job runs.
         worker: Name,
-        /// The job that needs the resources, empty if the eviction protects the worker's service.
+        /// The urgent job that needs the resources. Empty if the eviction protects the worker's
+        /// service, or ends the overuse of the VM's resources.
         for_job: Name,
-        /// Why this task was chosen.
+        /// What the eviction is for, and why this task was chosen.
         reason: Reason,
     },
-    /// Set the share of its processors that a task may use.
+    /// Change the share of its processors that a task may use, in either direction.
     #[display("throttle job={job} worker={worker} permille={permille} why={reason}")]
     Throttle {
         /// Id of the job.
         job: Name,
-        /// The worker that runs it.
+        /// The worker on which the job runs.
         worker: Name,
-        /// Share in thousandths; 1000 lifts the throttle.
+        /// New share in thousandths; 1000 is full speed.
         permille: u32,
-        /// Why the speed changes.
+        /// Whether latency is high or low, or which resource is overused.
         reason: Reason,
     },
-    /// Keep a job waiting.
+    /// Keep a job in the queue; it is decided on again by the next call.
     #[display("wait job={job} why={reason}")]
     Wait {
         /// Id of the job.
@@ -53,46 +56,49 @@
         /// What the job waits for.
         reason: Reason,
     },
-    /// Refuse a job that cannot run on any worker, however long it waits.
+    /// Reject a job that can never run, because it fits on no worker or exceeds its customer's
+    /// quota.
     #[display("impossible job={job} resource={resource} largest={largest} why={reason}")]
     Impossible {
         /// Id of the job.
         job: Name,
         /// The resource of which the job needs too much.
         resource: Resource,
-        /// The worker that offers most of that resource, empty if the quota forbids the job.
+        /// The worker that offers most of that resource, empty if the job exceeds the quota.
         largest: Name,
         /// How much the job needs and how much is offered.
         reason: Reason,
     },
-    /// Fail a job that failed on several healthy workers.
+    /// Fail a job that failed as often as its class allows, on workers that were not quarantined.
     #[display("give up job={job} why={reason}")]
     GiveUp {
         /// Id of the job.
         job: Name,
-        /// How often the job failed, and where.
+        /// Number of failures, and the last worker.
         reason: Reason,
     },
-    /// Give a worker no new jobs, as it failed several different jobs.
+    /// Stop giving a worker new jobs, as several different jobs failed on it.
     #[display("quarantine worker={worker} why={reason}")]
     Quarantine {
         /// Name of the worker.
         worker: Name,
-        /// How many jobs failed, and how long the quarantine lasts.
+        /// Number of jobs that failed, and end of the quarantine.
         reason: Reason,
     },
-    /// Give a worker jobs again, one at a time while it is probed.
+    /// End a worker's quarantine: start a probe with one job, or lift all limits after a successful
+    /// probe.
     #[display("release worker={worker} why={reason}")]
     Release {
         /// Name of the worker.
         worker: Name,
-        /// Whether the worker is probed or trusted again.
+        /// Either `ProbeStarted` or `ProbeSucceeded`.
         reason: Reason,
     },
 }
 
 impl Decision {
-    /// Returns the job that the decision concerns, or none if it concerns a worker.
+    /// Returns the job to start, stop, throttle, keep waiting or fail. `None` if the decision is
+    /// about a worker's quarantine.
     pub const fn job(&self) -> Option<&Name> {
         match self {
             Self::Start { job, .. }
--- a/crates/geraniumpost-core/src/placement/eviction_budget.rs
+++ b/crates/geraniumpost-core/src/placement/eviction_budget.rs
@@ -4,15 +4,16 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-/// Limits evictions per minute, so that high latency on many workers does not evict tasks on all of
-/// them at once.
+/// Limits the evictions in any period of one minute, so that high latency on many workers does not
+/// cause evictions on all of them at once.
 #[derive(Debug, Clone, Default)]
 pub struct EvictionBudget {
+    /// Times of the evictions in the last minute.
     spent: VecDeque<Millis>,
 }
 
 impl EvictionBudget {
-    /// Returns how many evictions may still be ordered this minute.
+    /// Returns how many evictions may be ordered now: `per_minute` minus those of the last minute.
     pub fn remaining(&mut self, now: Millis, per_minute: u32) -> u32 {
         while self.spent.front().is_some_and(|at| now.since(*at) >= MINUTE_MS) {
             self.spent.pop_front();
@@ -20,7 +21,6 @@
         per_minute.saturating_sub(self.spent.len() as u32)
     }
 
-    /// Counts an eviction against the budget.
     pub fn spend(&mut self, now: Millis) {
         self.spent.push_back(now);
     }
--- a/crates/geraniumpost-core/src/placement/failure_attribution.rs
+++ b/crates/geraniumpost-core/src/placement/failure_attribution.rs
@@ -6,35 +6,38 @@
 use super::{Decision, Reason, RunOutcome};
 use crate::Millis;
 
-/// Number of jobs with failures above which jobs that neither run nor wait are dropped.
-const RETAIN_THRESHOLD: usize = 64;
+/// Number of jobs with failures above which those that neither run nor wait are forgotten.
+const MAX_UNCHECKED_JOBS: usize = 64;
 
-/// Distinguishes a worker that fails every job from a job that fails on every worker.
+/// Distinguishes a worker on which every job fails from a job that fails on every worker.
 ///
-/// A worker on which runs fail at once always looks free, so it attracts job after job, and sound
-/// jobs are given up after their attempts. A worker that fails several different jobs in a row is
-/// therefore quarantined, its failures are not counted against the jobs, and it is then probed with
-/// one job at a time.
+/// A worker on which runs fail immediately always has free capacity, so it is given job after job,
+/// and healthy jobs use up their attempts. A worker on which several different jobs fail in a row
+/// is therefore quarantined, and its failures do not count against the jobs. After the quarantine
+/// it is probed with one job at a time.
 #[derive(Debug, Clone, Default)]
 pub struct FailureAttribution {
+    /// Workers with evidence against them, by name.
     workers: BTreeMap<Name, WorkerRecord>,
-    runs: BTreeMap<Name, Run>,
+    /// Runs that have not ended, by job.
+    runs: BTreeMap<Name, OngoingRun>,
+    /// Workers on which each job failed, oldest failure first.
     failed_on: BTreeMap<Name, Vec<Name>>,
 }
 
-/// A run that has not ended.
+/// A run whose end has not been reported.
 #[derive(Debug, Clone)]
-struct Run {
+struct OngoingRun {
     worker: Name,
     started: Millis,
 }
 
 impl FailureAttribution {
     pub fn record_start(&mut self, job: &Name, worker: &Name, at: Millis) {
-        self.runs.insert(job.clone(), Run { worker: worker.clone(), started: at });
+        self.runs.insert(job.clone(), OngoingRun { worker: worker.clone(), started: at });
     }
 
-    /// Attributes the end of a run to its job or its worker.
+    /// Records the end of a run. A failure counts against the job, the worker, or both.
     pub fn record_end(&mut self, job: &Name, worker: &Name, outcome: RunOutcome, at: Millis) {
         let started = self.runs.remove(job).map_or(at, |run| run.started);
         match outcome {
@@ -47,15 +50,15 @@
         }
     }
 
-    /// Forgets the failures of a job that will not run again.
+    /// Forgets the failures of a job that is given up.
     pub fn forget_job(&mut self, job: &Name) {
         self.failed_on.remove(job);
     }
 
-    /// Returns whether there are enough records for [`retain_jobs`](Self::retain_jobs) to be worth
-    /// its cost.
+    /// Returns whether there are more than [`MAX_UNCHECKED_JOBS`] jobs with failures, so that
+    /// [`retain_jobs`](Self::retain_jobs) should be called.
     pub fn is_large(&self) -> bool {
-        self.failed_on.len() > RETAIN_THRESHOLD
+        self.failed_on.len() > MAX_UNCHECKED_JOBS
     }
 
     /// Forgets the failures of jobs that neither run nor wait.
@@ -64,14 +67,15 @@
         self.failed_on.retain(|job, _| runs.contains_key(job) || is_waiting(job));
     }
 
-    /// Forgets workers that have left the fleet, with their runs whose end was never reported.
+    /// Forgets workers that are no longer in the fleet, and their runs, whose end is no longer
+    /// reported.
     pub fn retain_workers(&mut self, is_present: impl Fn(&Name) -> bool) {
         self.workers.retain(|worker, _| is_present(worker));
         self.runs.retain(|_, run| is_present(&run.worker));
     }
 
-    /// Counts long runs as successes of their workers and returns a decision for each worker whose
-    /// trust state changed.
+    /// Counts long runs as successes of their workers, updates the trust in all workers, and
+    /// returns a decision for each worker whose trust state changed.
     pub fn update_trust(&mut self, now: Millis) -> Vec<Decision> {
         let long_runs: Vec<(Name, Millis)> = self
             .runs
@@ -88,8 +92,8 @@
         let mut changed = Vec::new();
         for (worker, record) in &mut self.workers {
             let mut runs = self.runs.values().filter(|run| run.worker == *worker);
-            let pending = runs.any(|run| record.is_unproven(run.started));
-            let Some(trust) = record.update_trust(now, pending) else { continue };
+            let has_unproven_run = runs.any(|run| record.is_unproven(run.started));
+            let Some(trust) = record.update_trust(now, has_unproven_run) else { continue };
             changed.push(trust_decision(worker, &trust, record));
         }
         for decision in &changed {
@@ -101,7 +105,7 @@
         changed
     }
 
-    /// Returns how many more jobs a worker may be given now, or none if that is not limited.
+    /// Returns how many more jobs may be started on `worker` now, or `None` if there is no limit.
     pub fn job_limit(&self, worker: &Name) -> Option<u32> {
         let record = self.workers.get(worker)?;
         let limit = record.concurrency_limit()?;
@@ -112,12 +116,13 @@
         Some(limit.saturating_sub(running.count() as u32))
     }
 
-    /// Returns the workers whose number of jobs is limited.
-    pub fn limited(&self) -> impl Iterator<Item = &Name> {
+    /// Returns the workers for which [`job_limit`](Self::job_limit) returns a limit.
+    pub fn limited_workers(&self) -> impl Iterator<Item = &Name> {
         self.workers.iter().filter(|(_, r)| r.concurrency_limit().is_some()).map(|(name, _)| name)
     }
 
-    /// Returns the workers on which a job failed, without those that were quarantined.
+    /// Returns the workers on which failures of `job` count against the job, one entry for each
+    /// failure, oldest first. Failures on a worker that is quarantined or probed do not count.
     pub fn failed_on(&self, job: &Name) -> &[Name] {
         self.failed_on.get(job).map_or(&[], Vec::as_slice)
     }
@@ -127,7 +132,7 @@
         let untrusted = record.is_untrusted();
         let failed_elsewhere =
             self.failed_on.get(job).is_some_and(|workers| workers.iter().any(|w| w != worker));
-        // A job that also failed on another worker is weak evidence against this one.
+        // If the job also failed on another worker, this failure says little about this worker.
         if !failed_elsewhere || untrusted {
             record.record_failure(job, started, at);
         }
@@ -139,14 +144,15 @@
         }
     }
 
-    /// Counts a run that began at `started` as evidence that its worker is sound.
+    /// Counts a run that began at `started` as evidence that its worker is healthy.
     fn record_success(&mut self, worker: &Name, started: Millis) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.record_success(started);
         }
     }
 
-    /// Removes a job's failures from its workers' records once it has failed on several.
+    /// Removes the failures of `job` from the records of all trusted workers on which it failed, as
+    /// the job has failed on several of them.
     fn clear_failures_of_job(&mut self, job: &Name) {
         for worker in self.failed_on.get(job).into_iter().flatten() {
             if let Some(record) = self.workers.get_mut(worker).filter(|r| !r.is_untrusted()) {
@@ -155,6 +161,7 @@
         }
     }
 
+    /// Removes the failures on a quarantined worker from the jobs' records.
     fn clear_failures_on_worker(&mut self, worker: &Name) {
         self.failed_on.retain(|_, workers| {
             workers.retain(|name| name != worker);
--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -9,13 +9,13 @@
 use super::{TaskView, WorkerState, WorkerView, amounts};
 
 new_key_type! {
-    /// Key of a worker in a [`Fleet`].
+    /// Key of a worker in a [`Fleet`], invalid once the worker is removed or replaced.
     pub struct WorkerKey;
 }
 
 /// The workers of a region with their tasks, indexed for placement.
 ///
-/// Its owner applies every start, end and report to it; [`super::Placer`] only reads it.
+/// The planner applies every start, end and report to it; [`super::Placer`] only reads it.
 ///
 /// # Example
 ///
@@ -37,18 +37,24 @@
     rows: SecondaryMap<WorkerKey, WorkerRow>,
     by_name: HashMap<Name, WorkerKey>,
     by_job: HashMap<Name, WorkerKey>,
+    /// Resources allocated to the tasks of each customer.
     allocations: HashMap<Name, Resources>,
+    /// Task groups by customer and class.
     groups: HashMap<(Name, Name), TaskGroup>,
     services: Interner,
+    /// Names of racks and failure domains.
     locations: Interner,
+    /// Sum of all allowances.
     total: Resources,
+    /// Distinct allowances, each with its number of workers.
     allowances: Vec<(Resources, usize)>,
+    /// Number of changes so far, which is the version of the row that changed last.
     version: u64,
     awaiting_workers: bool,
 }
 
 impl Fleet {
-    /// Sets whether the planner still waits for workers to announce themselves.
+    /// Sets whether more workers are expected to announce themselves.
     ///
     /// A planner that has just taken over knows no workers yet. Without this flag it would reject
     /// every job as impossible during its first second.
@@ -56,12 +62,12 @@
         self.awaiting_workers = awaiting_workers;
     }
 
-    /// Returns whether the planner still waits for workers to announce themselves.
+    /// Returns whether more workers are expected, so that no job is rejected as too large.
     pub const fn awaiting_workers(&self) -> bool {
         self.awaiting_workers
     }
 
-    /// Adds a worker, or replaces the worker of the same name together with its tasks.
+    /// Adds a worker. A worker of the same name is replaced, including its tasks.
     pub fn put_worker(&mut self, mut view: WorkerView) -> WorkerKey {
         self.remove_worker(&view.name.clone());
         let tasks = std::mem::take(&mut view.tasks);
@@ -83,7 +89,8 @@
         key
     }
 
-    /// Removes a worker with its tasks. Jobs that fit on no other worker become impossible.
+    /// Removes a worker and its tasks, and returns them. Jobs that fit on no other worker become
+    /// impossible. Returns `None` if the worker is unknown.
     pub fn remove_worker(&mut self, worker: &Name) -> Option<WorkerView> {
         let key = *self.by_name.get(worker)?;
         let view = self.workers[key].clone();
@@ -112,19 +119,20 @@
         group.add(rack, domain);
         self.by_job.insert(task.job.clone(), key);
         self.workers[key].tasks.push(task);
-        self.refresh(key);
+        self.refresh_row(key);
         true
     }
 
-    /// Removes a task, once its agent has reported the end.
+    /// Removes and returns the task of `job`, whose end the agent has reported. Returns `None` if
+    /// the job does not run.
     pub fn remove_task(&mut self, job: &Name) -> Option<TaskView> {
         let key = self.by_job.remove(job)?;
         let tasks = &mut self.workers[key].tasks;
         let index = tasks.iter().position(|task| task.job == *job)?;
         let task = tasks.swap_remove(index);
-        self.refresh(key);
+        self.refresh_row(key);
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
-        self.release(&task.customer, &task.allocated());
+        self.release_allocation(&task.customer, &task.allocated());
         let group_key = (task.customer.clone(), task.class.clone());
         if let Some(group) = self.groups.get_mut(&group_key) {
             group.remove(rack, domain);
@@ -135,7 +143,8 @@
         Some(task)
     }
 
-    /// Applies a report on a running task. Returns false if the job does not run.
+    /// Replaces the task of `job` with the result of `change`. Returns false if the job does not
+    /// run.
     pub fn update_task(&mut self, job: &Name, change: impl FnOnce(TaskView) -> TaskView) -> bool {
         let Some(&key) = self.by_job.get(job) else { return false };
         let Some(task) = self.workers[key].tasks.iter_mut().find(|task| task.job == *job) else {
@@ -144,24 +153,26 @@
         let before = task.allocated();
         *task = change(task.clone());
         let (after, customer) = (task.allocated(), task.customer.clone());
-        self.release(&customer, &before);
+        self.release_allocation(&customer, &before);
         let allocation = self.allocations.entry(customer).or_insert(amounts::NONE);
         *allocation = amounts::plus(allocation, &after);
-        self.refresh(key);
+        self.refresh_row(key);
         true
     }
 
-    /// Sets a worker's state. Returns false if the worker is unknown.
+    /// Sets whether a worker accepts new jobs. Returns false if the worker is unknown.
     pub fn set_state(&mut self, worker: &Name, state: WorkerState) -> bool {
         self.update_worker(worker, |view| view.state = state)
     }
 
-    /// Sets what the agent's ledger has reserved. Returns false if the worker is unknown.
+    /// Sets the resources that the agent's ledger has reserved, see [`WorkerView::reserved`].
+    /// Returns false if the worker is unknown.
     pub fn set_reserved(&mut self, worker: &Name, reserved: Resources) -> bool {
         self.update_worker(worker, |view| view.reserved = reserved)
     }
 
-    /// Sets the load and p99 of a worker's service. Returns false if the worker is unknown.
+    /// Sets the busy share of the slots of a worker's minion, in thousandths, and its recent p99.
+    /// Returns false if the worker is unknown.
     pub fn set_load(&mut self, worker: &Name, load_permille: u32, p99_us: u64) -> bool {
         self.update_worker(worker, |view| {
             view.load_permille = load_permille;
@@ -169,27 +180,27 @@
         })
     }
 
-    /// Returns the worker of a name.
+    /// Returns the worker named `worker`, in any state.
     pub fn worker(&self, worker: &Name) -> Option<&WorkerView> {
         self.by_name.get(worker).map(|key| &self.workers[*key])
     }
 
-    /// Returns the worker that runs a job.
+    /// Returns the worker on which `job` is started, runs or is being stopped.
     pub fn worker_of(&self, job: &Name) -> Option<&WorkerView> {
         self.by_job.get(job).map(|key| &self.workers[*key])
     }
 
-    /// Returns all workers.
+    /// Returns all workers, including those that accept no jobs, in no particular order.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerView> {
         self.workers.values()
     }
 
-    /// Returns the resources allocated to a customer's tasks.
+    /// Returns the sum of [`TaskView::allocated`] over the tasks of `customer`.
     pub fn allocated_to(&self, customer: &Name) -> Resources {
         self.allocations.get(customer).copied().unwrap_or(amounts::NONE)
     }
 
-    /// Returns the resources that all workers together offer to batch work.
+    /// Returns the sum of [`WorkerView::allowance`] over all workers, also of lost ones.
     pub const fn total(&self) -> &Resources {
         &self.total
     }
@@ -210,8 +221,8 @@
         self.services.names()
     }
 
-    /// Returns the number of distinct racks and failure domains.
-    pub(super) fn locations(&self) -> usize {
+    /// Returns the number of distinct names of racks and failure domains, which share one index.
+    pub(super) fn location_count(&self) -> usize {
         self.locations.names().len()
     }
 
@@ -219,13 +230,14 @@
         self.groups.get(&(customer.clone(), class.clone()))
     }
 
-    /// Returns whether a need would fit on some worker if that worker were empty.
+    /// Returns whether `need` would fit on some worker, in any state, if no tasks ran there.
     pub(super) fn could_ever_fit(&self, need: &Resources) -> bool {
         self.allowances.iter().any(|(known, _)| amounts::fits(need, known))
     }
 
-    /// Returns the largest allowance of a worker on which a need fits, or none if it fits nowhere.
-    pub(super) fn largest_for(&self, need: &Resources) -> Option<Resources> {
+    /// Returns the allowance with most memory among workers on which `need` would fit if no tasks
+    /// ran there, or `None` if there are none.
+    pub(super) fn largest_allowance_for(&self, need: &Resources) -> Option<Resources> {
         let candidates = self.allowances.iter().filter(|(known, _)| amounts::fits(need, known));
         candidates
             .map(|(known, _)| *known)
@@ -249,7 +261,7 @@
         }
     }
 
-    fn refresh(&mut self, key: WorkerKey) {
+    fn refresh_row(&mut self, key: WorkerKey) {
         self.version += 1;
         self.rows[key].refresh(&self.workers[key], self.version);
     }
@@ -257,11 +269,11 @@
     fn update_worker(&mut self, worker: &Name, change: impl FnOnce(&mut WorkerView)) -> bool {
         let Some(&key) = self.by_name.get(worker) else { return false };
         change(&mut self.workers[key]);
-        self.refresh(key);
+        self.refresh_row(key);
         true
     }
 
-    fn release(&mut self, customer: &Name, allocated: &Resources) {
+    fn release_allocation(&mut self, customer: &Name, allocated: &Resources) {
         let Some(allocation) = self.allocations.get_mut(customer) else { return };
         *allocation = amounts::minus(allocation, allocated);
         if *allocation == amounts::NONE {
--- a/crates/geraniumpost-core/src/placement/interference_model.rs
+++ b/crates/geraniumpost-core/src/placement/interference_model.rs
@@ -5,34 +5,39 @@
 use super::interner::Interner;
 use super::ridge::{Input, RidgeRegression};
 
-/// Number of coefficients for a service without batch tasks: constant, load, load squared.
+/// Number of coefficients of the curve that gives the p99 without batch tasks: constant, load and
+/// load squared.
 const BASELINE_COEFFICIENTS: usize = 3;
-/// Processors, in thousandths, to which a slope refers.
+/// Processors, in thousandths, of the task size to which a slope refers.
 const UNIT_MILLI_CPUS: f64 = 16_000.0;
-/// Slope of a class without any measurement, in targets.
+/// Slope that is assumed before there are measurements, as a multiple of the target.
 const DEFAULT_SLOPE: f64 = 0.15;
-/// Evidence at which a pair's own measurements weigh as much as its class's mean.
+/// Evidence on a pair of service and class at which its measurements weigh as much as the mean of
+/// the class.
 const PAIR_PRIOR_STRENGTH: f64 = 4.0;
-/// Evidence at which a class's own measurements weigh as much as the mean of all classes.
+/// Evidence on a class at which its measurements weigh as much as the mean of all classes.
 const CLASS_PRIOR_STRENGTH: f64 = 20.0;
-/// Number of measurements between two solutions. A solution takes some microseconds; until it is
-/// made, the newest measurements have no effect.
-const SOLVE_EVERY: u32 = 4;
-/// Number of classes with their own coefficients. Further classes share the last number, which
+/// Number of measurements of a service after which its regression is solved. This takes some
+/// microseconds; measurements have no effect until then.
+const MEASUREMENTS_PER_SOLUTION: u32 = 4;
+/// Number of classes with their own coefficients. All further classes share one coefficient, which
 /// keeps the matrices small.
 const MAX_CLASSES: u32 = 60;
 
-/// Predicts how much batch classes slow services, from measurements that arrive late.
+/// Predicts how much tasks of each batch class raise the latency of each service, from measurements
+/// that arrive late.
 ///
-/// A service's p99, in units of its target, is modelled as a curve over its load plus a slope for
-/// each batch class that runs beside it. The slope of a rarely measured pair of service and class
-/// is regularized towards the mean of the class over all services, and a rarely measured class
-/// towards the mean of all classes.
+/// A service's p99, as a multiple of its target, is modelled as a quadratic function of its load
+/// plus a slope for each batch class that runs on the same VM. The slope of a rarely measured pair
+/// of service and class is regularized towards the mean of the class over all services, and the
+/// mean of a rarely measured class towards the mean of all classes.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceModel {
     classes: Interner,
     services: BTreeMap<Name, ServiceModel>,
+    /// Mean slope by class index.
     class_means: Vec<f64>,
+    /// Mean slope of all classes, if there are measurements.
     mean: Option<f64>,
 }
 
@@ -40,64 +45,70 @@
 #[derive(Debug, Clone)]
 struct ServiceModel {
     ridge: RidgeRegression,
-    unsolved: u32,
+    /// Number of measurements since the last solution.
+    unsolved_measurements: u32,
 }
 
-/// Returns the factor by which load scales interference: tasks slow a busy service more.
+/// Returns the factor by which interference grows with the load of the service, from 0.3 for an
+/// idle service to 1 for a fully loaded one.
 ///
-/// It is linear in the load, as there is too little data to fit a more complex function.
+/// The function is linear, as there is too little data to fit a more complex one.
 pub fn load_factor(load: f64) -> f64 {
     0.3 + 0.7 * load
 }
 
 impl InterferenceModel {
-    /// Returns the number of a class, assigning one if the class is new.
+    /// Returns the index of `class`, and assigns the next index to a new class.
     pub fn intern_class(&mut self, class: &Name) -> usize {
         self.classes.intern(class).min(MAX_CLASSES) as usize
     }
 
-    /// Returns the number of a class; unknown classes share the last number.
-    pub fn class_number(&self, class: &Name) -> usize {
+    /// Returns the index of `class`; unknown classes share the last index.
+    pub fn class_index(&self, class: &Name) -> usize {
         self.classes.get(class).unwrap_or(MAX_CLASSES).min(MAX_CLASSES) as usize
     }
 
-    /// Drops the models of all other services and returns whether any was dropped.
+    /// Drops the models of services for which `is_retained` returns false, and returns whether any
+    /// was dropped.
     pub fn retain_services(&mut self, mut is_retained: impl FnMut(&Name) -> bool) -> bool {
         let before = self.services.len();
         self.services.retain(|service, _| is_retained(service));
         self.services.len() < before
     }
 
-    /// Learns from a p99 measured beside `tasks`, given by class number and thousandths of
-    /// processors. Returns the excess of the measured over the predicted p99.
+    /// Learns from `p99`, a multiple of the target, that was measured while `tasks` ran on the same
+    /// VM. Each task is given by its class index and its processors in thousandths. Returns the
+    /// measured minus the predicted p99.
     pub fn observe(&mut self, service: &Name, load: f64, tasks: &[(usize, f64)], p99: f64) -> f64 {
         let predicted = self.predict(service, load, tasks);
         // The noise of a measurement grows with the latency, so high measurements weigh less.
         let weight = 1.0 / (p99 * p99).max(0.01);
-        self.add_measurement(service, &inputs(load, tasks), p99, weight);
+        self.add_measurement(service, &regression_inputs(load, tasks), p99, weight);
         p99 - predicted
     }
 
     fn add_measurement(&mut self, service: &Name, inputs: &[Input], value: f64, weight: f64) {
         let model = self.services.entry(service.clone()).or_insert_with(|| ServiceModel {
             ridge: RidgeRegression::new(),
-            unsolved: SOLVE_EVERY,
+            unsolved_measurements: MEASUREMENTS_PER_SOLUTION,
         });
         model.ridge.observe(inputs, value, weight);
-        model.unsolved += 1;
-        if model.unsolved >= SOLVE_EVERY {
+        model.unsolved_measurements += 1;
+        if model.unsolved_measurements >= MEASUREMENTS_PER_SOLUTION {
             self.solve(service);
         }
     }
 
-    /// Returns the p99 of a service without batch tasks at a load, in targets.
+    /// Returns the predicted p99 of a service without batch tasks at `load` (0 to 1), as a multiple
+    /// of its target.
     pub fn baseline(&self, service: &Name, load: f64) -> f64 {
         let Some(model) = self.services.get(service) else { return 0.0 };
         let coefficient = |index| model.ridge.coefficient(index).unwrap_or(0.0);
         coefficient(0) + coefficient(1) * load + coefficient(2) * load * load
     }
 
-    /// Returns how much a class adds to a service's p99, in targets per processor unit.
+    /// Returns the predicted increase of a service's p99, as a multiple of its target, by a task of
+    /// class index `class` with 16 processors at full load of the service.
     pub fn slope(&self, service: &Name, class: usize) -> f64 {
         let known = self
             .services
@@ -106,12 +117,14 @@
         known.unwrap_or_else(|| self.class_mean(class))
     }
 
-    /// Returns the effective size of a task at a load, in processor units.
+    /// Returns the factor for a slope, given a task's processors in thousandths and the service's
+    /// load.
     pub fn intensity(milli_cpus: f64, load: f64) -> f64 {
         milli_cpus / UNIT_MILLI_CPUS * load_factor(load)
     }
 
-    /// Returns the predicted p99 of a service beside tasks, in targets.
+    /// Returns the predicted p99 of a service that shares its VM with `tasks`, as a multiple of its
+    /// target. Each task is given by its class index and its processors in thousandths.
     pub fn predict(&self, service: &Name, load: f64, tasks: &[(usize, f64)]) -> f64 {
         let interference: f64 = tasks
             .iter()
@@ -125,11 +138,12 @@
         self.class_means.get(class).copied().unwrap_or(mean)
     }
 
+    /// Solves the regression of a service and updates the class means.
     fn solve(&mut self, service: &Name) {
         let means = self.class_means.clone();
         let mean = self.mean.unwrap_or(DEFAULT_SLOPE);
         if let Some(model) = self.services.get_mut(service) {
-            model.unsolved = 0;
+            model.unsolved_measurements = 0;
             let lower_bound =
                 |index: usize| if index < BASELINE_COEFFICIENTS { f64::MIN } else { 0.0 };
             model.ridge.solve(lower_bound, |index| {
@@ -142,7 +156,7 @@
         self.update_means();
     }
 
-    /// Recomputes the means towards which rarely measured pairs and classes are regularized.
+    /// Recomputes `class_means` and `mean`, weighted by evidence.
     fn update_means(&mut self) {
         let classes = self.classes.names().len().min(MAX_CLASSES as usize + 1);
         let mean = self.mean.unwrap_or(DEFAULT_SLOPE);
@@ -170,17 +184,17 @@
     }
 }
 
-fn inputs(load: f64, tasks: &[(usize, f64)]) -> Vec<Input> {
+fn regression_inputs(load: f64, tasks: &[(usize, f64)]) -> Vec<Input> {
     let mut inputs = vec![
         Input { index: 0, value: 1.0 },
         Input { index: 1, value: load },
         Input { index: 2, value: load * load },
     ];
-    add_classes(&mut inputs, load, tasks);
+    add_class_inputs(&mut inputs, load, tasks);
     inputs
 }
 
-fn add_classes(inputs: &mut Vec<Input>, load: f64, tasks: &[(usize, f64)]) {
+fn add_class_inputs(inputs: &mut Vec<Input>, load: f64, tasks: &[(usize, f64)]) {
     for (class, cpus) in tasks {
         let value = InterferenceModel::intensity(*cpus, load);
         match inputs.iter_mut().find(|input| input.index == BASELINE_COEFFICIENTS + class) {
--- a/crates/geraniumpost-core/src/placement/interner.rs
+++ b/crates/geraniumpost-core/src/placement/interner.rs
@@ -2,31 +2,31 @@
 
 use geraniumpost_schema::Name;
 
-/// Assigns small numbers to names, so that a scan over workers compares integers.
+/// Assigns consecutive indices to names, so that a scan over workers compares integers.
 #[derive(Debug, Clone, Default)]
 pub struct Interner {
-    ids: HashMap<Name, u32>,
+    indices: HashMap<Name, u32>,
     names: Vec<Name>,
 }
 
 impl Interner {
-    /// Returns the number of `name`, assigning the next one if the name is new.
+    /// Returns the index of `name`, and assigns the next index to a new name.
     pub fn intern(&mut self, name: &Name) -> u32 {
-        if let Some(id) = self.ids.get(name) {
-            return *id;
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let id = self.names.len() as u32;
+        let index = self.names.len() as u32;
         self.names.push(name.clone());
-        self.ids.insert(name.clone(), id);
-        id
+        self.indices.insert(name.clone(), index);
+        index
     }
 
-    /// Returns the number of `name`, or none if the name is unknown.
+    /// Returns the index assigned to `name`, or `None` if it is unknown.
     pub fn get(&self, name: &Name) -> Option<u32> {
-        self.ids.get(name).copied()
+        self.indices.get(name).copied()
     }
 
-    /// Returns the names in the order of their numbers.
+    /// Returns all names; each is at the position of its index.
     pub fn names(&self) -> &[Name] {
         &self.names
     }
--- a/crates/geraniumpost-core/src/placement/latency_forecasts.rs
+++ b/crates/geraniumpost-core/src/placement/latency_forecasts.rs
@@ -7,7 +7,7 @@
 use super::smoothed_latency::SmoothedLatency;
 use super::{Fleet, WorkerKey, WorkerView};
 
-/// Caches the predicted p99 of each worker's service until the worker changes.
+/// Cache of the predicted p99 of each worker's service, valid until the worker changes.
 #[derive(Debug, Clone, Default)]
 pub struct LatencyForecasts {
     cached: SecondaryMap<WorkerKey, Forecast>,
@@ -15,12 +15,14 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Forecast {
+    /// Version of the worker's row for which it was computed.
     version: u64,
     p99: f64,
 }
 
 impl LatencyForecasts {
-    /// Returns the predicted p99, in targets, of a worker's service with its current tasks.
+    /// Returns the predicted p99, as a multiple of the target, of a worker's service with the
+    /// current tasks. It includes the recent excess of measurements over the prediction.
     pub fn get(
         &mut self,
         key: WorkerKey,
@@ -40,11 +42,12 @@
     }
 }
 
-/// Returns the model's prediction for a worker's service with its current tasks.
+/// Returns the model's prediction for a worker's service with the current tasks, or 0 if there is
+/// no service.
 fn predict(view: &WorkerView, model: &InterferenceModel) -> f64 {
     let Some(service) = &view.service else { return 0.0 };
     let load = f64::from(view.load_permille) / 1000.0;
     let tasks: Vec<(usize, f64)> =
-        view.tasks.iter().map(|t| (model.class_number(&t.class), t.active_milli_cpus())).collect();
+        view.tasks.iter().map(|t| (model.class_index(&t.class), t.active_milli_cpus())).collect();
     model.predict(service, load, &tasks)
 }
--- a/crates/geraniumpost-core/src/placement/mitigation.rs
+++ b/crates/geraniumpost-core/src/placement/mitigation.rs
@@ -7,12 +7,13 @@
 use super::{Decision, Fleet, Placer, Reason, Resource, TaskView, WorkerView, amounts};
 use crate::Millis;
 
-/// One in this many evictions of the budget may protect services; the rest are for urgent jobs.
+/// Divisor of the eviction budget that gives the part for protecting services and VMs; the rest is
+/// reserved for urgent jobs.
 const SERVICE_BUDGET_DIVISOR: u32 = 2;
 
 impl Placer {
-    /// Slows, evicts or speeds up tasks according to the latency of the services beside them, and
-    /// acts on VMs whose tasks use more than their allowance.
+    /// Throttles, speeds up or evicts tasks on workers whose service latency was measured since the
+    /// last call, and on VMs whose tasks use more than their allowance.
     pub(super) fn mitigate(&mut self, now: Millis, fleet: &Fleet) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for worker in std::mem::take(&mut self.measured) {
@@ -21,7 +22,7 @@
                 continue;
             };
             let control = LatencyControl { now, view, latency, model: &self.model };
-            let throttled = control.slow_down_if_high().or_else(|| control.speed_up_if_low());
+            let throttled = control.throttle_if_high().or_else(|| control.speed_up_if_low());
             let evicted = if throttled.is_none() { control.evict() } else { None };
             let Some(decision) = throttled.or(evicted) else { continue };
             if self.admit(now, &decision) {
@@ -35,7 +36,7 @@
         decisions
     }
 
-    /// Acts on one task of each VM whose tasks together use more than their allowance.
+    /// Throttles or evicts one task on each VM whose tasks together use more than their allowance.
     fn mitigate_overuse(&mut self, now: Millis, fleet: &Fleet) -> Vec<Decision> {
         let over_need = std::mem::take(&mut self.over_need);
         let mut visited: BTreeSet<Name> = BTreeSet::new();
@@ -53,7 +54,8 @@
         decisions
     }
 
-    /// Returns whether a decision may be carried out. An eviction is counted against the budget.
+    /// Returns whether a decision may be carried out. An eviction that may is counted against the
+    /// budget; one that has been ordered already, or would exceed the budget, may not.
     fn admit(&mut self, now: Millis, decision: &Decision) -> bool {
         let Decision::Evict { job, .. } = decision else { return true };
         let per_minute = self.policy.evictions_per_minute();
@@ -71,13 +73,13 @@
     }
 }
 
-/// Slows or evicts the task that most exceeds its declared need, if a VM's tasks together use more
-/// than their allowance.
+/// Throttles or evicts the task that most exceeds its declared need, if a VM's tasks together use
+/// more than their allowance.
 ///
-/// Memory cannot be throttled. Without an eviction the kernel kills a task, whose work since its
-/// checkpoint is lost.
+/// Memory use cannot be throttled. Without an eviction the kernel would kill a task, and its work
+/// since the latest checkpoint would be lost.
 fn overuse_decision(view: &WorkerView) -> Option<Decision> {
-    let allowed = allowed(view);
+    let allowed = current_allowance(view);
     let none = amounts::NONE;
     let used = view.tasks.iter().fold(none, |sum, task| amounts::plus(&sum, &task.usage));
     let resource = amounts::exceeded_resource(&used, &allowed)?;
@@ -99,9 +101,9 @@
     Some(Decision::Evict { job: job(task), worker, for_job: Name::default(), reason })
 }
 
-/// Returns what a VM's tasks may use now. Of the processors reserved for the service, tasks may use
-/// those that it leaves idle, as they can be slowed to give them back.
-fn allowed(view: &WorkerView) -> Resources {
+/// Returns the resources that a VM's tasks may use now. They include processors that are reserved
+/// for the service but idle, as tasks can be throttled when the service needs them.
+fn current_allowance(view: &WorkerView) -> Resources {
     let used_by_service = view.reserve.milli_cpus * u64::from(view.load_permille.min(1000)) / 1000;
     let milli_cpus = view.capacity.milli_cpus.saturating_sub(used_by_service);
     Resources { milli_cpus, ..view.allowance() }
--- a/crates/geraniumpost-core/src/placement/mod.rs
+++ b/crates/geraniumpost-core/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Placer::place`] is a pure function of a [`Fleet`] that its caller keeps up to date. The placer
 //! only proposes: the agent's ledger decides what fits on its VM. The reasons for the policy are in
-//! `docs/design/0300-placement.md` and `docs/design/0301-harm-and-pressure.md`, its figures in
+//! `docs/design/0300-placement.md` and `docs/design/0301-harm-and-pressure.md`, measurements in
 //! `docs/measurements/placement.md`.
 
 pub mod amounts;
--- a/crates/geraniumpost-core/src/placement/no_capacity.rs
+++ b/crates/geraniumpost-core/src/placement/no_capacity.rs
@@ -1,24 +1,26 @@
 use geraniumpost_schema::{Name, Priority};
 
-use super::decide::wait;
+use super::decide::wait_decision;
 use super::job_context::JobContext;
 use super::planned_fleet::PlannedFleet;
 use super::preemption::Preemption;
 use super::reservations::Reservation;
 use super::{Decision, PlacementRequest, Placer, Reason, WorkerKey, amounts};
 
-/// How long capacity stays reserved for an urgent job while evicted tasks stop. Then another worker
-/// is tried.
+/// Time for which a worker stays reserved for an urgent job while the evicted tasks stop. After it
+/// another worker may be used.
 const URGENT_RESERVATION_MS: u64 = 5_000;
-/// Waiting time after which a worker is reserved for a job that fits nowhere.
+/// Waiting time after which a worker is reserved for a job for which no worker has capacity.
 const RESERVE_AFTER_MS: u64 = 600_000;
-/// How long a worker stays reserved for a long-waiting job before another one is tried.
+/// Time for which a worker stays reserved for a job that has waited long. After it another worker
+/// may be reserved.
 const RESERVATION_MS: u64 = 900_000;
-/// One worker in this many may be reserved for long-waiting jobs.
+/// Number of workers for each reservation without evictions; at least one reservation is allowed.
 const WORKERS_PER_RESERVATION: usize = 16;
 
 impl Placer {
-    /// Decides on a job for which no worker has capacity.
+    /// Decides on a job for which the scan found no worker: an urgent job may evict tasks, others
+    /// wait.
     pub(super) fn handle_no_capacity(
         &mut self,
         context: &JobContext<'_>,
@@ -35,18 +37,22 @@
         vec![self.wait_or_reserve(context, planned)]
     }
 
-    /// Evicts the cheapest tasks for an urgent job, unless capacity is already reserved for it.
+    /// Evicts tasks for an urgent job and reserves their worker, unless one is reserved already or
+    /// the eviction budget is used up.
     fn preempt(&mut self, context: &JobContext<'_>, planned: &mut PlannedFleet) -> Vec<Decision> {
         if let Some(reservation) = self.reservations.get(&context.request.job) {
             let worker = context.fleet.view(reservation.worker).name.clone();
-            return vec![wait(context.request, Reason::AwaitsEviction { worker })];
+            return vec![wait_decision(context.request, Reason::AwaitsEviction { worker })];
         }
         let max_evictions = self.budget.remaining(context.now, self.policy.evictions_per_minute());
         if max_evictions == 0 {
-            return vec![wait(context.request, Reason::EvictionBudgetSpent { need: context.need })];
+            return vec![wait_decision(
+                context.request,
+                Reason::EvictionBudgetSpent { need: context.need },
+            )];
         }
         let Some(preemption) = self.find_preemption(context, max_evictions, planned) else {
-            return vec![wait(context.request, Reason::NoCapacity { need: context.need })];
+            return vec![wait_decision(context.request, Reason::NoCapacity { need: context.need })];
         };
         let until = context.now.plus(URGENT_RESERVATION_MS);
         self.reserve(
@@ -61,13 +67,15 @@
         self.evict_for(context, preemption)
     }
 
+    /// Finds the cheapest preemption on a worker that the job need not avoid and that has neither a
+    /// reservation nor a reached job limit.
     fn find_preemption(
         &self,
         context: &JobContext<'_>,
         max_evictions: u32,
         planned: &PlannedFleet,
     ) -> Option<Preemption> {
-        let avoided = self.avoided(context);
+        let avoided = self.avoided_workers(context);
         let is_allowed = |key: WorkerKey| {
             let row = planned.rows.iter().find(|row| row.key == key);
             row.is_some_and(|row| row.job_limit > 0 && !row.is_reserved())
@@ -84,6 +92,7 @@
         )
     }
 
+    /// Returns the evictions, followed by the decision that the urgent job waits for them.
     fn evict_for(&mut self, context: &JobContext<'_>, preemption: Preemption) -> Vec<Decision> {
         let worker = context.fleet.view(preemption.worker).name.clone();
         let for_job = context.request.job.clone();
@@ -95,12 +104,12 @@
                 Reason::PreemptedByUrgent { for_job: for_job.clone(), lost_ms: victim.lost_ms };
             decisions.push(Decision::Evict { job: victim.job, worker, for_job, reason });
         }
-        decisions.push(wait(context.request, Reason::AwaitsEviction { worker }));
+        decisions.push(wait_decision(context.request, Reason::AwaitsEviction { worker }));
         decisions
     }
 
-    /// Keeps a job waiting, and reserves a worker for it once it has waited long. Without the
-    /// reservation smaller jobs would take all capacity before enough of it is free.
+    /// Keeps a job waiting, and reserves a worker for it after [`RESERVE_AFTER_MS`]. Without the
+    /// reservation smaller jobs would take all capacity that becomes free.
     pub(super) fn wait_or_reserve(
         &mut self,
         context: &JobContext<'_>,
@@ -108,31 +117,32 @@
     ) -> Decision {
         if let Some(reservation) = self.reservations.get(&context.request.job) {
             let worker = context.fleet.view(reservation.worker).name.clone();
-            return wait(context.request, Reason::WorkerReserved { worker });
+            return wait_decision(context.request, Reason::WorkerReserved { worker });
         }
         let max_reservations = (planned.rows.len() / WORKERS_PER_RESERVATION).max(1);
         let waited = context.now.since(context.request.submitted);
-        let may_reserve =
-            waited >= RESERVE_AFTER_MS && self.reservations.without_eviction() < max_reservations;
+        let may_reserve = waited >= RESERVE_AFTER_MS
+            && self.reservations.count_without_eviction() < max_reservations;
         let worker = if may_reserve { self.closest_to_fitting(context, planned) } else { None };
         let Some(worker) = worker else {
-            return wait(context.request, Reason::NoCapacity { need: context.need });
+            return wait_decision(context.request, Reason::NoCapacity { need: context.need });
         };
         let until = context.now.plus(RESERVATION_MS);
         self.reserve(context, Reservation { until, ..new_reservation(context, worker) }, planned);
-        wait(
+        wait_decision(
             context.request,
             Reason::WorkerReserved { worker: context.fleet.view(worker).name.clone() },
         )
     }
 
-    /// Returns the worker that lacks least for a job to fit, of those on which it could ever fit.
+    /// Returns the worker with the smallest shortfall in free resources for a job, among those on
+    /// which it would fit if no tasks ran there.
     fn closest_to_fitting(
         &self,
         context: &JobContext<'_>,
         planned: &PlannedFleet,
     ) -> Option<WorkerKey> {
-        let avoided = self.avoided(context);
+        let avoided = self.avoided_workers(context);
         let could_fit = |key: WorkerKey| {
             let allowance = context.fleet.view(key).allowance();
             amounts::fits(&context.need, &allowance) && !avoided.contains(&key)
@@ -157,7 +167,7 @@
         self.reservations.insert(&context.request.job, reservation);
     }
 
-    /// Releases the capacity reserved for a job, if any.
+    /// Releases the worker reserved for a job, if there is one.
     pub(super) fn release_reservation(
         &mut self,
         request: &PlacementRequest,
@@ -169,7 +179,7 @@
     }
 }
 
-/// Returns a reservation without evictions, whose end the caller sets.
+/// Creates a reservation that expires immediately, unless the caller sets its end.
 fn new_reservation(context: &JobContext<'_>, worker: WorkerKey) -> Reservation {
     let customer = context.request.customer.clone();
     Reservation { worker, customer, need: context.need, until: context.now, awaits_eviction: false }
--- a/crates/geraniumpost-core/src/placement/observation.rs
+++ b/crates/geraniumpost-core/src/placement/observation.rs
@@ -3,10 +3,10 @@
 use super::RunOutcome;
 use crate::Millis;
 
-/// A report that the placer learns from. `at` is when it happened, which may be long ago.
+/// A report from which the placer learns. It may arrive long after the time `at` of the event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Observation {
-    /// A task began to run.
+    /// A run of a job started.
     Started {
         /// Id of the job.
         job: Name,
@@ -14,46 +14,46 @@
         customer: Name,
         /// The job's class.
         class: Name,
-        /// The worker that runs it.
+        /// The worker on which it runs.
         worker: Name,
-        /// Resources reserved for it.
+        /// Resources reserved for it, which is the `need` of the start decision.
         need: Resources,
-        /// When it began.
+        /// Start of the run.
         at: Millis,
     },
-    /// A task ended.
+    /// A run of a job ended.
     Ended {
         /// Id of the job.
         job: Name,
-        /// The worker that ran it.
+        /// The worker on which it ran.
         worker: Name,
-        /// How the run ended.
+        /// Whether it succeeded, or why it ended otherwise.
         outcome: RunOutcome,
-        /// When it ended.
+        /// End of the run.
         at: Millis,
     },
-    /// A task's speed was set.
+    /// A task was throttled or sped up.
     Throttled {
         /// Id of the job.
         job: Name,
-        /// The worker that runs it.
+        /// The worker on which it runs.
         worker: Name,
         /// Share of its processors that the task may use, in thousandths.
         permille: u32,
-        /// When the new speed took effect.
+        /// Time at which the new speed took effect.
         at: Millis,
     },
     /// The latency of a worker's service was measured.
     Latency {
-        /// Name of the worker.
+        /// The worker on the same VM as the minion.
         worker: Name,
-        /// Name of the service.
+        /// The service of the minion on the worker's VM.
         service: Name,
-        /// Busy share of the minion's slots in thousandths.
+        /// Busy share of the minion's slots, in thousandths.
         load_permille: u32,
-        /// 99th percentile of service time in microseconds.
+        /// 99th percentile of service time, in microseconds.
         p99_us: u64,
-        /// When it was measured.
+        /// Time of the measurement.
         at: Millis,
     },
     /// A task's usage was measured.
@@ -66,9 +66,9 @@
         class: Name,
         /// Resources that the job declared.
         need: Resources,
-        /// Measured resources.
+        /// Resources that the task used.
         usage: Resources,
-        /// When it was measured.
+        /// Time of the measurement.
         at: Millis,
     },
 }
--- a/crates/geraniumpost-core/src/placement/observe.rs
+++ b/crates/geraniumpost-core/src/placement/observe.rs
@@ -6,8 +6,8 @@
 use crate::Millis;
 
 impl Placer {
-    /// Learns from a report. A late report is attributed to the tasks that ran at the time of the
-    /// measurement.
+    /// Learns from a report. Latency is attributed to the tasks that ran at the time of the
+    /// measurement, even if the report arrives late.
     pub fn observe(&mut self, _now: Millis, observation: &Observation) {
         match observation {
             Observation::Started { job, class, worker, need, at, .. } => {
--- a/crates/geraniumpost-core/src/placement/placement_request.rs
+++ b/crates/geraniumpost-core/src/placement/placement_request.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// A job that waits for a worker.
+/// A job that waits for a worker, with what it needs.
 ///
 /// # Example
 ///
@@ -28,7 +28,7 @@
 }
 
 impl PlacementRequest {
-    /// Creates a request of normal priority that has waited since the clock's origin.
+    /// Creates a request of normal priority that has waited since time 0 and may start immediately.
     pub fn new(
         job: impl Into<Name>,
         customer: impl Into<Name>,
@@ -47,28 +47,29 @@
         }
     }
 
-    /// Sets the priority, usually that of the job's class.
+    /// Sets the priority, normally that of the job's class.
     #[must_use]
     pub const fn priority(mut self, priority: Priority) -> Self {
         self.priority = priority;
         self
     }
 
-    /// Sets since when the job waits. Aging counts from this time.
+    /// Sets the time of submission. Older jobs of a customer come first, and waiting times count
+    /// from it.
     #[must_use]
     pub const fn submitted(mut self, at: Millis) -> Self {
         self.submitted = at;
         self
     }
 
-    /// Sets the earliest start, for retries that back off.
+    /// Sets the time before which the job must not start, for retries that back off.
     #[must_use]
     pub const fn not_before(mut self, at: Millis) -> Self {
         self.not_before = at;
         self
     }
 
-    /// Sets the workers that must not be given this job.
+    /// Sets the names of workers on which the job must not start.
     #[must_use]
     pub fn excluded(mut self, workers: Vec<Name>) -> Self {
         self.excluded = workers;
@@ -80,32 +81,32 @@
         &self.job
     }
 
-    /// Returns the declared need.
+    /// Returns the resources that the job declares.
     pub const fn need(&self) -> &Resources {
         &self.need
     }
 
-    /// Returns the customer.
+    /// Returns the customer that owns the job.
     pub const fn customer(&self) -> &Name {
         &self.customer
     }
 
-    /// Returns the class.
+    /// Returns the job class.
     pub const fn class(&self) -> &Name {
         &self.class
     }
 
-    /// Returns the priority.
+    /// Returns the priority before aging.
     pub const fn requested_priority(&self) -> Priority {
         self.priority
     }
 
-    /// Returns since when the job waits.
+    /// Returns the time of submission.
     pub const fn submitted_at(&self) -> Millis {
         self.submitted
     }
 
-    /// Returns the earliest start.
+    /// Returns the time before which the job must not start.
     pub const fn earliest_start(&self) -> Millis {
         self.not_before
     }
--- a/crates/geraniumpost-core/src/placement/placer.rs
+++ b/crates/geraniumpost-core/src/placement/placer.rs
@@ -18,7 +18,8 @@
 use super::{Decision, Fleet, PlacementPolicy, PlacementRequest, amounts};
 use crate::Millis;
 
-/// Decides where jobs start, which tasks are slowed or evicted, and which jobs cannot run.
+/// Decides where jobs start, which tasks are throttled or evicted, which jobs are rejected, and
+/// which workers are quarantined.
 ///
 /// # Example
 ///
@@ -47,26 +48,31 @@
     pub(super) history: RunHistory,
     pub(super) model: InterferenceModel,
     pub(super) latencies: BTreeMap<Name, SmoothedLatency>,
+    /// Workers whose service latency was measured since the last call of `place`.
     pub(super) measured: BTreeSet<Name>,
     pub(super) forecasts: LatencyForecasts,
     pub(super) failures: FailureAttribution,
     pub(super) reservations: Reservations,
     pub(super) urgent_demand: UrgentDemand,
     pub(super) budget: EvictionBudget,
+    /// Jobs that were measured to use more than they declared since the last call of `place`.
     pub(super) over_need: BTreeSet<Name>,
+    /// Jobs whose eviction was ordered and not confirmed, with the time of the order.
     pub(super) evicting: BTreeMap<Name, Millis>,
+    /// Reported speeds of jobs in thousandths; jobs that are not listed run at full speed.
     pub(super) speeds: HashMap<Name, u32>,
     pub(super) explanations: Explanations,
 }
 
-/// Age at which an eviction whose end was not reported counts as lost and may be ordered again.
+/// Time after an eviction order after which the task may be evicted again, if its end has not been
+/// reported.
 const EVICTION_TIMEOUT_MS: u64 = 30_000;
-/// Number of latencies, in addition to twice the workers, above which those of departed workers are
-/// dropped.
+/// State of departed workers is dropped once latencies are kept for more than twice the number of
+/// workers plus this number.
 const LATENCIES_SURPLUS: usize = 64;
 
 impl Placer {
-    /// Creates a placer that has learned nothing yet.
+    /// Creates a placer with the policy of `document` that has learned nothing yet.
     pub fn new(document: &Document) -> Self {
         Self {
             policy: document.into(),
@@ -87,11 +93,11 @@
         }
     }
 
-    /// Applies a newer configuration and keeps what was learned.
+    /// Applies a newer configuration and keeps learned state.
     ///
-    /// Interference is learned in units of the latency target, so services with a changed target
-    /// are learned anew. Otherwise the old target would keep batch work off, or let it in, for
-    /// minutes.
+    /// Interference is learned as a multiple of the latency target, so what was learned about a
+    /// service is dropped if its target changes. Otherwise predictions by the old target would
+    /// reject or admit batch work wrongly for minutes.
     pub fn configure(&mut self, document: &Document) {
         let policy = PlacementPolicy::from(document);
         let old = std::mem::replace(&mut self.policy, policy);
@@ -104,7 +110,8 @@
         }
     }
 
-    /// Decides on all waiting jobs and on running tasks that interfere with services.
+    /// Decides on all waiting jobs, on running tasks that interfere with services, and on the
+    /// quarantine of workers.
     ///
     /// The decisions are consistent with each other. The caller applies each [`Decision::Start`] to
     /// the fleet by [`Fleet::add_task`] before the next call; an evicted task stays in the fleet
@@ -139,14 +146,16 @@
         decisions
     }
 
-    /// Returns the text of the latest decision on a job.
+    /// Returns the text of the latest decision on `job` with its time, or a text that there is
+    /// none.
     pub fn explain(&self, job: &Name) -> String {
         self.explanations.text(job)
     }
 
-    /// Drops the state of jobs and workers that no longer exist.
+    /// Drops the state of departed workers and of jobs that neither wait nor run, and evictions and
+    /// reservations that have expired.
     fn forget_departed(&mut self, now: Millis, requests: &[PlacementRequest], fleet: &Fleet) {
-        // VMs are replaced at any time under new names, so records of old ones would accumulate.
+        // VMs are replaced under new names, so the state of old ones would accumulate.
         if self.latencies.len() > fleet.rows().len() * 2 + LATENCIES_SURPLUS {
             let is_present = |worker: &Name| fleet.worker(worker).is_some();
             self.latencies.retain(|worker, _| is_present(worker));
@@ -166,6 +175,7 @@
         self.explanations.trim(now, |job| fleet.worker_of(job).is_some());
     }
 
+    /// Copies the workers that accept work, with their predicted latencies.
     fn plan_fleet(&mut self, fleet: &Fleet) -> PlannedFleet {
         let mut planned = PlannedFleet::default();
         planned.rows.reserve(fleet.rows().len());
@@ -173,7 +183,7 @@
             if !row.accepts_work {
                 continue;
             }
-            let forecast =
+            let forecast_p99 =
                 self.forecasts.get(key, row.version, fleet, &self.model, &self.latencies);
             planned.rows.push(PlannedWorker {
                 key,
@@ -182,25 +192,25 @@
                 rack: row.rack,
                 domain: row.domain,
                 load: f64::from(row.load_permille) / 1000.0,
-                forecast,
+                forecast_p99,
                 job_limit: u32::MAX,
                 reserved: amounts::NONE,
                 keeps_urgent_capacity: false,
             });
         }
-        self.apply_limits(fleet, &mut planned);
+        self.apply_limits_and_reservations(fleet, &mut planned);
         planned
     }
 
-    /// Limits the jobs of untrusted workers and reserves capacity for jobs that wait for it.
-    fn apply_limits(&self, fleet: &Fleet, planned: &mut PlannedFleet) {
+    /// Sets the job limits of workers with recent failures, and applies all reservations.
+    fn apply_limits_and_reservations(&self, fleet: &Fleet, planned: &mut PlannedFleet) {
         let mut apply_limit = |name: &Name| {
             let key = fleet.key(name)?;
             let row = planned.rows.iter_mut().find(|row| row.key == key)?;
             row.job_limit = self.failures.job_limit(name)?;
             Some(())
         };
-        self.failures.limited().for_each(|name| {
+        self.failures.limited_workers().for_each(|name| {
             apply_limit(name);
         });
         self.reservations.all().for_each(|reservation| planned.reserve(reservation));
--- a/crates/geraniumpost-core/src/placement/planned_fleet.rs
+++ b/crates/geraniumpost-core/src/placement/planned_fleet.rs
@@ -6,53 +6,59 @@
 use super::task_group::TaskGroup;
 use super::{Decision, Fleet, PlacementRequest, WorkerKey, amounts};
 
-/// The fleet's free capacity and allocations as they are once the decisions of this call are
-/// carried out.
+/// Free capacity and allocations as they will be after the decisions made so far by one call of
+/// [`Placer::place`](super::Placer::place).
 #[derive(Debug, Default)]
 pub struct PlannedFleet {
     /// The workers that accept work.
     pub rows: Vec<PlannedWorker>,
-    /// Capacity that each worker with [`PlannedWorker::keeps_urgent_capacity`] keeps free.
+    /// Capacity that workers with [`PlannedWorker::keeps_urgent_capacity`] keep free for urgent
+    /// jobs.
     pub urgent_capacity: Resources,
+    /// Resources of planned starts and of reservations, by customer.
     allocations: HashMap<Name, Resources>,
+    /// Planned starts by customer and class.
     groups: HashMap<(Name, Name), TaskGroup>,
+    /// Interference slopes by class, each vector by service index.
     slopes: HashMap<Name, Vec<f64>>,
+    /// Needs for which no worker has capacity; none of them is larger than another.
     unfit_needs: Vec<Resources>,
 }
 
-/// A worker of a [`PlannedFleet`].
+/// A worker that accepts work, with the planned starts and reservations.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedWorker {
     pub key: WorkerKey,
-    /// Resources that are free for batch work.
+    /// Resources that are free for batch work after planned starts and speed-ups.
     pub free: Resources,
-    /// Number of its service.
+    /// Index of its service, or `NO_SERVICE`.
     pub service: u32,
-    /// Number of its rack.
+    /// Index of its rack in [`Proximity`](super::proximity::Proximity).
     pub rack: u32,
-    /// Number of its failure domain.
+    /// Index of its failure domain, in the same range as racks.
     pub domain: u32,
-    /// Busy share of the minion's slots.
+    /// Busy share of the minion's slots, from 0 to 1.
     pub load: f64,
-    /// Predicted p99 of its service, in targets.
-    pub forecast: f64,
-    /// Number of jobs that it may still be given.
+    /// Predicted p99 of its service with planned starts, as a multiple of the target.
+    pub forecast_p99: f64,
+    /// Maximum number of further jobs to start on it; `u32::MAX` if there is no limit.
     pub job_limit: u32,
-    /// Capacity that is reserved for one job.
+    /// Capacity that is reserved for one waiting job; 0 of each resource if there is none.
     pub reserved: Resources,
-    /// Whether it keeps capacity free for urgent jobs.
+    /// Whether it keeps [`PlannedFleet::urgent_capacity`] free.
     pub keeps_urgent_capacity: bool,
 }
 
 impl PlannedWorker {
-    /// Returns whether capacity is reserved for a job.
+    /// Returns whether capacity is reserved for a waiting job.
     pub fn is_reserved(&self) -> bool {
         self.reserved != amounts::NONE
     }
 }
 
 impl PlannedFleet {
-    /// Keeps capacity for urgent jobs free on the workers that lack least of it.
+    /// Keeps `capacity` free for urgent jobs on up to `workers` workers, namely those with the
+    /// smallest shortfall of processors.
     pub fn reserve_for_urgent(&mut self, workers: usize, capacity: Resources) {
         self.urgent_capacity = capacity;
         let available =
@@ -66,8 +72,8 @@
         }
     }
 
-    /// Subtracts the processors that tasks take back when they are sped up. Otherwise a start in
-    /// the same call could be given them as well.
+    /// Subtracts the processors that tasks get back when they are sped up, so that they are not
+    /// also assigned to a job that the same `place` call starts.
     pub fn apply_speed_ups(&mut self, decisions: &[Decision], fleet: &Fleet) {
         for decision in decisions {
             let Decision::Throttle { job, worker, permille, .. } = decision else { continue };
@@ -79,17 +85,18 @@
         }
     }
 
-    /// Applies a job's start.
-    pub fn start(
+    /// Subtracts a job's resources from the row at `index`, and adds its interference `added_p99`
+    /// to the forecast and its task to the customer's allocation and group.
+    pub fn apply_start(
         &mut self,
         index: usize,
         request: &PlacementRequest,
         need: &Resources,
-        added: f64,
+        added_p99: f64,
     ) {
         let row = &mut self.rows[index];
         row.free = amounts::minus(&row.free, need);
-        row.forecast += added;
+        row.forecast_p99 += added_p99;
         row.job_limit -= 1;
         let (rack, domain) = (row.rack, row.domain);
         self.add_allocation(&request.customer, need);
@@ -97,10 +104,10 @@
         self.groups.entry(group_key).or_default().add(rack, domain);
     }
 
-    /// Reserves capacity for one job on a worker and within the quota of its customer.
+    /// Reserves resources for one job, both on its worker and within its customer's quota.
     ///
-    /// Without the reservation within the quota, smaller jobs of the same customer could use it up
-    /// while tasks are being evicted, and those evictions would be in vain.
+    /// Without the reservation within the quota, smaller jobs of the same customer could use up the
+    /// quota while tasks are being evicted. The evicted work would be lost without a benefit.
     pub fn reserve(&mut self, reservation: &Reservation) {
         if let Some(row) = self.rows.iter_mut().find(|row| row.key == reservation.worker) {
             row.reserved = reservation.need;
@@ -108,7 +115,7 @@
         self.add_allocation(&reservation.customer, &reservation.need);
     }
 
-    /// Releases what is reserved for a job.
+    /// Releases the resources of a reservation, on its worker and within its customer's quota.
     pub fn release(&mut self, reservation: &Reservation) {
         if let Some(row) = self.rows.iter_mut().find(|row| row.key == reservation.worker) {
             row.reserved = amounts::NONE;
@@ -123,13 +130,13 @@
         *allocation = amounts::plus(allocation, need);
     }
 
-    /// Returns the resources allocated to a customer, including the planned ones.
+    /// Returns the resources of a customer's tasks, planned starts and reservations.
     pub fn allocated_to(&self, customer: &Name, fleet: &Fleet) -> Resources {
         let planned = self.allocations.get(customer).copied().unwrap_or(amounts::NONE);
         amounts::plus(&fleet.allocated_to(customer), &planned)
     }
 
-    /// Returns where this call starts tasks of the same customer and class.
+    /// Returns the planned starts of the request's customer and class, counted by location.
     pub fn group(&self, request: &PlacementRequest) -> Option<&TaskGroup> {
         if self.groups.is_empty() {
             return None;
@@ -137,17 +144,20 @@
         self.groups.get(&(request.customer.clone(), request.class.clone()))
     }
 
-    /// Returns the slopes of a class by service number, computing them once per call.
+    /// Returns the interference slopes of a class by service index. They are computed on first use
+    /// and cached for the rest of the `place` call.
     pub fn slopes(&mut self, class: &Name, compute: impl FnOnce() -> Vec<f64>) -> &[f64] {
         self.slopes.entry(class.clone()).or_insert_with(compute)
     }
 
-    /// Returns whether no worker has capacity for a need, as a smaller one already fitted nowhere.
+    /// Returns whether no worker has capacity for `need`, as none had for a need that was no
+    /// larger.
     pub fn cannot_fit(&self, need: &Resources) -> bool {
         self.unfit_needs.iter().any(|smaller| amounts::fits(smaller, need))
     }
 
-    /// Records that no worker has capacity for a need. Capacity only shrinks during a call.
+    /// Records that no worker has capacity for `need`. This stays true for the rest of the `place`
+    /// call, in which capacity only shrinks.
     pub fn record_unfit(&mut self, need: &Resources) {
         self.unfit_needs.retain(|larger| !amounts::fits(need, larger));
         self.unfit_needs.push(*need);
--- a/crates/geraniumpost-core/src/placement/policy.rs
+++ b/crates/geraniumpost-core/src/placement/policy.rs
@@ -4,15 +4,17 @@
 
 use super::amounts;
 
-/// The part of the configuration document that placement uses.
+/// Customers, job classes, latency targets and the eviction limit of the configuration document.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementPolicy {
     customers: HashMap<Name, CustomerShare>,
     classes: HashMap<Name, JobClass>,
+    /// Latency targets by service, in microseconds.
     targets_us: HashMap<Name, u64>,
     evictions_per_minute: u32,
 }
 
+/// Settings of one customer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CustomerShare {
     pub weight: u32,
@@ -44,13 +46,14 @@
         self.customers.get(customer).copied()
     }
 
-    /// Returns the number of failures on healthy workers after which a job of a class is given up.
+    /// Returns the number of failures, on workers that were not quarantined, after which a job of
+    /// `class` is given up. Unknown classes get the document's default.
     pub(super) fn max_attempts(&self, class: &Name) -> u32 {
         let default = || JobClass::default().max_attempts;
         self.classes.get(class).map_or_else(default, |class| class.max_attempts)
     }
 
-    /// Returns the latency target of a service, in microseconds.
+    /// Returns the target for the p99 of `service` in microseconds.
     pub(super) fn target_us(&self, service: &Name) -> u64 {
         self.targets_us.get(service).copied().unwrap_or(DEFAULT_TARGET_US)
     }
@@ -60,5 +63,5 @@
     }
 }
 
-/// Latency target of services that are not in the document; the document's default is the same.
+/// Latency target of services that are not in the document, equal to the document's default.
 const DEFAULT_TARGET_US: u64 = 200_000;
--- a/crates/geraniumpost-core/src/placement/preemption.rs
+++ b/crates/geraniumpost-core/src/placement/preemption.rs
@@ -3,34 +3,35 @@
 use super::{Fleet, TaskView, WorkerKey, WorkerView, amounts};
 use crate::Millis;
 
-/// Cost of one eviction in milli-CPU milliseconds, so that a few large tasks are evicted rather
-/// than many small ones.
+/// Fixed cost of one eviction, in thousandths of a processor times milliseconds, so that a few
+/// large tasks are evicted rather than many small ones.
 const EVICTION_COST: f64 = 20_000_000.0;
 
-/// The cheapest evictions that free enough capacity for an urgent job.
+/// Evictions on one worker that free enough capacity for an urgent job.
 #[derive(Debug, Clone)]
 pub struct Preemption {
     pub worker: WorkerKey,
-    /// The tasks to evict.
+    /// The tasks to evict; empty if there is enough free capacity already.
     pub victims: Vec<Victim>,
     cost: f64,
 }
 
-/// A task to evict.
+/// A task that may be evicted for an urgent job.
 #[derive(Debug, Clone)]
 pub struct Victim {
     pub job: Name,
-    /// Work since its latest checkpoint.
+    /// Run time since its latest checkpoint, which an eviction loses.
     pub lost_ms: u64,
     allocated: Resources,
     cost: f64,
 }
 
 impl Preemption {
-    /// Returns the cheapest preemption among the workers that pass `is_allowed`.
+    /// Returns the cheapest preemption among the workers that accept work and for which
+    /// `is_allowed` holds. Jobs for which `is_excluded` holds are not evicted.
     ///
-    /// An eviction costs the work since the latest checkpoint plus a constant for the eviction
-    /// itself, so that few and recently checkpointed tasks are evicted.
+    /// An eviction costs the work since the latest checkpoint plus [`EVICTION_COST`], so that few
+    /// tasks are evicted, and preferably recently checkpointed ones.
     pub fn find(
         now: Millis,
         need: &Resources,
@@ -57,11 +58,12 @@
     }
 }
 
-/// Returns whether a task may be evicted for an urgent job.
+/// Returns whether a task may be evicted for an urgent job: it is evictable and not urgent itself.
 pub fn is_preemptible(task: &TaskView) -> bool {
     task.evictable && task.priority != Priority::Urgent
 }
 
+/// Returns a cheap set of evictions that makes `need` fit on a worker, or `None` if there is none.
 fn preemption_on(
     now: Millis,
     need: &Resources,
@@ -74,7 +76,7 @@
     }
     let preemptible =
         view.tasks.iter().filter(|task| is_preemptible(task) && !is_excluded(&task.job));
-    let mut tasks: Vec<Victim> = preemptible.map(|task| victim(now, task)).collect();
+    let mut tasks: Vec<Victim> = preemptible.map(|task| new_victim(now, task)).collect();
     tasks.sort_by(|a, b| a.cost.total_cmp(&b.cost));
     let mut free = view.free();
     let mut victims = Vec::new();
@@ -93,7 +95,7 @@
     Some(Preemption { worker: key, victims, cost })
 }
 
-/// Removes the victims, most expensive first, without which the need still fits.
+/// Removes victims that need not be evicted for `need` to fit, starting with the most expensive.
 fn spare_unneeded(need: &Resources, free: &mut Resources, victims: &mut Vec<Victim>) {
     for index in (0..victims.len()).rev() {
         let without = amounts::minus(free, &victims[index].allocated);
@@ -104,7 +106,7 @@
     }
 }
 
-fn victim(now: Millis, task: &TaskView) -> Victim {
+fn new_victim(now: Millis, task: &TaskView) -> Victim {
     let allocated = task.allocated();
     let lost_ms = now.since(task.checkpointed.max(task.started));
     let cost = lost_ms as f64 * allocated.milli_cpus as f64 + EVICTION_COST;
--- a/crates/geraniumpost-core/src/placement/queue.rs
+++ b/crates/geraniumpost-core/src/placement/queue.rs
@@ -6,18 +6,20 @@
 use super::{Fleet, PlacementPolicy, PlacementRequest, amounts};
 use crate::Millis;
 
-/// Waiting time after which a scavenger job counts as a normal one, so that it does not starve.
+/// Waiting time after which a scavenger job is queued as a normal one, so that it does not starve.
 const SCAVENGER_AGING_MS: u64 = 600_000;
-/// Number of levels: urgent, normal and scavenger.
+/// Number of priority levels: urgent, normal and scavenger.
 const PRIORITY_LEVELS: usize = 3;
 
-/// The order in which waiting jobs are decided on.
+/// Queue of waiting jobs that orders them for decisions.
 ///
-/// Urgent jobs come first. Within a priority the customer with the smallest weighted dominant share
-/// is next, with its oldest job.
+/// Jobs of a higher priority come first. Within a priority the next job is the oldest one of the
+/// customer with the smallest dominant share in relation to its weight.
 #[derive(Debug)]
 pub struct Queue<'a> {
+    /// Queues of customers by priority level, of which level 0 is the highest.
     levels: [Vec<CustomerQueue<'a>>; PRIORITY_LEVELS],
+    /// Level and index of the customer queue from which the last job was popped.
     last_popped: Option<(usize, usize)>,
 }
 
@@ -25,13 +27,14 @@
 #[derive(Debug)]
 struct CustomerQueue<'a> {
     customer: Name,
+    /// The customer's dominant share divided by its weight.
     share: f64,
     weight: f64,
     requests: VecDeque<&'a PlacementRequest>,
 }
 
 impl<'a> Queue<'a> {
-    /// Queues the waiting jobs by priority, customer and age.
+    /// Queues all waiting jobs with the customers' current shares of `fleet`.
     pub fn new(
         now: Millis,
         requests: &'a [PlacementRequest],
@@ -47,7 +50,7 @@
         queue
     }
 
-    /// Removes and returns the next job.
+    /// Removes and returns the next job to decide on.
     pub fn pop(&mut self) -> Option<&'a PlacementRequest> {
         for (level_at, level) in self.levels.iter_mut().enumerate() {
             let available =
@@ -61,7 +64,8 @@
         None
     }
 
-    /// Updates the customer's share after the start of the job that was returned last.
+    /// Updates the share of the customer whose job [`pop`](Self::pop) returned last, after its
+    /// start.
     pub fn record_start(&mut self, planned: &PlannedFleet, fleet: &Fleet) {
         let Some((level, queue)) = self.last_popped else { return };
         let customer = self.levels[level][queue].customer.clone();
@@ -96,7 +100,8 @@
     }
 }
 
-/// Returns the priority level of a job, in which a scavenger job rises after a while.
+/// Returns the priority level of a job. A scavenger job rises by one level after
+/// [`SCAVENGER_AGING_MS`].
 fn level(now: Millis, request: &PlacementRequest) -> usize {
     match request.priority {
         Priority::Urgent => 0,
--- a/crates/geraniumpost-core/src/placement/reason.rs
+++ b/crates/geraniumpost-core/src/placement/reason.rs
@@ -4,165 +4,171 @@
 use super::{Candidate, Resource};
 use crate::Millis;
 
-/// Why a decision was taken. Its `Display` form is shown to operators in logs and in `explain`.
+/// Reason for a decision. Its `Display` form is logged, shown to operators by `explain`, and kept
+/// in the results of jobs.
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Reason {
-    /// The worker has one of the best scores among those with capacity.
+    /// The worker has the best score among those with capacity, or a good one and was chosen to
+    /// explore.
     #[display("least predicted harm of {considered} with room [{}]", join_candidates(best))]
     LeastInterference {
         /// Number of workers with capacity.
         considered: u32,
-        /// The best of them, the chosen one first.
+        /// Up to three of the best of them, the chosen one first.
         best: Vec<Candidate>,
     },
-    /// No worker has capacity now.
+    /// No worker has enough free resources for the job.
     #[display("no open worker has room for {} now", format_amount(need))]
     NoCapacity {
-        /// Resources that the job needs.
+        /// Resources that would be reserved for the job.
         need: Resources,
     },
-    /// No worker has capacity for an urgent job, and the eviction budget of this minute is used up.
+    /// No worker has capacity for an urgent job, and the eviction budget of the last minute is used
+    /// up.
     #[display(
         "no room for {} now, and the evictions of this minute are spent",
         format_amount(need)
     )]
     EvictionBudgetSpent {
-        /// Resources that the job needs.
+        /// Resources that would be reserved for the job.
         need: Resources,
     },
-    /// The customer's quota is used up.
+    /// The start would exceed the customer's quota now.
     #[display("customer {customer} is at its quota of {resource}")]
     QuotaReached {
-        /// Name of the customer.
+        /// Customer that owns the job.
         customer: Name,
-        /// The resource that is used up.
+        /// The resource of which the quota would be exceeded.
         resource: Resource,
     },
-    /// The job backs off after a failure.
+    /// The job must not start yet, as it waits after a failure.
     #[display("backs off until {until} ms")]
     BackOff {
-        /// Earliest start.
+        /// Time at which the job may start.
         until: Millis,
     },
-    /// Workers may still be about to announce themselves.
+    /// The planner has taken over recently, and more workers may announce themselves.
     #[display("workers are still announcing themselves")]
     AwaitingWorkers,
-    /// No worker is large enough.
+    /// The job fits on no worker, even without other tasks.
     #[display("needs {needed} of {resource}, the largest worker {largest} offers {offered}")]
     TooLarge {
         /// The resource of which no worker has enough.
         resource: Resource,
-        /// How much the job needs.
+        /// Amount that the job needs, in the unit of `resource`.
         needed: u64,
         /// The worker that offers most of it.
         largest: Name,
-        /// How much that worker offers.
+        /// Amount that this worker offers to batch work.
         offered: u64,
     },
-    /// The customer's quota is smaller than this one job.
+    /// The job alone exceeds its customer's quota.
     #[display("needs {needed} of {resource}, customer {customer} has a quota of {quota}")]
     ExceedsQuota {
-        /// Name of the customer.
+        /// Customer that owns the job.
         customer: Name,
         /// The resource of which the job needs more than the quota.
         resource: Resource,
-        /// How much the job needs.
+        /// Amount that the job needs, in the unit of `resource`.
         needed: u64,
-        /// How much the quota allows.
+        /// Amount that the quota allows.
         quota: u64,
     },
     /// The configuration has no such customer.
     #[display("customer {customer} is not in the configuration")]
     UnknownCustomer {
-        /// Name of the customer.
+        /// Customer that owns the job.
         customer: Name,
     },
-    /// The job would bring the service of every worker with capacity too close to its target.
+    /// On every worker with capacity the service's p99 would come too close to its target, so the
+    /// job waits for a better worker for a limited time.
     #[display(
         "would push a service to {predicted_permille} permille of its target at best, on {best}"
     )]
     ExcessiveInterference {
-        /// The worker with the best score.
+        /// The worker with the lowest increase in latency cost.
         best: Name,
-        /// Its predicted p99 with the job, in thousandths of the target.
+        /// Predicted p99 of its service with the job, in thousandths of the target.
         predicted_permille: u32,
     },
-    /// The service's latency is above its target.
+    /// The service's smoothed p99 has been above its target for a while.
     #[display("p99 at {p99_permille} permille of the target, {task_permille} of it by this task")]
     LatencyHigh {
         /// Smoothed p99, in thousandths of the target.
         p99_permille: u32,
-        /// What the task adds to it, as predicted by the model.
+        /// Part of the p99 that the task adds by the model's prediction, in thousandths of the
+        /// target.
         task_permille: u32,
     },
-    /// The service's latency is low again.
+    /// The service's smoothed p99 has been well below its target for a while.
     #[display("p99 at {p99_permille} permille of the target")]
     LatencyRecovered {
         /// Smoothed p99, in thousandths of the target.
         p99_permille: u32,
     },
-    /// The tasks of a VM use more than their allowance.
+    /// The tasks on a VM together use more than they may.
     #[display(
         "tasks use {used} of {resource}, {allowed} is theirs; this one outgrew its size most"
     )]
     OverAllowance {
-        /// The resource of which they use too much.
+        /// The resource that is overused.
         resource: Resource,
-        /// What the tasks use together.
+        /// Amount that the tasks use together, in the unit of `resource`.
         used: u64,
-        /// What they may use together.
+        /// Amount that they may use together.
         allowed: u64,
     },
-    /// The worker failed several different jobs in a row.
+    /// Several different jobs failed on the worker, so it is quarantined.
     #[display("failed {jobs} different jobs in a row, probed at {until} ms")]
     WorkerFailsJobs {
-        /// Number of jobs that failed.
+        /// Number of different jobs that failed.
         jobs: u32,
-        /// When it is probed with one job.
+        /// End of the quarantine, after which the worker is probed with one job.
         until: Millis,
     },
-    /// The worker is given one job at a time to test whether it is sound.
+    /// After a quarantine the worker is given one job at a time, to test whether its runs succeed.
     #[display("probed with one job at a time")]
     ProbeStarted,
-    /// The worker's probe succeeded.
+    /// The probe's run succeeded, so the worker gets jobs without a limit again.
     #[display("its probe ran well")]
     ProbeSucceeded,
-    /// The job failed on several workers that were not quarantined for it.
+    /// The job failed as often as its class allows, on workers that were not quarantined.
     #[display("failed {failures} times on sound workers, last on {last}")]
     FailsOnSeveralWorkers {
-        /// Number of failures.
+        /// Number of failures that count against the job.
         failures: u32,
-        /// Where it failed last.
+        /// Worker of the last of these failures.
         last: Name,
     },
-    /// The job has waited long and a worker is reserved for it.
+    /// The job has waited long, so a worker is reserved for it until enough of its tasks have
+    /// ended.
     #[display("waited long; {worker} is kept for it")]
     WorkerReserved {
-        /// Name of the worker.
+        /// The worker that is reserved for the job.
         worker: Name,
     },
-    /// An urgent job needs the resources.
+    /// The task is evicted because an urgent job needs its resources.
     #[display("cheapest room for urgent {for_job}, losing {lost_ms} ms of work")]
     PreemptedByUrgent {
-        /// Id of the urgent job.
+        /// The urgent job.
         for_job: Name,
-        /// Work since the latest checkpoint.
+        /// Run time since the latest checkpoint, which is lost.
         lost_ms: u64,
     },
-    /// An urgent job waits until evicted tasks have stopped.
+    /// An urgent job waits until the tasks that are evicted for it have stopped.
     #[display("waits for evicted tasks to stop on {worker}")]
     AwaitsEviction {
-        /// The worker on which they run.
+        /// The worker on which the evicted tasks run.
         worker: Name,
     },
 }
 
-/// Joins the texts of candidates.
+/// Formats candidates, separated by spaces.
 fn join_candidates(best: &[Candidate]) -> String {
     best.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
 }
 
-/// Formats an amount of resources.
+/// Formats resources as thousandths of processors, mebibytes of memory and accelerators.
 pub(super) fn format_amount(need: &Resources) -> String {
     format!("{}m/{}MiB/{}acc", need.milli_cpus, need.memory_mb, need.accelerators)
 }
--- a/crates/geraniumpost-core/src/placement/rejection.rs
+++ b/crates/geraniumpost-core/src/placement/rejection.rs
@@ -3,9 +3,9 @@
 use super::{Decision, Fleet, PlacementRequest, Placer, Reason, Resource, amounts};
 
 impl Placer {
-    /// Returns the rejection of a job that can never run or has failed too often, if it has to be
-    /// rejected.
-    pub(super) fn rejection(
+    /// Returns the decision on a job that must not be placed: its customer is unknown, it exceeds
+    /// the quota, fits on no worker, or has failed too often. `None` if a worker is to be searched.
+    pub(super) fn decide_ineligible(
         &mut self,
         request: &PlacementRequest,
         fleet: &Fleet,
@@ -16,15 +16,16 @@
             return Some(Decision::Wait { job, reason });
         };
         if let Some(resource) = amounts::exceeded_resource(&request.need, &share.quota) {
-            return Some(exceeds_quota(request, resource, &share.quota));
+            return Some(quota_exceeded_decision(request, resource, &share.quota));
         }
         if !fleet.could_ever_fit(&request.need) {
-            return Some(too_large(request, fleet));
+            return Some(too_large_decision(request, fleet));
         }
         self.give_up_failing(request)
     }
 
-    /// Gives up a job that failed on healthy workers as often as its class allows.
+    /// Gives up a job that failed as often as its class allows, on workers that were not
+    /// quarantined, and forgets its failures.
     fn give_up_failing(&mut self, request: &PlacementRequest) -> Option<Decision> {
         let failed_on = self.failures.failed_on(&request.job);
         let last = failed_on.last()?.clone();
@@ -38,7 +39,12 @@
     }
 }
 
-fn exceeds_quota(request: &PlacementRequest, resource: Resource, quota: &Resources) -> Decision {
+/// Rejects a job whose declared need exceeds its customer's quota.
+fn quota_exceeded_decision(
+    request: &PlacementRequest,
+    resource: Resource,
+    quota: &Resources,
+) -> Decision {
     let reason = Reason::ExceedsQuota {
         customer: request.customer.clone(),
         resource,
@@ -48,11 +54,12 @@
     Decision::Impossible { job: request.job.clone(), resource, largest: Name::default(), reason }
 }
 
-/// Rejects a job that fits on no worker, naming the resource that is too small.
+/// Rejects a job that fits on no worker, with the resource that the nearest worker lacks. If more
+/// workers are expected, the job waits for them instead.
 ///
-/// Lost workers count, as they may come back. A job that fitted only on a worker that has been
-/// removed is rejected here the next time it is decided on.
-fn too_large(request: &PlacementRequest, fleet: &Fleet) -> Decision {
+/// Lost workers count, as they may come back. A job that fits only on a worker that has been
+/// removed is rejected the next time it is decided on.
+fn too_large_decision(request: &PlacementRequest, fleet: &Fleet) -> Decision {
     let job = request.job.clone();
     let nearest = fleet.workers().min_by(|a, b| {
         let needed_share = |capacity: Resources| amounts::dominant_share(&request.need, &capacity);
--- a/crates/geraniumpost-core/src/placement/reservations.rs
+++ b/crates/geraniumpost-core/src/placement/reservations.rs
@@ -5,8 +5,8 @@
 use super::{Fleet, WorkerKey};
 use crate::Millis;
 
-/// Workers reserved for waiting jobs: for an urgent job until evicted tasks have stopped, for a
-/// long-waiting one until enough tasks on the worker have ended.
+/// Workers reserved for waiting jobs: for an urgent job until the tasks evicted for it have
+/// stopped, and for a job that has waited long until enough tasks on the worker have ended.
 #[derive(Debug, Clone, Default)]
 pub struct Reservations {
     by_job: HashMap<Name, Reservation>,
@@ -16,19 +16,19 @@
 #[derive(Debug, Clone)]
 pub struct Reservation {
     pub worker: WorkerKey,
-    /// The job's customer, in whose quota the resources stay reserved until the job starts.
+    /// The job's customer, whose quota the reservation also uses.
     pub customer: Name,
-    /// Resources that are reserved.
+    /// Resources that are reserved for the job, at least its declared need.
     pub need: Resources,
-    /// When the reservation expires.
+    /// Time at which the reservation expires.
     pub until: Millis,
-    /// Whether tasks were evicted for it.
+    /// Whether tasks were evicted for the job.
     pub awaits_eviction: bool,
 }
 
 impl Reservations {
-    /// Drops reservations that have expired, or whose job no longer waits, or whose worker no
-    /// longer accepts work.
+    /// Drops reservations that have expired, whose job no longer waits, or whose worker no longer
+    /// accepts work.
     pub fn retain_valid(&mut self, now: Millis, fleet: &Fleet, is_waiting: impl Fn(&Name) -> bool) {
         self.by_job.retain(|job, reservation| {
             now < reservation.until
@@ -49,8 +49,8 @@
         self.by_job.values()
     }
 
-    /// Returns the number of reservations for which no tasks were evicted.
-    pub fn without_eviction(&self) -> usize {
+    /// Returns the number of reservations for jobs that have waited long.
+    pub fn count_without_eviction(&self) -> usize {
         self.by_job.values().filter(|reservation| !reservation.awaits_eviction).count()
     }
 
--- a/crates/geraniumpost-core/src/placement/resource.rs
+++ b/crates/geraniumpost-core/src/placement/resource.rs
@@ -1,7 +1,7 @@
 use derive_more::Display;
 use geraniumpost_schema::Resources;
 
-/// A kind of resource, named in rejections so that a customer knows what to change.
+/// A kind of resource. Rejections name it, so that a customer knows which need to change.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Resource {
     /// Processors, counted in thousandths.
@@ -10,13 +10,13 @@
     /// Memory, counted in mebibytes.
     #[display("memory")]
     Memory,
-    /// Whole accelerators.
+    /// Accelerators, which are not divided between tasks.
     #[display("accelerators")]
     Accelerators,
 }
 
 impl Resource {
-    /// Returns the amount of this resource.
+    /// Returns the amount of this resource in `amount`, in the unit given at the variant.
     #[must_use]
     pub const fn of(self, amount: &Resources) -> u64 {
         match self {
--- a/crates/geraniumpost-core/src/placement/ridge.rs
+++ b/crates/geraniumpost-core/src/placement/ridge.rs
@@ -1,37 +1,44 @@
-/// Factor by which the weight of each new measurement grows, so that old ones fade: they have half
-/// the weight after about 1,400 measurements.
+/// Factor between the weights of two successive measurements, so that old ones count less: a
+/// measurement has half the weight of one made about 1,400 measurements later.
 const WEIGHT_GROWTH: f64 = 1.0005;
-/// Weight scale at which all sums are scaled back.
+/// Weight of a new measurement above which all sums are divided by it, so that they stay small.
 const RESCALE_THRESHOLD: f64 = 1e6;
-/// Gauss-Seidel sweeps per solution. Few are enough, as a solution starts from the previous one.
-const SWEEPS: usize = 4;
+/// Number of Gauss-Seidel sweeps per solution. Few are enough, as a solution starts from the
+/// previous one.
+const SWEEPS_PER_SOLUTION: usize = 4;
 
-/// Linear regression that is regularized towards a given prior where there is little evidence.
+/// Weighted linear regression whose coefficients are regularized towards given prior values.
 #[derive(Debug, Clone, Default)]
 pub struct RidgeRegression {
+    /// Number of coefficients.
     size: usize,
+    /// Weighted sums of products of two inputs, row by row.
     products: Vec<f64>,
+    /// Weighted sums of input times measured value, by coefficient.
     targets: Vec<f64>,
+    /// The coefficients as solved last.
     solution: Vec<f64>,
+    /// Factor for the weight of the next measurement.
     weight_scale: f64,
 }
 
-/// One input of a measurement.
+/// One input of a measurement; inputs that are not listed are 0.
 #[derive(Debug, Clone, Copy)]
 pub struct Input {
-    /// Number of the coefficient.
+    /// Index of the coefficient.
     pub index: usize,
-    /// Value that the coefficient is multiplied by.
+    /// Value by which the coefficient is multiplied.
     pub value: f64,
 }
 
 impl RidgeRegression {
-    /// Creates a regression without evidence.
+    /// Creates a regression without measurements.
     pub fn new() -> Self {
         Self { weight_scale: 1.0, ..Self::default() }
     }
 
-    /// Adds a measurement.
+    /// Adds a measurement of the value `target`. Coefficients are updated by
+    /// [`solve`](Self::solve).
     pub fn observe(&mut self, inputs: &[Input], target: f64, weight: f64) {
         let size = inputs.iter().map(|input| input.index + 1).max().unwrap_or(0);
         self.resize(size);
@@ -49,14 +56,14 @@
         }
     }
 
-    /// Updates the solution. `prior` returns the value towards which a coefficient is regularized,
-    /// and the strength of the regularization.
+    /// Updates all coefficients. `prior` returns the value towards which a coefficient is
+    /// regularized and the evidence at which that value and the measurements have equal weight.
     pub fn solve(
         &mut self,
         lower_bound: impl Fn(usize) -> f64,
         prior: impl Fn(usize) -> (f64, f64),
     ) {
-        for _ in 0..SWEEPS {
+        for _ in 0..SWEEPS_PER_SOLUTION {
             for index in 0..self.size {
                 let row = &self.products[index * self.size..(index + 1) * self.size];
                 let others: f64 = row.iter().zip(&self.solution).map(|(a, b)| a * b).sum::<f64>()
@@ -70,12 +77,13 @@
         }
     }
 
-    /// Returns a coefficient, or none if no measurement concerned it.
+    /// Returns the coefficient at `index`, or `None` if no measurement had this input.
     pub fn coefficient(&self, index: usize) -> Option<f64> {
         (self.evidence(index) > 0.0).then(|| self.solution[index])
     }
 
-    /// Returns the evidence on a coefficient: the weighted sum of its squared inputs.
+    /// Returns the evidence on the coefficient at `index`, which is the weighted sum of its squared
+    /// inputs.
     pub fn evidence(&self, index: usize) -> f64 {
         if index >= self.size {
             0.0
@@ -99,6 +107,7 @@
         self.size = size;
     }
 
+    /// Divides all sums by the weight scale, which then is 1 again.
     fn rescale(&mut self) {
         let all = self.products.iter_mut().chain(&mut self.targets);
         all.for_each(|value| *value /= self.weight_scale);
--- a/crates/geraniumpost-core/src/placement/run_history.rs
+++ b/crates/geraniumpost-core/src/placement/run_history.rs
@@ -6,24 +6,26 @@
 use super::task_view::FULL_SPEED;
 use crate::Millis;
 
-/// How long an ended segment is kept; measurements that arrive later are attributed to no task.
+/// Age from which ended segments are dropped, at the next end of a run on the worker. Measurements
+/// that arrive later are not attributed to the tasks of these segments.
 const RETENTION_MS: u64 = 60_000;
-/// Number of ended segments kept per worker, so that a worker that fails every job does not use up
-/// memory.
+/// Maximum number of ended segments per worker, so that a worker on which every job fails at once
+/// does not use up memory.
 const MAX_ENDED: usize = 128;
 
-/// The tasks that ran on each worker over time.
+/// Records which tasks ran on each worker at which time and speed.
 ///
-/// Measurements arrive late. Attributed to the tasks of the present, they would blame a quiet task
-/// that has just started for a noisy one that has just been evicted, and tasks would be evicted to
-/// no effect.
+/// Measurements of latency arrive late. If they were attributed to the tasks that run on arrival, a
+/// quiet task that has just started would be blamed for a noisy one that has just been evicted, and
+/// more tasks would be evicted without effect.
 #[derive(Debug, Clone, Default)]
 pub struct RunHistory {
+    /// Segments by worker.
     workers: HashMap<Name, Vec<RunSegment>>,
 }
 
 impl RunHistory {
-    /// Opens a segment for a task's start.
+    /// Opens a segment for a task that started at full speed with `milli_cpus`.
     pub fn record_start(
         &mut self,
         worker: &Name,
@@ -42,7 +44,8 @@
         });
     }
 
-    /// Closes a task's segment and drops segments that ended long ago.
+    /// Closes the segment of a task, and drops the worker's segments that ended [`RETENTION_MS`]
+    /// ago or exceed [`MAX_ENDED`].
     pub fn record_end(&mut self, worker: &Name, job: &Name, at: Millis) {
         let Some(segments) = self.workers.get_mut(worker) else { return };
         close_segment(segments, job, at);
@@ -61,12 +64,13 @@
         }
     }
 
-    /// Drops the segments of workers that have left the fleet.
+    /// Drops the segments of workers for which `is_present` returns false.
     pub fn retain_workers(&mut self, is_present: impl Fn(&Name) -> bool) {
         self.workers.retain(|worker, _| is_present(worker));
     }
 
-    /// Opens a new segment for a task at another speed.
+    /// Closes the segment of a task whose speed was `before` and opens one with speed `permille`,
+    /// both in thousandths.
     pub fn record_throttle(
         &mut self,
         worker: &Name,
@@ -82,13 +86,14 @@
         segments.push(RunSegment { milli_cpus, started: at, ended: None, ..segment });
     }
 
-    /// Returns the segments of a worker that cover a time.
+    /// Returns the segments of the tasks that ran on `worker` at `at`.
     pub fn at(&self, worker: &Name, at: Millis) -> impl Iterator<Item = &RunSegment> {
         self.workers.get(worker).into_iter().flatten().filter(move |segment| segment.covers(at))
     }
 }
 
-/// Closes a job's open segment and returns it as it was before.
+/// Closes the open segment of `job` at `at`, and returns a copy from before. `None` if the job has
+/// no open segment.
 fn close_segment(segments: &mut [RunSegment], job: &Name, at: Millis) -> Option<RunSegment> {
     let segment =
         segments.iter_mut().find(|segment| segment.job == *job && segment.ended.is_none())?;
--- a/crates/geraniumpost-core/src/placement/run_segment.rs
+++ b/crates/geraniumpost-core/src/placement/run_segment.rs
@@ -7,15 +7,15 @@
 pub struct RunSegment {
     pub job: Name,
     pub class: Name,
-    /// Processors that it used, in thousandths, after throttling.
+    /// Processors that the task may use at its speed, in thousandths.
     pub milli_cpus: f64,
     pub started: Millis,
-    /// When the segment ended, if it has.
+    /// End of the segment; `None` while the task runs at this speed.
     pub ended: Option<Millis>,
 }
 
 impl RunSegment {
-    /// Returns whether the segment includes a time.
+    /// Returns whether the task ran in this segment at `at`; the end is exclusive.
     pub fn covers(&self, at: Millis) -> bool {
         self.started <= at && self.ended.is_none_or(|ended| at < ended)
     }
--- a/crates/geraniumpost-core/src/placement/scan.rs
+++ b/crates/geraniumpost-core/src/placement/scan.rs
@@ -6,58 +6,59 @@
 use super::worker_row::NO_SERVICE;
 use super::{WorkerKey, amounts};
 
-/// Number of candidates that a decision names.
+/// Number of workers that a scan returns, and the reason of a start names.
 const MAX_CANDIDATES: usize = 3;
-/// Weight of the unused share, by which a worker that the job fills is preferred to one with much
-/// free capacity.
+/// Weight of the share of free capacity that the job leaves unused. It lets jobs fill one worker
+/// before they use another.
 const PACKING_WEIGHT: f64 = 0.005;
-/// Weight of each task of the same customer and class on the same rack; tasks in the same failure
-/// domain count half.
+/// Weight of each task of the same customer and class on the same rack. Each task in the same
+/// failure domain counts half.
 const SPREADING_WEIGHT: f64 = 0.01;
-/// Processors, in thousandths, to which a slope refers.
+/// Processors, in thousandths, of the task size to which a slope refers.
 const UNIT_MILLI_CPUS: f64 = 16_000.0;
 
-/// A scan over the workers for one job.
+/// Search over all workers for the best one for a job.
 #[derive(Debug)]
 pub struct Scan<'a> {
-    /// Resources to reserve.
+    /// Resources to reserve for the job.
     pub need: &'a Resources,
-    /// Interference slope of the class by service number.
+    /// Interference slopes of the job's class by service index.
     pub slopes: &'a [f64],
-    /// Workers that must not be chosen.
-    pub excluded: &'a [WorkerKey],
+    /// Workers that are not considered.
+    pub skipped: &'a [WorkerKey],
     /// The worker reserved for this job, if any.
     pub reserved: Option<WorkerKey>,
     /// Whether the job may use capacity that is kept free for urgent jobs.
     pub urgent: bool,
-    /// How many tasks of the same customer and class run, or are planned, near each worker.
+    /// Running and planned tasks of the same customer and class, by location.
     pub proximity: &'a Proximity,
 }
 
-/// The outcome of a scan.
+/// Workers that a scan found.
 #[derive(Debug, Clone, Default)]
 pub struct ScanResult {
     /// Number of workers with capacity.
     pub considered: u32,
-    /// The best of them, best first.
+    /// Up to [`MAX_CANDIDATES`] of them with the lowest scores, best first.
     pub best: Vec<ScoredWorker>,
 }
 
-/// A worker with its score.
+/// A worker with capacity for the job, and the predicted effect of a start on it.
 #[derive(Debug, Clone, Copy)]
 pub struct ScoredWorker {
     /// Index in [`PlannedFleet::rows`].
     pub index: usize,
-    /// Increase in the latency cost plus tie-breakers; lower is better.
+    /// Increase in the latency cost plus small terms for packing and spreading; the lowest is the
+    /// best.
     pub score: f64,
-    /// What the job adds to the predicted p99, in targets.
-    pub added: f64,
-    /// Predicted p99 with the job, in targets.
-    pub predicted: f64,
+    /// Increase of the service's predicted p99 by the job, as a multiple of the target.
+    pub added_p99: f64,
+    /// Predicted p99 of the service with the job, as a multiple of the target.
+    pub predicted_p99: f64,
 }
 
 impl Scan<'_> {
-    /// Scores every worker with capacity.
+    /// Scores every worker that has capacity and is not skipped.
     pub fn run(&self, planned: &PlannedFleet) -> ScanResult {
         let mut result = ScanResult::default();
         for (index, row) in planned.rows.iter().enumerate() {
@@ -74,10 +75,10 @@
         row.job_limit > 0
             && amounts::fits(self.need, &row.free)
             && amounts::fits(&self.with_reservations(row, urgent_capacity), &row.free)
-            && !self.excluded.contains(&row.key)
+            && !self.skipped.contains(&row.key)
     }
 
-    /// Returns the need together with the capacity that must stay free for other jobs.
+    /// Returns the need plus the capacity on this worker that must stay free for other jobs.
     fn with_reservations(&self, row: &PlannedWorker, urgent_capacity: &Resources) -> Resources {
         let mut need = *self.need;
         if self.reserved != Some(row.key) {
@@ -90,17 +91,18 @@
     }
 
     fn score(&self, index: usize, row: &PlannedWorker) -> ScoredWorker {
-        let added = self.added(row);
-        let predicted = row.forecast + added;
+        let added_p99 = self.added_p99(row);
+        let predicted_p99 = row.forecast_p99 + added_p99;
         let unused = 1.0 - amounts::dominant_share(self.need, &row.free);
-        let score = latency_cost(predicted) - latency_cost(row.forecast)
+        let score = latency_cost(predicted_p99) - latency_cost(row.forecast_p99)
             + PACKING_WEIGHT * unused
             + SPREADING_WEIGHT * self.proximity.weighted_count(row);
-        ScoredWorker { index, score, added, predicted }
+        ScoredWorker { index, score, added_p99, predicted_p99 }
     }
 
-    /// Returns what the job would add to the service's p99, in targets.
-    pub fn added(&self, row: &PlannedWorker) -> f64 {
+    /// Returns the predicted increase of the service's p99 by the job, as a multiple of the target;
+    /// 0 if the worker has no service.
+    pub fn added_p99(&self, row: &PlannedWorker) -> f64 {
         if row.service == NO_SERVICE {
             return 0.0;
         }
@@ -109,15 +111,16 @@
     }
 }
 
-/// Returns the cost of a p99 given in targets.
+/// Returns the cost of a p99, given as a multiple of the target.
 ///
-/// It is convex, as an increase near the target hurts more than one far below it. Two noisy tasks
-/// thus go to two workers, and a noisy task goes where the service is idle.
+/// The cost is convex, as an increase near the target does more harm than one far below it. Thus
+/// two noisy tasks are placed on two workers, and a noisy task where the service is idle.
 fn latency_cost(p99: f64) -> f64 {
     p99 * p99
 }
 
 impl ScanResult {
+    /// Inserts a worker by score, if it is among the [`MAX_CANDIDATES`] best so far.
     fn insert(&mut self, scored: ScoredWorker) {
         let position = self.best.iter().position(|known| scored.score < known.score);
         let position = position.unwrap_or(self.best.len());
--- a/crates/geraniumpost-core/src/placement/smoothed_latency.rs
+++ b/crates/geraniumpost-core/src/placement/smoothed_latency.rs
@@ -1,30 +1,31 @@
 use crate::Millis;
 
-/// Weight of a new measurement in the smoothed one.
+/// Weight of a new measurement in the exponentially smoothed values.
 const SMOOTHING: f64 = 0.3;
-/// Smoothed p99, in targets, above which latency counts as high.
+/// Smoothed p99, as a multiple of the target, above which latency counts as high.
 const HIGH_THRESHOLD: f64 = 1.0;
-/// Smoothed p99, in targets, below which latency counts as low.
+/// Smoothed p99, as a multiple of the target, below which latency counts as low.
 const LOW_THRESHOLD: f64 = 0.85;
 
-/// A service's recent latency on one worker. Between the two thresholds it is neither high nor low,
-/// so noise there causes no action.
+/// Recent latency of a service on one worker. Between the two thresholds latency is neither high
+/// nor low, so that fluctuations around the target cause no action.
 #[derive(Debug, Clone, Copy)]
 pub struct SmoothedLatency {
-    /// Smoothed p99, in targets.
+    /// Smoothed p99, as a multiple of the target.
     pub smoothed: f64,
-    /// Smoothed excess of the measured over the predicted p99, in targets.
+    /// Smoothed difference of the measured and the predicted p99, as a multiple of the target.
     pub excess: f64,
-    /// Since when the latency has been high without interruption.
+    /// Start of the current period of high latency; `None` if latency is not high.
     pub high_since: Option<Millis>,
-    /// Since when the latency has been low without interruption.
+    /// Start of the current period of low latency; `None` if latency is not low.
     pub low_since: Option<Millis>,
-    /// When a task was last slowed, sped up or evicted because of it.
+    /// Time at which a task was last throttled, sped up or evicted because of this latency.
     pub last_action: Millis,
 }
 
 impl SmoothedLatency {
-    /// Creates the latency from its first measurement.
+    /// Creates the state after the first measurement. `p99` and `excess` are multiples of the
+    /// target.
     pub fn new(p99: f64, excess: f64, at: Millis) -> Self {
         let mut latency = Self {
             smoothed: p99,
@@ -37,7 +38,7 @@
         latency
     }
 
-    /// Adds a measurement.
+    /// Adds a measurement made at `at`. `p99` and `excess` are multiples of the target.
     pub fn observe(&mut self, p99: f64, excess: f64, at: Millis) {
         self.smoothed += SMOOTHING * (p99 - self.smoothed);
         self.excess += SMOOTHING * (excess - self.excess);
@@ -45,12 +46,12 @@
         self.low_since = (self.smoothed < LOW_THRESHOLD).then(|| self.low_since.unwrap_or(at));
     }
 
-    /// Returns for how many milliseconds the latency has been high.
+    /// Returns the milliseconds for which latency has been high, or `None` if it is not.
     pub fn high_for(&self, now: Millis) -> Option<u64> {
         self.high_since.map(|since| now.since(since))
     }
 
-    /// Returns for how many milliseconds the latency has been low.
+    /// Returns the milliseconds for which latency has been low, or `None` if it is not.
     pub fn low_for(&self, now: Millis) -> Option<u64> {
         self.low_since.map(|since| now.since(since))
     }
--- a/crates/geraniumpost-core/src/placement/task_group.rs
+++ b/crates/geraniumpost-core/src/placement/task_group.rs
@@ -1,11 +1,11 @@
 use std::collections::HashMap;
 
-/// Numbers of tasks of one customer and class by location, for spreading them.
+/// Number of tasks of one customer and class at each location, by which they are spread.
 #[derive(Debug, Clone, Default)]
 pub struct TaskGroup {
-    /// Tasks by rack number.
+    /// Number of tasks by rack index.
     pub racks: HashMap<u32, u32>,
-    /// Tasks by failure domain number.
+    /// Number of tasks by failure domain index.
     pub domains: HashMap<u32, u32>,
 }
 
@@ -25,12 +25,12 @@
     }
 }
 
-/// Decrements a count and removes it at 0, so that idle customers use no memory.
-fn decrement(counts: &mut HashMap<u32, u32>, id: u32) {
-    if let Some(count) = counts.get_mut(&id) {
+/// Decrements a count and removes it at 0, so that customers without tasks use no memory.
+fn decrement(counts: &mut HashMap<u32, u32>, index: u32) {
+    if let Some(count) = counts.get_mut(&index) {
         *count -= 1;
         if *count == 0 {
-            counts.remove(&id);
+            counts.remove(&index);
         }
     }
 }
--- a/crates/geraniumpost-core/src/placement/task_view.rs
+++ b/crates/geraniumpost-core/src/placement/task_view.rs
@@ -6,9 +6,9 @@
 /// Full speed of a task, in thousandths of its processors.
 pub(super) const FULL_SPEED: u32 = 1000;
 
-/// A task that runs, or is being started or stopped, on a worker.
+/// A task that is being started, runs or is being stopped on a worker.
 ///
-/// It counts against the worker until the agent reports its end.
+/// Its resources are allocated until the agent reports its end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskView {
     pub(super) job: Name,
@@ -25,7 +25,8 @@
 }
 
 impl TaskView {
-    /// Creates an evictable task of normal priority at full speed.
+    /// Creates an evictable task of normal priority at full speed, without measured usage or
+    /// checkpoints.
     pub fn new(
         job: impl Into<Name>,
         customer: impl Into<Name>,
@@ -55,28 +56,28 @@
         self
     }
 
-    /// Sets the measured usage, which lags behind.
+    /// Sets the resources that the task was last measured to use; 0 if there is no measurement yet.
     #[must_use]
     pub const fn usage(mut self, usage: Resources) -> Self {
         self.usage = usage;
         self
     }
 
-    /// Sets the priority.
+    /// Sets the priority, which is that of the job's class.
     #[must_use]
     pub const fn priority(mut self, priority: Priority) -> Self {
         self.priority = priority;
         self
     }
 
-    /// Sets when the latest checkpoint was made. An eviction loses the work since then.
+    /// Sets the time of the latest checkpoint. An eviction loses the work since then.
     #[must_use]
     pub const fn checkpointed(mut self, at: Millis) -> Self {
         self.checkpointed = at;
         self
     }
 
-    /// Sets whether the task may be checkpointed and moved.
+    /// Sets whether the task may be checkpointed and stopped in favour of others.
     #[must_use]
     pub const fn evictable(mut self, evictable: bool) -> Self {
         self.evictable = evictable;
@@ -90,57 +91,60 @@
         self
     }
 
-    /// Returns the job's id.
+    /// Returns the id of the job that the task runs.
     pub const fn job(&self) -> &Name {
         &self.job
     }
 
-    /// Returns the customer.
+    /// Returns the customer that owns the job.
     pub const fn customer(&self) -> &Name {
         &self.customer
     }
 
-    /// Returns when the task began.
+    /// Returns the start of the task.
     pub const fn started_at(&self) -> Millis {
         self.started
     }
 
-    /// Returns the processors that the task uses at full speed, in thousandths.
+    /// Returns the processors that the task is expected to use at full speed, in thousandths.
     pub(super) fn full_milli_cpus(&self) -> u64 {
-        let seen = self.need.milli_cpus.max(self.usage.milli_cpus);
+        let expected = self.need.milli_cpus.max(self.usage.milli_cpus);
         if self.permille < FULL_SPEED || self.usage.milli_cpus == 0 {
-            return seen.max(self.reserved.milli_cpus);
+            return expected.max(self.reserved.milli_cpus);
         }
-        seen
+        expected
     }
 
-    /// Returns the additional processors that the task would use at a higher speed, in thousandths.
+    /// Returns the additional processors, in thousandths, that the task would use at a speed of
+    /// `permille`; 0 if that is no higher than its current speed.
     pub(super) fn additional_milli_cpus(&self, permille: u32) -> u64 {
         let faster = permille.saturating_sub(self.permille);
         self.full_milli_cpus() * u64::from(faster) / u64::from(FULL_SPEED)
     }
 
-    /// Returns the processors that the task may use at its current speed, in thousandths.
+    /// Returns the processors that the task is expected to use at its current speed, in
+    /// thousandths.
     pub(super) fn active_milli_cpus(&self) -> f64 {
         self.full_milli_cpus() as f64 * f64::from(self.permille) / f64::from(FULL_SPEED)
     }
 
-    /// Returns the resources that the task counts for, at least its measured usage.
+    /// Returns the resources by which the task reduces the free capacity: at least its measured
+    /// usage.
     ///
-    /// Declared needs are often far too low. Otherwise a task that exceeds its declared need would
-    /// let a second one in, and the VM would be overcommitted.
+    /// Declared needs are often far too low. If usage above the need did not count, further tasks
+    /// would be started on the VM, which would be overcommitted.
     pub fn allocated(&self) -> Resources {
-        let held = amounts::component_max(
+        let reserved = amounts::component_max(
             &amounts::component_max(&self.need, &self.reserved),
             &self.usage,
         );
         let milli_cpus = if self.permille < FULL_SPEED {
-            held.milli_cpus * u64::from(self.permille) / u64::from(FULL_SPEED)
+            reserved.milli_cpus * u64::from(self.permille) / u64::from(FULL_SPEED)
         } else if self.usage.milli_cpus > 0 {
             self.need.milli_cpus
         } else {
-            held.milli_cpus
+            reserved.milli_cpus
         };
-        Resources { milli_cpus: milli_cpus.max(self.usage.milli_cpus), ..held }
+        Resources { milli_cpus: milli_cpus.max(self.usage.milli_cpus), ..reserved }
     }
 }
--- a/crates/geraniumpost-core/src/placement/urgent_demand.rs
+++ b/crates/geraniumpost-core/src/placement/urgent_demand.rs
@@ -5,19 +5,20 @@
 use super::amounts;
 use crate::Millis;
 
-/// How long an urgent start counts.
+/// Time for which an urgent start counts as recent.
 const WINDOW_MS: u64 = 120_000;
-/// Number of urgent starts within the window for which one worker keeps capacity free.
+/// Number of recent urgent starts per worker that keeps capacity free, rounded up to whole workers.
 const STARTS_PER_WORKER: usize = 8;
-/// One worker in this many may keep capacity free.
-const WORKERS_PER_RESERVED: usize = 4;
+/// At most one worker in this many keeps capacity free.
+const WORKERS_PER_URGENT_RESERVATION: usize = 4;
 
-/// How much capacity to keep free for the next urgent jobs, estimated from the latest ones.
+/// Estimates from recent urgent starts how much capacity to keep free for the next urgent jobs.
 ///
-/// Without free capacity nearly each urgent start in a full fleet evicts a batch task. If there
-/// were no urgent jobs recently, none is kept free.
+/// Without free capacity nearly every urgent start in a full fleet evicts a batch task. If no
+/// urgent jobs started recently, no capacity is kept free.
 #[derive(Debug, Clone, Default)]
 pub struct UrgentDemand {
+    /// Times and needs of the urgent starts, oldest first.
     starts: VecDeque<(Millis, Resources)>,
 }
 
@@ -26,16 +27,16 @@
         self.starts.push_back((now, *need));
     }
 
-    /// Returns how many of `workers` should keep capacity free.
+    /// Returns the number of workers, out of `workers`, that should keep capacity free.
     pub fn workers_to_reserve(&mut self, now: Millis, workers: usize) -> usize {
         while self.starts.front().is_some_and(|(at, _)| now.since(*at) >= WINDOW_MS) {
             self.starts.pop_front();
         }
-        self.starts.len().div_ceil(STARTS_PER_WORKER).min(workers / WORKERS_PER_RESERVED)
+        self.starts.len().div_ceil(STARTS_PER_WORKER).min(workers / WORKERS_PER_URGENT_RESERVATION)
     }
 
-    /// Returns the capacity that each of them should keep free: enough for any of the latest urgent
-    /// jobs.
+    /// Returns the capacity that each of these workers should keep free, which suffices for any one
+    /// of the recent urgent jobs.
     pub fn capacity(&self) -> Resources {
         self.starts
             .iter()
--- a/crates/geraniumpost-core/src/placement/usage_estimates.rs
+++ b/crates/geraniumpost-core/src/placement/usage_estimates.rs
@@ -5,18 +5,19 @@
 use super::usage_sample::UsageSample;
 use super::{PlacementRequest, amounts};
 
-/// Learns by how much the jobs of a customer and class exceed their declared needs.
+/// Estimates needs of jobs from the measured usage of recent jobs of the same customer and class.
 ///
 /// Declared needs are often far too low. A class that always uses twice its declared memory would
 /// fill VMs beyond their memory, and the kernel would kill tasks. The next job of the same customer
-/// and class is therefore given what most of the recent ones used.
+/// and class therefore gets as much as most of the recent ones used.
 #[derive(Debug, Clone, Default)]
 pub struct UsageEstimates {
+    /// Samples by customer and class.
     samples: HashMap<(Name, Name), UsageSample>,
 }
 
 impl UsageEstimates {
-    /// Adds a measurement of a task's usage.
+    /// Adds a measurement of the usage of `job`, which declared `need`.
     pub fn observe(
         &mut self,
         customer: &Name,
@@ -29,8 +30,8 @@
         self.samples.entry(key).or_default().observe(job, need, usage);
     }
 
-    /// Returns the resources to reserve for a request: at least what it declares, and otherwise at
-    /// most `limit`, so that the estimate does not make a job impossible.
+    /// Returns the resources to reserve for a request. The estimate is limited to `limit`, so that
+    /// it makes no job impossible, and is at least the declared need.
     pub fn estimate(&self, request: &PlacementRequest, limit: &Resources) -> Resources {
         let key = (request.customer.clone(), request.class.clone());
         let Some(sample) = self.samples.get(&key) else { return request.need };
--- a/crates/geraniumpost-core/src/placement/usage_sample.rs
+++ b/crates/geraniumpost-core/src/placement/usage_sample.rs
@@ -2,20 +2,24 @@
 
 use geraniumpost_schema::{Name, Resources};
 
-/// Number of tasks in a sample.
-const MAX_TASKS: usize = 32;
-/// Minimum number of tasks for an estimate.
-const MIN_TASKS: usize = 3;
-/// Share of the tasks for which the estimated processors suffice. A task with too few only slows.
+/// Maximum number of tasks in a sample.
+const MAX_SAMPLED_TASKS: usize = 32;
+/// Minimum number of tasks for an estimate; with fewer the declared need is used.
+const MIN_SAMPLED_TASKS: usize = 3;
+/// Share of the tasks for which the estimated processors suffice. A task with too few processors
+/// only runs more slowly.
 const PROCESSORS_QUANTILE: f64 = 0.5;
-/// Share of the tasks for which the estimated memory suffices. A task with too little is killed.
+/// Share of the tasks for which the estimated memory suffices. A task with too little memory is
+/// killed.
 const MEMORY_QUANTILE: f64 = 0.85;
 
 /// Peak usage, relative to the declared need, of the latest tasks of one customer and class.
 #[derive(Debug, Clone, Default)]
 pub struct UsageSample {
     peaks: VecDeque<Peak>,
+    /// Estimated ratio of used to declared processors.
     processors: f64,
+    /// Estimated ratio of used to declared memory.
     memory: f64,
 }
 
@@ -28,7 +32,7 @@
 }
 
 impl UsageSample {
-    /// Adds a measurement of a task's usage.
+    /// Adds a measurement of the usage of `job`, which declared `need`.
     pub fn observe(&mut self, job: &Name, need: &Resources, usage: &Resources) {
         let ratio = |used: u64, declared: u64| used as f64 / declared.max(1) as f64;
         let processors = ratio(usage.milli_cpus, need.milli_cpus);
@@ -40,7 +44,7 @@
             peak.processors = peak.processors.max(processors);
             peak.memory = peak.memory.max(memory);
         } else {
-            if self.peaks.len() == MAX_TASKS {
+            if self.peaks.len() == MAX_SAMPLED_TASKS {
                 self.peaks.pop_front();
             }
             self.peaks.push_back(Peak { job: job.clone(), processors, memory });
@@ -49,7 +53,7 @@
         self.memory = self.quantile(MEMORY_QUANTILE, |peak| peak.memory);
     }
 
-    /// Returns a declared need scaled by the estimated ratios.
+    /// Returns `need` multiplied by the estimated ratios; accelerators stay as declared.
     pub fn scaled(&self, need: &Resources) -> Resources {
         let scale = |amount: u64, ratio: f64| (amount as f64 * ratio).ceil() as u64;
         Resources {
@@ -59,8 +63,9 @@
         }
     }
 
+    /// Returns a quantile of a ratio over all tasks, or 0 if there are too few tasks.
     fn quantile(&self, quantile: f64, ratio: impl Fn(&Peak) -> f64) -> f64 {
-        if self.peaks.len() < MIN_TASKS {
+        if self.peaks.len() < MIN_SAMPLED_TASKS {
             return 0.0;
         }
         let mut ratios: Vec<f64> = self.peaks.iter().map(ratio).collect();
--- a/crates/geraniumpost-core/src/placement/worker_record.rs
+++ b/crates/geraniumpost-core/src/placement/worker_record.rs
@@ -2,44 +2,44 @@
 
 use crate::Millis;
 
-/// Number of different jobs that a worker must fail in a row to be quarantined, if no run that
-/// could fail in the same way is still running.
+/// Number of different jobs whose failures quarantine a worker, if none of its current runs is
+/// unproven.
 const JOBS_TO_QUARANTINE: usize = 3;
-/// Number of different jobs whose failures quarantine a worker in any case.
+/// Number of different jobs whose failures quarantine a worker even while it has unproven runs.
 const JOBS_TO_QUARANTINE_ALWAYS: usize = 6;
-/// A run counts as a success once it has lasted this many times the longest time to a failure.
+/// A run counts as a success once it has lasted this many times as long as the longest failed run.
 const SUCCESS_FACTOR: u64 = 2;
 /// Lower limit of the time after which a run counts as a success.
 const MIN_SUCCESS_MS: u64 = 5_000;
 /// Upper limit of the time after which a run counts as a success.
 const MAX_SUCCESS_MS: u64 = 120_000;
-/// Number of different failed jobs from which a worker gets one job at a time.
+/// Number of different failed jobs from which a worker may have one unproven run at a time.
 const JOBS_TO_LIMIT: usize = 2;
-/// How long failures count.
+/// Age from which failures are forgotten.
 const FAILURE_WINDOW_MS: u64 = 300_000;
-/// Duration of the first quarantine. It doubles with each failed probe.
+/// Duration of the first quarantine; each failed probe doubles the duration.
 const FIRST_QUARANTINE_MS: u64 = 30_000;
-/// Maximum number of doublings, which limits a quarantine to about eight minutes.
+/// Maximum number of doublings, which limits the duration to eight minutes.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Whether a worker may be given jobs.
+/// How far a worker is trusted after failures of its runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TrustState {
-    /// There is not enough evidence against the worker.
+    /// Too few different jobs failed on the worker to quarantine it.
     #[default]
     Trusted,
-    /// The worker is given no jobs.
+    /// No jobs are started on the worker.
     Quarantined {
-        /// When the worker is probed.
+        /// End of the quarantine, after which the worker is probed.
         until: Millis,
-        /// Number of failed probes.
+        /// Number of failed probes, at most [`MAX_DOUBLINGS`].
         doublings: u32,
     },
-    /// The worker is given one job at a time.
+    /// The worker is given one job at a time, to test whether runs succeed again.
     Probing {
         /// Start of the probe.
         since: Millis,
-        /// Number of failed probes before this one.
+        /// Number of failed probes before this one, at most [`MAX_DOUBLINGS`].
         doublings: u32,
     },
 }
@@ -48,11 +48,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct WorkerRecord {
     trust: TrustState,
+    /// Failures in the last [`FAILURE_WINDOW_MS`], at most one for each job.
     failures: Vec<Failure>,
+    /// Whether a run that began during the current probe succeeded.
     probe_succeeded: bool,
 }
 
-/// A job that failed on the worker.
+/// Latest failure of one job on the worker.
 #[derive(Debug, Clone)]
 struct Failure {
     job: Name,
@@ -61,24 +63,25 @@
 }
 
 impl WorkerRecord {
-    /// Records a failure; several failures of one job count once.
+    /// Records a failure of `job`, which replaces an earlier one of the same job.
     pub fn record_failure(&mut self, job: &Name, started: Millis, at: Millis) {
         self.clear_failure(job);
         self.failures.push(Failure { job: job.clone(), started, at });
     }
 
-    /// Removes a failure that turned out to be caused by the job.
+    /// Removes the failure of `job`, as the job has also failed on other workers.
     pub fn clear_failure(&mut self, job: &Name) {
         self.failures.retain(|failure| failure.job != *job);
     }
 
-    /// Returns after how many milliseconds a run counts as a success of the worker.
+    /// Returns the duration in milliseconds from which a run counts as a success of the worker.
     pub fn success_after_ms(&self) -> u64 {
         let longest = self.failures.iter().map(|failure| failure.at.since(failure.started)).max();
         (longest.unwrap_or(0) * SUCCESS_FACTOR).clamp(MIN_SUCCESS_MS, MAX_SUCCESS_MS)
     }
 
-    /// Removes failures of runs that began no later than a successful one, or completes a probe.
+    /// Records the success of a run that began at `started`: failures of runs that began no later
+    /// are removed, or the current probe succeeds.
     pub fn record_success(&mut self, started: Millis) {
         match self.trust {
             TrustState::Trusted => self.failures.retain(|failure| failure.started > started),
@@ -87,11 +90,11 @@
         }
     }
 
-    /// Updates the trust state and returns it if it changed. `pending` is whether a run that could
-    /// fail in the same way as the failed ones is still running.
-    pub fn update_trust(&mut self, now: Millis, pending: bool) -> Option<TrustState> {
+    /// Updates the trust state and returns it if it changed. `has_unproven_run` is whether a
+    /// current run of the worker [is unproven](Self::is_unproven).
+    pub fn update_trust(&mut self, now: Millis, has_unproven_run: bool) -> Option<TrustState> {
         self.failures.retain(|failure| now.since(failure.at) < FAILURE_WINDOW_MS);
-        let next = self.next_state(now, pending);
+        let next = self.next_state(now, has_unproven_run);
         if next == self.trust {
             return None;
         }
@@ -103,12 +106,12 @@
         Some(next)
     }
 
-    /// Returns the number of different jobs that failed on the worker.
+    /// Returns the number of different jobs with recent failures on the worker.
     pub fn failed_jobs(&self) -> u32 {
         self.failures.len() as u32
     }
 
-    /// Returns how many unproven runs the worker may have at once, or none if that is not limited.
+    /// Returns the maximum number of concurrent unproven runs, or `None` if there is no limit.
     pub fn concurrency_limit(&self) -> Option<u32> {
         match self.trust {
             TrustState::Quarantined { .. } => Some(0),
@@ -117,8 +120,9 @@
         }
     }
 
-    /// Returns whether a current run is unproven: it began during the probe or, if there is none,
-    /// no earlier than a failed run.
+    /// Returns whether a current run that began at `started` is unproven, so that it could still
+    /// fail like the failed runs: it began during the probe or, without a probe, no earlier than a
+    /// failed run.
     pub fn is_unproven(&self, started: Millis) -> bool {
         match self.trust {
             TrustState::Probing { since, .. } => started >= since,
@@ -126,18 +130,19 @@
         }
     }
 
-    /// Returns whether the worker is quarantined or probed.
+    /// Returns whether the worker is quarantined or being probed.
     pub const fn is_untrusted(&self) -> bool {
         !matches!(self.trust, TrustState::Trusted)
     }
 
-    /// Returns whether there is no evidence against the worker.
+    /// Returns whether the worker is trusted and has no recent failures, so that its record can be
+    /// dropped.
     pub fn is_clean(&self) -> bool {
         self.trust == TrustState::Trusted && self.failures.is_empty()
     }
 
-    fn next_state(&self, now: Millis, pending: bool) -> TrustState {
-        let needed = if pending { JOBS_TO_QUARANTINE_ALWAYS } else { JOBS_TO_QUARANTINE };
+    fn next_state(&self, now: Millis, has_unproven_run: bool) -> TrustState {
+        let needed = if has_unproven_run { JOBS_TO_QUARANTINE_ALWAYS } else { JOBS_TO_QUARANTINE };
         match self.trust {
             TrustState::Trusted if self.failures.len() >= needed => quarantine(now, 0),
             TrustState::Quarantined { until, doublings } if now >= until => {
@@ -154,7 +159,8 @@
     }
 }
 
-/// Returns a quarantine whose duration doubles with each failed probe.
+/// Returns a quarantine that begins now and lasts [`FIRST_QUARANTINE_MS`], doubled `doublings`
+/// times.
 const fn quarantine(now: Millis, doublings: u32) -> TrustState {
     TrustState::Quarantined { until: now.plus(FIRST_QUARANTINE_MS << doublings), doublings }
 }
--- a/crates/geraniumpost-core/src/placement/worker_row.rs
+++ b/crates/geraniumpost-core/src/placement/worker_row.rs
@@ -5,27 +5,28 @@
 /// Value of [`WorkerRow::service`] for a worker without a service.
 pub const NO_SERVICE: u32 = u32::MAX;
 
-/// The part of a worker that a scan reads, small enough for 570 rows to stay in a near cache.
+/// The fields of a worker that placement reads for every job. They are small enough that the rows
+/// of 570 workers fit into a low-level processor cache.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerRow {
     /// Resources that are free for batch work.
     pub free: Resources,
-    /// Number of the service, or [`NO_SERVICE`].
+    /// Index of the service, or [`NO_SERVICE`].
     pub service: u32,
-    /// Number of the rack.
+    /// Index of the rack, in one range with failure domains.
     pub rack: u32,
-    /// Number of the failure domain.
+    /// Index of the failure domain, in one range with racks.
     pub domain: u32,
-    /// Busy share of the minion's slots in thousandths.
+    /// Busy share of the minion's slots, in thousandths.
     pub load_permille: u32,
-    /// Changes with every change of the worker, so that values computed from it can be cached.
+    /// Version that each change of the worker increases, by which cached values are validated.
     pub version: u64,
-    /// Whether the worker accepts new jobs.
+    /// Whether the worker is healthy, so that jobs may be started on it.
     pub accepts_work: bool,
 }
 
 impl WorkerRow {
-    /// Creates the row of a worker.
+    /// Creates the row of a worker at version 0. `service`, `rack` and `domain` are indices.
     pub fn new(view: &WorkerView, service: u32, rack: u32, domain: u32) -> Self {
         let mut row = Self {
             free: view.free(),
@@ -40,7 +41,7 @@
         row
     }
 
-    /// Updates the values that change while a worker runs.
+    /// Copies the values that may change from `view`, at a new version.
     pub fn refresh(&mut self, view: &WorkerView, version: u64) {
         self.free = view.free();
         self.load_permille = view.load_permille;
--- a/crates/geraniumpost-core/src/placement/worker_state.rs
+++ b/crates/geraniumpost-core/src/placement/worker_state.rs
@@ -1,19 +1,19 @@
 use derive_more::Display;
 
-/// Whether a worker may be given jobs.
+/// Whether jobs may be started on a worker. Only a healthy one accepts them.
 #[derive(Debug, Display, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum WorkerState {
-    /// Accepts new jobs.
+    /// Responds and accepts new jobs.
     #[default]
     #[display("healthy")]
     Healthy,
-    /// Is about to leave: its tasks continue, new jobs are refused.
+    /// Is to be removed: its tasks continue, but no jobs are started.
     #[display("draining")]
     Draining,
-    /// Was quarantined by an operator or by the planner.
+    /// Was quarantined by an operator or by the planner, so no jobs are started.
     #[display("quarantined")]
     Quarantined,
-    /// Does not answer. It still counts for which jobs could ever run, as it may come back.
+    /// Does not respond. Jobs that fit only on lost workers wait, as these may come back.
     #[display("lost")]
     Lost,
 }
--- a/crates/geraniumpost-core/src/placement/worker_view.rs
+++ b/crates/geraniumpost-core/src/placement/worker_view.rs
@@ -2,7 +2,7 @@
 
 use super::{TaskView, WorkerState, amounts};
 
-/// A worker as its agent last described it.
+/// A worker with the state that its agent reported last, and its tasks.
 ///
 /// # Example
 ///
@@ -19,17 +19,19 @@
     pub(super) domain: Name,
     pub(super) rack: Name,
     pub(super) capacity: Resources,
+    /// Part of the capacity that is reserved for the service.
     pub(super) reserve: Resources,
     pub(super) service: Option<Name>,
     pub(super) load_permille: u32,
     pub(super) p99_us: u64,
+    /// Resources that the agent's ledger has reserved.
     pub(super) reserved: Resources,
     pub(super) state: WorkerState,
     pub(super) tasks: Vec<TaskView>,
 }
 
 impl WorkerView {
-    /// Creates a healthy worker without a service or tasks.
+    /// Creates a healthy worker without a service or tasks. `capacity` is that of its VM.
     pub fn new(
         name: impl Into<Name>,
         domain: impl Into<Name>,
@@ -51,21 +53,22 @@
         }
     }
 
-    /// Sets the service of the minion beside the worker.
+    /// Sets the service of the minion on the worker's VM.
     #[must_use]
     pub fn service(mut self, service: impl Into<Name>) -> Self {
         self.service = Some(service.into());
         self
     }
 
-    /// Sets the resources that are kept free of batch work for the service.
+    /// Sets the part of the capacity that is reserved for the service.
     #[must_use]
     pub const fn reserve(mut self, reserve: Resources) -> Self {
         self.reserve = reserve;
         self
     }
 
-    /// Sets the busy share of the minion's slots in thousandths and its recent p99.
+    /// Sets the busy share of the minion's slots, in thousandths, and its recent p99 in
+    /// microseconds.
     #[must_use]
     pub const fn load(mut self, load_permille: u32, p99_us: u64) -> Self {
         self.load_permille = load_permille;
@@ -73,51 +76,53 @@
         self
     }
 
-    /// Sets what the agent's ledger has reserved according to its latest heartbeat.
+    /// Sets the resources that the agent's ledger has reserved, according to its latest heartbeat.
     ///
-    /// The ledger may count a throttled or a measured task for more than the planner does. A start
-    /// that it would refuse is not proposed, as the job would have to wait for a back-off in vain.
+    /// The ledger may reserve more for a throttled or measured task than the planner allocates.
+    /// Free capacity excludes both, as the ledger would otherwise refuse starts, and the jobs would
+    /// have to wait for a back-off.
     #[must_use]
     pub const fn reserved(mut self, reserved: Resources) -> Self {
         self.reserved = reserved;
         self
     }
 
-    /// Sets whether the worker accepts jobs.
+    /// Sets the state, on which it depends whether jobs may be started.
     #[must_use]
     pub const fn state(mut self, state: WorkerState) -> Self {
         self.state = state;
         self
     }
 
-    /// Sets the tasks on the worker.
+    /// Sets the tasks that are started, run or are being stopped on the worker.
     #[must_use]
     pub fn tasks(mut self, tasks: Vec<TaskView>) -> Self {
         self.tasks = tasks;
         self
     }
 
-    /// Returns the worker's name.
+    /// Returns the name, which is unique within a [`Fleet`](super::Fleet).
     pub const fn name(&self) -> &Name {
         &self.name
     }
 
-    /// Returns the tasks on the worker.
+    /// Returns all tasks on the worker, including those that are being started or stopped.
     pub fn running(&self) -> &[TaskView] {
         &self.tasks
     }
 
-    /// Returns the resources that the worker offers to batch work.
+    /// Returns the resources for batch work: the capacity minus the reserve for the service.
     pub const fn allowance(&self) -> Resources {
         amounts::minus(&self.capacity, &self.reserve)
     }
 
-    /// Returns the resources allocated to the tasks.
+    /// Returns the sum of [`TaskView::allocated`] over all tasks.
     pub fn allocated(&self) -> Resources {
         self.tasks.iter().fold(amounts::NONE, |sum, task| amounts::plus(&sum, &task.allocated()))
     }
 
-    /// Returns what is free for batch work, by both the planner's and the ledger's count.
+    /// Returns the allowance minus, for each resource, the larger of the planner's allocation and
+    /// the ledger's reservation.
     pub fn free(&self) -> Resources {
         amounts::minus(
             &self.allowance(),
--- a/crates/geraniumpost-core/tests/placement_basics.rs
+++ b/crates/geraniumpost-core/tests/placement_basics.rs
@@ -1,4 +1,4 @@
-//! Basic cases of placement.
+//! Decisions of a new placer on a fleet of two idle workers.
 
 use assert_matches::assert_matches;
 use geraniumpost_core::Millis;
@@ -24,6 +24,7 @@
     .expect("a document")
 }
 
+/// A fleet of two idle workers, of which `w1` is the larger one.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::default();
     fleet.put_worker(WorkerView::new("w1", "surco", "r1", amount(8000, 16000)));
@@ -77,8 +78,8 @@
     ] => |decided| {
         assert_matches!(decided[0], Decision::Wait { .. });
     };
-    /// A customer asks for more memory than any VM has. Without a rejection the job would wait
-    /// forever, and the customer would learn of it only when the job's deadline passes.
+    /// A job needs more memory than any VM has. If it were not rejected it would wait forever, and
+    /// the customer would notice only after the job's deadline.
     rejects_job_larger_than_any_worker: [
         PlacementRequest::new("j", "entel", "study", amount(1, 16001)),
     ] => |decided| {
@@ -95,8 +96,8 @@
     };
 }
 
-/// A planner has just taken over and knows only some workers yet. If it judged jobs by these, it
-/// would reject those that fit on the others as impossible.
+/// A planner that has just taken over knows only some of the workers. Jobs that fit only on the
+/// others must not be rejected as impossible.
 #[test]
 fn rejects_no_job_while_workers_announce_themselves() {
     let mut fleet = fleet();
@@ -105,8 +106,8 @@
     assert_matches!(decided[0], Decision::Wait { reason: Reason::AwaitingWorkers, .. });
 }
 
-/// A task uses more than it declared. If only the declared need were counted, a second task would
-/// be started and the VM would be overcommitted.
+/// A task uses more than it declared. If only the declared need counted, another job would be
+/// started on the VM, which would be overcommitted.
 #[test]
 fn counts_measured_usage_above_declared_need() {
     let mut fleet = fleet();
@@ -116,8 +117,8 @@
     assert_matches!(decided[0], Decision::Wait { reason: Reason::NoCapacity { .. }, .. });
 }
 
-/// The agent's ledger has reserved more than the planner knows of. A start there would be refused,
-/// and the job would have to wait for a back-off, so it is not proposed.
+/// The agent's ledger has reserved more than the planner allocated. The ledger would refuse a
+/// start, and the job would have to wait for a back-off, so the planner starts no job there.
 #[test]
 fn respects_ledger_reservations() {
     let mut fleet = fleet();
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -1,4 +1,5 @@
-//! Compares the placer with a naive reference model that scans all workers for each job.
+//! Checks the placer against a reference model that recomputes free capacity and allocations from
+//! all tasks for each decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +16,8 @@
 const CLASSES: [&str; 3] = ["study", "logs", "check"];
 const QUOTA: Resources = Resources { milli_cpus: 9000, memory_mb: 9000, accelerators: 2 };
 
-/// An event between two decisions.
+/// An event between two calls of the placer. Indices of tasks, workers and queued jobs are taken
+/// modulo their number.
 #[derive(Debug, Clone)]
 enum Step {
     Submit { customer: usize, class: usize, need: Resources, priority: Priority },
@@ -83,9 +85,11 @@
     .expect("a document")
 }
 
-/// Recomputes every sum whenever it is needed.
+/// Reference model that keeps no sums, but computes them from all tasks.
 struct ReferenceModel {
+    /// Allowance and state of each worker.
     workers: BTreeMap<Name, (Resources, WorkerState)>,
+    /// Worker, customer and allocated resources of each job's task.
     tasks: BTreeMap<Name, (Name, Name, Resources)>,
 }
 
@@ -130,7 +134,8 @@
         self.within_quota_with_reservations(request, std::iter::empty())
     }
 
-    /// Returns whether the quota also suffices for the other jobs that capacity is reserved for.
+    /// Returns whether the job stays within its customer's quota if the quota is also used by the
+    /// other jobs in `reserved`.
     fn within_quota_with_reservations<'a>(
         &self,
         request: &PlacementRequest,
@@ -144,7 +149,7 @@
     }
 }
 
-/// Applies decisions to the model one by one and checks each.
+/// Checks each decision against the model and then applies it to the model.
 fn check_decisions(
     decided: &[Decision],
     requests: &[PlacementRequest],
@@ -230,8 +235,9 @@
     Ok(())
 }
 
-/// Returns how many workers may have capacity and still not accept a job: those reserved for other
-/// jobs and, unless the job is urgent, one in four that may keep capacity free for urgent jobs.
+/// Returns the maximum number of workers that have capacity but are not available for a job: those
+/// reserved for other jobs and, unless the job is urgent, one in four that may keep capacity free
+/// for urgent jobs.
 fn max_reserved_workers(
     reservation_holders: &BTreeSet<Name>,
     request: &PlacementRequest,
@@ -242,7 +248,7 @@
     reservation_holders.len() + for_urgent
 }
 
-/// Returns the jobs that wait on a reserved worker.
+/// Returns the jobs that wait with a worker reserved for them.
 fn reservation_holders(decided: &[Decision]) -> impl Iterator<Item = Name> {
     decided.iter().filter_map(|decision| match decision {
         Decision::Wait {
@@ -253,6 +259,7 @@
     })
 }
 
+/// Returns the position of a request's priority in the order of decisions, from 0 for urgent.
 fn rank(request: &PlacementRequest) -> u8 {
     match request.requested_priority() {
         Priority::Urgent => 0,
@@ -261,7 +268,7 @@
     }
 }
 
-/// Checks that the sums that the fleet maintains equal those of the model.
+/// Checks that the free capacity and allocations that the fleet maintains equal those of the model.
 fn check_fleet(fleet: &Fleet, model: &ReferenceModel) -> Result<(), TestCaseError> {
     for view in fleet.workers() {
         prop_assert_eq!(view.free(), model.free(view.name()));
@@ -273,19 +280,20 @@
     Ok(())
 }
 
-/// A fleet under random events, with the test in the role of the planner.
-struct Site {
+/// A planner that applies random events and the placer's starts to its fleet.
+struct SimulatedPlanner {
     fleet: Fleet,
     placer: Placer,
     states: BTreeMap<Name, WorkerState>,
     queue: Vec<PlacementRequest>,
     now: u64,
     next_job: usize,
+    /// Jobs for which a worker was reserved by the last call of the placer.
     reservation_holders: BTreeSet<Name>,
     rng: StdRng,
 }
 
-impl Site {
+impl SimulatedPlanner {
     fn new(workers: &[(u64, u32)]) -> Self {
         let mut fleet = Fleet::default();
         for (index, (cpus, accelerators)) in workers.iter().enumerate() {
@@ -375,20 +383,21 @@
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let mut site = Site::new(&workers);
+        let mut planner = SimulatedPlanner::new(&workers);
         for step in &steps {
-            site.apply(step);
-            site.place()?;
+            planner.apply(step);
+            planner.place()?;
         }
     }
 
-    /// A decision must be reproducible from its seed, to be explained after an incident.
+    /// Decisions must be reproducible from the seed of the random numbers, so that an incident can
+    /// be analysed by a replay.
     #[test]
     fn same_seed_gives_same_decisions(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        let (mut one, mut other) = (Site::new(&workers), Site::new(&workers));
+        let (mut one, mut other) = (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
         for step in &steps {
             one.apply(step);
             other.apply(step);
--- a/crates/geraniumpost-core/tests/placement_faults.rs
+++ b/crates/geraniumpost-core/tests/placement_faults.rs
@@ -1,21 +1,23 @@
-//! Attribution of failed runs to the job or the worker.
+//! Attribution of failed runs to jobs or workers, and the quarantine of workers.
 
 mod placement_support;
 
 use assert_matches::assert_matches;
 use geraniumpost_core::placement::{Decision, PlacementRequest, Reason, RunOutcome};
-use placement_support::{Site, amount, name, request, started, worker};
+use placement_support::{TestPlanner, amount, name, normal_request, started_on, worker};
 
 const TICK_MS: u64 = 1000;
 
+/// Creates requests of distinct healthy jobs.
 fn jobs(count: usize) -> Vec<PlacementRequest> {
-    (0..count).map(|i| request(&format!("job-{i}"), "study", amount(1000, 1000))).collect()
+    (0..count).map(|i| normal_request(&format!("job-{i}"), "study", amount(1000, 1000))).collect()
 }
 
-/// Runs a queue on workers, some of which fail every run within a second, and returns the
-/// decisions. Successful runs take a minute.
+/// Places the jobs in `queue` every second for `ticks` seconds, and returns all decisions. Runs for
+/// which `fails(job, worker)` holds fail after a second and are queued again; others succeed after
+/// a minute.
 fn run(
-    site: &mut Site,
+    planner: &mut TestPlanner,
     mut queue: Vec<PlacementRequest>,
     ticks: u64,
     fails: fn(&str, &str) -> bool,
@@ -24,20 +26,20 @@
     let mut running: Vec<(u64, PlacementRequest)> = Vec::new();
     for now in (0..ticks).map(|tick| tick * TICK_MS) {
         let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|(since, request)| {
-            let on = site.fleet.worker_of(request.job()).expect("running").name().clone();
+            let on = planner.fleet.worker_of(request.job()).expect("running").name().clone();
             now - since >= if fails(request.job(), &on) { TICK_MS } else { 60_000 }
         });
         running = rest;
         for (_, request) in ended {
-            let on = site.fleet.worker_of(request.job()).expect("running").name().clone();
+            let on = planner.fleet.worker_of(request.job()).expect("running").name().clone();
             if fails(request.job(), &on) {
-                site.end(now, request.job(), RunOutcome::Failed);
+                planner.end_run(now, request.job(), RunOutcome::Failed);
                 queue.push(request);
             } else {
-                site.end(now, request.job(), RunOutcome::Completed);
+                planner.end_run(now, request.job(), RunOutcome::Completed);
             }
         }
-        let decided = site.place(now, &queue);
+        let decided = planner.place(now, &queue);
         for decision in &decided {
             let leaves_queue = matches!(decision, Decision::Start { .. } | Decision::GiveUp { .. });
             if let Some(at) =
@@ -54,12 +56,14 @@
     all
 }
 
-/// One VM's disk is broken and every run there fails within a second, so the VM always looks free.
-/// Unless it is quarantined it takes job after job, and sound jobs are given up.
+/// The disk of one VM is broken, so every run there fails within a second and the VM always has
+/// free capacity. Unless it is quarantined, it is given job after job, and healthy jobs are given
+/// up.
 #[test]
 fn failing_worker_is_quarantined_before_it_drains_the_queue() {
-    let mut site = Site::new([worker("w1", "r1"), worker("w2", "r2"), worker("failing", "r3")]);
-    let decided = run(&mut site, jobs(60), 300, |_, on| on == "failing");
+    let mut planner =
+        TestPlanner::new([worker("w1", "r1"), worker("w2", "r2"), worker("failing", "r3")]);
+    let decided = run(&mut planner, jobs(60), 300, |_, on| on == "failing");
     let quarantines = |d: &&Decision| matches!(d, Decision::Quarantine { .. });
     assert!(
         decided.iter().filter(quarantines).count() >= 1,
@@ -67,53 +71,58 @@
     );
     let given_up: Vec<_> =
         decided.iter().filter(|d| matches!(d, Decision::GiveUp { .. })).collect();
-    assert!(given_up.is_empty(), "sound jobs were given up: {given_up:?}");
+    assert!(given_up.is_empty(), "healthy jobs were given up: {given_up:?}");
     let started =
         |d: &&Decision| matches!(d, Decision::Start { worker, .. } if worker == &name("failing"));
     let started = decided.iter().filter(started).count();
     assert!(started < 30, "{started} jobs started on the failing worker");
 }
 
-/// A quarantined worker has been repaired. It is probed with one job and gets work again once the
-/// probe succeeds. Otherwise its capacity would be lost permanently.
+/// A quarantined worker has been repaired. It is probed with one job and gets further jobs once the
+/// probe succeeds. Without probes its capacity would be lost permanently.
 #[test]
 fn repaired_worker_is_probed_and_released() {
-    let mut site = Site::new([worker("failing", "r1")]);
+    let mut planner = TestPlanner::new([worker("failing", "r1")]);
     for now in [0, 1000, 2000] {
-        let request = request(&format!("job-{now}"), "study", amount(1000, 1000));
-        site.start(now, &request, &name("failing"), amount(1000, 1000));
-        site.end(now + 500, request.job(), RunOutcome::Failed);
+        let request = normal_request(&format!("job-{now}"), "study", amount(1000, 1000));
+        planner.start(now, &request, &name("failing"), amount(1000, 1000));
+        planner.end_run(now + 500, request.job(), RunOutcome::Failed);
     }
     let queue = jobs(4);
-    let decided = site.place(3000, &queue);
+    let decided = planner.place(3000, &queue);
     assert_matches!(
         decided[0],
         Decision::Quarantine { reason: Reason::WorkerFailsJobs { jobs: 3, .. }, .. }
     );
     assert_eq!(decided.iter().filter(|d| matches!(d, Decision::Start { .. })).count(), 0);
-    let decided = site.place(34_000, &queue);
+    let decided = planner.place(34_000, &queue);
     assert_matches!(decided[0], Decision::Release { reason: Reason::ProbeStarted, .. });
     let probes: Vec<_> =
-        queue.iter().filter(|request| started(&decided, request.job()).is_some()).collect();
+        queue.iter().filter(|request| started_on(&decided, request.job()).is_some()).collect();
     assert_eq!(probes.len(), 1, "a probe consists of one job");
     let waiting: Vec<PlacementRequest> =
         queue.iter().filter(|w| w.job() != probes[0].job()).cloned().collect();
     assert_eq!(
-        site.place(35_000, &waiting).iter().filter(|d| matches!(d, Decision::Start { .. })).count(),
+        planner
+            .place(35_000, &waiting)
+            .iter()
+            .filter(|d| matches!(d, Decision::Start { .. }))
+            .count(),
         0
     );
-    let decided = site.place(65_000, &waiting);
+    let decided = planner.place(65_000, &waiting);
     assert_matches!(decided[0], Decision::Release { reason: Reason::ProbeSucceeded, .. });
     assert_eq!(decided.iter().filter(|d| matches!(d, Decision::Start { .. })).count(), 3);
 }
 
-/// A job has a bad input and fails wherever it runs. It must not be retried forever, and the
-/// workers on which it failed must not be quarantined for it.
+/// A job with a bad input fails on every worker. It must not be retried forever, and the workers on
+/// which it failed must not be quarantined.
 #[test]
 fn always_failing_job_is_given_up_without_quarantine() {
-    let mut site = Site::new([worker("w1", "r1"), worker("w2", "r2"), worker("w3", "r3")]);
-    let poison = [request("poison", "study", amount(1000, 1000))];
-    let decided = run(&mut site, poison.to_vec(), 60, |_, _| true);
+    let mut planner =
+        TestPlanner::new([worker("w1", "r1"), worker("w2", "r2"), worker("w3", "r3")]);
+    let poison = [normal_request("poison", "study", amount(1000, 1000))];
+    let decided = run(&mut planner, poison.to_vec(), 60, |_, _| true);
     let starts: Vec<_> = decided
         .iter()
         .filter_map(|d| match d {
@@ -131,14 +140,16 @@
     assert!(!decided.iter().any(|d| matches!(d, Decision::Quarantine { .. })));
 }
 
-/// Several customers submit jobs with bad inputs at once. As sound jobs succeed on the same
-/// workers, the failures must not quarantine both of them.
+/// Several jobs with bad inputs are submitted at once. As healthy jobs succeed on the same two
+/// workers, the failures must not quarantine both workers.
 #[test]
-fn failing_jobs_among_sound_ones_quarantine_at_most_one_worker() {
-    let mut site = Site::new([worker("w1", "r1"), worker("w2", "r2")]);
+fn failing_jobs_among_healthy_ones_quarantine_at_most_one_worker() {
+    let mut planner = TestPlanner::new([worker("w1", "r1"), worker("w2", "r2")]);
     let mut queue = jobs(40);
-    queue.extend((0..6).map(|i| request(&format!("poison-{i}"), "study", amount(1000, 1000))));
-    let decided = run(&mut site, queue, 200, |job, _| job.starts_with("poison"));
+    queue.extend(
+        (0..6).map(|i| normal_request(&format!("poison-{i}"), "study", amount(1000, 1000))),
+    );
+    let decided = run(&mut planner, queue, 200, |job, _| job.starts_with("poison"));
     let quarantines: Vec<_> =
         decided.iter().filter(|d| matches!(d, Decision::Quarantine { .. })).collect();
     assert!(quarantines.len() <= 1, "{quarantines:?}");
@@ -146,24 +157,25 @@
     assert_eq!(given_up, 6);
 }
 
-/// A job failed once for lack of memory and once on a VM that turned out to be broken. If the
-/// latter counted against the job, it would lose its last attempt.
+/// A job fails on a VM that is then quarantined, and later on two other VMs. If the first failure
+/// counted, the job would have used up its three attempts and be given up.
 #[test]
 fn failures_on_quarantined_worker_do_not_count_against_jobs() {
-    let mut site = Site::new([worker("w1", "r1"), worker("w2", "r2"), worker("failing", "r3")]);
+    let mut planner =
+        TestPlanner::new([worker("w1", "r1"), worker("w2", "r2"), worker("failing", "r3")]);
     let need = amount(1000, 1000);
-    let study = request("unlucky", "study", need);
+    let study = normal_request("unlucky", "study", need);
     for (now, on) in [(0, "failing"), (100_000, "w1"), (200_000, "w2")] {
-        site.start(now, &study, &name(on), need);
-        site.end(now + 1000, study.job(), RunOutcome::Failed);
+        planner.start(now, &study, &name(on), need);
+        planner.end_run(now + 1000, study.job(), RunOutcome::Failed);
         if on == "failing" {
             for job in ["a", "b"] {
-                site.start(now, &request(job, "study", need), &name(on), need);
-                site.end(now + 1000, &name(job), RunOutcome::Failed);
+                planner.start(now, &normal_request(job, "study", need), &name(on), need);
+                planner.end_run(now + 1000, &name(job), RunOutcome::Failed);
             }
-            site.place(now + 1000, &[]);
+            planner.place(now + 1000, &[]);
         }
     }
-    let decided = site.place(300_000, &[study]);
+    let decided = planner.place(300_000, &[study]);
     assert!(!decided.iter().any(|d| matches!(d, Decision::GiveUp { .. })), "{decided:?}");
 }
--- a/crates/geraniumpost-core/tests/placement_support/mod.rs
+++ b/crates/geraniumpost-core/tests/placement_support/mod.rs
@@ -1,5 +1,5 @@
-//! Shared fixture of the placement tests: a small fleet to which decisions are applied as a planner
-//! would.
+//! Shared fixture of the placement tests: a small fleet to which decisions are applied as the
+//! planner does.
 
 #![allow(dead_code)]
 
@@ -33,22 +33,23 @@
     .expect("a document")
 }
 
-pub fn worker(text: &str, rack: &str) -> WorkerView {
-    WorkerView::new(text, format!("domain-of-{rack}"), rack, amount(16_000, 64_000))
+/// Creates a worker with 16 processors and 64 GB. Each rack is its own failure domain.
+pub fn worker(worker_name: &str, rack: &str) -> WorkerView {
+    WorkerView::new(worker_name, format!("domain-of-{rack}"), rack, amount(16_000, 64_000))
 }
 
-pub fn request(job: &str, class: &str, need: Resources) -> PlacementRequest {
+pub fn normal_request(job: &str, class: &str, need: Resources) -> PlacementRequest {
     PlacementRequest::new(job, "entel", class, need)
 }
 
-/// A planner's view of a few workers.
-pub struct Site {
+/// A placer with its fleet, and with random numbers from a fixed seed.
+pub struct TestPlanner {
     pub placer: Placer,
     pub fleet: Fleet,
     rng: StdRng,
 }
 
-impl Site {
+impl TestPlanner {
     pub fn new(workers: impl IntoIterator<Item = WorkerView>) -> Self {
         let mut fleet = Fleet::default();
         for worker in workers {
@@ -57,7 +58,7 @@
         Self { placer: Placer::new(&document()), fleet, rng: StdRng::seed_from_u64(7) }
     }
 
-    /// Decides, and applies starts and throttles.
+    /// Calls the placer, and applies its starts and throttles to the fleet.
     pub fn place(&mut self, now: u64, requests: &[PlacementRequest]) -> Vec<Decision> {
         let decided = self.placer.place(Millis(now), requests, &self.fleet, &mut self.rng);
         for decision in &decided {
@@ -85,7 +86,7 @@
         decided
     }
 
-    /// Starts a job without a decision.
+    /// Starts a job on a worker without a decision of the placer.
     pub fn start(&mut self, now: u64, request: &PlacementRequest, worker: &Name, need: Resources) {
         let (customer, class) = (request.customer().clone(), request.class().clone());
         let job = request.job().clone();
@@ -102,47 +103,57 @@
         self.observe(now, Observation::Started { job, customer, class, worker, need, at });
     }
 
-    pub fn end(&mut self, now: u64, job: &Name, outcome: RunOutcome) {
+    /// Removes the task of a job and reports the end of its run.
+    pub fn end_run(&mut self, now: u64, job: &Name, outcome: RunOutcome) {
         let worker = self.fleet.worker_of(job).expect("a running job").name().clone();
         self.fleet.remove_task(job);
         let (job, at) = (job.clone(), Millis(now));
         self.observe(now, Observation::Ended { job, worker, outcome, at });
     }
 
-    pub fn latency(&mut self, now: u64, worker: &str, load_permille: u32, p99_ms: u64, at: u64) {
+    /// Reports a latency measured at `at`, which arrives at `now`.
+    pub fn report_latency(
+        &mut self,
+        now: u64,
+        worker: &str,
+        load_permille: u32,
+        p99_ms: u64,
+        at: u64,
+    ) {
         let (worker, p99_us, at) = (name(worker), p99_ms * 1000, Millis(at));
         self.fleet.set_load(&worker, load_permille, p99_us);
         let service = name("filing");
         self.observe(now, Observation::Latency { worker, service, load_permille, p99_us, at });
     }
 
-    pub fn usage(&mut self, now: u64, job: &str, need: Resources, usage: Resources) {
+    /// Reports the usage of a job of customer `entel` and class `study`.
+    pub fn report_usage(&mut self, now: u64, job: &str, need: Resources, usage: Resources) {
         let (customer, class) = (name("entel"), name("study"));
         let (job, at) = (name(job), Millis(now));
         self.observe(now, Observation::Usage { job, customer, class, need, usage, at });
     }
 
-    /// Decides on a copy of the placer, without applying the decisions.
-    pub fn clone_place(&self, now: u64, requests: &[PlacementRequest]) -> Vec<Decision> {
+    /// Calls a clone of the placer, whose decisions are not applied.
+    pub fn place_on_clone(&self, now: u64, requests: &[PlacementRequest]) -> Vec<Decision> {
         let mut rng = StdRng::seed_from_u64(7);
         self.placer.clone().place(Millis(now), requests, &self.fleet, &mut rng)
     }
 
-    pub fn observe(&mut self, now: u64, seen: Observation) {
-        self.placer.observe(Millis(now), &seen);
+    pub fn observe(&mut self, now: u64, observation: Observation) {
+        self.placer.observe(Millis(now), &observation);
     }
 }
 
-/// Returns where a job was started, if it was.
-pub fn started(decided: &[Decision], of: &str) -> Option<Name> {
+/// Returns the worker on which the job `of` is started, or `None` if it is not.
+pub fn started_on(decided: &[Decision], of: &str) -> Option<Name> {
     decided.iter().find_map(|decision| match decision {
         Decision::Start { job, worker, .. } if job.as_str() == of => Some(worker.clone()),
         _ => None,
     })
 }
 
-/// Returns the score of a job's start.
-pub fn score(decided: &[Decision], of: &str) -> f64 {
+/// Returns the score in the start decision for the job `of`, and panics if there is none.
+pub fn start_score(decided: &[Decision], of: &str) -> f64 {
     let score = decided.iter().find_map(|decision| match decision {
         Decision::Start { job, score, .. } if job.as_str() == of => Some(*score),
         _ => None,
@@ -150,7 +161,7 @@
     score.unwrap_or_else(|| panic!("{of} was not started: {decided:?}"))
 }
 
-pub fn evicted(decided: &[Decision]) -> Vec<Name> {
+pub fn evicted_jobs(decided: &[Decision]) -> Vec<Name> {
     let of = |decision: &Decision| match decision {
         Decision::Evict { job, .. } => Some(job.clone()),
         _ => None,
@@ -158,6 +169,6 @@
     decided.iter().filter_map(of).collect()
 }
 
-pub fn urgent(job: &str, need: Resources) -> PlacementRequest {
-    request(job, "check", need).priority(Priority::Urgent)
+pub fn urgent_request(job: &str, need: Resources) -> PlacementRequest {
+    normal_request(job, "check", need).priority(Priority::Urgent)
 }
