--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -221,7 +221,7 @@
         self.services.names()
     }
 
-    /// Returns the number of distinct names of racks and failure domains, which share one index.
+    /// Returns the number of distinct racks and failure domains, which share one range of indices.
     pub(super) fn location_count(&self) -> usize {
         self.locations.names().len()
     }
