--- a/crates/geraniumpost-core/src/placement/latency_control.rs
+++ b/crates/geraniumpost-core/src/placement/latency_control.rs
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Halves the speed of the task that interferes most, down to [`MIN_SPEED_PERMILLE`].
+    /// Halves the speed of the task that interferes most, but not below [`MIN_SPEED_PERMILLE`].
     fn throttle_most_interfering(&self) -> Option<Decision> {
         let (interference, task) =
             self.most_interfering_task(|task| task.permille > MIN_SPEED_PERMILLE)?;
--- a/crates/geraniumpost-core/src/placement/mitigation.rs
+++ b/crates/geraniumpost-core/src/placement/mitigation.rs
@@ -54,8 +54,8 @@
         decisions
     }
 
-    /// Returns whether a decision may be carried out. An eviction that may is counted against the
-    /// budget; one that has been ordered already, or would exceed the budget, may not.
+    /// Returns whether a decision may be carried out, and counts an eviction against the budget. An
+    /// eviction may not be carried out if it was already ordered or the budget does not allow it.
     fn admit(&mut self, now: Millis, decision: &Decision) -> bool {
         let Decision::Evict { job, .. } = decision else { return true };
         let per_minute = self.policy.evictions_per_minute();
--- a/crates/geraniumpost-core/src/placement/reason.rs
+++ b/crates/geraniumpost-core/src/placement/reason.rs
@@ -140,8 +140,7 @@
         /// Worker of the last of these failures.
         last: Name,
     },
-    /// The job has waited long, so a worker is reserved for it until enough of its tasks have
-    /// ended.
+    /// The job has waited long, so a worker is reserved for it until enough tasks there have ended.
     #[display("waited long; {worker} is kept for it")]
     WorkerReserved {
         /// The worker that is reserved for the job.
