--- a/crates/geraniumpost-core/src/placement/decide.rs
+++ b/crates/geraniumpost-core/src/placement/decide.rs
@@ -49,7 +49,7 @@
         if self.cannot_fit(&context, planned) {
             return vec![self.wait_or_reserve(&context, planned)];
         }
-        let result = self.search(&context, planned);
+        let result = self.find_workers(&context, planned);
         if result.best.is_empty() {
             return self.handle_no_capacity(&context, planned);
         }
@@ -60,7 +60,8 @@
     /// quota and by the largest worker that fits the job, but at least the declared need.
     fn reserved_need(&self, request: &PlacementRequest, fleet: &Fleet) -> Resources {
         let Some(largest) = fleet.largest_allowance_for(&request.need) else { return request.need };
-        let quota = self.policy.customer(&request.customer).map_or(largest, |share| share.quota);
+        let quota =
+            self.policy.customer(&request.customer).map_or(largest, |settings| settings.quota);
         self.usage_estimates.estimate(request, &amounts::component_min(&largest, &quota))
     }
 
@@ -89,7 +90,7 @@
 
     /// Scores the workers with capacity, without those on which the job failed unless there is no
     /// other.
-    fn search(&self, context: &JobContext<'_>, planned: &mut PlannedFleet) -> ScanResult {
+    fn find_workers(&self, context: &JobContext<'_>, planned: &mut PlannedFleet) -> ScanResult {
         let (request, fleet) = (context.request, context.fleet);
         let compute = || {
             let class = self.model.class_index(&request.class);
--- a/crates/geraniumpost-core/src/placement/latency_control.rs
+++ b/crates/geraniumpost-core/src/placement/latency_control.rs
@@ -70,7 +70,7 @@
 
     /// Evicts the task that interferes most among those at the lowest speed, if latency has been
     /// high for [`EVICT_AFTER_MS`] despite the throttling.
-    pub fn evict(&self) -> Option<Decision> {
+    pub fn evict_if_high(&self) -> Option<Decision> {
         let high = self.latency.high_for(self.now)? >= EVICT_AFTER_MS;
         if !high
             || self.latency.smoothed < EVICT_MIN_P99
--- a/crates/geraniumpost-core/src/placement/mitigation.rs
+++ b/crates/geraniumpost-core/src/placement/mitigation.rs
@@ -23,7 +23,7 @@
             };
             let control = LatencyControl { now, view, latency, model: &self.model };
             let throttled = control.throttle_if_high().or_else(|| control.speed_up_if_low());
-            let evicted = if throttled.is_none() { control.evict() } else { None };
+            let evicted = if throttled.is_none() { control.evict_if_high() } else { None };
             let Some(decision) = throttled.or(evicted) else { continue };
             if self.admit(now, &decision) {
                 if let Some(latency) = self.latencies.get_mut(&view.name) {
--- a/crates/geraniumpost-core/src/placement/placer.rs
+++ b/crates/geraniumpost-core/src/placement/placer.rs
@@ -69,7 +69,7 @@
 const EVICTION_TIMEOUT_MS: u64 = 30_000;
 /// State of departed workers is dropped once latencies are kept for more than twice the number of
 /// workers plus this number.
-const LATENCIES_SURPLUS: usize = 64;
+const CLEANUP_SURPLUS: usize = 64;
 
 impl Placer {
     /// Creates a placer with the policy of `document` that has learned nothing yet.
@@ -156,7 +156,7 @@
     /// reservations that have expired.
     fn forget_departed(&mut self, now: Millis, requests: &[PlacementRequest], fleet: &Fleet) {
         // VMs are replaced under new names, so the state of old ones would accumulate.
-        if self.latencies.len() > fleet.rows().len() * 2 + LATENCIES_SURPLUS {
+        if self.latencies.len() > fleet.rows().len() * 2 + CLEANUP_SURPLUS {
             let is_present = |worker: &Name| fleet.worker(worker).is_some();
             self.latencies.retain(|worker, _| is_present(worker));
             self.history.retain_workers(is_present);
--- a/crates/geraniumpost-core/src/placement/policy.rs
+++ b/crates/geraniumpost-core/src/placement/policy.rs
@@ -7,7 +7,7 @@
 /// Customers, job classes, latency targets and the eviction limit of the configuration document.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementPolicy {
-    customers: HashMap<Name, CustomerShare>,
+    customers: HashMap<Name, CustomerSettings>,
     classes: HashMap<Name, JobClass>,
     /// Latency targets by service, in microseconds.
     targets_us: HashMap<Name, u64>,
@@ -16,20 +16,24 @@
 
 /// Settings of one customer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct CustomerShare {
+pub(super) struct CustomerSettings {
     pub weight: u32,
     pub quota: Resources,
 }
 
 impl From<&Document> for PlacementPolicy {
     fn from(document: &Document) -> Self {
-        let share = |name: &Name| {
+        let settings = |name: &Name| {
             let customer = &document.customers[name];
-            CustomerShare { weight: customer.weight, quota: amounts::of_quota(&customer.quota) }
+            CustomerSettings { weight: customer.weight, quota: amounts::of_quota(&customer.quota) }
         };
         let target = |ms: u64| ms.saturating_mul(1000);
         Self {
-            customers: document.customers.keys().map(|name| (name.clone(), share(name))).collect(),
+            customers: document
+                .customers
+                .keys()
+                .map(|name| (name.clone(), settings(name)))
+                .collect(),
             classes: document.classes.clone().into_iter().collect(),
             targets_us: document
                 .services
@@ -42,7 +46,7 @@
 }
 
 impl PlacementPolicy {
-    pub(super) fn customer(&self, customer: &Name) -> Option<CustomerShare> {
+    pub(super) fn customer(&self, customer: &Name) -> Option<CustomerSettings> {
         self.customers.get(customer).copied()
     }
 
--- a/crates/geraniumpost-core/src/placement/queue.rs
+++ b/crates/geraniumpost-core/src/placement/queue.rs
@@ -87,8 +87,9 @@
             queue.requests.push_back(request);
             return;
         }
-        let weight =
-            policy.customer(&request.customer).map_or(1.0, |share| share.weight.max(1).into());
+        let weight = policy
+            .customer(&request.customer)
+            .map_or(1.0, |settings| settings.weight.max(1).into());
         let allocated =
             amounts::dominant_share(&fleet.allocated_to(&request.customer), fleet.total());
         level.push(CustomerQueue {
--- a/crates/geraniumpost-core/src/placement/rejection.rs
+++ b/crates/geraniumpost-core/src/placement/rejection.rs
@@ -11,12 +11,12 @@
         fleet: &Fleet,
     ) -> Option<Decision> {
         let job = request.job.clone();
-        let Some(share) = self.policy.customer(&request.customer) else {
+        let Some(settings) = self.policy.customer(&request.customer) else {
             let reason = Reason::UnknownCustomer { customer: request.customer.clone() };
             return Some(Decision::Wait { job, reason });
         };
-        if let Some(resource) = amounts::exceeded_resource(&request.need, &share.quota) {
-            return Some(quota_exceeded_decision(request, resource, &share.quota));
+        if let Some(resource) = amounts::exceeded_resource(&request.need, &settings.quota) {
+            return Some(quota_exceeded_decision(request, resource, &settings.quota));
         }
         if !fleet.could_ever_fit(&request.need) {
             return Some(too_large_decision(request, fleet));
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -159,7 +159,8 @@
     let request_of =
         |job: &Name| requests.iter().find(|request| request.job() == job).expect("a request");
     let starts = decided.iter().filter(|d| matches!(d, Decision::Start { .. }));
-    let ranks: Vec<u8> = starts.map(|d| rank(request_of(d.job().expect("a job")))).collect();
+    let ranks: Vec<u8> =
+        starts.map(|d| priority_rank(request_of(d.job().expect("a job")))).collect();
     prop_assert!(
         ranks.windows(2).all(|pair| pair[0] <= pair[1]),
         "priorities out of order: {ranks:?}"
@@ -260,7 +261,7 @@
 }
 
 /// Returns the position of a request's priority in the order of decisions, from 0 for urgent.
-fn rank(request: &PlacementRequest) -> u8 {
+fn priority_rank(request: &PlacementRequest) -> u8 {
     match request.requested_priority() {
         Priority::Urgent => 0,
         Priority::Normal => 1,
--- a/crates/geraniumpost-core/tests/placement_faults.rs
+++ b/crates/geraniumpost-core/tests/placement_faults.rs
@@ -9,14 +9,14 @@
 const TICK_MS: u64 = 1000;
 
 /// Creates requests of distinct healthy jobs.
-fn jobs(count: usize) -> Vec<PlacementRequest> {
+fn healthy_jobs(count: usize) -> Vec<PlacementRequest> {
     (0..count).map(|i| normal_request(&format!("job-{i}"), "study", amount(1000, 1000))).collect()
 }
 
 /// Places the jobs in `queue` every second for `ticks` seconds, and returns all decisions. Runs for
 /// which `fails(job, worker)` holds fail after a second and are queued again; others succeed after
 /// a minute.
-fn run(
+fn run_queue(
     planner: &mut TestPlanner,
     mut queue: Vec<PlacementRequest>,
     ticks: u64,
@@ -63,7 +63,7 @@
 fn failing_worker_is_quarantined_before_it_drains_the_queue() {
     let mut planner =
         TestPlanner::new([worker("w1", "r1"), worker("w2", "r2"), worker("failing", "r3")]);
-    let decided = run(&mut planner, jobs(60), 300, |_, on| on == "failing");
+    let decided = run_queue(&mut planner, healthy_jobs(60), 300, |_, on| on == "failing");
     let quarantines = |d: &&Decision| matches!(d, Decision::Quarantine { .. });
     assert!(
         decided.iter().filter(quarantines).count() >= 1,
@@ -88,7 +88,7 @@
         planner.start(now, &request, &name("failing"), amount(1000, 1000));
         planner.end_run(now + 500, request.job(), RunOutcome::Failed);
     }
-    let queue = jobs(4);
+    let queue = healthy_jobs(4);
     let decided = planner.place(3000, &queue);
     assert_matches!(
         decided[0],
@@ -122,7 +122,7 @@
     let mut planner =
         TestPlanner::new([worker("w1", "r1"), worker("w2", "r2"), worker("w3", "r3")]);
     let poison = [normal_request("poison", "study", amount(1000, 1000))];
-    let decided = run(&mut planner, poison.to_vec(), 60, |_, _| true);
+    let decided = run_queue(&mut planner, poison.to_vec(), 60, |_, _| true);
     let starts: Vec<_> = decided
         .iter()
         .filter_map(|d| match d {
@@ -145,11 +145,11 @@
 #[test]
 fn failing_jobs_among_healthy_ones_quarantine_at_most_one_worker() {
     let mut planner = TestPlanner::new([worker("w1", "r1"), worker("w2", "r2")]);
-    let mut queue = jobs(40);
+    let mut queue = healthy_jobs(40);
     queue.extend(
         (0..6).map(|i| normal_request(&format!("poison-{i}"), "study", amount(1000, 1000))),
     );
-    let decided = run(&mut planner, queue, 200, |job, _| job.starts_with("poison"));
+    let decided = run_queue(&mut planner, queue, 200, |job, _| job.starts_with("poison"));
     let quarantines: Vec<_> =
         decided.iter().filter(|d| matches!(d, Decision::Quarantine { .. })).collect();
     assert!(quarantines.len() <= 1, "{quarantines:?}");
--- a/crates/geraniumpost-core/tests/placement_interference.rs
+++ b/crates/geraniumpost-core/tests/placement_interference.rs
@@ -23,7 +23,7 @@
 
 /// Runs tasks of a noisy class (`study`) and a quiet class (`logs`) in turns on `w1`. Each
 /// measurement arrives five seconds late, when a task of the other class is running.
-fn learn(planner: &mut TestPlanner) {
+fn learn_interference(planner: &mut TestPlanner) {
     let (noisy, quiet) = (
         normal_request("noisy", "study", HALF_WORKER),
         normal_request("quiet", "logs", HALF_WORKER),
@@ -52,7 +52,7 @@
 #[test]
 fn late_measurement_is_attributed_to_tasks_of_its_time() {
     let mut planner = planner();
-    learn(&mut planner);
+    learn_interference(&mut planner);
     let noisy = start_score(
         &planner.place_on_clone(900_000, &[normal_request("a", "study", amount(4000, 100))]),
         "a",
@@ -69,7 +69,7 @@
 #[test]
 fn noisy_job_goes_to_idle_minion() {
     let mut planner = planner();
-    learn(&mut planner);
+    learn_interference(&mut planner);
     for (busy, idle) in [("w1", "w2"), ("w2", "w1")] {
         planner.fleet.set_load(&name(busy), 900, 60_000);
         planner.fleet.set_load(&name(idle), 100, 30_000);
@@ -85,7 +85,7 @@
 #[test]
 fn predicted_interference_grows_with_load() {
     let mut planner = TestPlanner::new([worker("w1", "r1").service("filing")]);
-    learn(&mut planner);
+    learn_interference(&mut planner);
     let now = 900_000;
     (0..6).for_each(|i| planner.report_latency(now + i, "w1", 500, 300, now + i));
     let added = |load_permille| {
@@ -114,7 +114,7 @@
 #[test]
 fn interfering_job_waits_for_limited_time() {
     let mut planner = TestPlanner::new([worker("w1", "r1").service("filing")]);
-    learn(&mut planner);
+    learn_interference(&mut planner);
     planner.fleet.set_load(&name("w1"), 900, 80_000);
     let at = |now| normal_request("a", "study", amount(15_000, 100)).submitted(Millis(now));
     let decided = planner.place_on_clone(900_000, &[at(900_000)]);
@@ -127,7 +127,7 @@
 #[test]
 fn raised_target_takes_effect_at_once() {
     let mut planner = TestPlanner::new([worker("w1", "r1").service("filing")]);
-    learn(&mut planner);
+    learn_interference(&mut planner);
     planner.fleet.set_load(&name("w1"), 900, 80_000);
     let study = [normal_request("a", "study", amount(15_000, 100)).submitted(Millis(900_000))];
     assert_matches!(planner.place_on_clone(900_000, &study)[0], Decision::Wait { .. });
@@ -144,7 +144,7 @@
 #[test]
 fn noisy_task_is_throttled_and_sped_up_again() {
     let mut planner = planner();
-    learn(&mut planner);
+    learn_interference(&mut planner);
     for (job, class) in [("noisy", "study"), ("quiet", "logs")] {
         planner.start(
             900_000,
@@ -172,7 +172,7 @@
 #[test]
 fn latency_between_thresholds_causes_no_action() {
     let mut planner = planner();
-    learn(&mut planner);
+    learn_interference(&mut planner);
     planner.start(
         900_000,
         &normal_request("noisy", "study", HALF_WORKER),
@@ -194,7 +194,7 @@
         TestPlanner::new(workers.iter().map(|w| worker(w, &format!("rack-{w}")).service("filing")));
     planner.fleet.put_worker(worker("w1", "r1").service("filing"));
     planner.fleet.put_worker(worker("w2", "r2").service("filing"));
-    learn(&mut planner);
+    learn_interference(&mut planner);
     for on in &workers {
         let noisy = normal_request(&format!("on-{on}"), "study", HALF_WORKER);
         planner.start(900_000, &noisy, &name(on), HALF_WORKER);
@@ -234,7 +234,7 @@
 #[test]
 fn processors_of_sped_up_task_are_not_given_to_another() {
     let mut planner = planner();
-    learn(&mut planner);
+    learn_interference(&mut planner);
     planner.start(900_000, &normal_request("slow", "logs", HALF_WORKER), &name("w1"), HALF_WORKER);
     planner.fleet.update_task(&name("slow"), |task| task.permille(500));
     let mut sped_up = false;
