--- a/crates/geraniumpost-core/src/placement/policy.rs
+++ b/crates/geraniumpost-core/src/placement/policy.rs
@@ -4,30 +4,36 @@
 
 use super::amounts;
 
-/// The part of the configuration document that placement uses.
+/// Customers, job classes, latency targets and the eviction limit of the configuration document.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementPolicy {
-    customers: HashMap<Name, CustomerShare>,
+    customers: HashMap<Name, CustomerSettings>,
     classes: HashMap<Name, JobClass>,
+    /// Latency targets by service, in microseconds.
     targets_us: HashMap<Name, u64>,
     evictions_per_minute: u32,
 }
 
+/// Settings of one customer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct CustomerShare {
+pub(super) struct CustomerSettings {
     pub weight: u32,
     pub quota: Resources,
 }
 
 impl From<&Document> for PlacementPolicy {
     fn from(document: &Document) -> Self {
-        let share = |name: &Name| {
+        let settings = |name: &Name| {
             let customer = &document.customers[name];
-            CustomerShare { weight: customer.weight, quota: amounts::of_quota(&customer.quota) }
+            CustomerSettings { weight: customer.weight, quota: amounts::of_quota(&customer.quota) }
         };
         let target = |ms: u64| ms.saturating_mul(1000);
         Self {
-            customers: document.customers.keys().map(|name| (name.clone(), share(name))).collect(),
+            customers: document
+                .customers
+                .keys()
+                .map(|name| (name.clone(), settings(name)))
+                .collect(),
             classes: document.classes.clone().into_iter().collect(),
             targets_us: document
                 .services
@@ -40,17 +46,18 @@
 }
 
 impl PlacementPolicy {
-    pub(super) fn customer(&self, customer: &Name) -> Option<CustomerShare> {
+    pub(super) fn customer(&self, customer: &Name) -> Option<CustomerSettings> {
         self.customers.get(customer).copied()
     }
 
-    /// Returns the number of failures on healthy workers after which a job of a class is given up.
+    /// Returns the number of failures, on workers that were not quarantined, after which a job of
+    /// `class` is given up. Unknown classes get the document's default.
     pub(super) fn max_attempts(&self, class: &Name) -> u32 {
         let default = || JobClass::default().max_attempts;
         self.classes.get(class).map_or_else(default, |class| class.max_attempts)
     }
 
-    /// Returns the latency target of a service, in microseconds.
+    /// Returns the target for the p99 of `service` in microseconds.
     pub(super) fn target_us(&self, service: &Name) -> u64 {
         self.targets_us.get(service).copied().unwrap_or(DEFAULT_TARGET_US)
     }
@@ -60,5 +67,5 @@
     }
 }
 
-/// Latency target of services that are not in the document; the document's default is the same.
+/// Latency target of services that are not in the document, equal to the document's default.
 const DEFAULT_TARGET_US: u64 = 200_000;
