--- a/crates/geraniumpost-batch/src/coordinator/agents.rs
+++ b/crates/geraniumpost-batch/src/coordinator/agents.rs
@@ -28,7 +28,7 @@
 
 impl Coordinator {
     /// Handles a new link from an agent.
-    pub(super) fn agent_connected(&mut self, agent: &Name, now: Now) {
+    pub(super) fn handle_agent_connected(&mut self, agent: &Name, now: Now) {
         let state = self.agents.entry(agent.clone()).or_default();
         state.linked = true;
         state.first_linked_ms.get_or_insert(now.steady_ms);
@@ -41,7 +41,7 @@
     }
 
     /// Handles the loss of an agent's link. Runs of its minion continue until the lease expires.
-    pub fn agent_disconnected(&mut self, agent: &Name, now: Now) {
+    pub fn handle_agent_disconnected(&mut self, agent: &Name, now: Now) {
         if let Some(state) = self.agents.get_mut(agent) {
             state.linked = false;
         }
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -11,47 +11,47 @@
 impl Coordinator {
     /// Handles a caller's request. The response follows as [`Effect::Reply`] with `ticket`, after
     /// everything that it promises is committed.
-    pub fn handle_request(&mut self, ticket: u64, request: CallerRequest, now: Now) {
+    pub fn handle_request(&mut self, request_id: u64, request: CallerRequest, now: Now) {
         match request {
             CallerRequest::Submit { job, spec, terms } => {
-                self.submit(ticket, job, spec, terms, now);
+                self.submit(request_id, job, spec, terms, now);
             }
-            CallerRequest::Cancel(job) => self.cancel(ticket, job, now),
+            CallerRequest::Cancel(job) => self.cancel(request_id, job, now),
             CallerRequest::State(job) => {
                 let response = self.state(job);
-                self.reply(ticket, response);
+                self.reply(request_id, response);
             }
             CallerRequest::Pending(queue) => {
                 let response = CallerResponse::Pending(self.pending(&queue));
-                self.reply(ticket, response);
+                self.reply(request_id, response);
             }
         }
     }
 
-    fn reply(&mut self, ticket: u64, response: CallerResponse) {
-        self.effects.push(Effect::Reply { ticket, response });
+    fn reply(&mut self, request_id: u64, response: CallerResponse) {
+        self.effects.push(Effect::Reply { request_id, response });
     }
 
-    fn submit(&mut self, ticket: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
+    fn submit(&mut self, request_id: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
         if let Some(job) = self.jobs.get_mut(&id) {
             // A retry or a late copy of a submission is accepted once the record of the first is
             // committed, and starts nothing.
             if job.is_durable() {
-                self.reply(ticket, CallerResponse::Accepted);
+                self.reply(request_id, CallerResponse::Accepted);
             } else {
-                job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Accepted));
+                job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
             }
             return;
         }
         if let Err(error) = spec.check() {
             self.log(format!("decision=refuse job={id} why=\"{error}\""));
-            self.reply(ticket, CallerResponse::Invalid);
+            self.reply(request_id, CallerResponse::Invalid);
             return;
         }
         if self.open_jobs.len() >= self.max_open_jobs {
             let open = self.open_jobs.len();
             self.log(format!("decision=refuse job={id} why=\"too many open jobs\" open={open}"));
-            self.reply(ticket, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
+            self.reply(request_id, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
             return;
         }
         self.log(format!(
@@ -61,7 +61,7 @@
             spec.steps.iter().map(|step| step.count).sum::<u32>(),
         ));
         let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
-        job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Accepted));
+        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
         self.jobs.insert(id, job);
         self.open_jobs.insert(id);
         self.dirty.insert(id);
@@ -69,17 +69,17 @@
         self.placement_due = true;
     }
 
-    fn cancel(&mut self, ticket: u64, id: JobId, now: Now) {
+    fn cancel(&mut self, request_id: u64, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else {
-            self.reply(ticket, CallerResponse::Unknown);
+            self.reply(request_id, CallerResponse::Unknown);
             return;
         };
         let finished = job.record.state.is_final();
         if finished && job.durable_version == job.version {
-            self.reply(ticket, CallerResponse::Cancelled);
+            self.reply(request_id, CallerResponse::Cancelled);
             return;
         }
-        job.after_commit.push(Deferred::Reply(ticket, CallerResponse::Cancelled));
+        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Cancelled));
         if !finished {
             self.finish_job(id, JobState::Cancelled, now);
         }
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -42,7 +42,7 @@
     ///
     /// The driver must report a batch only once no earlier attempt at it or at an earlier batch can
     /// still change the store; otherwise an older record could replace a newer one.
-    pub fn batch_written(&mut self, number: u64, now: Now) {
+    pub fn handle_batch_written(&mut self, number: u64, now: Now) {
         let Some(batch) = self.batches.remove(&number) else { return };
         for written in batch.jobs {
             if let Some(job) = self.jobs.get_mut(&written.job) {
@@ -63,8 +63,8 @@
 
     fn run_deferred(&mut self, deferred: Deferred, now: Now) {
         match deferred {
-            Deferred::Reply(ticket, response) => {
-                self.effects.push(Effect::Reply { ticket, response });
+            Deferred::Reply(request_id, response) => {
+                self.effects.push(Effect::Reply { request_id, response });
             }
             Deferred::Start(task, run) => self.start_committed(task, run, now),
         }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -5,12 +5,12 @@
 /// An action that the driver has to perform for the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write records, then call [`Coordinator::batch_written`](super::Coordinator::batch_written).
+    /// Write records, then call [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
     Write(WriteBatch),
     /// Respond to a caller's request.
     Reply {
         /// Ticket that was passed with the request.
-        ticket: u64,
+        request_id: u64,
         /// The response.
         response: CallerResponse,
     },
@@ -38,7 +38,7 @@
 /// Records that are written in one transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Identifies the batch in [`Coordinator::batch_written`](super::Coordinator::batch_written).
+    /// Identifies the batch in [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
     pub number: u64,
     /// Records to write, encoded.
     pub put: Vec<(JobId, Vec<u8>)>,
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -6,7 +6,7 @@
 use super::Coordinator;
 use super::minion::Minion;
 use crate::interference::{Pressure, ServingGroup, speed_limits};
-use crate::tuning::BEST_EFFORT_TAIL_LIMIT;
+use crate::tuning::MAX_SERVING_TAIL_LATENCY_RATIO;
 use crate::{StepSpec, TaskId};
 
 /// Smallest headroom used as a divisor, as a utilization.
@@ -18,7 +18,7 @@
     /// The group's image.
     image: Name,
     /// How much the group's utilization may rise before its tail latency reaches
-    /// [`BEST_EFFORT_TAIL_LIMIT`]; negative if it is over that.
+    /// [`MAX_SERVING_TAIL_LATENCY_RATIO`]; negative if it is over that.
     utilization: f64,
 }
 
@@ -44,10 +44,13 @@
             if last.replace(step) == Some(step) {
                 continue;
             }
-            let Some(spec) = self.step_spec(*task).filter(|spec| spec.serves()) else { continue };
+            let Some(spec) = self.step_spec(*task).filter(|spec| spec.is_serving()) else {
+                continue;
+            };
             let group = ServingGroup::of(*task, &minion.info.id);
-            let limit = self.interference.utilization_at(&spec.image, BEST_EFFORT_TAIL_LIMIT);
-            let utilization = limit - self.interference.own_utilization(&spec.image, &group);
+            let limit =
+                self.interference.utilization_at(&spec.image, MAX_SERVING_TAIL_LATENCY_RATIO);
+            let utilization = limit - self.interference.user_utilization(&spec.image, &group);
             headroom.push(Headroom { image: spec.image.clone(), utilization });
         }
         headroom
@@ -121,7 +124,7 @@
             if tasks.runs <= 0 {
                 minion.best_effort_images.remove(&step.image);
             }
-        } else if step.serves() {
+        } else if step.is_serving() {
             let serving = minion.serving_images.entry(step.image.clone()).or_default();
             serving.runs = serving.runs.saturating_add_signed(change);
             if serving.runs == 0 {
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -5,7 +5,7 @@
 
 use super::Coordinator;
 use crate::Now;
-use crate::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
+use crate::tuning::{STORE_CONFIRMATION_VALIDITY_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// Minimum interval between two log lines on the lease basis, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 1_000;
@@ -50,7 +50,7 @@
         if now.steady_ms < self.support.until_ms {
             return Some(LeaseBasis::Entries);
         }
-        if now.steady_ms < self.confirmation_requested_ms + STORE_CONFIRMATION_MS {
+        if now.steady_ms < self.confirmation_requested_ms + STORE_CONFIRMATION_VALIDITY_MS {
             return Some(LeaseBasis::Store);
         }
         None
--- a/crates/geraniumpost-batch/src/coordinator/gauges.rs
+++ b/crates/geraniumpost-batch/src/coordinator/measurements.rs
@@ -73,14 +73,14 @@
             let (Some(run), Some(step)) = (self.runs.get(task), self.step_spec(*task)) else {
                 continue;
             };
-            if step.serves() && run.progress_percent == 100 && run.gauge > 0 {
-                let tail = f64::from(run.gauge) / f64::from(step.latency_bound_ms);
+            if step.is_serving() && run.progress_percent == 100 && run.measurement > 0 {
+                let tail = f64::from(run.measurement) / f64::from(step.latency_bound_ms);
                 let group = (step.image.clone(), ServingGroup::of(*task, id));
                 gauges.tails.entry(group).or_default().push(tail);
                 gauges.over.push((*task, tail > 1.0));
             } else if step.best_effort && run.started_ms.is_some() {
                 let used = gauges.used.entry(step.image.clone()).or_default();
-                *used += f64::from(run.gauge) / milli_cpus;
+                *used += f64::from(run.measurement) / milli_cpus;
             }
         }
         gauges
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -10,12 +10,12 @@
 mod draining;
 mod effect;
 mod eligibility;
-mod gauges;
 mod headroom;
 mod job;
 mod lease_basis;
 mod leases;
 mod longest_wait;
+mod measurements;
 mod minion;
 mod minion_lifecycle;
 mod order_results;
@@ -141,14 +141,14 @@
 
     /// Sets the duration of a lease on tasks, in milliseconds.
     #[must_use]
-    pub const fn lease_ms(mut self, lease_ms: u64) -> Self {
+    pub const fn with_lease_ms(mut self, lease_ms: u64) -> Self {
         self.lease_ms = lease_ms;
         self
     }
 
     /// Sets how many jobs may be open before new ones are refused.
     #[must_use]
-    pub const fn max_open_jobs(mut self, jobs: usize) -> Self {
+    pub const fn with_max_open_jobs(mut self, jobs: usize) -> Self {
         self.max_open_jobs = jobs;
         self
     }
@@ -176,7 +176,7 @@
     /// Handles a message from an agent.
     pub fn handle_agent_message(&mut self, agent: &Name, message: FromAgent, now: Now) {
         match message {
-            FromAgent::Hello { .. } => self.agent_connected(agent, now),
+            FromAgent::Hello { .. } => self.handle_agent_connected(agent, now),
             FromAgent::Heartbeat { sent_at_ms, minion_ok } => {
                 self.extend_lease(agent, sent_at_ms, minion_ok, now);
             }
@@ -199,7 +199,7 @@
 
     /// Sets when the term was requested from the store, on the steady clock.
     #[must_use]
-    pub const fn term_requested_at(mut self, steady_ms: u64) -> Self {
+    pub const fn with_term_requested_ms(mut self, steady_ms: u64) -> Self {
         self.confirmation_requested_ms = steady_ms;
         self
     }
@@ -210,7 +210,7 @@
     /// The confirmation holds for the time of the request only. The response may take seconds to
     /// arrive, and another entry may take over meanwhile; that successor then waits for as long as
     /// leases are extended without the store, counted from its takeover.
-    pub fn store_confirmed(&mut self, requested_ms: u64, steady_ms: u64) {
+    pub fn record_store_confirmation(&mut self, requested_ms: u64, steady_ms: u64) {
         self.confirmation_requested_ms = self.confirmation_requested_ms.max(requested_ms);
         self.confirmed_ms = self.confirmed_ms.max(steady_ms);
     }
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -3,7 +3,7 @@
 use super::run::{OrderState, Run};
 use super::{Coordinator, Effect};
 use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_MS};
-use crate::{Now, OrderOutcome, OrderResult, OrderVerb, TaskId};
+use crate::{Now, OrderKindTag, OrderOutcome, OrderResult, TaskId};
 
 /// Start orders without an answer after which a run is stopped on its minion.
 const MAX_START_ATTEMPTS: u32 = 4;
@@ -26,10 +26,10 @@
         if !is_current {
             return;
         }
-        match result.verb {
-            OrderVerb::Start => self.handle_start_result(&result, now),
-            OrderVerb::Stop => self.handle_stop_result(&result, now),
-            OrderVerb::Pace => self.handle_pace_result(&result),
+        match result.kind_tag {
+            OrderKindTag::Start => self.handle_start_result(&result, now),
+            OrderKindTag::Stop => self.handle_stop_result(&result, now),
+            OrderKindTag::Pace => self.handle_pace_result(&result),
         }
     }
 
@@ -39,7 +39,7 @@
         if run.is_stopping() {
             return;
         }
-        let OrderResult { task, number, .. } = *result;
+        let OrderResult { task, results_reported, .. } = *result;
         if result.outcome != OrderOutcome::Done {
             let (unresolved, starts, in_flight) =
                 (run.start_unresolved, run.start_count, run.starts_in_flight);
@@ -52,10 +52,10 @@
         let Some(run) = self.runs.get_mut(&result.task) else { return };
         match result.outcome {
             OrderOutcome::Done => {
-                run.order = OrderState::Started { number };
+                run.order = OrderState::Started { results_reported };
                 self.record_started(task, now);
             }
-            OrderOutcome::RunIsOver => run.order = OrderState::Ended { number },
+            OrderOutcome::RunIsOver => run.order = OrderState::Ended { results_reported },
             // Another copy was carried out; the minion's lists decide about the run.
             _ if run.has_started() => {}
             OrderOutcome::Unanswered => {
@@ -100,7 +100,10 @@
         let accepted = matches!(result.outcome, OrderOutcome::Done | OrderOutcome::RunIsOver);
         let Some(run) = self.runs.get_mut(&result.task) else { return };
         if accepted && run.is_stopping() {
-            run.order = OrderState::StopConfirmed { at_ms: now.steady_ms, number: result.number };
+            run.order = OrderState::StopConfirmed {
+                at_ms: now.steady_ms,
+                results_reported: result.results_reported,
+            };
         }
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -232,7 +232,7 @@
                 HEADROOM_WEIGHT * headroom_share - cpu_speed * tolerated_speed.max(MIN_SPEED);
             return (cost * MILLION) as i64 - unused_milli_cpus / MILLI;
         }
-        if spec.serves() {
+        if spec.is_serving() {
             return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_cpus;
         }
         -free_cpus + minion.best_effort_cpus
@@ -278,7 +278,7 @@
             let waiting =
                 occurrence.steps[number].iter().any(|task| task.phase == TaskPhase::Waiting);
             let is_ready =
-                waiting && step.after.iter().all(|&s| occurrence.step_done(usize::from(s)));
+                waiting && step.after.iter().all(|&s| occurrence.is_step_done(usize::from(s)));
             if is_ready {
                 ready.push((occurrence.number, number as u16));
             }
@@ -341,14 +341,14 @@
     let due_ms = job.record.occurrences.first().map_or(job.record.accepted_ms, |o| o.due_ms);
     let age_ms = now.wall_ms.saturating_sub(due_ms);
     // A late job still has value up to three times its objective, and none after that.
-    let lateness = if job.record.spec.persistent() || age_ms <= objective_ms {
+    let lateness = if job.record.spec.is_persistent() || age_ms <= objective_ms {
         0
     } else if age_ms <= 3 * objective_ms {
         1
     } else {
         2
     };
-    let persistent = job.record.spec.persistent();
+    let persistent = job.record.spec.is_persistent();
     Rank {
         lateness,
         priority: terms.priority,
--- a/crates/geraniumpost-batch/src/coordinator/poll_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/poll_results.rs
@@ -67,10 +67,10 @@
             run.progress_percent = row.progress_percent;
             run.last_progress_ms = now.steady_ms;
         }
-        run.gauge = row.gauge;
+        run.measurement = row.measurement;
         run.last_seen_ms = now.steady_ms;
         if !run.is_stopping() {
-            run.order = OrderState::Started { number: orders_reported_before };
+            run.order = OrderState::Started { results_reported: orders_reported_before };
             self.record_started(row.task, now);
         }
         if !row.checkpoint.is_empty()
@@ -112,10 +112,10 @@
 fn missing_run_action(order: OrderState, orders_reported_before: u64) -> MissingRunAction {
     match order {
         OrderState::Unknown { .. } => MissingRunAction::Start,
-        OrderState::Started { number }
-        | OrderState::Ended { number }
-        | OrderState::StopConfirmed { number, .. }
-            if number <= orders_reported_before =>
+        OrderState::Started { results_reported }
+        | OrderState::Ended { results_reported }
+        | OrderState::StopConfirmed { results_reported, .. }
+            if results_reported <= orders_reported_before =>
         {
             MissingRunAction::Requeue
         }
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -68,7 +68,7 @@
 }
 
 impl Coordinator {
-    /// Sets the leases that a predecessor may have left. Call it after [`Self::lease_ms`], whose
+    /// Sets the leases that a predecessor may have left. Call it after [`Self::with_lease_ms`], whose
     /// value it uses.
     #[must_use]
     pub fn with_predecessor_leases(mut self, leases: &PredecessorLeases, now: Now) -> Self {
@@ -83,14 +83,14 @@
     /// without the store, and persistent tasks whose agents departed meanwhile stay down all that
     /// time. Afterwards only the leases that it has extended so far remain. Leases of other silent
     /// coordinators are not affected.
-    pub fn predecessor_ended(&mut self, address: SocketAddr, now: Now) {
-        self.predecessor_extends_until(address, now.steady_ms);
+    pub fn record_predecessor_end(&mut self, address: SocketAddr, now: Now) {
+        self.record_predecessor_extension_end(address, now.steady_ms);
     }
 
     /// Records that the silent coordinator at an address extends no leases after a time on the
     /// steady clock, as the store names another coordinator and too few entries support the silent
     /// one.
-    pub fn predecessor_extends_until(&mut self, address: SocketAddr, steady_ms: u64) {
+    pub fn record_predecessor_extension_end(&mut self, address: SocketAddr, steady_ms: u64) {
         let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let Some(expiry) = self.predecessor_expiry.silent.get_mut(&address) else { return };
         let earlier_by_ms = expiry.until_ms.saturating_sub(until_ms);
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -28,7 +28,7 @@
     /// Since when it has been suspended or throttled, on the steady clock.
     pub(super) throttled_since_ms: Option<u64>,
     /// Last reported gauge.
-    pub(super) gauge: u32,
+    pub(super) measurement: u32,
     /// Since when its tail latency has been over its bound, on the steady clock.
     pub(super) over_bound_since_ms: Option<u64>,
     /// Number of start orders sent.
@@ -51,15 +51,15 @@
     Unknown { since_ms: u64 },
     /// The minion has started the run. A poll that began after this many order results must list
     /// it or its end.
-    Started { number: u64 },
+    Started { results_reported: u64 },
     /// The minion reports that the run has ended. A poll that began after this many order results
     /// must list its end.
-    Ended { number: u64 },
+    Ended { results_reported: u64 },
     /// A stop was sent.
     Stopping { at_ms: u64 },
     /// The minion has accepted the stop. A poll that began after this many order results must not
     /// list the run as running.
-    StopConfirmed { at_ms: u64, number: u64 },
+    StopConfirmed { at_ms: u64, results_reported: u64 },
 }
 
 impl Run {
@@ -76,7 +76,7 @@
             order,
             reserved: reserved(spec),
             best_effort_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
-            serving_cpus: spec.serves().then_some(spec.demand.milli_cpus),
+            serving_cpus: spec.is_serving().then_some(spec.demand.milli_cpus),
             started_ms: None,
             progress_percent: 0,
             last_progress_ms: now_ms,
@@ -84,7 +84,7 @@
             pace_percent: 100,
             pace_confirmed: true,
             throttled_since_ms: None,
-            gauge: 0,
+            measurement: 0,
             over_bound_since_ms: None,
             start_count: 0,
             starts_in_flight: 0,
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -77,7 +77,7 @@
         self.update_tasks(task, all, |record| record.phase = TaskPhase::Done);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.hints.remove(&task);
-        job.record.occurrences.retain(|occurrence| !occurrence.done());
+        job.record.occurrences.retain(|occurrence| !occurrence.is_done());
         let finished = job.record.occurrences.is_empty()
             && job.record.next_occurrence >= job.record.repetitions();
         if finished {
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns the terminated minions in the order of their termination.
-    pub fn unrecorded(&self) -> impl Iterator<Item = &Name> {
+    pub fn unrecorded_terminations(&self) -> impl Iterator<Item = &Name> {
         self.terminated.iter()
     }
 
--- a/crates/geraniumpost-batch/src/entry_message.rs
+++ b/crates/geraniumpost-batch/src/entry_message.rs
@@ -61,7 +61,7 @@
     /// A caller's request.
     Request {
         /// Identifies the response.
-        ticket: u64,
+        request_id: u64,
         /// The request.
         request: CallerRequest,
     },
@@ -92,7 +92,7 @@
     /// The response to a request.
     Response {
         /// Ticket of the request.
-        ticket: u64,
+        request_id: u64,
         /// The response.
         response: CallerResponse,
     },
--- a/crates/geraniumpost-batch/src/interference/baseline.rs
+++ b/crates/geraniumpost-batch/src/interference/baseline.rs
@@ -67,7 +67,7 @@
 
     /// Returns the utilization by the group's own users, given the slopes of the best-effort
     /// images. The estimate is higher the larger its uncertainty is.
-    pub fn own_utilization(&self, slope: impl Fn(usize) -> f64) -> f64 {
+    pub fn user_utilization(&self, slope: impl Fn(usize) -> f64) -> f64 {
         /// Number of standard deviations that are added to the estimate.
         const MARGIN_DEVIATIONS: f64 = 0.25;
         let shares = self.shares.iter().enumerate();
--- a/crates/geraniumpost-batch/src/interference/mod.rs
+++ b/crates/geraniumpost-batch/src/interference/mod.rs
@@ -17,14 +17,14 @@
 //! the derivation.
 
 mod baseline;
-mod estimator;
+mod model;
 mod serving_group;
 mod serving_image;
 mod slope;
 mod slopes;
 mod speed_limits;
 
-pub use estimator::InterferenceModel;
+pub use model::InterferenceModel;
 pub use serving_group::ServingGroup;
 pub use speed_limits::{Pressure, speed_limits};
 
--- a/crates/geraniumpost-batch/src/interference/estimator.rs
+++ b/crates/geraniumpost-batch/src/interference/model.rs
@@ -56,9 +56,9 @@
     }
 
     /// Returns the estimated utilization of a group by its own users.
-    pub fn own_utilization(&self, image: &Name, group: &ServingGroup) -> f64 {
+    pub fn user_utilization(&self, image: &Name, group: &ServingGroup) -> f64 {
         let unseen = ServingImage::default();
-        self.serving.get(image).unwrap_or(&unseen).own_utilization(group)
+        self.serving.get(image).unwrap_or(&unseen).user_utilization(group)
     }
 
     /// Returns the utilization that a best-effort image adds to a serving image if it uses a share,
@@ -89,8 +89,12 @@
         }
         pairs.sort_by(|a, b| a.deviation.total_cmp(&b.deviation));
         pairs.truncate(MAX_SNAPSHOT_PAIRS);
-        let idle_tails = self.serving.iter().map(|(image, known)| (image.clone(), known.idle_tail));
-        InterferenceSnapshot { pairs, idle_tails: idle_tails.take(MAX_SERVING_IMAGES).collect() }
+        let idle_tail_latency_ratios =
+            self.serving.iter().map(|(image, known)| (image.clone(), known.idle_tail));
+        InterferenceSnapshot {
+            pairs,
+            idle_tail_latency_ratios: idle_tail_latency_ratios.take(MAX_SERVING_IMAGES).collect(),
+        }
     }
 
     /// Restores the snapshot of a predecessor. Pairs with values that are negative or not finite
@@ -105,7 +109,9 @@
             let slope = Slope { mean: pair.slope, deviation: pair.deviation };
             self.serving.entry(pair.serving.clone()).or_default().slopes.restore(index, slope);
         }
-        for (image, tail) in snapshot.idle_tails.iter().filter(|(_, tail)| *tail > 0.0) {
+        for (image, tail) in
+            snapshot.idle_tail_latency_ratios.iter().filter(|(_, tail)| *tail > 0.0)
+        {
             self.serving.entry(image.clone()).or_default().idle_tail = *tail;
         }
     }
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -81,11 +81,11 @@
     }
 
     /// Returns the estimated utilization of a group by its own users.
-    pub fn own_utilization(&self, group: &ServingGroup) -> f64 {
+    pub fn user_utilization(&self, group: &ServingGroup) -> f64 {
         let step = self.steps.get(&group.step).filter(|step| step.is_even());
         let baseline = step.map(|step| &step.baseline).or_else(|| self.groups.get(group));
         let unseen = Baseline::default();
-        baseline.unwrap_or(&unseen).own_utilization(|index| self.slopes.get(index).mean)
+        baseline.unwrap_or(&unseen).user_utilization(|index| self.slopes.get(index).mean)
     }
 
     /// Returns the slope of the best-effort image with this index, or the default for an image that
--- a/crates/geraniumpost-batch/src/interference_snapshot.rs
+++ b/crates/geraniumpost-batch/src/interference_snapshot.rs
@@ -15,7 +15,7 @@
     /// How much best-effort images slow down serving images.
     pub pairs: Vec<InterferencePair>,
     /// Lowest tail latency of each serving image, as a multiple of its bound.
-    pub idle_tails: Vec<(Name, f64)>,
+    pub idle_tail_latency_ratios: Vec<(Name, f64)>,
 }
 
 impl InterferenceSnapshot {
--- a/crates/geraniumpost-batch/src/job_record.rs
+++ b/crates/geraniumpost-batch/src/job_record.rs
@@ -145,12 +145,12 @@
 
 impl Occurrence {
     /// Returns whether all tasks of a step are done.
-    pub fn step_done(&self, step: usize) -> bool {
+    pub fn is_step_done(&self, step: usize) -> bool {
         self.steps[step].iter().all(|task| task.phase == TaskPhase::Done)
     }
 
     /// Returns whether all tasks are done.
-    pub fn done(&self) -> bool {
-        (0..self.steps.len()).all(|step| self.step_done(step))
+    pub fn is_done(&self) -> bool {
+        (0..self.steps.len()).all(|step| self.is_step_done(step))
     }
 }
--- a/crates/geraniumpost-batch/src/job_spec.rs
+++ b/crates/geraniumpost-batch/src/job_spec.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether any step is persistent, so that it runs until the job is cancelled.
-    pub fn persistent(&self) -> bool {
+    pub fn is_persistent(&self) -> bool {
         self.steps.iter().any(|step| step.persistent)
     }
 }
--- a/crates/geraniumpost-batch/src/lib.rs
+++ b/crates/geraniumpost-batch/src/lib.rs
@@ -57,7 +57,7 @@
 pub use job_state::JobState;
 pub use minion_info::MinionInfo;
 pub use now::Now;
-pub use order::{Order, OrderKind, OrderOutcome, OrderResult, OrderVerb};
+pub use order::{Order, OrderKind, OrderKindTag, OrderOutcome, OrderResult};
 pub use poll_result::{EndKind, EndedTask, PollResult, RunningTask};
 pub use predecessor_leases::{PredecessorLeases, SilentCoordinator};
 pub use spec_error::SpecError;
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -50,16 +50,16 @@
     /// Number of the run.
     pub run: u32,
     /// The kind of the order.
-    pub verb: OrderVerb,
+    pub kind_tag: OrderKindTag,
     /// The minion's response.
     pub outcome: OrderOutcome,
     /// Number of results that the agent has reported, including this one.
-    pub number: u64,
+    pub results_reported: u64,
 }
 
 /// The kind of an order, without its contents.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderVerb {
+pub enum OrderKindTag {
     /// [`OrderKind::Start`].
     #[display("start")]
     Start,
@@ -71,7 +71,7 @@
     Pace,
 }
 
-impl From<&OrderKind> for OrderVerb {
+impl From<&OrderKind> for OrderKindTag {
     fn from(kind: &OrderKind) -> Self {
         match kind {
             OrderKind::Start { .. } => Self::Start,
--- a/crates/geraniumpost-batch/src/poll_result.rs
+++ b/crates/geraniumpost-batch/src/poll_result.rs
@@ -32,7 +32,7 @@
     pub progress_percent: u8,
     /// For a serving task its tail latency in milliseconds, for any other task its processor use in
     /// thousandths of a processor.
-    pub gauge: u32,
+    pub measurement: u32,
 }
 
 /// A run that has ended.
--- a/crates/geraniumpost-batch/src/quorum/promises.rs
+++ b/crates/geraniumpost-batch/src/quorum/promises.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use crate::tuning::{PROMISE_MS, PROMISE_PERCENT};
+use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
 
 /// The promises of an entry to coordinators.
 ///
@@ -24,7 +24,7 @@
             return false;
         }
         let until_ms = self.until_ms.entry(term).or_default();
-        *until_ms = (*until_ms).max(heard_ms + PROMISE_MS * PROMISE_PERCENT / 100);
+        *until_ms = (*until_ms).max(heard_ms + PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100);
         true
     }
 
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Voters;
-use crate::tuning::{PROMISE_MS, PROMISE_PERCENT};
+use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
 
 /// The voters of a silent coordinator that have released their promises to it, as known to its
 /// successor.
@@ -30,17 +30,18 @@
     pub fn record(&mut self, node: &Name, incarnation: u64, remaining_ms: u64, now_ms: u64) {
         let Some(voter) = self.voters.incarnation(node) else { return };
         let same = voter == incarnation;
-        let remaining_ms = if same { remaining_ms } else { PROMISE_MS * PROMISE_PERCENT / 100 };
+        let remaining_ms =
+            if same { remaining_ms } else { PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100 };
         self.until_ms.entry(node.clone()).or_insert(now_ms + remaining_ms);
     }
 
     /// Returns the voters that have not answered.
-    pub fn unanswered(&self) -> impl Iterator<Item = &Name> {
+    pub fn voters_without_response(&self) -> impl Iterator<Item = &Name> {
         self.voters.names().filter(|node| !self.until_ms.contains_key(*node))
     }
 
     /// Returns the number of voters that have answered.
-    pub fn count(&self) -> usize {
+    pub fn response_count(&self) -> usize {
         self.until_ms.len()
     }
 
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Voters;
-use crate::tuning::{PROMISE_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS};
+use crate::tuning::{PROMISE_DURATION_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS};
 
 /// The last promise of an entry.
 #[derive(Debug, Clone, Copy)]
@@ -56,7 +56,7 @@
 
     /// Returns the time since the last pong that an entry answered, in milliseconds, or `None` if
     /// it never answered.
-    pub fn silent_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
+    pub fn last_promise_age_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
         self.promises.get(node).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
     }
 
@@ -84,7 +84,7 @@
             .promises
             .iter()
             .filter(|(node, promise)| voters.contains(node, promise.incarnation));
-        of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_MS)
+        of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_DURATION_MS)
     }
 
     /// Returns the number of voters that support the coordinator at `now_ms`.
--- a/crates/geraniumpost-batch/src/step_spec.rs
+++ b/crates/geraniumpost-batch/src/step_spec.rs
@@ -44,7 +44,7 @@
 
 impl StepSpec {
     /// Returns whether the tasks serve users within a bound on their tail latency.
-    pub const fn serves(&self) -> bool {
+    pub const fn is_serving(&self) -> bool {
         self.latency_bound_ms > 0
     }
 }
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -48,7 +48,7 @@
 pub const SERVING_UNUSED_CPU_PERCENT: i64 = 50;
 /// Tail latency of serving tasks, as a multiple of its bound, up to which best-effort tasks are
 /// placed beside them. The rest absorbs a rise of the serving tasks' own load between two polls.
-pub const BEST_EFFORT_TAIL_LIMIT: f64 = 0.90;
+pub const MAX_SERVING_TAIL_LATENCY_RATIO: f64 = 0.90;
 /// Least time between two writes of the interference snapshot, in milliseconds. It is written along
 /// with job records, and slopes hardly change.
 pub const INTERFERENCE_WRITE_INTERVAL_MS: u64 = 3_000;
@@ -67,14 +67,14 @@
 /// How long after a request to the store its response alone permits a coordinator to extend leases,
 /// in milliseconds. It may be shorter than the interval between two requests, because one extension
 /// in several heartbeats keeps tasks running. A successor waits for all of this time.
-pub const STORE_CONFIRMATION_MS: u64 = 500;
+pub const STORE_CONFIRMATION_VALIDITY_MS: u64 = 500;
 /// How long an entry's promise to support a coordinator lasts, in milliseconds, counted from when
 /// the coordinator sent the pong that the entry answers. It covers three pings, and has expired
 /// when an entry takes the silent coordinator for lost.
-pub const PROMISE_MS: u64 = 900;
+pub const PROMISE_DURATION_MS: u64 = 900;
 /// How long an entry keeps its promise, in percent of the time for which the coordinator relies on
 /// it: clocks may be 2% apart.
-pub const PROMISE_PERCENT: u64 = 104;
+pub const KEPT_PROMISE_PERCENT: u64 = 104;
 /// Silence of an entry after which it is no longer a voter, in milliseconds.
 pub const VOTER_TIMEOUT_MS: u64 = 3_000;
 /// Silence of an entry towards the coordinator after which it is removed from the store's list of
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
@@ -36,7 +36,7 @@
     /// Closes the link between a minion's agent and the coordinator.
     pub fn disconnect_agent(&mut self, minion: &str) {
         self.stop_heartbeats(minion);
-        self.coordinator.agent_disconnected(&agent_name(minion), self.now);
+        self.coordinator.handle_agent_disconnected(&agent_name(minion), self.now);
     }
 
     /// Kills and restarts a minion's agent, which numbers its results from the beginning.
@@ -66,7 +66,7 @@
             run: *run,
             checkpoint: Name::default(),
             progress_percent: self.task_percent.get(task).copied().unwrap_or(self.default_percent),
-            gauge: self.gauges.get(task).copied().unwrap_or(0),
+            measurement: self.gauges.get(task).copied().unwrap_or(0),
         });
         let acknowledged = self.acknowledged.get(&name).copied().unwrap_or(0);
         let ended = self.ended_tasks.get(&name).into_iter().flatten();
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -23,8 +23,8 @@
         match effect {
             Effect::Write(batch) if self.confirm_writes => self.apply_write(batch),
             Effect::Write(batch) => self.pending_writes.push(batch),
-            Effect::Reply { ticket, response } => {
-                self.responses.insert(ticket, response);
+            Effect::Reply { request_id, response } => {
+                self.responses.insert(request_id, response);
             }
             Effect::Send { message: ToAgent::Order(order), .. } => self.orders.push(order),
             Effect::Send { message: ToAgent::Acknowledge { minion, up_to }, .. } => {
@@ -52,7 +52,7 @@
         for job in batch.remove {
             self.store.remove(&job);
         }
-        self.coordinator.batch_written(batch.number, self.now);
+        self.coordinator.handle_batch_written(batch.number, self.now);
     }
 
     /// Applies and confirms the writes that were held back.
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use geraniumpost_batch::tuning::PROMISE_MS;
+use geraniumpost_batch::tuning::PROMISE_DURATION_MS;
 use geraniumpost_batch::{
     CallerRequest, CallerResponse, Coordinator, EndedTask, InterferenceSnapshot, JobId, JobRecord,
     JobSpec, JobState, Now, Order, PredecessorLeases, QueueTerms, StepSpec, TaskId, WriteBatch,
@@ -75,7 +75,7 @@
     ended_tasks: BTreeMap<Name, Vec<EndedTask>>,
     gauges: BTreeMap<TaskId, u32>,
     last_result_number: u64,
-    last_ticket: u64,
+    last_request_id: u64,
     fence: u64,
 }
 
@@ -83,7 +83,7 @@
     pub fn new() -> Self {
         let now = Now { steady_ms: 100_000, wall_ms: 1_000_000 };
         Self {
-            coordinator: Coordinator::new(1, now).lease_ms(LEASE_MS),
+            coordinator: Coordinator::new(1, now).with_lease_ms(LEASE_MS),
             now,
             store: BTreeMap::new(),
             stored_interference: None,
@@ -107,7 +107,7 @@
             ended_tasks: BTreeMap::new(),
             gauges: BTreeMap::new(),
             last_result_number: 0,
-            last_ticket: 0,
+            last_request_id: 0,
             fence: 1,
         }
     }
@@ -140,10 +140,10 @@
                 self.heartbeating_minions.clone().iter().for_each(|minion| self.heartbeat(minion));
             }
             if self.store_confirms {
-                self.coordinator.store_confirmed(self.now.steady_ms, self.now.steady_ms);
+                self.coordinator.record_store_confirmation(self.now.steady_ms, self.now.steady_ms);
             }
             if self.entries_support {
-                let until_ms = self.now.steady_ms + PROMISE_MS;
+                let until_ms = self.now.steady_ms + PROMISE_DURATION_MS;
                 self.coordinator.set_supported_until(until_ms, SUPPORTERS);
             }
             self.coordinator.tick(self.now);
@@ -152,10 +152,10 @@
     }
 
     pub fn request(&mut self, request: CallerRequest) -> u64 {
-        self.last_ticket += 1;
-        self.coordinator.handle_request(self.last_ticket, request, self.now);
+        self.last_request_id += 1;
+        self.coordinator.handle_request(self.last_request_id, request, self.now);
         self.process_effects();
-        self.last_ticket
+        self.last_request_id
     }
 
     pub fn submit(&mut self, id: u64, steps: Vec<StepSpec>) -> u64 {
@@ -167,13 +167,13 @@
         self.request(CallerRequest::Submit { job: JobId(id), spec, terms })
     }
 
-    pub fn response(&self, ticket: u64) -> Option<CallerResponse> {
-        self.responses.get(&ticket).copied()
+    pub fn response(&self, request_id: u64) -> Option<CallerResponse> {
+        self.responses.get(&request_id).copied()
     }
 
     pub fn job_state(&mut self, id: u64) -> CallerResponse {
-        let ticket = self.request(CallerRequest::State(JobId(id)));
-        self.response(ticket).expect("job states are answered immediately")
+        let request_id = self.request(CallerRequest::State(JobId(id)));
+        self.response(request_id).expect("job states are answered immediately")
     }
 
     /// Answers a request to the admission service with the approved minions, or reports it as
@@ -219,7 +219,7 @@
         });
         self.coordinator =
             Coordinator::new(self.fence, self.now)
-                .lease_ms(LEASE_MS)
+                .with_lease_ms(LEASE_MS)
                 .with_predecessor_leases(leases, self.now)
                 .with_interference(&self.stored_interference.as_ref().map_or_else(
                     InterferenceSnapshot::default,
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
@@ -1,7 +1,8 @@
 //! Minions that carry out orders, and runs that end.
 
 use geraniumpost_batch::{
-    EndKind, EndedTask, FromAgent, Order, OrderKind, OrderOutcome, OrderResult, OrderVerb, TaskId,
+    EndKind, EndedTask, FromAgent, Order, OrderKind, OrderKindTag, OrderOutcome, OrderResult,
+    TaskId,
 };
 use geraniumpost_schema::Name;
 
@@ -19,7 +20,7 @@
 
     pub fn carry_out(&mut self, order: Order) {
         let runs = self.running.entry(order.minion.clone()).or_default();
-        let verb = OrderVerb::from(&order.kind);
+        let verb = OrderKindTag::from(&order.kind);
         match &order.kind {
             OrderKind::Start { .. } => {
                 self.paces.remove(&order.task);
@@ -37,15 +38,15 @@
         self.report_result(&order, verb, OrderOutcome::Done);
     }
 
-    pub fn report_result(&mut self, order: &Order, verb: OrderVerb, outcome: OrderOutcome) {
+    pub fn report_result(&mut self, order: &Order, verb: OrderKindTag, outcome: OrderOutcome) {
         self.last_result_number += 1;
         let result = OrderResult {
             minion: order.minion.clone(),
             task: order.task,
             run: order.run,
-            verb,
+            kind_tag: verb,
             outcome,
-            number: self.last_result_number,
+            results_reported: self.last_result_number,
         };
         let minion = order.minion.clone();
         self.send(&minion, FromAgent::Result(result));
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -28,7 +28,7 @@
     let pairs = slopes.iter().map(pair).collect();
     let mut cluster = Cluster::new();
     cluster.stored_interference =
-        Some(InterferenceSnapshot { pairs, idle_tails: Vec::new() }.encode());
+        Some(InterferenceSnapshot { pairs, idle_tail_latency_ratios: Vec::new() }.encode());
     cluster.take_over();
     cluster
 }
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
 use geraniumpost_batch::{
-    Demand, EndKind, FromAgent, MinionInfo, OrderOutcome, OrderVerb, StepSpec,
+    Demand, EndKind, FromAgent, MinionInfo, OrderKindTag, OrderOutcome, StepSpec,
     lease_expiry_bound_ms,
 };
 
@@ -220,7 +220,7 @@
     // The minion refuses each start for lack of capacity, and the task pauses each time.
     for _ in 0..PERSISTENT_LOGGED_MS / 100 {
         while let Some(order) = cluster.orders.pop() {
-            cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
+            cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::NoCapacity);
         }
         cluster.advance(100);
     }
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::tuning::{NO_CAPACITY_BACKOFF_MS, ORDER_RESULT_TIMEOUT_MS};
-use geraniumpost_batch::{EndKind, Order, OrderKind, OrderOutcome, OrderVerb};
+use geraniumpost_batch::{EndKind, Order, OrderKind, OrderKindTag, OrderOutcome};
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
 
@@ -35,7 +35,7 @@
 }
 
 fn refuse(cluster: &mut Cluster, copy: &Order, outcome: OrderOutcome) {
-    cluster.report_result(copy, OrderVerb::Start, outcome);
+    cluster.report_result(copy, OrderKindTag::Start, outcome);
     cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
 }
 
@@ -94,7 +94,7 @@
     cluster.poll(&second.minion);
     refuse(&mut cluster, &first, outcome);
     assert!(cluster.orders.is_empty(), "the run must continue: {:?}", cluster.orders);
-    cluster.report_result(&second, OrderVerb::Start, OrderOutcome::Done);
+    cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::Done);
     assert_runs_once_to_completion(cluster);
 }
 
@@ -102,7 +102,7 @@
 /// refused, but the lost one may still be carried out.
 fn copy_is_lost_with_its_link(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
-    cluster.report_result(&first, OrderVerb::Start, OrderOutcome::TooLate);
+    cluster.report_result(&first, OrderKindTag::Start, OrderOutcome::TooLate);
     let minion = second.minion.clone();
     cluster.disconnect_agent(&minion);
     cluster.join(&minion, |info| info);
@@ -157,7 +157,7 @@
 /// A copy without an answer may be carried out at any time, whatever the result of the other copy.
 fn one_copy_is_refused_and_one_is_unanswered(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
-    cluster.report_result(&second, OrderVerb::Start, OrderOutcome::Unanswered);
+    cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::Unanswered);
     refuse(&mut cluster, &first, outcome);
     assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
@@ -221,10 +221,10 @@
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
-    cluster.report_result(&order, OrderVerb::Start, OrderOutcome::RunIsOver);
+    cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::RunIsOver);
     cluster.restart_agent("m1");
     if let Some(copy) = cluster.orders.pop() {
-        cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::RunIsOver);
+        cluster.report_result(&copy, OrderKindTag::Start, OrderOutcome::RunIsOver);
     }
     for _ in 0..10 {
         cluster.heartbeat("m1");
@@ -246,7 +246,7 @@
         refused.push(copy);
     }
     for copy in &refused {
-        cluster.report_result(copy, OrderVerb::Start, OrderOutcome::NoCapacity);
+        cluster.report_result(copy, OrderKindTag::Start, OrderOutcome::NoCapacity);
     }
     let refused_ms = cluster.now.steady_ms;
     let mut extra_orders = 0;
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{
-    CallerRequest, CallerResponse, EndKind, FromAgent, JobId, OrderKind, OrderOutcome, OrderVerb,
+    CallerRequest, CallerResponse, EndKind, FromAgent, JobId, OrderKind, OrderKindTag, OrderOutcome,
 };
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
@@ -13,10 +13,10 @@
 fn job_is_accepted_only_after_its_record_is_written() {
     let mut cluster = Cluster::new();
     cluster.confirm_writes = false;
-    let ticket = cluster.submit(1, vec![step(1)]);
-    assert_eq!(cluster.response(ticket), None);
+    let request_id = cluster.submit(1, vec![step(1)]);
+    assert_eq!(cluster.response(request_id), None);
     cluster.confirm_pending_writes();
-    assert_eq!(cluster.response(ticket), Some(CallerResponse::Accepted));
+    assert_eq!(cluster.response(request_id), Some(CallerResponse::Accepted));
 }
 
 /// A caller that lost the response submits the job again, through any entry, perhaps seconds after
@@ -114,8 +114,8 @@
 #[test]
 fn tasks_of_a_cancelled_job_are_stopped() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(2));
-    let ticket = cluster.request(CallerRequest::Cancel(JobId(1)));
-    assert_eq!(cluster.response(ticket), Some(CallerResponse::Cancelled));
+    let request_id = cluster.request(CallerRequest::Cancel(JobId(1)));
+    assert_eq!(cluster.response(request_id), Some(CallerResponse::Cancelled));
     cluster.carry_out_orders();
     cluster.poll("m1");
     assert!(cluster.running_tasks().is_empty());
@@ -135,11 +135,11 @@
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
-    cluster.report_result(&order, OrderVerb::Start, OrderOutcome::Unanswered);
+    cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::Unanswered);
     cluster.advance(400);
     let copy = cluster.orders.remove(0);
     assert_eq!((copy.task, copy.run, &copy.minion), (order.task, order.run, &order.minion));
-    cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::NoCapacity);
+    cluster.report_result(&copy, OrderKindTag::Start, OrderOutcome::NoCapacity);
     assert_matches!(cluster.orders[..], [ref stop] if stop.kind == OrderKind::Stop);
     cluster.carry_out_orders();
     assert!(cluster.orders.is_empty());
@@ -158,7 +158,7 @@
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
-    cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
+    cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::NoCapacity);
     cluster.advance(300);
     assert_matches!(cluster.orders[..], [ref start] if start.minion != order.minion);
 }
@@ -211,7 +211,7 @@
     cluster.join("m1", |info| info);
     cluster.join("m2", |info| info);
     let copy = cluster.orders.remove(0);
-    cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::NotSent);
+    cluster.report_result(&copy, OrderKindTag::Start, OrderOutcome::NotSent);
     cluster.advance(300);
     assert_matches!(cluster.orders[..], [ref order] if order.kind == OrderKind::Stop);
 }
@@ -243,7 +243,7 @@
     let mut cluster = Cluster::new();
     let limit = 5;
     cluster.coordinator =
-        geraniumpost_batch::Coordinator::new(1, cluster.now).max_open_jobs(limit as usize);
+        geraniumpost_batch::Coordinator::new(1, cluster.now).with_max_open_jobs(limit as usize);
     for id in 1..=limit {
         cluster.submit(id, vec![step(1)]);
     }
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -59,7 +59,7 @@
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
     cluster.advance(500);
-    cluster.coordinator.predecessor_ended(SILENT_COORDINATOR, cluster.now);
+    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR, cluster.now);
     cluster.advance(LEASE_MS);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
@@ -73,7 +73,7 @@
     cluster.take_over_from_silent();
     cluster.join("m2", |info| info);
     cluster.advance(LEASE_MS + STORE_OUTAGE_TOLERANCE_MS);
-    cluster.coordinator.predecessor_ended(SILENT_COORDINATOR, cluster.now);
+    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR, cluster.now);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
@@ -106,7 +106,7 @@
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let asked_ms = cluster.now.steady_ms;
     cluster.now.steady_ms += 3_000;
-    cluster.coordinator.store_confirmed(asked_ms, cluster.now.steady_ms);
+    cluster.coordinator.record_store_confirmation(asked_ms, cluster.now.steady_ms);
     cluster.now.steady_ms = asked_ms + STORE_OUTAGE_TOLERANCE_MS;
     cluster.lease_extensions.clear();
     cluster.heartbeat("m1");
@@ -199,7 +199,7 @@
     let order = cluster.orders.remove(0);
     let minion = order.minion.clone();
     cluster.heartbeat_with_unresponsive_minion(&minion);
-    cluster.report_result(&order, geraniumpost_batch::OrderVerb::Start, OrderOutcome::NotSent);
+    cluster.report_result(&order, geraniumpost_batch::OrderKindTag::Start, OrderOutcome::NotSent);
     cluster.advance(300);
     cluster.submit(2, vec![step(3)]);
     assert_eq!(cluster.orders.len(), 4);
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -1,7 +1,7 @@
 //! The longest wait of a task, as reported by gauges.
 
 use geraniumpost_batch::{
-    CallerRequest, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderOutcome, OrderVerb,
+    CallerRequest, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderKindTag, OrderOutcome,
     StepSpec, lease_expiry_bound_ms,
 };
 
@@ -121,7 +121,7 @@
     cluster.submit(1, vec![persistent_step(1)]);
     for _ in 0..40 {
         while let Some(order) = cluster.orders.pop() {
-            cluster.report_result(&order, OrderVerb::Start, OrderOutcome::NoCapacity);
+            cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::NoCapacity);
         }
         cluster.advance(100);
     }
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use geraniumpost_batch::{
-    CallerResponse, EndKind, JobState, Order, OrderKind, OrderOutcome, OrderVerb, TaskId,
+    CallerResponse, EndKind, JobState, Order, OrderKind, OrderKindTag, OrderOutcome, TaskId,
     lease_expiry_bound_ms,
 };
 use geraniumpost_schema::Name;
@@ -164,7 +164,7 @@
             Event::ResumeAgent { minion, refused } => self.resume_agent(minion, refused),
             Event::DelayOrder => {
                 if let Some(order) = self.take_order(0) {
-                    let verb = OrderVerb::from(&order.kind);
+                    let verb = OrderKindTag::from(&order.kind);
                     self.cluster.report_result(&order, verb, OrderOutcome::Unanswered);
                     self.delay(vec![order]);
                 }
@@ -211,7 +211,9 @@
             }
             Event::DisconnectAgent { minion } => {
                 let now = self.cluster.now;
-                self.cluster.coordinator.agent_disconnected(&agent_name(MINIONS[minion]), now);
+                self.cluster
+                    .coordinator
+                    .handle_agent_disconnected(&agent_name(MINIONS[minion]), now);
                 self.cluster.process_effects();
                 // Its orders are lost with the link, or still on their way.
                 let lost = self.take_orders_of(minion);
@@ -319,8 +321,8 @@
 
     /// Reports an order as not carried out; only starts have specific reasons.
     fn refuse(&mut self, order: &Order, outcome: OrderOutcome) {
-        let verb = OrderVerb::from(&order.kind);
-        let outcome = if verb == OrderVerb::Start { outcome } else { OrderOutcome::NotSent };
+        let verb = OrderKindTag::from(&order.kind);
+        let outcome = if verb == OrderKindTag::Start { outcome } else { OrderOutcome::NotSent };
         self.cluster.report_result(order, verb, outcome);
     }
 
@@ -328,7 +330,7 @@
     fn carry_out(&mut self, order: &Order, answered: bool) {
         let key = (order.minion.clone(), order.task);
         let last_ended = self.ended_runs.get(&key).copied().unwrap_or(0);
-        let verb = OrderVerb::from(&order.kind);
+        let verb = OrderKindTag::from(&order.kind);
         let mut outcome = OrderOutcome::Done;
         let runs = self.cluster.running.entry(order.minion.clone()).or_default();
         match order.kind {
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -1,7 +1,7 @@
 //! Regression tests of takeovers, departures, paces and lost results.
 
 use geraniumpost_batch::{
-    Demand, EndKind, FromAgent, OrderKind, OrderOutcome, OrderVerb, StepSpec,
+    Demand, EndKind, FromAgent, OrderKind, OrderKindTag, OrderOutcome, StepSpec,
 };
 
 use crate::cluster::{Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, step, task};
@@ -120,7 +120,7 @@
     let unanswered: Vec<_> = std::mem::take(&mut cluster.orders);
     assert_eq!(unanswered.last().map(|o| o.kind.clone()), Some(OrderKind::Pace { percent: 0 }));
     for order in unanswered {
-        cluster.report_result(&order, OrderVerb::Pace, OrderOutcome::Unanswered);
+        cluster.report_result(&order, OrderKindTag::Pace, OrderOutcome::Unanswered);
     }
     poll_with_progress(&mut cluster, 10, 20);
     assert!(cluster.orders.iter().any(|o| o.kind == OrderKind::Pace { percent: 0 }));
@@ -178,13 +178,13 @@
     cluster.submit(1, vec![step(3)]);
     let refused = cluster.orders.pop().expect("three start orders");
     cluster.carry_out_orders();
-    cluster.report_result(&refused, OrderVerb::Start, OrderOutcome::RunIsOver);
+    cluster.report_result(&refused, OrderKindTag::Start, OrderOutcome::RunIsOver);
     cluster.restart_agent("m1");
     for _ in 0..25 {
         if let Some(copy) = cluster.orders.iter().position(|o| o.task == refused.task && o.run == 1)
         {
             let copy = cluster.orders.remove(copy);
-            cluster.report_result(&copy, OrderVerb::Start, OrderOutcome::RunIsOver);
+            cluster.report_result(&copy, OrderKindTag::Start, OrderOutcome::RunIsOver);
         }
         cluster.advance(400);
         cluster.poll("m1");
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -53,11 +53,13 @@
         }
         let name = agent_name(&machine.name);
         if std::mem::replace(&mut machine.coordinator_sees_link, true) {
-            self.cluster.coordinator.agent_disconnected(&name, self.cluster.now);
+            self.cluster.coordinator.handle_agent_disconnected(&name, self.cluster.now);
         }
         machine.linked = true;
         self.send(at, FromAgent::Hello { agent: name });
-        for minion in self.machines[at].departures.unrecorded().cloned().collect::<Vec<_>>() {
+        for minion in
+            self.machines[at].departures.unrecorded_terminations().cloned().collect::<Vec<_>>()
+        {
             self.send(at, FromAgent::MinionTerminated { minion });
         }
         self.report_minion(at);
@@ -133,7 +135,7 @@
         machine.coordinator_sees_link = false;
         let name = agent_name(&machine.name);
         if !self.succession.is_vacant() {
-            self.cluster.coordinator.agent_disconnected(&name, self.cluster.now);
+            self.cluster.coordinator.handle_agent_disconnected(&name, self.cluster.now);
             self.cluster.process_effects();
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -5,7 +5,7 @@
 
 use geraniumpost_batch::Now;
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_VALIDITY_MS;
 use geraniumpost_schema::Name;
 
 /// Number of entries.
@@ -128,7 +128,7 @@
             query
                 .releases
                 .support_end_ms()
-                .map(|ms| ms.max(query.taken_over_ms + STORE_CONFIRMATION_MS))
+                .map(|ms| ms.max(query.taken_over_ms + STORE_CONFIRMATION_VALIDITY_MS))
         };
         self.queries.iter().filter_map(|(at, query)| Some((*at, end(query)?))).collect()
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -1,6 +1,6 @@
 //! Orders on their way from the coordinator through agents to minions, and their results.
 
-use geraniumpost_batch::{Order, OrderOutcome, OrderVerb};
+use geraniumpost_batch::{Order, OrderKindTag, OrderOutcome};
 
 use super::Simulation;
 
@@ -71,7 +71,7 @@
     /// draining minion or without a lease.
     fn withholds(&self, at: usize, order: &Order) -> bool {
         let machine = &self.machines[at];
-        let starts = OrderVerb::from(&order.kind) == OrderVerb::Start;
+        let starts = OrderKindTag::from(&order.kind) == OrderKindTag::Start;
         let draining =
             machine.known_minion.as_ref() == Some(&order.minion) && machine.reported_draining;
         starts && (draining || machine.lease_until_ms <= self.cluster.now.steady_ms)
@@ -80,7 +80,7 @@
     /// Reports an order's result, if its agent has a link.
     fn report_result(&mut self, order: &Order, outcome: OrderOutcome) {
         if self.machine_of(&order.minion).is_some_and(|at| self.can_reach_coordinator(at)) {
-            self.cluster.report_result(order, OrderVerb::from(&order.kind), outcome);
+            self.cluster.report_result(order, OrderKindTag::from(&order.kind), outcome);
         }
     }
 }
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -1,7 +1,7 @@
 //! Steps: order, gangs, spread, labels, repetitions and approvals.
 
 use geraniumpost_batch::{
-    CallerRequest, CallerResponse, EndKind, JobId, JobSpec, OrderKind, OrderOutcome, OrderVerb,
+    CallerRequest, CallerResponse, EndKind, JobId, JobSpec, OrderKind, OrderKindTag, OrderOutcome,
     StepSpec,
 };
 
@@ -130,8 +130,8 @@
 #[test]
 fn step_that_depends_on_itself_is_rejected() {
     let mut cluster = Cluster::new();
-    let ticket = cluster.submit(1, vec![StepSpec { after: vec![0], ..step(1) }]);
-    assert_eq!(cluster.response(ticket), Some(CallerResponse::Invalid));
+    let request_id = cluster.submit(1, vec![StepSpec { after: vec![0], ..step(1) }]);
+    assert_eq!(cluster.response(request_id), Some(CallerResponse::Invalid));
     assert_eq!(cluster.job_state(1), CallerResponse::Unknown);
 }
 
@@ -142,8 +142,8 @@
     cluster.submit(2, vec![step(40)]);
     cluster.submit(3, vec![step(1)]);
     let pending = |cluster: &mut Cluster| {
-        let ticket = cluster.request(CallerRequest::Pending("studies".into()));
-        cluster.response(ticket)
+        let request_id = cluster.request(CallerRequest::Pending("studies".into()));
+        cluster.response(request_id)
     };
     assert_eq!(pending(&mut cluster), Some(CallerResponse::Pending(3)));
     cluster.carry_out_orders();
@@ -180,7 +180,7 @@
     let request = cluster.approval_requests.remove(0);
     cluster.answer_approval(&request, Some(&["m1"]));
     let order = cluster.orders.remove(0);
-    cluster.report_result(&order, OrderVerb::Start, OrderOutcome::BadTicket);
+    cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::BadTicket);
     cluster.advance(300);
     assert!(cluster.orders.is_empty());
     assert_eq!(cluster.approval_requests.len(), 1);
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -8,7 +8,7 @@
 }
 
 fn unrecorded(departures: &Departures) -> Vec<&str> {
-    departures.unrecorded().map(|name| &**name).collect()
+    departures.unrecorded_terminations().map(|name| &**name).collect()
 }
 
 /// A minion leaves while there is no coordinator that could be notified. The termination must be
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -112,7 +112,7 @@
         let simulation = Simulation { minions, lag, slope, noise: 0.01 };
         let model = simulation.run(20_000);
         for minion in 0..minions {
-            let own = model.own_utilization(&Simulation::image(), &Simulation::group(minion));
+            let own = model.user_utilization(&Simulation::image(), &Simulation::group(minion));
             let expected = simulation.own(minion, 20_000 - GAUGE_MS);
             prop_assert!((own - expected).abs() < 0.12, "estimated {own}, true own load {expected}");
         }
@@ -134,7 +134,7 @@
         let (serving, best_effort) = (Simulation::image(), Simulation::best_effort());
         let pairs = vec![InterferencePair { serving, best_effort, slope, deviation }];
         let mut model = InterferenceModel::default();
-        model.restore(&InterferenceSnapshot { pairs, idle_tails: Vec::new() });
+        model.restore(&InterferenceSnapshot { pairs, idle_tail_latency_ratios: Vec::new() });
         prop_assert!(Simulation::learned_slope(&model).is_finite());
     }
 
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -3,12 +3,12 @@
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
-    PROMISE_MS, PROMISE_PERCENT, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
+    KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
 };
 use geraniumpost_schema::Name;
 
 /// How long an entry keeps a promise, on its own clock.
-const KEPT_MS: u64 = PROMISE_MS * PROMISE_PERCENT / 100;
+const KEPT_MS: u64 = PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100;
 const INCARNATION: u64 = 7;
 
 fn entry(number: usize) -> Name {
@@ -45,9 +45,9 @@
     let mut support = Support::new(voters(2), 0);
     assert_eq!(support.supported_until_ms(), 0);
     support.record_promise(&entry(1), INCARNATION, 5_000);
-    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
     support.record_promise(&entry(1), INCARNATION, 4_000);
-    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
 /// A majority lasts until the first of its promises expires.
@@ -57,8 +57,8 @@
     for (number, sent_at_ms) in [(1, 900), (2, 300), (3, 600)] {
         support.record_promise(&entry(number), INCARNATION, sent_at_ms);
     }
-    assert_eq!(support.supported_until_ms(), 600 + PROMISE_MS);
-    assert_eq!(support.supporter_count(500 + PROMISE_MS), 2);
+    assert_eq!(support.supported_until_ms(), 600 + PROMISE_DURATION_MS);
+    assert_eq!(support.supporter_count(500 + PROMISE_DURATION_MS), 2);
 }
 
 /// A restarted entry gives promises like any other, but the coordinator must not count them: the
@@ -81,7 +81,7 @@
     support.begin_voter_change([(entry(2), INCARNATION)].into_iter().collect(), 5_000);
     assert_eq!(support.supported_until_ms(), 0);
     support.record_promise(&entry(2), INCARNATION, 4_900);
-    assert_eq!(support.supported_until_ms(), 4_900 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 4_900 + PROMISE_DURATION_MS);
     support.complete_voter_change();
     assert!(support.voters().contains(&entry(2), INCARNATION));
 }
@@ -107,7 +107,7 @@
     support.record_promise(&entry(1), INCARNATION, 5_000);
     support.mark_stopping(&entry(1));
     assert_eq!(support.voters_to_write(5_100), Some(Voters::default()));
-    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_MS);
+    assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
 /// A new coordinator rewrites its key before it has heard from any entry. If it wrote an empty set
@@ -140,7 +140,7 @@
     releases.record(&entry(1), INCARNATION, 400, 1_000);
     releases.record(&entry(9), INCARNATION, 0, 1_000);
     assert_eq!(releases.support_end_ms(), None);
-    assert_eq!(releases.unanswered().collect::<Vec<_>>(), [&entry(2), &entry(3)]);
+    assert_eq!(releases.voters_without_response().collect::<Vec<_>>(), [&entry(2), &entry(3)]);
     releases.record(&entry(3), INCARNATION, 100, 1_200);
     assert_eq!(releases.support_end_ms(), Some(1_400));
 }
--- a/crates/geraniumpost-batch/tests/succession/process.rs
+++ b/crates/geraniumpost-batch/tests/succession/process.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_batch::TermTime;
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
-use geraniumpost_batch::tuning::{STORE_CONFIRMATION_MS, STORE_OUTAGE_TOLERANCE_MS};
+use geraniumpost_batch::tuning::{STORE_CONFIRMATION_VALIDITY_MS, STORE_OUTAGE_TOLERANCE_MS};
 
 /// State of a coordinator in one term.
 #[derive(Debug)]
@@ -51,14 +51,14 @@
 
     /// Returns whether leases may be extended.
     pub fn extends(&self, now_ms: u64) -> bool {
-        self.is_supported(now_ms) || now_ms < self.asked_ms + STORE_CONFIRMATION_MS
+        self.is_supported(now_ms) || now_ms < self.asked_ms + STORE_CONFIRMATION_VALIDITY_MS
     }
 
     /// Records the ends of predecessors that are known by now.
     pub fn record_ends(&mut self) {
         for (term, releases) in &self.releases {
             if let Some(until_ms) = releases.support_end_ms() {
-                let end_ms = until_ms.max(self.taken_ms + STORE_CONFIRMATION_MS);
+                let end_ms = until_ms.max(self.taken_ms + STORE_CONFIRMATION_VALIDITY_MS);
                 self.ends_ms.entry(*term).or_insert(end_ms);
             }
         }
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use geraniumpost_batch::{Order, OrderOutcome, OrderResult, OrderVerb};
+use geraniumpost_batch::{Order, OrderKindTag, OrderOutcome, OrderResult};
 
 use super::state::State;
 
@@ -51,7 +51,7 @@
             "decision=order_failed task={} run={} verb={} minion={} why=\"{outcome}\"",
             order.task,
             order.run,
-            OrderVerb::from(&order.kind),
+            OrderKindTag::from(&order.kind),
             order.minion
         );
     }
@@ -62,14 +62,14 @@
         minion: order.minion,
         task: order.task,
         run: order.run,
-        verb: OrderVerb::from(&order.kind),
+        kind_tag: OrderKindTag::from(&order.kind),
         outcome,
-        number: 0,
+        results_reported: 0,
     });
 }
 
 async fn forward(state: &State, order: &Order, context: OrderContext) -> OrderOutcome {
-    let is_start = OrderVerb::from(&order.kind) == OrderVerb::Start;
+    let is_start = OrderKindTag::from(&order.kind) == OrderKindTag::Start;
     if is_start && context.draining {
         return OrderOutcome::NotSent;
     }
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -238,7 +238,7 @@
         inner.link = link;
         inner.reported = inner.acknowledged;
         inner.full_report = true;
-        for minion in inner.departures.unrecorded().cloned().collect::<Vec<_>>() {
+        for minion in inner.departures.unrecorded_terminations().cloned().collect::<Vec<_>>() {
             send_on_link(&inner, FromAgent::MinionTerminated { minion });
         }
         if let Some(info) = inner.current.clone() {
@@ -269,7 +269,7 @@
     pub fn send_result(&self, mut result: OrderResult) {
         let mut inner = self.lock();
         inner.reported_results += 1;
-        result.number = inner.reported_results;
+        result.results_reported = inner.reported_results;
         send_on_link(&inner, FromAgent::Result(result));
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -57,7 +57,7 @@
         /// Link of the entry.
         link: u64,
         /// Number by which the entry matches the response to its request.
-        ticket: u64,
+        request_id: u64,
         /// The caller's request.
         request: CallerRequest,
     },
@@ -107,7 +107,7 @@
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
     /// Link and ticket of the entry that waits for each response, by the driver's own ticket.
     pending_replies: HashMap<u64, (u64, u64)>,
-    next_ticket: u64,
+    next_request_id: u64,
     /// Leases that a successor has to wait for, for the writer.
     successor_leases: Arc<SuccessorLeases>,
     support: Arc<TermSupport>,
@@ -136,7 +136,7 @@
             entries: HashMap::new(),
             agents: HashMap::new(),
             pending_replies: HashMap::new(),
-            next_ticket: 1,
+            next_request_id: 1,
         }
     }
 
@@ -203,7 +203,7 @@
                 // A new link replaces the old one, even if messages are still under way on that
                 // one.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
-                    self.coordinator.agent_disconnected(&node, now);
+                    self.coordinator.handle_agent_disconnected(&node, now);
                 }
                 let hello = FromAgent::Hello { agent: node.clone() };
                 self.coordinator.handle_agent_message(&node, hello, now);
@@ -214,32 +214,34 @@
             Input::LinkClosed(Peer::Agent { node, link }) => {
                 if self.agents.get(&node).is_some_and(|(current, _)| *current == link) {
                     self.agents.remove(&node);
-                    self.coordinator.agent_disconnected(&node, now);
+                    self.coordinator.handle_agent_disconnected(&node, now);
                 }
             }
-            Input::Request { link, ticket, request } => {
-                let own_ticket = self.next_ticket;
-                self.next_ticket += 1;
-                self.pending_replies.insert(own_ticket, (link, ticket));
-                self.coordinator.handle_request(own_ticket, request, now);
+            Input::Request { link, request_id, request } => {
+                let own_request_id = self.next_request_id;
+                self.next_request_id += 1;
+                self.pending_replies.insert(own_request_id, (link, request_id));
+                self.coordinator.handle_request(own_request_id, request, now);
             }
             Input::AgentMessage(node, message) => {
                 self.coordinator.handle_agent_message(&node, message, now);
             }
-            Input::BatchWritten(batch) => self.coordinator.batch_written(batch, now),
+            Input::BatchWritten(batch) => self.coordinator.handle_batch_written(batch, now),
             Input::ApprovalResponse((step, requested_minions), response) => {
                 let response = response.map(|response| (response.tickets, response.valid_ms));
                 self.coordinator.handle_approval(step, &requested_minions, response, now);
             }
             Input::TermConfirmed { requested_ms, received_ms } => {
-                self.coordinator.store_confirmed(requested_ms, received_ms);
+                self.coordinator.record_store_confirmation(requested_ms, received_ms);
                 for (agent, message) in self.process_pause.term_confirmed(requested_ms) {
                     self.send_to_agent(&agent, message);
                 }
             }
-            Input::PredecessorEnded(address) => self.coordinator.predecessor_ended(address, now),
+            Input::PredecessorEnded(address) => {
+                self.coordinator.record_predecessor_end(address, now)
+            }
             Input::PredecessorExtendsUntil { address, until_ms } => {
-                self.coordinator.predecessor_extends_until(address, until_ms);
+                self.coordinator.record_predecessor_extension_end(address, until_ms);
             }
         }
     }
@@ -252,11 +254,13 @@
                     spdlog::debug!("event=writer_ended");
                 }
             }
-            Effect::Reply { ticket, response } => {
-                let Some((link, ticket)) = self.pending_replies.remove(&ticket) else { return };
+            Effect::Reply { request_id, response } => {
+                let Some((link, request_id)) = self.pending_replies.remove(&request_id) else {
+                    return;
+                };
                 if let Some(tx) = self.entries.get(&link) {
                     // An entry whose link has closed sends its request again on the next one.
-                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { ticket, response }));
+                    let _ = tx.send(ToPeer::Entry(ToEntry::Response { request_id, response }));
                 }
             }
             Effect::Send { agent, message } => {
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -169,9 +169,9 @@
                     continue;
                 }
                 (
-                    FromPeer::EntryMessage(FromEntry::Request { ticket, request }),
+                    FromPeer::EntryMessage(FromEntry::Request { request_id, request }),
                     Peer::Entry { link, .. },
-                ) => Input::Request { link: *link, ticket, request },
+                ) => Input::Request { link: *link, request_id, request },
                 (FromPeer::AgentMessage(message), Peer::Agent { node, .. }) => {
                     agent_input(node, message)
                 }
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use geraniumpost_batch::quorum::{Releases, Voters};
-use geraniumpost_batch::tuning::STORE_CONFIRMATION_MS;
+use geraniumpost_batch::tuning::STORE_CONFIRMATION_VALIDITY_MS;
 use geraniumpost_schema::Name;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -55,7 +55,7 @@
     /// voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
-        if releases.unanswered().next().is_none() {
+        if releases.voters_without_response().next().is_none() {
             return;
         }
         let remaining_ms = self.promises.release(self.term);
@@ -64,11 +64,11 @@
         while !inputs.is_closed() {
             if let Some(released_ms) = releases.support_end_ms() {
                 // The store may have confirmed the silent coordinator's term until the takeover.
-                let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_MS);
+                let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_VALIDITY_MS);
                 spdlog::info!(
                     "event=predecessor_released term={} entries={} until_in_ms={}",
                     silent.term,
-                    releases.count(),
+                    releases.response_count(),
                     until_ms.saturating_sub(BootClock.now_ms())
                 );
                 let address = silent.address;
@@ -86,7 +86,7 @@
     /// Sends requests to all voters that have not answered, in parallel.
     async fn request_unanswered(&self, releases: &mut Releases) {
         let mut requests = JoinSet::new();
-        for node in releases.unanswered().cloned().collect::<Vec<_>>() {
+        for node in releases.voters_without_response().cloned().collect::<Vec<_>>() {
             if let Some(address) = self.peers.address(&node) {
                 requests.spawn(request_release(node, address, self.term));
             }
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -92,8 +92,8 @@
             records.len()
         );
         let coordinator = Coordinator::new(self.record.term, now)
-            .lease_ms(self.lease_ms)
-            .term_requested_at(self.requested_ms)
+            .with_lease_ms(self.lease_ms)
+            .with_term_requested_ms(self.requested_ms)
             .with_predecessor_leases(&self.predecessor_leases, self.began)
             .with_interference(&interference)
             .with_records(records, now);
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -47,7 +47,7 @@
 
     /// Returns for how long an entry has been silent; `None` if it has not answered in this term.
     pub fn silent_ms(&self, node: &Name) -> Option<u64> {
-        self.lock().silent_ms(node, BootClock.now_ms())
+        self.lock().last_promise_age_ms(node, BootClock.now_ms())
     }
 
     /// Returns until when a majority supports the term, on the boot clock, and the number of other
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -106,7 +106,7 @@
             state: state_tx,
             last_pong_ms: Arc::clone(&last_pong_ms),
             pending: HashMap::new(),
-            next_ticket: 1,
+            next_request_id: 1,
         };
         tokio::spawn(task.run());
         Self { tx, state, last_pong_ms }
@@ -181,7 +181,7 @@
     state: watch::Sender<LinkState>,
     last_pong_ms: Arc<AtomicU64>,
     pending: HashMap<u64, PendingRequest>,
-    next_ticket: u64,
+    next_request_id: u64,
 }
 
 type Tx = LinkSender<FromPeer>;
@@ -303,10 +303,10 @@
                     };
                 });
             }
-            ToPeer::Entry(ToEntry::Response { ticket, response }) => {
-                let Some(pending) = self.pending.get_mut(&ticket) else { return true };
+            ToPeer::Entry(ToEntry::Response { request_id, response }) => {
+                let Some(pending) = self.pending.get_mut(&request_id) else { return true };
                 if pending.is_settled_by(response)
-                    && let Some(pending) = self.pending.remove(&ticket)
+                    && let Some(pending) = self.pending.remove(&request_id)
                 {
                     // Sending fails only if the caller no longer waits.
                     let _ = pending.response.send(response);
@@ -323,30 +323,30 @@
 
     /// Keeps a request until it is settled, and sends it if a link is given.
     fn enqueue(&mut self, pending: PendingRequest, tx: Option<&Tx>) {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let request_id = self.next_request_id;
+        self.next_request_id += 1;
         if let Some(tx) = tx {
-            send(tx, ticket, &pending);
+            send(tx, request_id, &pending);
         }
-        self.pending.insert(ticket, pending);
+        self.pending.insert(request_id, pending);
     }
 
     fn resend(&mut self, tx: &Tx) {
         self.pending.retain(|_, pending| !pending.response.is_closed());
-        for (ticket, pending) in &self.pending {
-            send(tx, *ticket, pending);
+        for (request_id, pending) in &self.pending {
+            send(tx, *request_id, pending);
         }
     }
 }
 
-fn send(tx: &Tx, ticket: u64, pending: &PendingRequest) {
+fn send(tx: &Tx, request_id: u64, pending: &PendingRequest) {
     pending.sent.fetch_add(1, Ordering::SeqCst);
     if pending.response.is_closed() {
         return;
     }
     // The reader notices a closed link, and the request is sent again over the next one.
     let _ = tx.send(FromPeer::EntryMessage(FromEntry::Request {
-        ticket,
+        request_id,
         request: pending.request.clone(),
     }));
 }
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -43,8 +43,8 @@
         self.tx.send(ToPeer::Entry(message)).expect("the link is open");
     }
 
-    fn respond(&self, ticket: u64, response: CallerResponse) {
-        self.send(ToEntry::Response { ticket, response });
+    fn respond(&self, request_id: u64, response: CallerResponse) {
+        self.send(ToEntry::Response { request_id, response });
     }
 
     /// Answers pings until a request arrives, and returns its ticket.
@@ -56,7 +56,7 @@
                 FromPeer::EntryMessage(FromEntry::Ping { .. }) => {
                     self.send(PONG);
                 }
-                FromPeer::EntryMessage(FromEntry::Request { ticket, .. }) => return ticket,
+                FromPeer::EntryMessage(FromEntry::Request { request_id, .. }) => return request_id,
                 _ => {}
             }
         }
@@ -88,11 +88,11 @@
         response
     });
     let mut first = Link::accept(&listener).await;
-    let ticket = first.request().await;
+    let request_id = first.request().await;
     drop(first);
     let mut second = Link::accept(&listener).await;
-    assert_eq!(second.request().await, ticket);
-    (listener, second, ticket, response_task)
+    assert_eq!(second.request().await, request_id);
+    (listener, second, request_id, response_task)
 }
 
 async fn response_of(response_task: ResponseTask) -> Result<CallerResponse, NoResponse> {
@@ -107,25 +107,25 @@
 /// be told that the job was refused.
 #[tokio::test]
 async fn refusal_of_one_copy_is_not_reported_while_another_may_be_accepted() {
-    let (_listener, link, ticket, response_task) = send_job_twice().await;
-    link.respond(ticket, REFUSED);
+    let (_listener, link, request_id, response_task) = send_job_twice().await;
+    link.respond(request_id, REFUSED);
     assert_eq!(response_of(response_task).await, Err(NoResponse::Unknown));
 }
 
 /// One copy is refused and the other one accepted: the job runs.
 #[tokio::test]
 async fn acceptance_of_one_copy_is_reported() {
-    let (_listener, link, ticket, response_task) = send_job_twice().await;
-    link.respond(ticket, REFUSED);
-    link.respond(ticket, CallerResponse::Accepted);
+    let (_listener, link, request_id, response_task) = send_job_twice().await;
+    link.respond(request_id, REFUSED);
+    link.respond(request_id, CallerResponse::Accepted);
     assert_eq!(response_of(response_task).await, Ok(CallerResponse::Accepted));
 }
 
 /// Both copies are refused: the request will never have an effect.
 #[tokio::test]
 async fn refusal_of_all_copies_is_reported() {
-    let (_listener, link, ticket, response_task) = send_job_twice().await;
-    link.respond(ticket, REFUSED);
-    link.respond(ticket, REFUSED);
+    let (_listener, link, request_id, response_task) = send_job_twice().await;
+    link.respond(request_id, REFUSED);
+    link.respond(request_id, REFUSED);
     assert_eq!(response_of(response_task).await, Ok(REFUSED));
 }
