--- a/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -14,17 +14,17 @@
 }
 
 /// Best-effort tasks must not keep a serving task above its latency bound, whatever the
-/// interference model predicts. All of them on that minion are paused within two seconds, and none
-/// is added.
+/// interference model predicts. All best-effort tasks on the minion of that serving task are paused
+/// within two seconds, and no further one is placed there.
 #[test]
 fn best_effort_tasks_are_paused_while_a_serving_task_exceeds_its_bound() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
     // A low tail latency shows that the minion has capacity for both.
-    cluster.set_gauge(task(1, 0, 0), 25);
+    cluster.set_measurement(task(1, 0, 0), 25);
     cluster.poll("m1");
     cluster.submit(2, vec![best_effort_step(2)]);
     cluster.carry_out_orders();
-    cluster.set_gauge(task(1, 0, 0), 150);
+    cluster.set_measurement(task(1, 0, 0), 150);
     for _ in 0..5 {
         cluster.advance(400);
         cluster.heartbeat("m1");
@@ -41,8 +41,8 @@
     assert!(cluster.orders.is_empty());
 }
 
-/// A best-effort task reserves no processors, so it is placed even where none are free. Its memory
-/// is reserved.
+/// A best-effort task reserves memory but no processors, so it can be placed on a minion without
+/// enough free processors.
 #[test]
 fn best_effort_tasks_reserve_memory_but_no_processors() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
@@ -56,9 +56,9 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// A job completes with its slowest task. A task placed on a busy minion would delay the whole job,
-/// so it waits for a minion on which it runs at full speed while other tasks of its job are
-/// running.
+/// A job completes when its slowest task does, so a task on a busy minion would delay the whole
+/// job. While other tasks of its job are running, the task waits for a minion on which it can run
+/// at full speed.
 #[test]
 fn best_effort_task_waits_for_a_minion_at_full_speed() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -76,8 +76,8 @@
     assert_eq!(&*cluster.orders[0].minion, "m2");
 }
 
-/// Where no minion runs a job's tasks at full speed, although most processors are idle, the job
-/// would wait for ever. Its first task starts anyway within two seconds.
+/// If no minion can run a job's tasks at full speed, although processors are idle, the job would
+/// wait forever. Its first task starts anyway after two seconds.
 #[test]
 fn idle_job_starts_at_any_speed_after_two_seconds() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
@@ -95,15 +95,15 @@
     assert!(cluster.orders.is_empty(), "the second task waits for a faster minion");
 }
 
-/// A best-effort task that is paused beside a busier serving task would delay its job for as long
-/// as the load lasts. It moves to a minion with capacity at once.
+/// A best-effort task that is paused because a serving task on its minion exceeds its latency bound
+/// would delay its job for as long as the load lasts. It moves at once to a minion with capacity.
 #[test]
 fn paused_task_moves_at_once() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
     cluster.submit(2, vec![best_effort_step(1)]);
     cluster.carry_out_orders();
     cluster.join("m2", |info| info);
-    cluster.set_gauge(task(1, 0, 0), 150);
+    cluster.set_measurement(task(1, 0, 0), 150);
     for _ in 0..3 {
         cluster.advance(400);
         cluster.heartbeat("m1");
@@ -115,8 +115,8 @@
     assert!(running.iter().any(|(id, minion, _)| *id == task(2, 0, 0) && &**minion == "m2"));
 }
 
-/// Persistent tasks never free their resources. If they could reserve a whole minion, short urgent
-/// tasks would wait behind them for ever.
+/// Persistent tasks never free their resources. If they could occupy a whole minion, short urgent
+/// tasks would wait forever.
 #[test]
 fn persistent_tasks_leave_capacity_for_short_ones() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(16));
@@ -125,13 +125,13 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// Alternates between a running and an idle best-effort task beside a serving task whose tail
-/// latency follows it.
-fn learn_that_logs_interfere(cluster: &mut Cluster) {
+/// Lets a best-effort task run and idle in turn, and reports a high tail latency of the serving
+/// task on the same minion whenever the best-effort task runs.
+fn learn_interference_of_logs_image(cluster: &mut Cluster) {
     for round in 0..40 {
         let running = round % 2 == 0;
-        cluster.set_gauge(task(2, 0, 0), if running { 4_000 } else { 0 });
-        cluster.set_gauge(task(1, 0, 0), if running { 80 } else { 20 });
+        cluster.set_measurement(task(2, 0, 0), if running { 4_000 } else { 0 });
+        cluster.set_measurement(task(1, 0, 0), if running { 80 } else { 20 });
         cluster.advance(800);
         cluster.heartbeat("m1");
         cluster.poll("m1");
@@ -139,27 +139,27 @@
     }
 }
 
-/// A coordinator learns within seconds which images interfere with each other. In a rolling restart
-/// each coordinator runs only for seconds, so it hands on what it has learned; otherwise serving
-/// tasks would be slow throughout the restart.
+/// A coordinator needs seconds to learn which images interfere with each other, but in a rolling
+/// restart each coordinator runs only for seconds. It therefore stores learned interference for its
+/// successor; otherwise serving tasks would be slow throughout the restart.
 #[test]
 fn successor_keeps_learned_interference() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![serving_step()]);
     cluster.submit(2, vec![best_effort_step(1)]);
     cluster.carry_out_orders();
-    learn_that_logs_interfere(&mut cluster);
-    // Learned interference is stored with the next write.
+    learn_interference_of_logs_image(&mut cluster);
+    // Learned interference is part of the next write batch.
     cluster.submit(3, vec![step(1)]);
     assert!(cluster.stored_interference.is_some());
     cluster.take_over();
     cluster.join("m1", |info| info);
-    cluster.set_gauge(task(1, 0, 0), 30);
+    cluster.set_measurement(task(1, 0, 0), 30);
     cluster.poll("m1");
     cluster.submit(4, vec![best_effort_step(3)]);
     let started =
         cluster.orders.iter().filter(|order| order.task.job == geraniumpost_batch::JobId(4));
-    assert_eq!(started.count(), 0, "they would push the tail latency above its bound");
+    assert_eq!(started.count(), 0, "the new tasks would push the tail latency above its bound");
 }
 
 /// Stored data of another version, or damaged data, is rejected as a whole.
--- a/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
@@ -1,10 +1,10 @@
-//! Simulation of wide best-effort jobs beside serving tasks whose load varies.
+//! Simulation of wide best-effort jobs on a fleet of minions with serving tasks of varying load.
 //!
-//! Every minion runs serving tasks at a load that rises and falls within seconds. Each best-effort
-//! image interferes strongly with some serving images and hardly with the others. Well placed, all
-//! jobs fit, and a job is as slow as its slowest task. The figures are those of the users' ordinary
-//! days, scaled to minions of 16 processors: loads around 0.45 that vary by half within 14 s, tail
-//! latencies of a fifth of the bound when idle, steps of eight tasks of 1.7 s.
+//! Every minion runs serving tasks whose load rises and falls within seconds. Each best-effort
+//! image interferes strongly with some serving images and hardly with the others. All jobs fit if
+//! their tasks are placed well; a job takes as long as its slowest task. The figures are taken from
+//! normal operation, scaled to minions of 16 processors: a load of 0.45 +/- 0.22 with a period of
+//! 14 s, tail latencies of a fifth of the bound without load, and steps of eight tasks of 1.7 s.
 
 use std::collections::BTreeMap;
 use std::f64::consts::TAU;
@@ -16,24 +16,24 @@
 
 const MINIONS: [&str; 12] =
     ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9", "m10", "m11", "m12"];
-/// Number of serving images; each has six tasks, on minions of their own.
-const SERVING_IMAGES: u64 = 4;
-/// Number of best-effort images.
-const BEST_EFFORT_IMAGES: u64 = 6;
+/// Number of serving images. Each has six tasks, at most one per minion.
+const SERVING_IMAGE_COUNT: u64 = 4;
+const BEST_EFFORT_IMAGE_COUNT: u64 = 6;
+/// Time by which the simulation advances in each step, in milliseconds.
 const TICK_MS: u64 = 100;
 /// Duration of a best-effort task at full speed, in milliseconds.
-const TASK_MS: f64 = 1_700.0;
-/// Time within which a job is to be completed, in milliseconds.
+const TASK_DURATION_MS: f64 = 1_700.0;
+/// Time from its submission within which a job should be completed, in milliseconds.
 const OBJECTIVE_MS: u64 = 4_400;
-/// Interval between jobs in milliseconds. At this rate they need three quarters of what the fleet
-/// leaves unused.
+/// Interval between submitted jobs, in milliseconds. At this rate the jobs need three quarters of
+/// the processor time that serving tasks leave idle.
 const JOB_INTERVAL_MS: u64 = 500;
 /// Latency bound of the serving tasks, in milliseconds.
 const LATENCY_BOUND_MS: u32 = 100;
-/// Tail latency of an idle serving task, in milliseconds.
-const IDLE_TAIL_MS: f64 = 20.0;
-/// Utilization that four processors of each best-effort image (columns) add to each serving image
-/// (rows): three pairs in five interfere strongly.
+/// Tail latency of a serving task without load, in milliseconds.
+const IDLE_TAIL_LATENCY_MS: f64 = 20.0;
+/// Utilization that a best-effort task with four processors adds to a serving task, by serving
+/// image (rows) and best-effort image (columns). Three pairs in five interfere strongly.
 const INTERFERENCE: [[f64; 6]; 4] = [
     [0.16, 0.01, 0.12, 0.02, 0.20, 0.10],
     [0.01, 0.18, 0.11, 0.14, 0.01, 0.02],
@@ -41,23 +41,24 @@
     [0.02, 0.01, 0.15, 0.01, 0.12, 0.16],
 ];
 
-/// Minions, serving tasks and best-effort jobs.
+/// A cluster with simulated load, and the progress of its best-effort jobs.
 struct Fleet {
     cluster: Cluster,
-    /// Work done of each best-effort task, in milliseconds at full speed.
-    done_ms: BTreeMap<TaskId, f64>,
+    /// Completed work of each best-effort task, in milliseconds at full speed.
+    work_done_ms: BTreeMap<TaskId, f64>,
     submitted_ms: BTreeMap<JobId, u64>,
-    /// Jobs submitted, and jobs completed within the objective.
+    /// Number of best-effort jobs submitted so far.
     jobs: u32,
+    /// Number of best-effort jobs completed within `OBJECTIVE_MS`.
     on_time: u32,
-    /// Polls of serving tasks, and those of them that showed a tail latency above the bound.
+    /// Number of samples of serving tasks' tail latencies, and of samples above the bound.
     polls: (u32, u32),
 }
 
 impl Fleet {
     fn new() -> Self {
         let mut cluster = Cluster::new().with_minions(&MINIONS);
-        for id in 1..=SERVING_IMAGES {
+        for id in 1..=SERVING_IMAGE_COUNT {
             let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
             let spec = StepSpec {
                 persistent: true,
@@ -70,11 +71,12 @@
             cluster.submit(id, vec![spec]);
         }
         cluster.carry_out_orders();
-        let (done_ms, submitted_ms) = (BTreeMap::new(), BTreeMap::new());
-        Self { cluster, done_ms, submitted_ms, jobs: 0, on_time: 0, polls: (0, 0) }
+        let (work_done_ms, submitted_ms) = (BTreeMap::new(), BTreeMap::new());
+        Self { cluster, work_done_ms, submitted_ms, jobs: 0, on_time: 0, polls: (0, 0) }
     }
 
-    /// Submits jobs for a time, and returns the share that was completed within the objective.
+    /// Submits jobs for `ms` milliseconds, and returns the share of them that was completed within
+    /// `OBJECTIVE_MS`.
     fn run(&mut self, ms: u64) -> f64 {
         let started_ms = self.cluster.now.steady_ms;
         let before = (self.jobs, self.on_time);
@@ -102,9 +104,9 @@
         let demand = Demand { milli_cpus: 4_000, memory_mb: 1_000, accelerators: 0 };
         let spec = StepSpec {
             best_effort: true,
-            image: format!("best-effort-{}", id.0 % BEST_EFFORT_IMAGES).into(),
+            image: format!("best-effort-{}", id.0 % BEST_EFFORT_IMAGE_COUNT).into(),
             checkpoints: true,
-            estimate_ms: TASK_MS as u32,
+            estimate_ms: TASK_DURATION_MS as u32,
             demand,
             ..step(8)
         };
@@ -112,9 +114,10 @@
         self.cluster.submit(id.0, vec![spec]);
     }
 
-    /// Advances all tasks by one tick, and sets their gauges.
+    /// Advances all tasks by one tick, and sets the measurements that minions report of them.
+    /// `at_ms` is the time since the start of the run, from which the load follows.
     fn run_tasks(&mut self, at_ms: u64) {
-        for (number, name) in MINIONS.iter().enumerate() {
+        for (index, name) in MINIONS.iter().enumerate() {
             let minion = Name::from(*name);
             let Some(runs) = self.cluster.running.get(&minion).cloned() else { continue };
             let pace = |task: &TaskId| {
@@ -127,25 +130,25 @@
                 .collect();
             let demanded: f64 = best_effort.iter().map(|(_, pace)| 4.0 * pace).sum();
             let speed = (12.0 / demanded.max(0.1)).min(1.0);
-            let phase = at_ms as f64 / 14_000.0 + number as f64 / 5.0;
-            let own_load = 0.45 + 0.22 * (TAU * phase).sin();
+            let phase = at_ms as f64 / 14_000.0 + index as f64 / 5.0;
+            let user_load = 0.45 + 0.22 * (TAU * phase).sin();
             for task in runs.keys().filter(|task| task.job.0 < 10) {
                 let slopes = INTERFERENCE[task.job.0 as usize - 1];
-                let slope = |task: TaskId| slopes[(task.job.0 % BEST_EFFORT_IMAGES) as usize];
+                let slope = |task: TaskId| slopes[(task.job.0 % BEST_EFFORT_IMAGE_COUNT) as usize];
                 let added: f64 =
                     best_effort.iter().map(|(id, pace)| slope(*id) * pace * speed).sum();
-                let tail_ms = IDLE_TAIL_MS / (1.0 - (own_load + added).min(0.97));
-                self.cluster.set_gauge(*task, tail_ms as u32);
+                let tail_latency_ms = IDLE_TAIL_LATENCY_MS / (1.0 - (user_load + added).min(0.97));
+                self.cluster.set_measurement(*task, tail_latency_ms as u32);
                 self.polls.0 += 1;
-                self.polls.1 += u32::from(tail_ms > f64::from(LATENCY_BOUND_MS));
+                self.polls.1 += u32::from(tail_latency_ms > f64::from(LATENCY_BOUND_MS));
             }
             for (task, pace) in best_effort {
-                let done_ms = self.done_ms.entry(task).or_default();
-                *done_ms += TICK_MS as f64 * pace * speed;
-                let percent = (*done_ms / TASK_MS * 100.0).min(99.0) as u8;
-                let is_done = *done_ms >= TASK_MS;
+                let work_done_ms = self.work_done_ms.entry(task).or_default();
+                *work_done_ms += TICK_MS as f64 * pace * speed;
+                let percent = (*work_done_ms / TASK_DURATION_MS * 100.0).min(99.0) as u8;
+                let is_done = *work_done_ms >= TASK_DURATION_MS;
                 self.cluster.task_percent.insert(task, percent);
-                self.cluster.set_gauge(task, (4_000.0 * pace * speed) as u32);
+                self.cluster.set_measurement(task, (4_000.0 * pace * speed) as u32);
                 if is_done {
                     self.cluster.end_run(&minion, task, EndKind::Done);
                 }
@@ -166,13 +169,13 @@
 }
 
 /// The fleet has capacity for all submitted jobs if they are placed well. Nearly all must be
-/// completed within the objective, hardly ever pushing serving tasks above their bound. A scheduler
-/// that lets tasks wait for minions at nine tenths of their speed completes a quarter of these jobs
-/// in time, and one that starts them at any speed half.
+/// completed within `OBJECTIVE_MS`, and serving tasks must hardly ever exceed their latency bound.
+/// In comparison, a scheduler that lets tasks wait until a minion offers nine tenths of full speed
+/// completes a quarter of these jobs in time, and one that starts tasks at any speed half of them.
 #[test]
 fn wide_jobs_complete_in_time_beside_varying_loads() {
     let mut fleet = Fleet::new();
-    // During the first seconds the coordinator learns the interference between images.
+    // The coordinator learns the interference between images first; this time is not measured.
     fleet.run(10_000);
     fleet.polls = (0, 0);
     let on_time = fleet.run(40_000);
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
@@ -6,6 +6,8 @@
 use super::{Cluster, agent_name, minion_info};
 
 impl Cluster {
+    /// Links the agent of a new or returning minion, reports the minion as `change` describes it,
+    /// and sends a heartbeat and a poll.
     pub fn join(&mut self, name: &str, change: impl Fn(MinionInfo) -> MinionInfo) {
         let agent = agent_name(name);
         self.send(name, FromAgent::Hello { agent });
@@ -14,6 +16,8 @@
         self.poll(name);
     }
 
+    /// Sends a message of a minion's agent to the coordinator, and performs the resulting effects.
+    /// From a heartbeat on, [`Cluster::advance`] sends further ones.
     pub fn send(&mut self, minion: &str, message: FromAgent) {
         match message {
             FromAgent::Heartbeat { minion_ok: true, .. } => {
@@ -39,7 +43,7 @@
         self.coordinator.handle_agent_disconnected(&agent_name(minion), self.now);
     }
 
-    /// Kills and restarts a minion's agent, which numbers its results from the beginning.
+    /// Kills and restarts a minion's agent. The new process counts its results from zero.
     pub fn restart_agent(&mut self, minion: &str) {
         self.disconnect_agent(minion);
         self.last_result_number = 0;
@@ -51,7 +55,7 @@
         self.send(minion, FromAgent::Heartbeat { sent_at_ms, minion_ok: true });
     }
 
-    /// Sends the heartbeat of an agent whose minion does not answer.
+    /// Sends a heartbeat that reports the agent's minion as unresponsive, and stops further ones.
     pub fn heartbeat_with_unresponsive_minion(&mut self, minion: &str) {
         let sent_at_ms = self.now.steady_ms;
         self.send(minion, FromAgent::Heartbeat { sent_at_ms, minion_ok: false });
@@ -66,7 +70,7 @@
             run: *run,
             checkpoint: Name::default(),
             progress_percent: self.task_percent.get(task).copied().unwrap_or(self.default_percent),
-            measurement: self.gauges.get(task).copied().unwrap_or(0),
+            measurement: self.measurements.get(task).copied().unwrap_or(0),
         });
         let acknowledged = self.acknowledged.get(&name).copied().unwrap_or(0);
         let ended = self.ended_tasks.get(&name).into_iter().flatten();
@@ -80,7 +84,9 @@
         self.send(minion, FromAgent::PollResult(poll_result));
     }
 
-    pub fn set_gauge(&mut self, task: TaskId, gauge: u32) {
-        self.gauges.insert(task, gauge);
+    /// Sets the measurement in further polls: the tail latency of a serving task in milliseconds,
+    /// or the processor use of any other task in thousandths.
+    pub fn set_measurement(&mut self, task: TaskId, measurement: u32) {
+        self.measurements.insert(task, measurement);
     }
 }
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -1,12 +1,12 @@
-//! Effects of the coordinator, and the store that its writes go to.
+//! Effects of the coordinator: messages, log lines, and writes to the store.
 
 use geraniumpost_batch::{Effect, ToAgent, WriteBatch};
 
 use super::Cluster;
 
 impl Cluster {
-    /// Performs all effects that the coordinator requests. Writes are held back unless
-    /// `confirm_writes` is set.
+    /// Performs all pending effects of the coordinator, and those that follow from them. Writes are
+    /// held back unless `confirm_writes` is set.
     pub fn process_effects(&mut self) {
         loop {
             let effects = self.coordinator.take_effects(self.now);
@@ -55,7 +55,7 @@
         self.coordinator.handle_batch_written(batch.number, self.now);
     }
 
-    /// Applies and confirms the writes that were held back.
+    /// Applies and confirms the writes that were held back, and from now on all writes at once.
     pub fn confirm_pending_writes(&mut self) {
         self.confirm_writes = true;
         for batch in std::mem::take(&mut self.pending_writes) {
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/fixtures.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/fixtures.rs
@@ -1,4 +1,4 @@
-//! Minions, steps and queue terms that tests start from.
+//! Default minions, steps and queue terms, which tests modify.
 
 use geraniumpost_batch::{Demand, JobId, MinionInfo, QueueTerms, StepSpec, TaskId};
 use geraniumpost_schema::Name;
@@ -17,13 +17,13 @@
     }
 }
 
-/// Returns the name of the agent beside a minion.
+/// Returns the name of a minion's agent, which is the same for all incarnations of the minion.
 pub fn agent_name(minion: &str) -> Name {
-    // The incarnation follows a dash: "m1" and "m1-b" are incarnations of one machine's minion.
+    // The incarnation follows a dash: "m1" and "m1-b" are incarnations of the same minion.
     Name::from(format!("agent-{}", minion.split('-').next().unwrap_or(minion)))
 }
 
-/// Returns queue terms with two attempts per task and no approval.
+/// Returns queue terms that allow two attempts per task and require no approval.
 pub fn terms() -> QueueTerms {
     QueueTerms {
         queue: "studies".into(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns a step of tasks that take a processor and a gigabyte each.
+/// Returns a step of `count` tasks that need one processor and 1 GB each.
 pub fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
@@ -46,12 +46,12 @@
     }
 }
 
-/// Returns a step of such tasks that run until they are stopped.
+/// Returns a step of `count` persistent tasks that need one processor and 1 GB each.
 pub fn persistent_step(count: u32) -> StepSpec {
     StepSpec { persistent: true, ..step(count) }
 }
 
-/// Returns the id of a task in the first occurrence of a job.
+/// Returns the id of a task in the first occurrence of job `job`.
 pub const fn task(job: u64, step: u16, index: u32) -> TaskId {
     TaskId { job: JobId(job), occurrence: 0, step, index }
 }
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! A coordinator with a store, agents and minions that a test drives step by step.
+//! A coordinator with a store, agents and minions, which a test drives step by step.
 //!
-//! Only the clock advances automatically, with the heartbeats ([`Cluster::advance`]). A test says
-//! when minions join, are polled and carry orders out, so that it can hold back each of these. In a
-//! [`Simulation`](crate::simulation::Simulation), machines do all of it themselves.
+//! [`Cluster::advance`] only advances the clock, sends heartbeats and confirms the coordinator's
+//! term. A test decides when minions join, are polled and carry out orders, so that it can delay
+//! each of these. In a [`Simulation`](crate::simulation::Simulation) these happen automatically.
 
 mod agents;
 mod effects;
@@ -24,58 +24,68 @@
 /// Duration of leases in these tests, in milliseconds.
 pub const LEASE_MS: u64 = 5_000;
 
-/// Number of other entries that support the coordinator.
+/// Number of entries that support the coordinator, without the coordinator itself.
 const SUPPORTERS: usize = 2;
 /// Interval between heartbeats of an agent, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Address of a coordinator that stopped answering.
-pub const SILENT_COORDINATOR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
-/// Address of its successor.
-const SUCCESSOR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 2);
+/// Address of a predecessor that stopped responding without reporting the end of its term.
+pub const SILENT_COORDINATOR_ADDRESS: SocketAddr =
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
+/// Address of the successor of [`SILENT_COORDINATOR_ADDRESS`].
+const SUCCESSOR_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 2);
 
-/// A coordinator and everything it communicates with.
+/// A coordinator, and the state of the store, agents and minions that it communicates with.
 pub struct Cluster {
     pub coordinator: Coordinator,
     pub now: Now,
+    /// Encoded job records that were written.
     pub store: BTreeMap<JobId, Vec<u8>>,
-    /// Learned interference as last written by a coordinator.
+    /// Encoded interference snapshot that was written last.
     pub stored_interference: Option<Vec<u8>>,
-    /// Writes that are not confirmed yet.
+    /// Writes that are held back, to be applied and confirmed later.
     pub pending_writes: Vec<WriteBatch>,
-    /// Whether writes are confirmed at once.
+    /// Whether writes are applied and confirmed at once.
     pub confirm_writes: bool,
+    /// Responses to callers by request id.
     pub responses: BTreeMap<u64, CallerResponse>,
-    /// Orders that no minion has received yet.
+    /// Orders that were sent and that no minion has received yet, oldest first.
     pub orders: Vec<Order>,
     /// Sequence number of the last acknowledged end, by minion.
     pub acknowledged: BTreeMap<Name, u64>,
-    /// Departed minions that agents may forget.
+    /// Departed minions whose departure the coordinator has recorded, so that agents may drop it.
     pub settled_departures: Vec<Name>,
-    /// The run of each running task, by minion.
+    /// Run number of each running task, by minion.
     pub running: BTreeMap<Name, BTreeMap<TaskId, u32>>,
     pub log_lines: Vec<String>,
-    /// Requests to the admission service: the step, and the candidate minions.
+    /// Approval requests to the admission service: a task that identifies the step, and the
+    /// candidate minions.
     pub approval_requests: Vec<(TaskId, Vec<Name>)>,
-    /// Progress in percent that minions report of tasks that are not in `task_percent`.
+    /// Progress that minions report for tasks that are not in `task_percent`, in percent.
     pub default_percent: u8,
+    /// Progress that minions report for a task, in percent.
     pub task_percent: BTreeMap<TaskId, u8>,
-    /// The pace that each task was last ordered to run at, in percent.
+    /// Pace at which each task was last ordered to run, in percent. A task that is missing runs at
+    /// full speed.
     pub paces: BTreeMap<TaskId, u8>,
-    /// Lease extensions: the agent, when it sent its heartbeat, and the duration in milliseconds.
+    /// Lease extensions sent to agents: the agent, the time at which it sent its heartbeat, and the
+    /// duration in milliseconds, which is 0 if the lease is not extended.
     pub lease_extensions: Vec<(Name, u64, u64)>,
-    /// Whether the store confirms the coordinator's term as time passes.
+    /// Whether [`Cluster::advance`] lets the store confirm the coordinator's term.
     pub store_confirms: bool,
-    /// Whether a majority of entries supports the coordinator as time passes.
+    /// Whether [`Cluster::advance`] renews the support of a majority of entries.
     pub entries_support: bool,
-    /// Whether agents that have sent a heartbeat continue to do so as time passes, until they are
-    /// disconnected.
+    /// Whether [`Cluster::advance`] sends heartbeats of agents that have sent one before and were
+    /// not disconnected since.
     pub automatic_heartbeats: bool,
-    /// Minions whose agents send heartbeats.
+    /// Minions whose agents send automatic heartbeats.
     heartbeating_minions: BTreeSet<String>,
+    /// Ended runs that minions list, oldest first, including acknowledged ones.
     ended_tasks: BTreeMap<Name, Vec<EndedTask>>,
-    gauges: BTreeMap<TaskId, u32>,
+    measurements: BTreeMap<TaskId, u32>,
+    /// Number of order results reported by agents since the last restart of an agent.
     last_result_number: u64,
     last_request_id: u64,
+    /// Fencing token of the current coordinator.
     fence: u64,
 }
 
@@ -105,14 +115,15 @@
             automatic_heartbeats: true,
             heartbeating_minions: BTreeSet::new(),
             ended_tasks: BTreeMap::new(),
-            gauges: BTreeMap::new(),
+            measurements: BTreeMap::new(),
             last_result_number: 0,
             last_request_id: 0,
             fence: 1,
         }
     }
 
-    /// Adds minions of 16 processors and 64 GB, linked and polled.
+    /// Adds minions with 16 processors and 64 GB each, whose agents are linked and have polled
+    /// them.
     pub fn with_minions(mut self, names: &[&str]) -> Self {
         for name in names {
             self.join(name, |info| info);
@@ -120,7 +131,8 @@
         self
     }
 
-    /// Returns a cluster in which the only step of job 1 is running, as far as there is capacity.
+    /// Returns a cluster in which as many tasks of `step` are running as the minions have capacity
+    /// for. The step belongs to job 1.
     pub fn with_running_job(minions: &[&str], step: StepSpec) -> Self {
         let mut cluster = Self::new().with_minions(minions);
         cluster.submit(1, vec![step]);
@@ -128,6 +140,7 @@
         cluster
     }
 
+    /// Advances the clock by `ms` milliseconds, with a tick of the coordinator each 100 ms.
     pub fn advance(&mut self, ms: u64) {
         let mut remaining_ms = ms;
         while remaining_ms > 0 {
@@ -151,6 +164,7 @@
         }
     }
 
+    /// Sends a caller's request to the coordinator. Returns its request id.
     pub fn request(&mut self, request: CallerRequest) -> u64 {
         self.last_request_id += 1;
         self.coordinator.handle_request(self.last_request_id, request, self.now);
@@ -158,6 +172,7 @@
         self.last_request_id
     }
 
+    /// Submits a job with the default queue terms. Returns the request id.
     pub fn submit(&mut self, id: u64, steps: Vec<StepSpec>) -> u64 {
         self.submit_with_terms(id, steps, terms())
     }
@@ -167,25 +182,30 @@
         self.request(CallerRequest::Submit { job: JobId(id), spec, terms })
     }
 
+    /// Returns the response to a request, or `None` if the coordinator has not responded yet.
     pub fn response(&self, request_id: u64) -> Option<CallerResponse> {
         self.responses.get(&request_id).copied()
     }
 
     pub fn job_state(&mut self, id: u64) -> CallerResponse {
         let request_id = self.request(CallerRequest::State(JobId(id)));
-        self.response(request_id).expect("job states are answered immediately")
+        self.response(request_id).expect("the coordinator responds to state requests at once")
     }
 
-    /// Answers a request to the admission service with the approved minions, or reports it as
-    /// failed.
-    pub fn answer_approval(&mut self, request: &(TaskId, Vec<Name>), good: Option<&[&str]>) {
+    /// Responds to an approval request with the approved minions `good`, or reports the request as
+    /// failed if `good` is `None`.
+    pub fn respond_to_approval_request(
+        &mut self,
+        request: &(TaskId, Vec<Name>),
+        good: Option<&[&str]>,
+    ) {
         let ticket = |minion: &&str| (Name::from(*minion), Name::from("t-1"));
         let response = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
         self.coordinator.handle_approval(request.0, &request.1, response, self.now);
         self.process_effects();
     }
 
-    /// Returns all running tasks with their minion and run, ordered by task.
+    /// Returns all running tasks with their minions and run numbers, ordered by task.
     pub fn running_tasks(&self) -> Vec<(TaskId, Name, u32)> {
         let mut tasks: Vec<_> = self
             .running
@@ -196,22 +216,25 @@
         tasks
     }
 
-    /// Loses the coordinator, and lets a successor take over from the store.
+    /// Replaces the coordinator by a successor that restores its state from the store. The
+    /// predecessor is known to have ended.
     pub fn take_over(&mut self) {
         self.take_over_with(&PredecessorLeases::default());
     }
 
-    /// Lets a successor take over from a coordinator that may still be running without the store.
-    pub fn take_over_from_silent(&mut self) {
+    /// Lets a successor take over from a silent coordinator, which may still be running without
+    /// access to the store and extending leases.
+    pub fn take_over_from_silent_coordinator(&mut self) {
         let leases = PredecessorLeases::default().after_takeover(
-            Some((SILENT_COORDINATOR, self.fence)),
-            SUCCESSOR,
+            Some((SILENT_COORDINATOR_ADDRESS, self.fence)),
+            SUCCESSOR_ADDRESS,
             LEASE_MS,
         );
         self.take_over_with(&leases);
     }
 
-    /// Lets a successor take over with the leases that its predecessors may have extended.
+    /// Lets a successor take over that waits for `leases`, which its predecessors may have
+    /// extended. Orders in flight and pending writes are lost.
     pub fn take_over_with(&mut self, leases: &PredecessorLeases) {
         self.fence += 1;
         let records = self.store.iter().map(|(id, bytes)| {
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/orders.rs
@@ -1,4 +1,4 @@
-//! Minions that carry out orders, and runs that end.
+//! Execution of orders by minions, and the end of runs.
 
 use geraniumpost_batch::{
     EndKind, EndedTask, FromAgent, Order, OrderKind, OrderKindTag, OrderOutcome, OrderResult,
@@ -9,7 +9,7 @@
 use super::Cluster;
 
 impl Cluster {
-    /// Lets minions carry out all pending orders.
+    /// Lets minions carry out all orders, including those that the coordinator sends meanwhile.
     pub fn carry_out_orders(&mut self) {
         while !self.orders.is_empty() {
             for order in std::mem::take(&mut self.orders) {
@@ -18,9 +18,10 @@
         }
     }
 
+    /// Lets the minion carry out an order, and reports success to the coordinator.
     pub fn carry_out(&mut self, order: Order) {
         let runs = self.running.entry(order.minion.clone()).or_default();
-        let verb = OrderKindTag::from(&order.kind);
+        let kind_tag = OrderKindTag::from(&order.kind);
         match &order.kind {
             OrderKind::Start { .. } => {
                 self.paces.remove(&order.task);
@@ -35,16 +36,17 @@
                 self.paces.insert(order.task, *percent);
             }
         }
-        self.report_result(&order, verb, OrderOutcome::Done);
+        self.report_result(&order, kind_tag, OrderOutcome::Done);
     }
 
-    pub fn report_result(&mut self, order: &Order, verb: OrderKindTag, outcome: OrderOutcome) {
+    /// Reports the result of an order to the coordinator, without carrying the order out.
+    pub fn report_result(&mut self, order: &Order, kind_tag: OrderKindTag, outcome: OrderOutcome) {
         self.last_result_number += 1;
         let result = OrderResult {
             minion: order.minion.clone(),
             task: order.task,
             run: order.run,
-            kind_tag: verb,
+            kind_tag,
             outcome,
             results_reported: self.last_result_number,
         };
@@ -52,7 +54,8 @@
         self.send(&minion, FromAgent::Result(result));
     }
 
-    /// Ends a run in a minion's lists; the coordinator learns of it with the next poll.
+    /// Moves a run from a minion's list of running tasks to its list of ended tasks, which the
+    /// coordinator receives with the next poll.
     pub fn end_run(&mut self, minion: &Name, task: TaskId, kind: EndKind) {
         let run = self.running.get_mut(minion).and_then(|runs| runs.remove(&task));
         let run = run.expect("the task runs there");
@@ -61,7 +64,7 @@
         ends.push(EndedTask { sequence, task, run, kind, checkpoint: Name::default() });
     }
 
-    /// Ends all runs, and polls all minions.
+    /// Ends all runs with the same `kind`, and polls the minions.
     pub fn end_all_runs(&mut self, kind: EndKind) {
         for (minion, runs) in self.running.clone() {
             for task in runs.into_keys() {
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -1,4 +1,4 @@
-//! Order and choice of minions when serving and best-effort tasks of many images share few minions.
+//! Order of jobs and choice of minions when serving and best-effort tasks share few minions.
 
 use geraniumpost_batch::{
     Demand, EndKind, InterferencePair, InterferenceSnapshot, JobId, StepSpec,
@@ -16,8 +16,9 @@
     StepSpec { best_effort: true, image: image.into(), demand, checkpoints: true, ..step(count) }
 }
 
-/// Returns a cluster whose coordinator has learned how much utilization each best-effort image adds
-/// to each serving image.
+/// Returns a cluster whose coordinator has learned the given interference. Each entry names a
+/// serving image, a best-effort image and the slope, which is the utilization that the best-effort
+/// image adds to the serving image.
 fn cluster_with_interference(slopes: &[(&str, &str, f64)]) -> Cluster {
     let pair = |(serving, best_effort, slope): &(&str, &str, f64)| InterferencePair {
         serving: Name::from(*serving),
@@ -33,35 +34,35 @@
     cluster
 }
 
-/// One of three serving tasks briefly shows a tail latency several times that of the others,
-/// without interference. If the highest tail counted, best-effort tasks would be slowed down and
-/// moved for nothing.
+/// One of three serving tasks briefly shows a tail latency several times that of the others, for a
+/// reason other than interference. If the highest tail latency counted, best-effort tasks would be
+/// slowed down and moved needlessly.
 #[test]
 fn single_high_tail_latency_slows_no_best_effort_task() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step("kiosk", 3));
-    let report_tails = |cluster: &mut Cluster, tails: [u32; 3]| {
-        for (index, tail) in tails.into_iter().enumerate() {
-            cluster.set_gauge(task(1, 0, index as u32), tail);
+    let report_tail_latencies = |cluster: &mut Cluster, latencies_ms: [u32; 3]| {
+        for (index, latency_ms) in latencies_ms.into_iter().enumerate() {
+            cluster.set_measurement(task(1, 0, index as u32), latency_ms);
         }
         cluster.advance(400);
         cluster.heartbeat("m1");
         cluster.poll("m1");
     };
-    report_tails(&mut cluster, [30, 30, 30]);
+    report_tail_latencies(&mut cluster, [30, 30, 30]);
     cluster.submit(2, vec![best_effort_step("logs", 1)]);
     cluster.carry_out_orders();
-    cluster.set_gauge(task(2, 0, 0), 4_000);
+    cluster.set_measurement(task(2, 0, 0), 4_000);
     for _ in 0..5 {
-        report_tails(&mut cluster, [30, 30, 30]);
+        report_tail_latencies(&mut cluster, [30, 30, 30]);
     }
     cluster.orders.clear();
-    report_tails(&mut cluster, [30, 98, 30]);
-    report_tails(&mut cluster, [30, 30, 30]);
+    report_tail_latencies(&mut cluster, [30, 98, 30]);
+    report_tail_latencies(&mut cluster, [30, 30, 30]);
     assert!(cluster.orders.is_empty(), "{:?}", cluster.orders);
 }
 
-/// Two best-effort images run well on one minion, but only one of them does on the other. If the
-/// first took any minion at full speed, the second would find none and its job would wait.
+/// Two best-effort images run at full speed on m1, but only `logs` also does on m2. If a `logs`
+/// task took m1, the job of the `study` image would find no minion and wait.
 #[test]
 fn images_leave_capacity_to_those_with_no_alternative() {
     let mut cluster = cluster_with_interference(&[
@@ -86,7 +87,7 @@
                 .iter()
                 .any(|(id, at, _)| id.job == JobId(job) && &**at == minion)
         );
-        cluster.set_gauge(task(job, 0, 0), 40);
+        cluster.set_measurement(task(job, 0, 0), 40);
         cluster.poll(minion);
     }
     cluster.submit(3, vec![best_effort_step("logs", 1)]);
@@ -99,8 +100,8 @@
     assert_eq!(place(4).as_deref(), Some("m1"));
 }
 
-/// More is submitted than fits. If jobs were ordered by deadline, all would be a little late; with
-/// the least remaining work first, most are completed in time.
+/// More work is submitted than the minions have capacity for. If jobs were ordered by deadline, all
+/// would be slightly late; with the least remaining work first, most complete in time.
 #[test]
 fn least_remaining_work_goes_first() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(16));
@@ -114,8 +115,8 @@
     assert_eq!(started, [JobId(3), JobId(3)]);
 }
 
-/// A persistent job never frees its resources, and a short wait harms it little. It must not keep
-/// short jobs of the same priority from capacity that has just become free.
+/// A persistent job never frees its resources, and a short delay harms it little. Capacity that
+/// becomes free therefore goes to short jobs of the same priority first.
 #[test]
 fn short_jobs_go_before_persistent_ones() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(16));
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -1,4 +1,4 @@
-//! Log lines on tasks that wait for a minion, and on minions that cannot be reached.
+//! Log lines about tasks that wait for a minion, and about minions that cannot be reached.
 
 use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
 use geraniumpost_batch::{
@@ -10,10 +10,10 @@
     Cluster, LEASE_MS, agent_name, minion_info, persistent_step, step, task, terms,
 };
 
-/// Wait in milliseconds after which a line on a persistent task has been written.
-const PERSISTENT_LOGGED_MS: u64 = 2_600;
-/// Wait in milliseconds after which a line on any other task has been written.
-const OTHERS_LOGGED_MS: u64 = 5_600;
+/// Waiting time after which a persistent task must have been logged, in milliseconds.
+const PERSISTENT_TASK_LOGGED_AFTER_MS: u64 = 2_600;
+/// Waiting time after which a task with an end must have been logged, in milliseconds.
+const OTHER_TASK_LOGGED_AFTER_MS: u64 = 5_600;
 
 fn small_step(milli_cpus: i64) -> StepSpec {
     StepSpec { demand: Demand { milli_cpus, memory_mb: 100, accelerators: 0 }, ..step(1) }
@@ -27,7 +27,7 @@
     lines_with(cluster, part).pop().unwrap_or_default()
 }
 
-/// Returns the value of a field of a log line.
+/// Returns the value of `name=value` in a log line, or `None` if the line has no such field.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ').find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
@@ -37,16 +37,17 @@
     value.parse().unwrap_or_else(|_| panic!("{name} is not a number in: {line}"))
 }
 
-/// Prepares a cluster in which the persistent step of job 7 cannot be placed, and returns its log
-/// line.
+/// Calls `arrange` to set up a cluster in which the persistent step of job 7 cannot be placed, and
+/// returns the log line about that step.
 fn not_placed_line(arrange: impl Fn(&mut Cluster)) -> String {
     let mut cluster = Cluster::new();
     arrange(&mut cluster);
-    cluster.advance(PERSISTENT_LOGGED_MS);
+    cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
     last_line_with(&cluster, "event=not_placed job=0000000000000007")
 }
 
-/// Checks that the log line names the reason that rejects the only minion, and no other.
+/// Checks that the log line gives the expected reason for which the only minion is rejected, and no
+/// other reason.
 macro_rules! rejection_is_named {
     ($($case:ident: $reason:literal, $arrange:expr;)*) => {$(
         #[test]
@@ -126,8 +127,9 @@
     };
 }
 
-/// A minion on which two jobs in a row failed is quarantined. The quarantine ends before a line on
-/// a waiting task is due, so only a minion that fails again is named in the line.
+/// A minion on which two jobs in a row failed is quarantined. The first quarantine ends before a
+/// line about a waiting task is due, so only a minion that fails repeatedly is logged as
+/// quarantined.
 #[test]
 fn quarantined_minion_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -144,7 +146,7 @@
         cluster.carry_out_orders();
         cluster.end_all_runs(EndKind::Failed);
     }
-    cluster.advance(PERSISTENT_LOGGED_MS);
+    cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
     let logged = lines_with(&cluster, "event=not_placed");
     assert!(
         logged.iter().any(|line| line.ends_with("minions=1 quarantined=1")),
@@ -153,7 +155,7 @@
     );
 }
 
-/// A best-effort task finds only a minion that would run it too slowly.
+/// The only minion would run a best-effort task too slowly.
 #[test]
 fn minion_that_is_too_slow_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -161,12 +163,12 @@
     // Other tasks of the job are running, so the next one waits for a minion at full speed.
     cluster.submit(7, vec![best_effort(40)]);
     cluster.carry_out_orders();
-    cluster.advance(OTHERS_LOGGED_MS);
+    cluster.advance(OTHER_TASK_LOGGED_AFTER_MS);
     let line = last_line_with(&cluster, "event=not_placed");
     assert!(line.ends_with("minions=1 too_slow=1"), "{line}");
 }
 
-/// Minions are counted by the reason that rejects them.
+/// The line gives the number of minions for each reason of rejection.
 #[test]
 fn minions_are_counted_by_rejection() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2", "m3"]);
@@ -177,7 +179,7 @@
     cluster.carry_out_orders();
     cluster.disconnect_agent("m3");
     cluster.submit(7, vec![step(1), labelled(persistent_step(3))]);
-    cluster.advance(PERSISTENT_LOGGED_MS);
+    cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
     let line = last_line_with(&cluster, "event=not_placed");
     assert!(
         line.starts_with(
@@ -204,21 +206,24 @@
     cluster.join("m1", |info| MinionInfo { draining: true, sequence: 2, ..info });
     cluster.end_run(&"m1".into(), task(7, 0, 1), EndKind::Failed);
     cluster.poll("m1");
-    cluster.advance(PERSISTENT_LOGGED_MS);
+    cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
     let line = last_line_with(&cluster, "event=not_placed");
     assert_eq!((number_field(&line, "first"), number_field(&line, "waiting")), (1, 1), "{line}");
     assert_eq!(number_field(&line, "ran"), 1, "{line}");
-    assert!((2_000..=PERSISTENT_LOGGED_MS).contains(&number_field(&line, "waited_ms")), "{line}");
+    assert!(
+        (2_000..=PERSISTENT_TASK_LOGGED_AFTER_MS).contains(&number_field(&line, "waited_ms")),
+        "{line}"
+    );
 }
 
-/// The line of a task that waits only for the pause after a refusal says so, with the number of
-/// minions that fit.
+/// If a task waits only for the backoff after a refused start, its line gives the remaining backoff
+/// (`pause_ms`) and the number of minions with capacity for the task (`fits`).
 #[test]
 fn backoff_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![persistent_step(1)]);
-    // The minion refuses each start for lack of capacity, and the task pauses each time.
-    for _ in 0..PERSISTENT_LOGGED_MS / 100 {
+    // The minion refuses each start for lack of capacity, and each refusal starts a new backoff.
+    for _ in 0..PERSISTENT_TASK_LOGGED_AFTER_MS / 100 {
         while let Some(order) = cluster.orders.pop() {
             cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::NoCapacity);
         }
@@ -229,13 +234,13 @@
     assert!(line.ends_with("minions=1 fits=1"), "{line}");
 }
 
-/// The line of a gang of which only some members fit says its size, and counts the minions that
-/// have capacity for one member.
+/// If only some members of a gang fit, its line gives the size of the gang and the number of
+/// minions that have capacity for at least one member.
 #[test]
 fn gang_is_logged_with_its_size() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![StepSpec { gang: true, ..step(20) }]);
-    cluster.advance(OTHERS_LOGGED_MS);
+    cluster.advance(OTHER_TASK_LOGGED_AFTER_MS);
     let line = last_line_with(&cluster, "event=not_placed");
     assert_eq!(
         (number_field(&line, "waiting"), number_field(&line, "gang_size")),
@@ -245,8 +250,8 @@
     assert_eq!(number_field(&line, "fits"), 1, "{line}");
 }
 
-/// Waiting is normal for tasks that end, so their lines come later than those of persistent tasks.
-/// Each step has at most one line in five seconds.
+/// Tasks with an end often wait in normal operation, so they are logged after a longer wait than
+/// persistent tasks. Each step is logged at most once in five seconds.
 #[test]
 fn lines_on_a_step_are_delayed_and_rate_limited() {
     let mut cluster = Cluster::new();
@@ -265,8 +270,9 @@
     assert_eq!(lines_with(&cluster, "job=0000000000000002 step").len(), 5);
 }
 
-/// Under overload hundreds of steps wait. The rate stays at four lines a second, persistent steps
-/// come first, every step has its turn, and the lines say how many more were due.
+/// Hundreds of steps wait under overload. At most four lines are written per second, persistent
+/// steps are logged first, every step is logged eventually, and the field `omitted` gives the
+/// number of steps that were due but not logged.
 #[test]
 fn lines_on_waiting_tasks_are_rate_limited() {
     let mut cluster = Cluster::new();
@@ -296,7 +302,7 @@
     u64::from_str_radix(field(line, "job").expect("a job"), 16).expect("a hexadecimal number")
 }
 
-/// A step whose tasks are placed one after another makes progress, and is not logged as waiting.
+/// A step does not count as waiting while some of its tasks are placed every few seconds.
 #[test]
 fn step_that_makes_progress_is_not_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -310,8 +316,8 @@
     assert!(lines_with(&cluster, "event=not_placed").is_empty(), "{:?}", cluster.log_lines);
 }
 
-/// Tasks beside a disconnected agent are kept until its lease has expired. One line says so, and
-/// the expiry is logged as well.
+/// Tasks of a disconnected agent's minion count as running until the agent's lease has expired. One
+/// line gives the remaining wait, and the expiry is logged as well.
 #[test]
 fn lease_of_a_disconnected_agent_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -340,8 +346,8 @@
     assert_eq!(lines_with(&cluster, "event=unreachable").len(), 1);
 }
 
-/// The lease of a minion that does not answer its agent is not extended, although the agent's link
-/// is open. Its line says that a lease of the present coordinator has to expire first.
+/// The lease of a minion that does not respond to its agent is not extended, although the agent's
+/// link is open. The line says that the lease was extended by the current coordinator.
 #[test]
 fn lease_of_an_unresponsive_minion_is_logged() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -356,7 +362,7 @@
     );
 }
 
-/// An agent that returns and is lost again is logged again.
+/// An agent that links again and is disconnected a second time is logged a second time.
 #[test]
 fn each_disconnection_is_logged() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -370,14 +376,14 @@
     assert_eq!(lines_with(&cluster, "event=unreachable").len(), 2);
 }
 
-/// After a takeover from a silent predecessor, one agent does not link. The lines say how long the
-/// wait for predecessor leases is, that their expiry decides, and which minion is missing.
+/// One agent does not link after a takeover from a silent predecessor. The lines give the remaining
+/// wait for predecessor leases, the unreachable minion, and that a predecessor extended its lease.
 #[test]
 fn wait_for_predecessor_leases_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![StepSpec { max_per_minion: 1, ..persistent_step(2) }]);
     cluster.carry_out_orders();
-    cluster.take_over_from_silent();
+    cluster.take_over_from_silent_coordinator();
     cluster.advance(100);
     let first = last_line_with(&cluster, "event=predecessor_lease_wait");
     let predecessor_wait_ms = lease_expiry_bound_ms(LEASE_MS) + STORE_OUTAGE_TOLERANCE_MS;
@@ -399,8 +405,8 @@
     assert!((predecessor_wait_ms - 1_300..=predecessor_wait_ms - 1_000).contains(&remaining_ms));
 }
 
-/// After a takeover no agent links. The number of lines is bounded, minions with persistent tasks
-/// come first, and the lines say how many were left out.
+/// No agent links after a takeover. The number of lines is bounded, minions with persistent tasks
+/// are logged first, and the field `omitted` gives the number of minions that were not logged.
 #[test]
 fn lines_on_unreachable_minions_are_rate_limited() {
     let names: Vec<String> = (10..60).map(|n| format!("m{n}")).collect();
--- a/crates/geraniumpost-batch/tests/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/draining.rs
@@ -1,11 +1,11 @@
-//! Minions that leave as planned, also across takeovers.
+//! Draining and planned departure of minions, also across takeovers.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{FromAgent, MinionInfo, Order, OrderKind, StepSpec};
 
 use crate::cluster::{Cluster, agent_name, minion_info, persistent_step, step, task};
 
-/// Returns the description of a minion that drains and leaves in `remaining_ms`.
+/// Returns the description of a minion that drains and departs in `remaining_ms`.
 fn draining_info(name: &str, remaining_ms: u64) -> MinionInfo {
     let mut info = minion_info(name);
     info.draining = true;
@@ -18,9 +18,9 @@
     orders.iter().filter(|order| order.kind == OrderKind::Stop).collect()
 }
 
-/// A minion drains when the coordinator changes, and its agent links to the successor first, before
-/// any other minion has been polled. If the successor did not retry, a persistent task would stay
-/// until the minion has left, and be down until that is detected.
+/// A minion is draining when the coordinator changes, and its agent links to the successor before
+/// any other minion has been polled. If the successor did not look for another minion again later,
+/// a persistent task would run there until the minion departs, and be down until that is detected.
 #[test]
 fn tasks_of_a_draining_minion_move_once_a_successor_knows_other_minions() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -33,8 +33,8 @@
     assert_matches!(stop_orders(&cluster.orders)[..], [stop] if stop.task == task(1, 0, 0));
 }
 
-/// A minion drains while all others are full. When capacity appears, its tasks move before it
-/// leaves.
+/// A minion drains while no other minion has capacity. As soon as there is some, its tasks move,
+/// before the minion departs.
 #[test]
 fn tasks_of_a_draining_minion_move_when_capacity_appears() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -46,8 +46,8 @@
     assert_matches!(stop_orders(&cluster.orders)[..], [stop] if &*stop.minion == "m1");
 }
 
-/// A task could have ended before its minion leaves, but runs at a third of the expected speed. It
-/// moves with its checkpoint once it can no longer be done in time.
+/// By its estimate a task would end before its minion departs, but it runs more slowly than
+/// estimated. It moves with its checkpoint once it can no longer end in time.
 #[test]
 fn task_that_falls_behind_on_a_draining_minion_is_moved() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -69,8 +69,8 @@
     assert_matches!(stop_orders(&cluster.orders).first(), Some(stop) if &*stop.minion == "m1");
 }
 
-/// Draining minions are reconsidered repeatedly. Tasks with a pending stop order are not stopped
-/// again.
+/// The coordinator checks draining minions periodically. Tasks with a pending stop order are not
+/// stopped again.
 #[test]
 fn tasks_of_a_draining_minion_are_stopped_once() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(2));
@@ -82,9 +82,9 @@
     assert_eq!(cluster.orders.iter().filter(|order| order.minion != leaving).count(), 0);
 }
 
-/// A coordinator is lost before the write of a minion's departure is confirmed. The agent keeps the
-/// departure and repeats it to the successor, so that the task restarts at once instead of after a
-/// lease that nobody holds.
+/// A coordinator is lost before the write of a minion's departure is confirmed. The agent still
+/// holds the departure and reports it to the successor, so that the task restarts at once instead
+/// of after the expiry of the departed minion's lease.
 #[test]
 fn departure_is_settled_only_after_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -102,8 +102,8 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2" && order.run == 2);
 }
 
-/// An agent repeats a departure if the reply was lost with a link. No run is ended twice, and the
-/// agent is answered again.
+/// An agent reports a departure again if the response was lost with a link. No run is ended twice,
+/// and the agent gets another response.
 #[test]
 fn repeated_departure_changes_nothing() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(1));
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -1,8 +1,8 @@
 //! Start orders that are sent more than once.
 //!
-//! A start without a result is sent again with the same run number while the first copy may still
-//! wait in a paused agent. The outcome of one copy says nothing about another: the agent judges
-//! each copy by the lease, the capacity and the health of the minion when the copy arrives.
+//! A start without a result is sent again with the same run number, while the first copy may still
+//! be queued in a paused agent. The outcome of one copy does not determine that of another, because
+//! the agent checks the lease, the capacity and the health of the minion when each copy arrives.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::tuning::{NO_CAPACITY_BACKOFF_MS, ORDER_RESULT_TIMEOUT_MS};
@@ -11,10 +11,12 @@
 use crate::cluster::{COMPLETED, Cluster, step, task};
 
 const MINIONS: [&str; 2] = ["m1", "m2"];
-/// Longer than a tick, in milliseconds, so that everything due has been done.
+/// Interval between ticks of the coordinator in `Cluster::advance`, in milliseconds. Advancing by
+/// this much beyond a time-out ensures that the time-out has been handled.
 const TICK_MS: u64 = 100;
 
-/// Submits one task whose start is sent twice over the same link.
+/// Returns a cluster in which the start of a task was sent twice over the same link, and both
+/// copies of the order.
 fn cluster_with_repeated_start() -> (Cluster, Order, Order) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
@@ -24,7 +26,7 @@
     (cluster, first, second)
 }
 
-/// Advances until a start without a result is sent again, and returns the new copy.
+/// Advances until a start without a result is sent again, and returns the repeated order.
 fn await_repeated_start(cluster: &mut Cluster) -> Order {
     for minion in MINIONS {
         cluster.heartbeat(minion);
@@ -39,12 +41,12 @@
     cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
 }
 
-fn start_orders(cluster: &Cluster) -> usize {
+fn start_order_count(cluster: &Cluster) -> usize {
     cluster.orders.iter().filter(|order| matches!(order.kind, OrderKind::Start { .. })).count()
 }
 
-/// Lets all minions carry out orders and be polled until the task has ended, and checks that it
-/// never runs twice at once.
+/// Carries out orders and polls all minions repeatedly, checks that the task never runs twice at
+/// once, then ends its run and checks that the job completes.
 fn assert_runs_once_to_completion(mut cluster: Cluster) {
     for _ in 0..6 {
         for order in std::mem::take(&mut cluster.orders) {
@@ -66,17 +68,16 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The first copy is refused while the second one is still on its way; the second one is then
-/// carried out.
+/// The first copy is refused while the second is still in flight; the second is carried out later.
 fn second_copy_is_carried_out(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     refuse(&mut cluster, &first, outcome);
-    assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
+    assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
     assert_runs_once_to_completion(cluster);
 }
 
-/// The second copy is carried out before the refusal of the first one is reported.
+/// The second copy is carried out before the refusal of the first is reported.
 fn refusal_arrives_after_the_run_started(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.carry_out(second);
@@ -87,7 +88,7 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// A poll shows the run of one copy before either result is reported.
+/// A poll shows the run started by the second copy before the result of either copy is reported.
 fn refusal_arrives_after_a_poll_showed_the_run(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.running.entry(second.minion.clone()).or_default().insert(second.task, second.run);
@@ -98,8 +99,8 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// One copy is too late, and another is lost with its link. The copy sent over the next link is
-/// refused, but the lost one may still be carried out.
+/// The first copy arrives too late, and the link breaks before the second has a result. A third
+/// copy is sent over the next link and refused, but the second may still be carried out.
 fn copy_is_lost_with_its_link(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&first, OrderKindTag::Start, OrderOutcome::TooLate);
@@ -108,12 +109,12 @@
     cluster.join(&minion, |info| info);
     let third = cluster.orders.remove(0);
     refuse(&mut cluster, &third, outcome);
-    assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
+    assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
     assert_runs_once_to_completion(cluster);
 }
 
-/// The link is replaced between two copies, and the refusal of the first one arrives over the new
+/// The link is replaced between two copies, and the refusal of the first copy arrives over the new
 /// link.
 fn link_is_replaced_between_copies(outcome: OrderOutcome) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
@@ -124,7 +125,7 @@
     cluster.join(&minion, |info| info);
     let second = cluster.orders.remove(0);
     refuse(&mut cluster, &first, outcome);
-    assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
+    assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
     assert_runs_once_to_completion(cluster);
 }
@@ -141,7 +142,7 @@
     }
     let second = cluster.orders.remove(0);
     refuse(&mut cluster, &first, outcome);
-    assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
+    assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
     assert_runs_once_to_completion(cluster);
 }
@@ -154,20 +155,23 @@
     assert_runs_once_to_completion(cluster);
 }
 
-/// A copy without an answer may be carried out at any time, whatever the result of the other copy.
-fn one_copy_is_refused_and_one_is_unanswered(outcome: OrderOutcome) {
+/// A copy to which the minion has not responded may be carried out at any time, whatever the result
+/// of the other copy.
+fn one_copy_is_refused_and_one_gets_no_response(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::Unanswered);
     refuse(&mut cluster, &first, outcome);
-    assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
+    assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
     assert_runs_once_to_completion(cluster);
 }
 
-/// A paused agent keeps its link open while start orders are repeated. When it resumes it handles
-/// the copies one by one, refusing some and carrying out others. If the coordinator restarted the
-/// task elsewhere after the first refusal, it would run twice at once, or a healthy run would be
-/// thrown away.
+/// Defines a module of tests for each case, with one test per reason of refusal.
+///
+/// A paused agent keeps its link open while start orders are repeated. After resuming, the agent
+/// handles the copies one by one, refusing some and carrying out others. If the coordinator
+/// restarted the task elsewhere after the first refusal, the task would run twice at once, or a
+/// healthy run would be stopped.
 macro_rules! for_each_refusal {
     ($($case:ident),* $(,)?) => {$(
         mod $case {
@@ -209,13 +213,13 @@
     link_is_replaced_between_copies,
     coordinator_changes_between_copies,
     both_copies_are_refused,
-    one_copy_is_refused_and_one_is_unanswered,
+    one_copy_is_refused_and_one_gets_no_response,
 );
 
-/// A minion reports that a run is over, and its agent is killed before it has polled the minion.
-/// The restarted agent numbers its results from the beginning. If its polls were compared with the
-/// number of the earlier result, none would ever seem recent enough, and the task would wait for
-/// ever.
+/// A start is refused because its run is over, and the agent is killed before it polls the minion.
+/// The restarted agent counts its results from zero. If the count in its polls were compared with
+/// that of the killed agent, no poll would ever count as later than the refusal, and the task would
+/// wait forever.
 #[test]
 fn task_of_an_ended_run_restarts_although_its_agent_was_killed() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -234,9 +238,9 @@
     assert_matches!(cluster.orders[..], [ref start] if start.run == 2);
 }
 
-/// Returns the number of extra orders, and the milliseconds from the refusal of all copies of a
-/// start until the task is started elsewhere. Minions carry orders out at once and are polled every
-/// 100 ms.
+/// Refuses `copies` copies of a start for lack of capacity. Returns the number of other orders that
+/// are sent before the task is started elsewhere, and the time until then in milliseconds. Minions
+/// carry orders out at once and are polled every 100 ms.
 fn cost_of_refusals(copies: usize) -> (usize, u64) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
@@ -250,7 +254,7 @@
     }
     let refused_ms = cluster.now.steady_ms;
     let mut extra_orders = 0;
-    while start_orders(&cluster) == 0 {
+    while start_order_count(&cluster) == 0 {
         extra_orders += cluster.orders.len();
         cluster.carry_out_orders();
         for minion in MINIONS {
@@ -266,15 +270,15 @@
     (extra_orders, cluster.now.steady_ms - refused_ms)
 }
 
-/// Minions often refuse starts for lack of capacity. After a single copy no other one can still be
-/// carried out, so the task waits for the usual pause only, without a stop and a poll.
+/// Minions often refuse starts for lack of capacity. If only one copy was sent, no other copy can
+/// be carried out later, so the task waits only for the usual backoff, without a stop and a poll.
 #[test]
 fn refusal_of_a_single_copy_needs_no_extra_order() {
     let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
     assert_eq!(cost_of_refusals(1), (0, pause_ms));
 }
 
-/// A repeated start is rare; after its refusal the task waits for one additional stop and poll.
+/// After the refusal of a repeated start, which is rare, the task also waits for a stop and a poll.
 #[test]
 fn refusal_of_a_repeated_start_needs_one_stop() {
     let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -1,4 +1,4 @@
-//! Guarantees to callers that hold when messages are lost and processes fail.
+//! Guarantees to callers, which also hold if messages are lost or processes fail.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::{
@@ -7,8 +7,8 @@
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
 
-/// If the coordinator failed after accepting a job that is not in the store, the job would be lost.
-/// The record is written before the response.
+/// A job that was accepted but is not in the store would be lost if the coordinator failed, so the
+/// record is written before the response is sent.
 #[test]
 fn job_is_accepted_only_after_its_record_is_written() {
     let mut cluster = Cluster::new();
@@ -19,8 +19,8 @@
     assert_eq!(cluster.response(request_id), Some(CallerResponse::Accepted));
 }
 
-/// A caller that lost the response submits the job again, through any entry, perhaps seconds after
-/// its completion. The job is accepted again and runs once.
+/// A caller that received no response submits the job again, possibly through another entry and
+/// after the job has completed. The submission is accepted again, and the job runs once.
 #[test]
 fn repeated_submission_runs_once() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -52,8 +52,8 @@
     );
 }
 
-/// A minion forgets an acknowledged end. If the store did not hold that end, a successor would run
-/// the completed task again.
+/// A minion discards ended tasks once they are acknowledged. If an end was not in the store by
+/// then, a successor would run the completed task again.
 #[test]
 fn end_is_acknowledged_only_after_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -66,8 +66,9 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The coordinator fails between the write of a placement and its start order. The successor
-/// repeats the same run; with a new run number, a late copy of the first order could run beside it.
+/// The coordinator fails after a placement is written and before the start order is sent. The
+/// successor sends the start with the same run number; with a new one, a delayed copy of a
+/// predecessor's order could start a second run.
 #[test]
 fn successor_repeats_lost_starts() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -110,7 +111,7 @@
     assert_eq!(cluster.job_state(1), CallerResponse::State(geraniumpost_batch::JobState::Failed));
 }
 
-/// Tasks of a cancelled job are stopped, and its state stays cancelled.
+/// Tasks of a cancelled job are stopped, and none is started again.
 #[test]
 fn tasks_of_a_cancelled_job_are_stopped() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(2));
@@ -127,9 +128,9 @@
     );
 }
 
-/// A minion leaves a start unanswered, and refuses its copy for lack of capacity. The first copy
-/// may still be carried out later, so a stop order invalidates the run before the task is placed
-/// elsewhere.
+/// A minion does not respond to a start, and refuses the repeated start for lack of capacity. The
+/// first copy may still be carried out later, so a stop order invalidates the run before the task
+/// is placed again.
 #[test]
 fn unanswered_start_is_stopped_before_it_is_replaced() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -152,7 +153,7 @@
     );
 }
 
-/// If no answer was lost, a refused start is placed elsewhere without a stop.
+/// If a start was sent only once and refused, the task is placed elsewhere without a stop.
 #[test]
 fn refused_start_is_placed_elsewhere() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -163,8 +164,8 @@
     assert_matches!(cluster.orders[..], [ref start] if start.minion != order.minion);
 }
 
-/// A minion runs a task that the coordinator does not know, such as one of a cancelled and
-/// forgotten job. The run uses resources that are not accounted for, so it is stopped.
+/// A minion runs a task that the coordinator does not know, for example of a cancelled job whose
+/// record has been removed. The run uses resources that are not accounted for, so it is stopped.
 #[test]
 fn unknown_runs_are_stopped() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -173,8 +174,8 @@
     assert_matches!(cluster.orders[..], [ref o] if o.kind == OrderKind::Stop && o.run == 3);
 }
 
-/// A minion that fails every task ends tasks faster than the others, and would attract ever more of
-/// them. After failures of two jobs in a row it is quarantined.
+/// A minion on which every task fails at once always has free capacity, and would get more and more
+/// tasks. It is quarantined after failures of two jobs in a row.
 #[test]
 fn failing_minion_is_quarantined() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -188,8 +189,8 @@
     assert!(cluster.orders.iter().all(|order| &*order.minion == "m2"));
 }
 
-/// A minion crashes and restarts at its address. Nothing of the old incarnation runs, so its tasks
-/// restart at once, without waiting for the lease.
+/// A minion crashes and restarts at the same address. No run of the old incarnation can exist any
+/// longer, so its tasks restart at once, without waiting for the lease to expire.
 #[test]
 fn new_incarnation_releases_tasks_of_the_old_one() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -201,8 +202,8 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// A predecessor's start may still be on its way when the successor's copy is not sent. The run is
-/// stopped before the task starts elsewhere, as it could otherwise run twice.
+/// The agent refuses a successor's copy of a start, while the predecessor's copy may still be in
+/// flight. The run is stopped before the task starts elsewhere; otherwise the task could run twice.
 #[test]
 fn successor_stops_runs_that_its_predecessor_may_have_started() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -216,8 +217,8 @@
     assert_matches!(cluster.orders[..], [ref order] if order.kind == OrderKind::Stop);
 }
 
-/// A minion is not polled for two seconds because its agent was busy. Its tasks show no progress
-/// only because there was no poll; stopping them would discard their work.
+/// A minion is not polled for two seconds because its agent is busy. Its tasks show no progress
+/// only for lack of polls; stopping them during that time would discard their work.
 #[test]
 fn tasks_that_were_not_polled_do_not_count_as_stalled() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -236,7 +237,7 @@
     assert_eq!(cluster.orders.len(), 2);
 }
 
-/// Jobs beyond the limit of open jobs are refused at once with a retry delay, and never run. A
+/// Jobs above the limit of open jobs are refused at once with a retry delay, and never run. A
 /// repeated submission of an open job is still accepted.
 #[test]
 fn jobs_beyond_the_limit_are_refused() {
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -1,12 +1,12 @@
-//! Leases on running tasks, and minions that join, drain and disappear.
+//! Leases on running tasks, and minions that join, drain or are lost.
 
 use assert_matches::assert_matches;
 use geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS;
 use geraniumpost_batch::{EndKind, FromAgent, OrderKind, OrderOutcome, lease_expiry_bound_ms};
 
 use crate::cluster::{
-    COMPLETED, Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, minion_info, persistent_step,
-    step,
+    COMPLETED, Cluster, LEASE_MS, SILENT_COORDINATOR_ADDRESS, agent_name, minion_info,
+    persistent_step, step,
 };
 
 /// An agent is disconnected while its minion still runs a task. The task must not restart elsewhere
@@ -22,7 +22,7 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2" && order.run == 2);
 }
 
-/// The agent returns before its lease expires, and the task has run all the time.
+/// The agent links again before its lease expires, and its task has been running throughout.
 #[test]
 fn task_of_a_returning_agent_keeps_running() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], step(1));
@@ -37,8 +37,8 @@
     assert_eq!(cluster.running_tasks(), before);
 }
 
-/// The successor cannot reach an agent whose lease its predecessor may still be extending. It waits
-/// until that lease has expired.
+/// A successor cannot reach an agent whose lease the predecessor may have extended just before it
+/// was lost. It waits until such a lease must have expired.
 #[test]
 fn successor_waits_for_predecessor_leases() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -50,37 +50,39 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A successor takes over from a silent predecessor while the store is unavailable, and an agent is
-/// lost at the same time. Once the predecessor reports that its term has ended, only leases that it
-/// had extended before count; otherwise a persistent task would be down for eight more seconds.
+/// A successor takes over from a silent predecessor that may have lost the store, and an agent is
+/// lost at the same time. Once the predecessor reports that its term has ended, the successor waits
+/// only for leases extended before that. Otherwise a persistent task would be down for another
+/// `STORE_OUTAGE_TOLERANCE_MS`.
 #[test]
 fn report_of_an_ended_term_shortens_the_wait() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
-    cluster.take_over_from_silent();
+    cluster.take_over_from_silent_coordinator();
     cluster.join("m2", |info| info);
     cluster.advance(500);
-    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR, cluster.now);
+    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR_ADDRESS, cluster.now);
     cluster.advance(LEASE_MS);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// The report comes when the remaining wait is shorter than a lease; it must not prolong the wait.
+/// A predecessor reports the end of its term when the remaining wait for its leases is shorter than
+/// a lease. The report must not prolong the wait.
 #[test]
 fn late_report_of_an_ended_term_does_not_prolong_the_wait() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
-    cluster.take_over_from_silent();
+    cluster.take_over_from_silent_coordinator();
     cluster.join("m2", |info| info);
     cluster.advance(LEASE_MS + STORE_OUTAGE_TOLERANCE_MS);
-    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR, cluster.now);
+    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR_ADDRESS, cluster.now);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A coordinator without recent confirmation by the store may have a successor, which treats runs
-/// as ended after a fixed time. It must not extend leases beyond that.
+/// A coordinator whose term the store has not confirmed recently may have a successor, which treats
+/// runs as ended after a fixed time. The coordinator must not extend leases beyond that time.
 #[test]
 fn unconfirmed_coordinator_extends_no_lease() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -99,21 +101,21 @@
 }
 
 /// The store's confirmation of a term takes three seconds to arrive, and another entry takes over
-/// meanwhile. If the eight seconds were counted from its arrival, leases would be extended beyond
-/// what the successor waits for, and a task would run twice.
+/// meanwhile. If `STORE_OUTAGE_TOLERANCE_MS` were counted from the arrival instead of the request,
+/// leases would be extended beyond the successor's wait, and a task would run twice.
 #[test]
 fn confirmation_counts_from_the_time_of_the_request() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
-    let asked_ms = cluster.now.steady_ms;
+    let requested_ms = cluster.now.steady_ms;
     cluster.now.steady_ms += 3_000;
-    cluster.coordinator.record_store_confirmation(asked_ms, cluster.now.steady_ms);
-    cluster.now.steady_ms = asked_ms + STORE_OUTAGE_TOLERANCE_MS;
+    cluster.coordinator.record_store_confirmation(requested_ms, cluster.now.steady_ms);
+    cluster.now.steady_ms = requested_ms + STORE_OUTAGE_TOLERANCE_MS;
     cluster.lease_extensions.clear();
     cluster.heartbeat("m1");
     assert_matches!(cluster.lease_extensions[..], [(_, _, 0)]);
 }
 
-/// A draining minion gets no new task, and tasks that it cannot finish in time move.
+/// A draining minion gets no new task, and its tasks that cannot end before its departure move.
 #[test]
 fn draining_minion_is_emptied() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -139,8 +141,8 @@
     assert!(cluster.orders.iter().all(|order| &*order.minion == "m2"));
 }
 
-/// A delayed message about a minion arrives after a newer one, and says that the draining minion is
-/// ready. It has an older sequence number and is ignored.
+/// A delayed message that a minion is ready arrives after a newer one that the minion drains. The
+/// delayed message has an older sequence number and is ignored.
 #[test]
 fn outdated_minion_info_is_ignored() {
     let mut cluster = Cluster::new();
@@ -157,7 +159,7 @@
     assert!(cluster.orders.is_empty());
 }
 
-/// A persistent task is restarted however often and for whatever reason it ends.
+/// A persistent task is restarted whenever it ends, for whatever reason and however often.
 #[test]
 fn persistent_task_is_always_restarted() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -173,9 +175,9 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// A minion restarts beside an agent with a valid lease, long after the takeover. A task that
-/// starts there before the agent's next heartbeat is covered by that lease; treated as ended, it
-/// would run twice.
+/// A minion restarts while its agent holds a valid lease, long after the takeover. A task that
+/// starts there before the agent's next heartbeat is covered by that lease. If the coordinator
+/// considered the run ended, the task would run twice.
 #[test]
 fn new_incarnation_is_covered_by_its_agents_lease() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -190,8 +192,8 @@
     assert!(cluster.orders.is_empty());
 }
 
-/// An agent sends no start to a minion that does not answer it. The tasks are placed elsewhere at
-/// once, and none is placed there until the minion answers.
+/// An agent sends no start to a minion that does not respond. The tasks are placed elsewhere at
+/// once, and no task is placed on that minion until it responds.
 #[test]
 fn unresponsive_minion_gets_no_task() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -206,8 +208,9 @@
     assert!(cluster.orders.iter().all(|order| order.minion != minion));
 }
 
-/// A persistent task fails while its minion is nearly full. Its capacity stays reserved for it:
-/// short tasks have reserved capacity of their own, and must not take that of a task that ran.
+/// A persistent task fails while its minion is nearly full. Its capacity remains reserved for its
+/// restart: short tasks have reserved capacity of their own, and must not use that of the failed
+/// task.
 #[test]
 fn failed_persistent_task_gets_its_capacity_back() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -233,8 +236,8 @@
     assert_matches!(cluster.orders[..], [ref order] if order.task == task && order.run == 2);
 }
 
-/// After a power failure, a minion is polled before its agent holds a lease. The agent would refuse
-/// every start, and tasks would be placed again many times a second.
+/// After a power failure, a minion is polled before its agent holds a lease. If tasks were placed
+/// there, the agent would refuse every start, and they would be placed again many times a second.
 #[test]
 fn nothing_is_placed_before_the_agent_holds_a_lease() {
     let mut cluster = Cluster::new();
@@ -247,9 +250,9 @@
     assert_eq!(cluster.orders.len(), 1);
 }
 
-/// An agent is disconnected, and the coordinator steps down meanwhile. The successor waits only for
-/// the rest of the agent's lease; otherwise each planned restart would keep persistent tasks down
-/// for a whole lease.
+/// The coordinator steps down while an agent is disconnected. The successor waits only for the
+/// remainder of the agent's lease; otherwise each planned restart of a coordinator would prolong
+/// the downtime of persistent tasks by a whole lease.
 #[test]
 fn successor_learns_the_remaining_lease_of_unreached_agents() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -266,9 +269,9 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// An agent is reached again just before the coordinator steps down, and its lease is extended. A
-/// successor that expects the lease to expire soon would restart tasks elsewhere while they run, so
-/// the agent is removed from the unreached ones before the extension is sent.
+/// A disconnected agent is reached again just before the coordinator steps down, and its lease is
+/// extended. A successor that still expected the earlier expiry would restart tasks elsewhere while
+/// they run, so the agent is removed from `unreached` before the extension is sent.
 #[test]
 fn agent_that_is_reached_again_is_no_longer_unreached() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -281,13 +284,13 @@
     assert!(cluster.coordinator.leases_for_successor(cluster.now).unreached.is_empty());
 }
 
-/// An agent that has linked to a successor no longer obeys its silent predecessor. Tasks beside it
-/// end with the leases of that moment, long before the silent coordinator would notice that it lost
-/// the store.
+/// An agent that has linked to a successor no longer accepts lease extensions of the silent
+/// predecessor. Its minion's tasks end when the lease held at that time expires, long before the
+/// silent coordinator would detect that it has lost the store.
 #[test]
 fn lease_of_a_linked_agent_is_not_extended_by_a_silent_coordinator() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
-    cluster.take_over_from_silent();
+    cluster.take_over_from_silent_coordinator();
     cluster.join("m2", |info| info);
     cluster.send("m1", FromAgent::Hello { agent: agent_name("m1") });
     cluster.advance(LEASE_MS);
@@ -296,8 +299,8 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A machine is lost and its link stays open. After a few missing heartbeats of its agent no task
-/// is placed there, as nobody would carry the order out.
+/// A machine is lost while its link stays open. After a few missing heartbeats of its agent, no
+/// task is placed there, because no order would be carried out.
 #[test]
 fn agent_without_heartbeats_gets_no_task() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -311,9 +314,9 @@
     assert!(cluster.orders.iter().any(|order| &*order.minion == "m1"));
 }
 
-/// An agent is disconnected for a whole lease, in which its minion completes a task. It links again
-/// just as the lease expires. If the task were treated as ended before the minion's lists are read,
-/// it would run a second time.
+/// A minion completes a task while its agent is disconnected. The agent links again just before its
+/// lease expires. If the expiry were handled before the minion's lists are read, the completed task
+/// would run a second time.
 #[test]
 fn lists_of_a_relinked_agent_are_read_before_its_lease_expires() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -330,7 +333,8 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// The agent links again but sends no lists. The wait for them is bounded.
+/// A disconnected agent links again, but sends no lists of its minion's tasks. The coordinator
+/// waits for the lists only for a bounded time after the expiry of the lease.
 #[test]
 fn wait_for_lists_of_a_relinked_agent_is_bounded() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -1,4 +1,4 @@
-//! The longest wait of a task, as reported by gauges.
+//! The longest wait of a task for a minion, as reported in the metrics.
 
 use geraniumpost_batch::{
     CallerRequest, EndKind, FromAgent, JobId, LongestWait, MinionInfo, OrderKindTag, OrderOutcome,
@@ -7,21 +7,25 @@
 
 use crate::cluster::{Cluster, LEASE_MS, minion_info, persistent_step, step, task};
 
-/// Largest delay in milliseconds until the beginning or the end of a wait is detected.
-const DETECTION_MS: u64 = 500;
+/// Maximum delay until the start or the end of a wait is detected, in milliseconds.
+const MAX_DETECTION_DELAY_MS: u64 = 500;
 
 fn longest_wait(cluster: &Cluster) -> LongestWait {
     cluster.coordinator.longest_wait(cluster.now)
 }
 
-/// Checks that a wait began `since_ms` ago, up to the detection delay.
+/// Checks that a wait that started `since_ms` ago is reported as that long, less at most the
+/// detection delay.
 #[track_caller]
 fn assert_wait(wait_ms: u64, since_ms: u64) {
-    assert!((since_ms - DETECTION_MS..=since_ms).contains(&wait_ms), "{wait_ms} after {since_ms}");
+    assert!(
+        (since_ms - MAX_DETECTION_DELAY_MS..=since_ms).contains(&wait_ms),
+        "{wait_ms} after {since_ms}"
+    );
 }
 
 /// Returns a cluster in which a persistent task has been running on m1 for some seconds.
-fn with_running_task() -> Cluster {
+fn cluster_with_running_task() -> Cluster {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
     cluster.poll("m1");
     for _ in 0..3 {
@@ -32,21 +36,22 @@
     cluster
 }
 
-/// Lets the task start on a minion that joins, and checks that the wait ends.
+/// Joins `minion`, lets the waiting task start there, and checks that the wait has ended.
 fn assert_wait_ends_on(mut cluster: Cluster, minion: &str) {
     cluster.join(minion, |info| info);
     cluster.advance(200);
     cluster.carry_out_orders();
     cluster.poll(minion);
-    cluster.advance(DETECTION_MS);
+    cluster.advance(MAX_DETECTION_DELAY_MS);
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
-/// Links the task's agent again, and checks that the wait ends, as the task has been running.
+/// Links the agent of m1 again, and checks that the wait has ended, because the task there has been
+/// running throughout.
 #[track_caller]
 fn assert_wait_ends_when_agent_returns(mut cluster: Cluster) {
     cluster.join("m1", |info| info);
-    cluster.advance(DETECTION_MS);
+    cluster.advance(MAX_DETECTION_DELAY_MS);
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
@@ -55,11 +60,11 @@
     assert_eq!(longest_wait(&Cluster::new()), LongestWait::default());
 }
 
-/// A persistent task ends and cannot be placed. Its wait counts from its end, to the millisecond,
-/// until it runs again.
+/// A persistent task ends and cannot be placed. Its wait counts from the exact end of its run until
+/// it runs again.
 #[test]
 fn wait_counts_from_the_end_of_a_run() {
-    let mut cluster = with_running_task();
+    let mut cluster = cluster_with_running_task();
     cluster.join("m1", |info| MinionInfo { draining: true, sequence: 2, ..info });
     cluster.end_run(&"m1".into(), task(1, 0, 0), EndKind::Failed);
     cluster.poll("m1");
@@ -70,11 +75,11 @@
     assert_wait_ends_on(cluster, "m2");
 }
 
-/// An agent is disconnected, so its persistent task may be down. The wait counts from then on, and
-/// continues after the lease has expired until the task runs elsewhere.
+/// A persistent task may be down once its agent is disconnected. The wait counts from the
+/// disconnection, and continues after the expiry of the lease until the task runs elsewhere.
 #[test]
 fn wait_lasts_from_a_disconnection_until_a_new_run() {
-    let mut cluster = with_running_task();
+    let mut cluster = cluster_with_running_task();
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
     assert_wait(longest_wait(&cluster).persistent_ms, 3_000);
@@ -84,37 +89,37 @@
     assert_wait_ends_on(cluster, "m2");
 }
 
-/// The agent returns, and its task has been running.
+/// The wait ends when the agent links again and its minion still runs the task.
 #[test]
 fn wait_ends_when_the_agent_returns() {
-    let mut cluster = with_running_task();
+    let mut cluster = cluster_with_running_task();
     cluster.disconnect_agent("m1");
     cluster.advance(2_000);
     assert_wait(longest_wait(&cluster).persistent_ms, 2_000);
     assert_wait_ends_when_agent_returns(cluster);
 }
 
-/// A minion does not answer its agent, so its persistent task may be down.
+/// The persistent task of a minion that does not respond to its agent may be down.
 #[test]
 fn tasks_of_an_unresponsive_minion_wait() {
-    let mut cluster = with_running_task();
+    let mut cluster = cluster_with_running_task();
     cluster.heartbeat_with_unresponsive_minion("m1");
     cluster.advance(1_500);
     assert_wait(longest_wait(&cluster).persistent_ms, 1_500);
 }
 
-/// A successor does not know the state of runs whose agents have not linked. Their wait counts from
-/// the takeover.
+/// A successor does not know whether a task is running until the task's agent has linked. Its wait
+/// counts from the takeover.
 #[test]
 fn wait_counts_from_the_takeover() {
-    let mut cluster = with_running_task();
+    let mut cluster = cluster_with_running_task();
     cluster.take_over();
     cluster.advance(2_000);
     assert_wait(longest_wait(&cluster).persistent_ms, 2_000);
     assert_wait_ends_when_agent_returns(cluster);
 }
 
-/// The minion refuses every start. The task is placed each time, but is down throughout.
+/// A minion refuses every start. The task is placed repeatedly, but is down throughout.
 #[test]
 fn refused_starts_do_not_end_the_wait() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -128,7 +133,8 @@
     assert_wait(longest_wait(&cluster).persistent_ms, 4_000);
 }
 
-/// The store does not confirm the placement, so the start order is not sent.
+/// A placed task waits until the store confirms the placement, because the start order is not sent
+/// before.
 #[test]
 fn wait_lasts_while_a_placement_is_written() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -139,11 +145,11 @@
     cluster.confirm_pending_writes();
     cluster.carry_out_orders();
     cluster.poll("m1");
-    cluster.advance(DETECTION_MS);
+    cluster.advance(MAX_DETECTION_DELAY_MS);
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
-/// A run that starts and fails between two polls ends the wait before it.
+/// A run that starts and fails between two polls ends the wait that preceded it.
 #[test]
 fn short_run_ends_the_wait() {
     let mut cluster = Cluster::new();
@@ -158,16 +164,17 @@
     assert_eq!(longest_wait(&cluster).persistent_ms, 0);
 }
 
-/// A new incarnation answers the agent. Tasks of the old incarnation are down from then on.
+/// Tasks of a minion's old incarnation are down from the time at which its agent reports a new
+/// incarnation.
 #[test]
 fn wait_counts_from_the_report_of_a_new_incarnation() {
-    let mut cluster = with_running_task();
+    let mut cluster = cluster_with_running_task();
     cluster.send("m1", FromAgent::Minion(MinionInfo { draining: true, ..minion_info("m1-b") }));
     cluster.advance(700);
     assert_eq!(longest_wait(&cluster).persistent_ms, 700);
 }
 
-/// The longest wait of all open jobs counts; a cancelled job no longer does.
+/// The longest wait among all open jobs is reported; a cancelled job no longer counts.
 #[test]
 fn longest_wait_of_open_jobs_counts() {
     let mut cluster = Cluster::new();
@@ -182,8 +189,8 @@
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
 
-/// Tasks that end are counted separately. Their wait counts from the last placement of their step,
-/// and a step that waits for another step does not wait for a minion.
+/// Waits of tasks with an end are reported apart from those of persistent tasks. They count from
+/// the last placement of a task of the step, and not while the step waits for another step.
 #[test]
 fn other_tasks_are_counted_separately() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -195,6 +202,6 @@
     assert_wait(longest_wait(&cluster).other_ms, 3_000);
     cluster.end_all_runs(EndKind::Done);
     cluster.carry_out_orders();
-    cluster.advance(DETECTION_MS);
+    cluster.advance(MAX_DETECTION_DELAY_MS);
     assert_eq!(longest_wait(&cluster), LongestWait::default());
 }
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -1,4 +1,5 @@
-//! Random sequences of faults: each task runs at most once at a time, and every job ends.
+//! Random sequences of faults, under which each task runs at most once at a time and every job
+//! ends.
 
 use std::collections::BTreeMap;
 
@@ -17,31 +18,33 @@
     Submit {
         count: u32,
     },
-    /// A minion carries out its next order; the result may be lost.
+    /// A minion carries out the next order. If the response is lost, the agent reports the order as
+    /// unanswered.
     CarryOut {
-        answered: bool,
+        response_arrives: bool,
     },
-    /// An order arrives ahead of others, and the agent or the minion refuses it.
+    /// The order at index `at` overtakes earlier ones, and the agent or the minion refuses it.
     Refuse {
         at: usize,
         outcome: OrderOutcome,
     },
-    /// An order arrives ahead of others and is carried out.
+    /// The order at index `at` overtakes earlier ones and is carried out.
     CarryOutOfOrder {
         at: usize,
     },
-    /// An agent's process pauses, while its link stays open and its orders queue up.
+    /// An agent's process pauses, while its link stays open and orders to it are queued.
     PauseAgent {
         minion: usize,
     },
-    /// The agent resumes. If its lease has expired, it refuses this many orders before its next
-    /// heartbeat is answered.
+    /// An agent resumes. If its lease has expired, it refuses `refused` orders before its next
+    /// heartbeat extends the lease.
     ResumeAgent {
         minion: usize,
         refused: usize,
     },
-    /// An order gets no answer, and is carried out by a later `CarryOutDelayed`.
+    /// The agent reports the next order as unanswered. A later `CarryOutDelayed` carries it out.
     DelayOrder,
+    /// The order that was delayed last is carried out, and the response is lost.
     CarryOutDelayed,
     EndTask {
         at: usize,
@@ -67,7 +70,8 @@
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         2 => (1..4_u32).prop_map(|count| Event::Submit { count }),
-        6 => proptest::bool::weighted(0.8).prop_map(|answered| Event::CarryOut { answered }),
+        6 => proptest::bool::weighted(0.8)
+            .prop_map(|response_arrives| Event::CarryOut { response_arrives }),
         2 => (0..4_usize, refusal()).prop_map(|(at, outcome)| Event::Refuse { at, outcome }),
         2 => (0..4_usize).prop_map(|at| Event::CarryOutOfOrder { at }),
         1 => (0..3_usize).prop_map(|minion| Event::PauseAgent { minion }),
@@ -102,26 +106,27 @@
 
 const MINIONS: [&str; 3] = ["m1", "m2", "m3"];
 
-/// State of an agent.
+/// State of an agent, and the expiry of its lease.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentState {
-    /// When its last answered heartbeat was sent, on the steady clock.
+    /// Time at which the heartbeat that last extended the lease was sent, on the monotonic clock.
     last_heartbeat_ms: u64,
     paused: bool,
-    /// Whether it has no link to the current coordinator.
+    /// Whether the agent has no link to the current coordinator.
     disconnected: bool,
-    /// Whether its minion's runs have ended with its lease.
+    /// Whether the agent's lease has expired and its minion has ended all runs.
     lease_ended: bool,
 }
 
-/// A cluster, and the state of agents and minions that its model does not hold.
+/// A cluster, and the state of agents and minions that [`Cluster`] does not simulate.
 struct Scenario {
     cluster: Cluster,
     agents: [AgentState; 3],
+    /// Orders in flight that may still be carried out.
     delayed: Vec<Order>,
-    /// The highest run that was stopped or has ended, by minion and task.
+    /// Highest run number that was stopped or has ended, by minion and task.
     ended_runs: BTreeMap<(Name, TaskId), u32>,
-    /// Number of submitted jobs.
+    /// Number of submitted jobs, which is also the id of the last one.
     jobs: u64,
 }
 
@@ -145,9 +150,9 @@
                 let id = self.jobs;
                 self.cluster.submit(id, vec![step(count)]);
             }
-            Event::CarryOut { answered } => {
+            Event::CarryOut { response_arrives } => {
                 if let Some(order) = self.take_order(0) {
-                    self.carry_out(&order, answered);
+                    self.carry_out(&order, response_arrives);
                 }
             }
             Event::Refuse { at, outcome } => {
@@ -164,8 +169,8 @@
             Event::ResumeAgent { minion, refused } => self.resume_agent(minion, refused),
             Event::DelayOrder => {
                 if let Some(order) = self.take_order(0) {
-                    let verb = OrderKindTag::from(&order.kind);
-                    self.cluster.report_result(&order, verb, OrderOutcome::Unanswered);
+                    let kind_tag = OrderKindTag::from(&order.kind);
+                    self.cluster.report_result(&order, kind_tag, OrderOutcome::Unanswered);
                     self.delay(vec![order]);
                 }
             }
@@ -215,7 +220,7 @@
                     .coordinator
                     .handle_agent_disconnected(&agent_name(MINIONS[minion]), now);
                 self.cluster.process_effects();
-                // Its orders are lost with the link, or still on their way.
+                // Orders on the link are lost or still in flight; treat all as in flight.
                 let lost = self.take_orders_of(minion);
                 self.delay(lost);
                 self.agents[minion].disconnected = true;
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Removes one of the orders that wait at agents which are not paused.
+    /// Removes the order at index `at` among those whose agents are not paused.
     fn take_order(&mut self, at: usize) -> Option<Order> {
         let paused = |order: &Order| {
             let agents = MINIONS.iter().zip(&self.agents);
@@ -244,7 +249,8 @@
         taken
     }
 
-    /// Keeps orders to be carried out later, except those whose deadline has passed.
+    /// Keeps orders to be carried out later, except those for minions whose lease has expired, as
+    /// their deadline has passed.
     fn delay(&mut self, orders: Vec<Order>) {
         let agents = MINIONS.iter().zip(&self.agents);
         let lease_ended: Vec<&str> =
@@ -274,9 +280,9 @@
         self.cluster.join(MINIONS[minion], |info| info);
     }
 
-    /// Resumes an agent. If its lease has expired, it refuses the first orders that it reads, and
-    /// its next heartbeat is answered before it handles the others. Once the coordinator treats its
-    /// runs as ended, it refuses all earlier orders.
+    /// Resumes an agent. If its lease has expired, it refuses the first `refused` orders, and its
+    /// heartbeat extends the lease before it handles the others. It refuses all of them if it is
+    /// disconnected or the coordinator already considers its runs ended.
     fn resume_agent(&mut self, minion: usize, refused: usize) {
         let agent = self.agents[minion];
         if !agent.paused {
@@ -303,8 +309,8 @@
         }
     }
 
-    /// Ends the runs on a minion whose lease has expired. Starts that it has not carried out by
-    /// then are refused as too late, because their deadline is the end of that lease.
+    /// Ends the runs on a minion once its lease has expired. Delayed orders are dropped: the minion
+    /// would refuse the starts as too late, because their deadline is the end of the lease.
     fn expire_lease(&mut self, minion: usize) {
         let agent = &mut self.agents[minion];
         if agent.lease_ended || self.cluster.now.steady_ms < agent.last_heartbeat_ms + LEASE_MS {
@@ -319,18 +325,20 @@
         self.delayed.retain(|order| order.minion != name);
     }
 
-    /// Reports an order as not carried out; only starts have specific reasons.
+    /// Reports an order as refused, with `outcome` as the reason for a start; the only reason for
+    /// other orders is that they were not sent.
     fn refuse(&mut self, order: &Order, outcome: OrderOutcome) {
-        let verb = OrderKindTag::from(&order.kind);
-        let outcome = if verb == OrderKindTag::Start { outcome } else { OrderOutcome::NotSent };
-        self.cluster.report_result(order, verb, outcome);
+        let kind_tag = OrderKindTag::from(&order.kind);
+        let outcome = if kind_tag == OrderKindTag::Start { outcome } else { OrderOutcome::NotSent };
+        self.cluster.report_result(order, kind_tag, outcome);
     }
 
-    /// Carries out an order as a minion does.
-    fn carry_out(&mut self, order: &Order, answered: bool) {
+    /// Carries out an order as a minion does: a start is refused if its run has ended there, and a
+    /// stop also prevents later starts of the same run.
+    fn carry_out(&mut self, order: &Order, response_arrives: bool) {
         let key = (order.minion.clone(), order.task);
         let last_ended = self.ended_runs.get(&key).copied().unwrap_or(0);
-        let verb = OrderKindTag::from(&order.kind);
+        let kind_tag = OrderKindTag::from(&order.kind);
         let mut outcome = OrderOutcome::Done;
         let runs = self.cluster.running.entry(order.minion.clone()).or_default();
         match order.kind {
@@ -346,8 +354,8 @@
             }
             OrderKind::Pace { .. } => {}
         }
-        let outcome = if answered { outcome } else { OrderOutcome::Unanswered };
-        self.cluster.report_result(order, verb, outcome);
+        let outcome = if response_arrives { outcome } else { OrderOutcome::Unanswered };
+        self.cluster.report_result(order, kind_tag, outcome);
     }
 
     fn check_no_duplicate_runs(&self) {
@@ -359,7 +367,7 @@
     }
 }
 
-/// Applies events, lets everything pending finish, and checks that all jobs have ended.
+/// Applies events, lets all pending orders and tasks finish, and checks that all jobs have ended.
 fn run_to_completion(events: Vec<Event>) {
     let mut scenario = Scenario::new();
     for event in events {
@@ -373,7 +381,7 @@
     }
     for _ in 0..60 {
         while !scenario.cluster.orders.is_empty() {
-            scenario.apply(Event::CarryOut { answered: true });
+            scenario.apply(Event::CarryOut { response_arrives: true });
             scenario.check_no_duplicate_runs();
         }
         for (at, (task, minion, run)) in scenario.cluster.running_tasks().into_iter().enumerate() {
@@ -410,7 +418,8 @@
     }
 }
 
-/// Shortest sequences of events that once made a task run on two minions at once.
+/// Defines regression tests from minimal sequences of events that made a task run on two minions at
+/// once.
 macro_rules! scenarios {
     ($($(#[$doc:meta])* $name:ident: [$($event:expr),* $(,)?])*) => {$(
         $(#[$doc])*
@@ -422,16 +431,16 @@
 }
 
 scenarios! {
-    /// A start without a result is repeated. The first copy is refused and the task placed
-    /// elsewhere, and then the second copy is carried out: the task runs twice at once.
+    /// A start without a result is repeated, and the first copy is refused. If the task were placed
+    /// elsewhere then, it would run twice at once when the second copy is carried out.
     one_copy_is_refused_and_the_other_is_carried_out: [
         Event::Submit { count: 1 },
         Event::Advance { ms: 2_500 },
         Event::Refuse { at: 0, outcome: OrderOutcome::NotSent },
         Event::Advance { ms: 150 },
     ]
-    /// The same with agents that pause until their leases have expired. Each refuses the first copy
-    /// that it reads, and carries out the others once its next heartbeat is answered.
+    /// Agents pause until their leases have expired, while starts are repeated. Each agent refuses
+    /// the first copy of a start, and carries out the others after its next heartbeat.
     paused_agent_refuses_one_copy: [
         Event::Submit { count: 1 },
         Event::PauseAgent { minion: 0 },
--- a/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
@@ -1,4 +1,4 @@
-//! Downtime of persistent tasks under faults and planned work, compared with the guarantee.
+//! Tests that persistent tasks recover from faults and planned work within the guaranteed time.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -6,14 +6,15 @@
 
 use crate::simulation::{Event, Report, Simulation};
 
-/// Pauses between two events, in milliseconds.
+/// Times between two events, in milliseconds.
 const GAPS_MS: [u64; 5] = [0, 300, 1_000, 3_000, 5_000];
 /// Indexes of tasks that run on different machines.
 const FIRST_TASK: u32 = 0;
 const SECOND_TASK: u32 = 1;
-/// Number of trace lines that a failure shows.
-const TRACE_LINES: usize = 45;
+/// Maximum number of trace lines in the message of a failed test; the first ones are shown.
+const MAX_TRACE_LINES: usize = 45;
 
+/// Describes the events of a simulation and the guarantees that they violated.
 fn describe(events: &[(u64, Event, u32)], report: &Report) -> String {
     let events: Vec<_> =
         events.iter().map(|(gap, e, task)| format!("+{gap} {e:?}@{task}")).collect();
@@ -24,14 +25,14 @@
     format!("{}: {}", events.join(" "), findings.join("; "))
 }
 
-fn check(events: &[(u64, Event, u32)]) {
+fn check_guarantee(events: &[(u64, Event, u32)]) {
     let report = Simulation::new(false).run(events);
-    let trace = report.trace[..report.trace.len().min(TRACE_LINES)].join("\n");
+    let trace = report.trace[..report.trace.len().min(MAX_TRACE_LINES)].join("\n");
     assert!(report.meets_guarantee(), "{}\n{trace}", describe(events, &report));
 }
 
-/// Runs an event followed by each other event, after each pause, on the same machine and on another
-/// one.
+/// Runs `first` followed by each event, after each of `GAPS_MS`, on the same machine and on another
+/// machine.
 fn run_pairs_starting_with(first: Event) {
     let mut violations = Vec::new();
     for second in Event::ALL {
@@ -94,58 +95,66 @@
     other_machines_full: OtherMachinesFull,
 }
 
-/// Two machines are lost while their links stay open. If they counted as reachable after their
-/// leases expired, they would look emptiest, and tasks would be placed on one and the other in turn
-/// until the links close, although other machines have capacity.
+/// Two machines are lost while their links stay open. After their leases expire, no tasks count as
+/// running there. If the machines still counted as reachable, they would have the most free
+/// capacity, and tasks would be placed on one and the other in turn until the links close.
 #[test]
 fn lost_machines_get_no_tasks() {
-    check(&[(0, Event::MachineLost, FIRST_TASK), (0, Event::MachineLost, SECOND_TASK)]);
+    check_guarantee(&[(0, Event::MachineLost, FIRST_TASK), (0, Event::MachineLost, SECOND_TASK)]);
 }
 
 /// An isolated coordinator extends the lease of one agent for eight seconds. Its successor waits
-/// for that, but is restarted. If the next coordinator waited only for the leases of the successor,
-/// a task would restart elsewhere while it still runs.
+/// for this lease, but is restarted. If the next coordinator waited only for leases extended by
+/// that successor, a task would restart elsewhere while it still runs.
 #[test]
 fn restarted_successor_hands_on_the_leases_it_waits_for() {
-    check(&[
+    check_guarantee(&[
         (0, Event::CoordinatorIsolated, FIRST_TASK),
         (3_000, Event::CoordinatorRestarted, FIRST_TASK),
     ]);
 }
 
-/// As above, but the successor is killed. It returns and reports that its term has ended, which
-/// says nothing about the isolated coordinator before it that still extends the lease.
+/// The successor of an isolated coordinator is killed. After its restart it reports that its term
+/// has ended. This must not end the wait for the isolated coordinator, which still extends a lease.
 #[test]
 fn ended_term_of_a_killed_successor_does_not_end_earlier_terms() {
-    check(&[
+    check_guarantee(&[
         (0, Event::CoordinatorIsolated, FIRST_TASK),
         (1_500, Event::CoordinatorKilled, FIRST_TASK),
     ]);
 }
 
-/// A minion crashes, and the coordinator is restarted five seconds later. If the next one did not
-/// know when the lease expires, it would wait for a whole lease, and each planned restart would add
-/// as much downtime.
+/// A minion crashes, and the coordinator is restarted five seconds later. If the next coordinator
+/// did not know when the minion's lease expires, it would wait for a whole lease, and each planned
+/// restart would prolong the downtime by as much.
 #[test]
 fn planned_restart_does_not_prolong_the_wait_for_a_crashed_minion() {
-    check(&[(0, Event::Crash, FIRST_TASK), (5_000, Event::CoordinatorRestarted, FIRST_TASK)]);
+    check_guarantee(&[
+        (0, Event::Crash, FIRST_TASK),
+        (5_000, Event::CoordinatorRestarted, FIRST_TASK),
+    ]);
 }
 
-/// The coordinator's machine and a minion are lost together. The successor waits until the
-/// coordinator would have noticed the loss of the store, had it been alive, and then for a lease.
+/// The coordinator's machine and a minion are lost together. The successor cannot tell whether its
+/// predecessor still runs: it waits until a running predecessor would have stopped extending leases
+/// for lack of the store, and then for the duration of a lease.
 #[test]
 fn loss_of_coordinator_and_minion_is_recovered_in_time() {
-    check(&[(0, Event::CoordinatorMachineLost, FIRST_TASK), (0, Event::Crash, FIRST_TASK)]);
+    check_guarantee(&[
+        (0, Event::CoordinatorMachineLost, FIRST_TASK),
+        (0, Event::Crash, FIRST_TASK),
+    ]);
 }
 
-/// A minion crashes just before tasks of another crashed minion are placed again. It counts as
-/// answering for 2.5 s more; a task placed on it would stay there until its own lease has expired.
+/// A minion crashes just before tasks of another crashed minion are placed again. The second minion
+/// counts as responsive for 2.5 s after its crash; a task placed on it in that time would be down
+/// until its lease has expired.
 #[test]
 fn crashed_minion_gets_no_tasks() {
-    check(&[(0, Event::Crash, FIRST_TASK), (7_000, Event::Crash, 2)]);
+    check_guarantee(&[(0, Event::Crash, FIRST_TASK), (7_000, Event::Crash, 2)]);
 }
 
-/// Events of which no combination is known to violate the guarantee.
+/// Events for which no sequence is known to violate the guarantee.
 const TOLERATED_EVENTS: [Event; 20] = [
     Event::Deregister,
     Event::CoordinatorIsolated,
@@ -169,6 +178,7 @@
     Event::OtherMachinesFull,
 ];
 
+/// Generates sequences of up to five events, each after a gap of less than six seconds.
 fn event_sequences(events: &'static [Event]) -> impl Strategy<Value = Vec<(u64, Event, u32)>> {
     let event = (0..60_u64, proptest::sample::select(events), 0..4_u32);
     vec(event.prop_map(|(tenths, event, index)| (100 * tenths, event, index)), 1..=5)
@@ -186,8 +196,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// No task is down for longer than guaranteed, or runs twice at once, under up to five
-    /// tolerated events.
+    /// Under up to five tolerated events no task is down for longer than guaranteed or runs twice
+    /// at once.
     #[test]
     fn tolerated_events_keep_the_guarantee(
         events in event_sequences(&TOLERATED_EVENTS),
@@ -198,7 +208,8 @@
         prop_assert!(!report.has_placement_gap);
     }
 
-    /// The same for all events.
+    /// Under up to five events of any kind no task is down for longer than guaranteed or runs twice
+    /// at once.
     #[test]
     fn all_events_keep_the_guarantee(
         events in event_sequences(&Event::ALL),
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -1,15 +1,15 @@
-//! Regression tests of takeovers, departures, paces and lost results.
+//! Regression tests of takeovers, departures, pace orders and lost results.
 
 use geraniumpost_batch::{
     Demand, EndKind, FromAgent, OrderKind, OrderKindTag, OrderOutcome, StepSpec,
 };
 
-use crate::cluster::{Cluster, LEASE_MS, SILENT_COORDINATOR, agent_name, step, task};
+use crate::cluster::{Cluster, LEASE_MS, SILENT_COORDINATOR_ADDRESS, agent_name, step, task};
 
-/// A coordinator that only one agent can reach extends that agent's lease for seven seconds, and
-/// then takes over from its successor, which is restarted. Its earlier term has ended, but the
-/// lease that it extended during that term has not: if that lease were ignored, the agent's task
-/// would restart elsewhere while it runs.
+/// An isolated coordinator extends the lease of the only agent that reaches it for seven seconds.
+/// Its successor is then restarted, and the isolated coordinator takes over again. Its earlier term
+/// has ended, but the lease extended during that term is still valid: if that lease were ignored,
+/// the agent's task would restart elsewhere while it runs.
 #[test]
 fn returning_coordinator_waits_for_leases_of_its_earlier_term() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -18,14 +18,18 @@
     cluster.submit(1, vec![persistent]);
     cluster.carry_out_orders();
     assert_eq!(cluster.running_tasks().len(), 1);
-    cluster.take_over_from_silent();
+    cluster.take_over_from_silent_coordinator();
     cluster.join("m2", |info| info);
     cluster.advance(7_000);
     assert!(cluster.orders.is_empty(), "the successor must wait for the silent coordinator");
     let predecessor_leases = cluster.coordinator.leases_for_successor(cluster.now);
     assert!(predecessor_leases.unreached.contains_key(&agent_name("m1")));
-    // The silent coordinator extended the lease until now, so it has its full duration left.
-    cluster.take_over_with(&predecessor_leases.after_takeover(None, SILENT_COORDINATOR, LEASE_MS));
+    // The silent coordinator may have extended the lease just now, so a full lease may remain.
+    cluster.take_over_with(&predecessor_leases.after_takeover(
+        None,
+        SILENT_COORDINATOR_ADDRESS,
+        LEASE_MS,
+    ));
     cluster.join("m2", |info| info);
     cluster.advance(LEASE_MS);
     assert!(
@@ -35,10 +39,10 @@
     );
 }
 
-/// A task of a draining minion is stopped, and the write of that end is not confirmed. If the
-/// minion's departure were settled at once, its VM would be removed; and if the coordinator is then
-/// lost with the write, its successor finds the task on the departed minion, nobody can correct it,
-/// and the task is down for a whole lease.
+/// A task of a draining minion is stopped, and the write of its end is not confirmed. If the
+/// minion's departure were settled at once, the VM would be removed. If the coordinator and the
+/// write were then lost, its successor would find the task running on the departed minion, with no
+/// agent to report otherwise, and the task would be down for a whole lease.
 #[test]
 fn departure_is_not_settled_before_earlier_ends_are_recorded() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -64,8 +68,9 @@
     assert_eq!(cluster.settled_departures, [minion]);
 }
 
-/// The same for a disconnected agent whose tasks count as ended once its lease has expired, while
-/// the store is unavailable. The agent then returns and reports that its minion has departed.
+/// The lease of a disconnected agent expires while the store is unavailable, so the ends of its
+/// minion's tasks are not stored. The agent then links again and reports that its minion has
+/// departed. The departure must not be settled before those ends are written.
 #[test]
 fn departure_is_not_settled_before_a_lease_expiry_is_recorded() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -84,7 +89,8 @@
     assert_eq!(cluster.settled_departures, ["m1".into()]);
 }
 
-/// Returns a cluster with a serving task above its bound and a best-effort task beside it.
+/// Returns a cluster with a serving task above its latency bound and a best-effort task on the same
+/// minion.
 fn cluster_with_overloaded_serving_task() -> Cluster {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     let serving =
@@ -97,11 +103,12 @@
         StepSpec { best_effort: true, image: "logs".into(), demand, estimate_ms, ..step(1) };
     cluster.submit(2, vec![best_effort]);
     cluster.carry_out_orders();
-    cluster.set_gauge(task(1, 0, 0), 150);
+    cluster.set_measurement(task(1, 0, 0), 150);
     cluster
 }
 
-/// Polls the minion every 0.4 s, while the best-effort task makes progress.
+/// Polls the minion every 0.4 s, while the progress of the best-effort task rises from `from`
+/// percent to `to` percent.
 fn poll_with_progress(cluster: &mut Cluster, from: u8, to: u8) {
     for percent in from..to {
         cluster.advance(400);
@@ -110,11 +117,11 @@
     }
 }
 
-/// The order to pause a task is lost, and its agent reports it as unanswered. If it counted as
-/// carried out, it would never be repeated, and the serving task would stay above its bound beside
-/// a task at full speed.
+/// The order to pause a task is lost, and the agent reports it as unanswered. If the order counted
+/// as carried out, it would never be repeated: the best-effort task would run at full speed, and
+/// keep the serving task above its latency bound.
 #[test]
-fn unanswered_pace_is_repeated() {
+fn unanswered_pace_order_is_repeated() {
     let mut cluster = cluster_with_overloaded_serving_task();
     poll_with_progress(&mut cluster, 1, 10);
     let unanswered: Vec<_> = std::mem::take(&mut cluster.orders);
@@ -126,9 +133,9 @@
     assert!(cluster.orders.iter().any(|o| o.kind == OrderKind::Pace { percent: 0 }));
 }
 
-/// A best-effort task runs at a reduced pace when its coordinator is lost, and the serving task
-/// beside it is below its bound soon after. A successor that assumes full speed would send no
-/// order, and the task would run slowly to its end beside idle processors.
+/// A best-effort task runs at a reduced pace when the coordinator is lost, and the serving task on
+/// its minion is below its latency bound soon after. A successor that assumed full pace would send
+/// no order, and the task would run slowly to its end although processors are idle.
 #[test]
 fn successor_restores_full_pace_when_possible() {
     let mut cluster = cluster_with_overloaded_serving_task();
@@ -138,7 +145,7 @@
     }
     assert_eq!(cluster.paces.get(&task(2, 0, 0)), Some(&0));
     cluster.paces.insert(task(2, 0, 0), 40);
-    cluster.set_gauge(task(1, 0, 0), 20);
+    cluster.set_measurement(task(1, 0, 0), 20);
     cluster.take_over();
     cluster.join("m1", |info| info);
     for percent in 10..40 {
@@ -148,9 +155,9 @@
     assert_eq!(cluster.paces.get(&task(2, 0, 0)), Some(&100), "{:?}", cluster.running_tasks());
 }
 
-/// An end is written while its agent has no link, so the acknowledgement is not sent. If it were
-/// not repeated when the agent reports the end over its next link, the minion would keep listing
-/// the end, and the agent would request it seven times a second until another task ends there.
+/// The end of a task is written while its agent has no link, so the acknowledgement is not sent. If
+/// it were not sent when the agent reports the end over its next link, the minion would continue to
+/// list the end, and the agent would read it seven times a second until another task ends there.
 #[test]
 fn lost_acknowledgement_is_repeated() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -160,7 +167,7 @@
     cluster.end_all_runs(EndKind::Done);
     cluster.disconnect_agent("m1");
     cluster.confirm_pending_writes();
-    // There was no link to send it on.
+    // The acknowledgement could not be sent, as there was no link.
     cluster.acknowledged.clear();
     cluster.join("m1", |info| info);
     cluster.advance(1_000);
@@ -168,10 +175,10 @@
     assert_eq!(cluster.acknowledged.get("m1"), Some(&1));
 }
 
-/// A minion refuses a start because its run is over, and its agent is replaced before the next
-/// poll. The new process numbers its results from 0. A coordinator that waits for a poll after the
-/// refusal would not place the task until as many orders were given there, and on an idle minion
-/// never.
+/// A minion refuses a start because its run is over, and its agent is restarted before the next
+/// poll. The new process counts its results from 0. If the coordinator compared that count with the
+/// one of the refusal to find out which poll is later, it would place the task only after as many
+/// further orders to that agent, and never on an idle minion.
 #[test]
 fn refused_task_restarts_although_its_agent_was_replaced() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/action.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/action.rs
@@ -1,44 +1,46 @@
 use super::coordinator_loss::CoordinatorLoss;
 
-/// A step of an event, at one machine or at none.
+/// A change that an [`Event`](super::Event) makes at some time. It applies to the machine of the
+/// event, unless the variant names something else.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Action {
-    /// The minion announces that it will leave.
+    /// The minion starts to drain.
     Drain,
     /// The minion deregisters, and terminates with all its runs.
     Deregister,
     /// The minion terminates with all its runs, without deregistering.
     Crash,
-    /// Another incarnation of the minion starts.
+    /// A new incarnation of the minion starts, unless one is running.
     RestartMinion,
-    /// The machine's network is cut, while its links stay open.
+    /// The machine's network is cut, while the agent's link stays open.
     Partition,
-    /// The machine's network is restored.
+    /// The machine's network is restored, and the agent opens a new link.
     HealPartition,
-    /// The agent is asked to stop.
+    /// The agent is asked to stop, which it does once its departures are settled.
     StopAgent,
     /// The agent is killed.
     KillAgent,
-    /// The agent starts, after the previous one has stopped.
+    /// The agent starts, once the previous process has stopped.
     StartAgent,
     /// The coordinator is lost, and another entry takes over.
     LoseCoordinator(CoordinatorLoss),
-    /// The entry with this loss number answers again, and knows the current coordinator.
-    EntryAnswers(u64),
-    /// The coordinator is cut off from all but the machine's agent.
+    /// The coordinator with this loss number (see `Succession::losses`) responds again, and knows
+    /// that it has a successor.
+    EntryResponds(u64),
+    /// The coordinator is isolated from all processes except the machine's agent.
     IsolateCoordinator,
-    /// The isolated coordinator learns of its successor.
+    /// The isolated coordinator learns of its successor and ends.
     EndIsolation,
-    /// Writes are no longer confirmed.
+    /// The store no longer confirms writes.
     HoldWrites,
-    /// Writes are confirmed again.
+    /// The store confirms writes again, unless it is unavailable.
     ResumeWrites,
     /// The store confirms neither writes nor the coordinator's term.
     StoreDown,
     /// The store is available again.
     StoreUp,
-    /// Whether orders are delayed.
+    /// Sets whether orders to all machines are delayed.
     DelayOrders(bool),
-    /// Whether all other machines offer no free capacity.
+    /// Sets whether all other machines offer no free capacity.
     LimitOtherMachines(bool),
 }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -1,4 +1,4 @@
-//! Links, heartbeats and leases of agents, and agents that stop.
+//! Links, heartbeats, leases and termination of agents.
 
 use geraniumpost_batch::{Effect, FromAgent, ToAgent};
 use geraniumpost_schema::Name;
@@ -8,34 +8,37 @@
 
 /// Interval between heartbeats of an agent, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Time by which the periodic work of each agent precedes that of the agent before it, in
-/// milliseconds.
+/// Offset between the periodic work of two successive agents, in milliseconds, so that agents do
+/// not act all at once.
 const AGENT_OFFSET_MS: u64 = 100;
 
 impl Simulation {
-    /// Returns the index of the machine that an incarnation runs on.
+    /// Returns the index of the machine to which the incarnation `minion` belongs, also after its
+    /// end.
     pub(super) fn machine_of(&self, minion: &Name) -> Option<usize> {
         self.machines.iter().position(|machine| agent_name(&machine.name) == agent_name(minion))
     }
 
-    /// Returns whether periodic work of an agent is due.
+    /// Returns whether work that an agent does every `every_ms` milliseconds is due in this step.
     pub(super) const fn is_due(&self, at: usize, every_ms: u64) -> bool {
         (self.cluster.now.steady_ms + AGENT_OFFSET_MS * at as u64).is_multiple_of(every_ms)
     }
 
-    /// Returns whether messages of an agent reach the coordinator.
+    /// Returns whether messages pass between an agent and the coordinator.
     pub(super) fn can_reach_coordinator(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         machine.linked && machine.network_up && !self.succession.is_vacant()
     }
 
-    /// Returns whether an agent could open a link to a coordinator, if there is one.
+    /// Returns whether an agent could open a link to the current coordinator, if there is one.
     pub(super) fn can_link(&self, at: usize) -> bool {
         let machine = &self.machines[at];
-        machine.agent_up && machine.network_up && !self.succession.agent_follows_isolated(at)
+        machine.agent_up
+            && machine.network_up
+            && !self.succession.agent_follows_isolated_coordinator(at)
     }
 
-    /// Sends a message of an agent to the coordinator; without a link the message is lost.
+    /// Sends a message of an agent to the coordinator. The message is lost if there is no link.
     pub(super) fn send(&mut self, at: usize, message: FromAgent) {
         if self.can_reach_coordinator(at) {
             let name = self.machines[at].name.clone();
@@ -44,7 +47,8 @@
         self.settle_departures();
     }
 
-    /// Opens the agent's link, if it has none.
+    /// Opens the agent's link if it has none and one is possible, and reports over it the present
+    /// minion and unsettled departures.
     pub(super) fn link_agent(&mut self, at: usize) {
         let can_link = self.can_link(at) && !self.succession.is_vacant();
         let machine = &mut self.machines[at];
@@ -72,24 +76,25 @@
         }
     }
 
-    /// Sends the agent's heartbeat, and extends its lease if a coordinator answers.
+    /// Sends the agent's heartbeat, and extends its lease if a coordinator responds with an
+    /// extension.
     pub(super) fn heartbeat(&mut self, at: usize) {
         let machine = &self.machines[at];
         if !machine.agent_up {
             return;
         }
         let heartbeat = machine.heartbeat(self.cluster.now.steady_ms);
-        if self.succession.agent_follows_isolated(at) {
-            self.heartbeat_to_isolated(at, heartbeat);
+        if self.succession.agent_follows_isolated_coordinator(at) {
+            self.heartbeat_to_isolated_coordinator(at, heartbeat);
         } else {
             self.send(at, heartbeat);
             self.apply_lease_extensions();
         }
     }
 
-    /// Sends the agent's heartbeat to the isolated coordinator, which answers as if it had no
-    /// successor.
-    fn heartbeat_to_isolated(&mut self, at: usize, heartbeat: FromAgent) {
+    /// Sends the agent's heartbeat to the isolated coordinator, which does not know of its
+    /// successor and extends the agent's lease.
+    fn heartbeat_to_isolated_coordinator(&mut self, at: usize, heartbeat: FromAgent) {
         let now = self.cluster.now;
         let Some((coordinator, _)) = &mut self.succession.isolated else { return };
         let machine = &mut self.machines[at];
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Terminates an agent that was asked to stop, once its departures are settled or its deadline
+    /// Terminates an agent that was asked to stop, if its departures are settled or its deadline
     /// has passed.
     pub(super) fn finish_agent_stop(&mut self, at: usize) {
         let machine = &self.machines[at];
@@ -124,7 +129,8 @@
         }
     }
 
-    /// Terminates an agent at once. The coordinator notices if the link can be closed.
+    /// Terminates an agent at once. If the network is up, its link is closed and the coordinator
+    /// detects the termination.
     pub(super) fn terminate_agent(&mut self, at: usize) {
         let machine = &mut self.machines[at];
         machine.reset_agent();
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
@@ -1,32 +1,34 @@
-/// Time until a killed entry is running again, in milliseconds.
+/// Time from the end of an entry's process until its successor process is running, in milliseconds.
 pub(super) const RESTART_MS: u64 = 2_000;
-/// Duration of a process pause, in milliseconds.
+/// Duration of a pause of the coordinator's process, in milliseconds.
 pub(super) const PAUSE_MS: u64 = 2_500;
-/// Time until an entry whose machine is lost is replaced, in milliseconds.
+/// Time from the loss of an entry's machine until the entry runs on another one, in milliseconds.
 const REPLACEMENT_MS: u64 = 10_000;
-/// Duration of an isolation, in milliseconds.
+/// Time for which an isolated coordinator does not learn of its successor, in milliseconds.
 pub(super) const ISOLATION_MS: u64 = 14_000;
 
 /// The way in which a coordinator is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CoordinatorLoss {
-    /// It has announced its end in its key.
+    /// The coordinator steps down, and has recorded the end of its term in its store key.
     Planned,
-    /// Links to it are refused until its process is running again. Since a network path may refuse
-    /// links as well, it counts as silent.
+    /// The coordinator's process is killed. Links to it are refused until the process is running
+    /// again. As a fault of the network may also refuse links, the successor treats it as silent.
     Killed,
-    /// Like `Killed`, and agents link to the successor late.
+    /// As `Killed`, but agents link to the successor 0.6 s apart instead of 0.1 s.
     KilledSlowRelink,
-    /// Its process pauses.
+    /// The coordinator's process pauses.
     Paused,
-    /// Its machine is lost, which cannot be told from silence.
+    /// The coordinator's machine is lost, which other processes cannot distinguish from a
+    /// partition.
     MachineLost,
-    /// Only one agent can reach it, and it continues to serve that one.
+    /// The coordinator is isolated from all processes except one agent, and still extends the lease
+    /// of that agent.
     Isolated,
 }
 
 impl CoordinatorLoss {
-    /// Returns how long there is no coordinator, in milliseconds.
+    /// Returns the time from the loss until another entry may take over, in milliseconds.
     pub(super) const fn vacancy_ms(self) -> u64 {
         match self {
             Self::Planned => 100,
@@ -35,8 +37,9 @@
         }
     }
 
-    /// Returns the time until the entry answers again, in milliseconds, if it does.
-    pub(super) const fn answers_after_ms(self) -> Option<u64> {
+    /// Returns the time from the loss until the entry confirms the end of its term to a successor,
+    /// in milliseconds, or `None` if it never does.
+    pub(super) const fn responds_after_ms(self) -> Option<u64> {
         match self {
             Self::Killed | Self::KilledSlowRelink => Some(RESTART_MS),
             Self::Paused => Some(PAUSE_MS),
@@ -45,21 +48,22 @@
         }
     }
 
-    /// Returns the time until the entry, or its replacement, is available, in milliseconds.
+    /// Returns the time from the loss until the entry or its replacement may support or become a
+    /// coordinator again, in milliseconds.
     pub(super) const fn unavailable_ms(self) -> u64 {
-        match (self, self.answers_after_ms()) {
+        match (self, self.responds_after_ms()) {
             (Self::Planned, _) => RESTART_MS,
-            (_, Some(answers_after_ms)) => answers_after_ms,
+            (_, Some(responds_after_ms)) => responds_after_ms,
             (_, None) => REPLACEMENT_MS,
         }
     }
 
-    /// Returns whether no link closes, so that agents detect the loss by a timeout.
+    /// Returns whether links stay open, so that agents detect the loss only by a time-out.
     pub(super) const fn is_silent(self) -> bool {
         matches!(self, Self::Paused | Self::MachineLost | Self::Isolated)
     }
 
-    /// Returns the interval in which agents link to the successor, in milliseconds.
+    /// Returns the interval between the links of two agents to the successor, in milliseconds.
     pub(super) const fn relink_interval_ms(self) -> u64 {
         if matches!(self, Self::KilledSlowRelink) { 600 } else { 100 }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -1,4 +1,5 @@
-//! The entries: which one coordinates, which ones support it, and which ones its successor queries.
+//! The entries: the coordinator, the entries that support it, and the voters that its successor
+//! queries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,9 +9,9 @@
 use geraniumpost_batch::tuning::STORE_CONFIRMATION_VALIDITY_MS;
 use geraniumpost_schema::Name;
 
-/// Number of entries.
-const ENTRIES: usize = 5;
-/// Interval between queries to an entry that has not answered, in milliseconds.
+/// Number of entries, including the coordinator.
+const ENTRY_COUNT: usize = 5;
+/// Interval between two queries to the voters of silent coordinators, in milliseconds.
 const QUERY_INTERVAL_MS: u64 = 300;
 
 #[derive(Debug, Default)]
@@ -18,33 +19,36 @@
     name: Name,
     incarnation: u64,
     promises: Promises,
-    /// Time until which the entry cannot be reached.
+    /// End of the time in which the entry cannot be reached, on the monotonic clock.
     unavailable_until_ms: u64,
 }
 
-/// Query for the end of a silent coordinator's support.
+/// State of the query that determines until when voters support a silent coordinator.
 #[derive(Debug)]
 struct PredecessorQuery {
     releases: Releases,
-    /// When the successor took over.
+    /// Time at which the current coordinator took over, on the monotonic clock.
     taken_over_ms: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct Entries {
     all: Vec<Entry>,
+    /// Index of the coordinator in `all`, or of the one that was lost last.
     coordinator: usize,
+    /// Support of the current coordinator by the other entries.
     support: Support,
     next_query_ms: u64,
-    /// The voters of silent coordinators, by the coordinators' addresses.
+    /// Voters of silent coordinators, by the address of the coordinator.
     voters: BTreeMap<SocketAddr, Voters>,
+    /// Queries of the current coordinator, by the address of the silent coordinator.
     queries: BTreeMap<SocketAddr, PredecessorQuery>,
 }
 
 impl Entries {
     pub(super) fn new(now: Now) -> Self {
         let entry = |number| Entry { name: format!("e{number}").into(), ..Entry::default() };
-        let all: Vec<Entry> = (1..=ENTRIES).map(entry).collect();
+        let all: Vec<Entry> = (1..=ENTRY_COUNT).map(entry).collect();
         let others = all.iter().skip(1).map(|entry| (entry.name.clone(), entry.incarnation));
         let support = Support::new(others.collect(), now.steady_ms);
         let (voters, queries) = (BTreeMap::new(), BTreeMap::new());
@@ -52,11 +56,11 @@
         Self { all, coordinator: 0, support, next_query_ms: now_ms, voters, queries }
     }
 
-    /// Lets available entries promise support to the coordinator of a term. Returns the time until
-    /// which a majority supports it.
+    /// Lets available entries promise support to the coordinator of `term`. Returns the time until
+    /// which a majority supports this coordinator.
     pub(super) fn support(&mut self, term: u64, now_ms: u64) -> u64 {
-        for (number, entry) in self.all.iter_mut().enumerate() {
-            let up = number != self.coordinator && entry.unavailable_until_ms <= now_ms;
+        for (index, entry) in self.all.iter_mut().enumerate() {
+            let up = index != self.coordinator && entry.unavailable_until_ms <= now_ms;
             if up && entry.promises.promise(term, now_ms) {
                 self.support.record_promise(&entry.name, entry.incarnation, now_ms);
             }
@@ -64,7 +68,7 @@
         self.support.supported_until_ms()
     }
 
-    /// Updates the voters that the coordinator's key names, if a change is due.
+    /// Writes the voters to the coordinator's store key, if a change of voters is due.
     pub(super) fn update_voters(&mut self, now_ms: u64) {
         if let Some(voters) = self.support.voters_to_write(now_ms) {
             self.support.begin_voter_change(voters, now_ms);
@@ -72,8 +76,8 @@
         }
     }
 
-    /// Makes the coordinator, or the entry about to take over, unavailable until a time. Unless it
-    /// is only paused, a new process runs there afterwards.
+    /// Makes the coordinator, or the entry about to take over, unavailable until
+    /// `unavailable_until_ms`. A new process runs there afterwards, unless `paused` is set.
     pub(super) fn mark_lost(&mut self, unavailable_until_ms: u64, paused: bool) {
         let lost = &mut self.all[self.coordinator];
         lost.unavailable_until_ms = unavailable_until_ms;
@@ -83,16 +87,17 @@
         }
     }
 
-    /// Elects the next available entry. Returns whether there is one.
+    /// Elects the next available entry in cyclic order. Returns false if no entry is available.
     pub(super) fn elect(&mut self, now_ms: u64) -> bool {
         let from = self.coordinator;
-        let mut next = (1..=ENTRIES).map(|step| (from + step) % ENTRIES);
-        let up = next.find(|number| self.all[*number].unavailable_until_ms <= now_ms);
-        up.inspect(|number| self.coordinator = *number).is_some()
+        let mut next = (1..=ENTRY_COUNT).map(|step| (from + step) % ENTRY_COUNT);
+        let up = next.find(|index| self.all[*index].unavailable_until_ms <= now_ms);
+        up.inspect(|index| self.coordinator = *index).is_some()
     }
 
-    /// Lets the elected entry take over, and starts queries for the supporters of the silent
-    /// coordinator at an address and of earlier ones.
+    /// Lets the elected entry take over, and starts queries to the voters of all silent
+    /// coordinators. The address of the one that was lost last is `silent`, or `None` if it has
+    /// ended its term.
     pub(super) fn take_over(&mut self, silent: Option<SocketAddr>, now_ms: u64) {
         let before = self.support.voters().clone();
         if let Some(address) = silent {
@@ -110,8 +115,8 @@
         self.queries = self.voters.iter().map(new_query).collect();
     }
 
-    /// Queries all available entries on behalf of the coordinator of a term. Returns the silent
-    /// coordinators for which the end of their support is known, and that time.
+    /// Queries all available entries for the coordinator of `term`, if a query is due. Returns the
+    /// addresses of silent coordinators for which the end of support is known, and its time.
     pub(super) fn query_voters(&mut self, term: u64, now_ms: u64) -> Vec<(SocketAddr, u64)> {
         if now_ms < self.next_query_ms {
             return Vec::new();
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
@@ -2,62 +2,68 @@
 use super::coordinator_loss::{CoordinatorLoss, ISOLATION_MS, PAUSE_MS, RESTART_MS};
 use super::orders::ORDER_DELAY_MS;
 
-/// An event of a simulation, in most cases at one machine.
+/// A fault or planned work in a simulation. The minion, agent or machine that it affects is given
+/// with the event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
+    /// Nothing happens.
     Idle,
     /// The minion drains, and deregisters three seconds later.
     DrainAndDeregister,
-    /// The same, and the agent is asked to stop 0.7 s after that because the VM is removed.
+    /// The minion drains and deregisters three seconds later. The agent is asked to stop 0.7 s
+    /// after the deregistration, because the VM is removed.
     VmRemoved,
     /// The minion deregisters without draining first.
     Deregister,
     /// The minion crashes, and another incarnation starts a second later.
     CrashAndRestart,
-    /// The minion crashes and does not return; its machine and the agent stay.
+    /// The minion crashes and is not restarted. Its agent continues to run.
     Crash,
-    /// The machine is lost with its agent and minion.
+    /// The machine is lost with its agent and minion, while the agent's link stays open.
     MachineLost,
-    /// The agent is partitioned for 2.5 s, while its link stays open.
+    /// The agent is partitioned from coordinators for 2.5 s, while its link stays open.
     AgentPartitioned,
-    /// The same for eight seconds, which is longer than a lease.
+    /// The agent is partitioned from coordinators for eight seconds, longer than a lease, while its
+    /// link stays open.
     AgentPartitionedLong,
-    /// The agent is asked to stop; its minion stays.
+    /// The agent is asked to stop and is not restarted. Its minion continues to run.
     AgentStopped,
     /// The agent is killed, and starts again a second later.
     AgentKilled,
-    /// The agent is asked to restart.
+    /// The agent is asked to stop, and starts again a second later or once it has stopped.
     AgentRestarted,
-    /// The coordinator is asked to restart.
+    /// The coordinator steps down for a planned restart.
     CoordinatorRestarted,
     /// The coordinator is killed; its process is running again after two seconds.
     CoordinatorKilled,
     /// The coordinator's process pauses for 2.5 s, and then learns of its successor.
     CoordinatorPaused,
-    /// The coordinator's machine is lost, which cannot be told from silence.
+    /// The coordinator's machine is lost, which other processes cannot distinguish from a
+    /// partition.
     CoordinatorMachineLost,
-    /// The coordinator is cut off from all but the agent of the machine for 14 s.
+    /// The coordinator is isolated for 14 s from all processes except the machine's agent.
     CoordinatorIsolated,
-    /// Entries are restarted one after another, as in an upgrade.
+    /// Three entries are restarted one after another, each while it coordinates, as in an upgrade.
     RollingRestart,
-    /// Entries are killed one after another.
+    /// Three entries are killed within four seconds, each while it coordinates.
     EntriesKilledInTurn,
     /// The coordinator is killed, and agents link to its successor 0.6 s apart.
     AgentsRelinkSlowly,
-    /// Writes are delayed for three seconds.
+    /// Writes are held back for three seconds, and then confirmed.
     WritesDelayed,
-    /// Writes are delayed for three seconds, and lost with the coordinator.
+    /// Writes are held back for three seconds. Then the coordinator is killed, and they are lost.
     WritesLost,
     /// The store is unavailable for nine seconds.
     StoreUnavailable,
-    /// For a second, orders get no answer and are carried out 2.5 s later.
+    /// Orders that are sent within a second are carried out 2.5 s later, and agents report them as
+    /// unanswered before that.
     OrdersDelayed,
-    /// All other machines are full for three seconds.
+    /// All machines except the event's offer no free capacity for three seconds.
     OtherMachinesFull,
 }
 
 impl Event {
-    /// All events, for tests that run each with each.
+    /// All events, each once.
     pub const ALL: [Self; 25] = [
         Self::Idle,
         Self::DrainAndDeregister,
@@ -86,7 +92,8 @@
         Self::OtherMachinesFull,
     ];
 
-    /// Returns the duration of the disturbance in milliseconds, or `None` for planned work.
+    /// Returns the duration of the fault in milliseconds, from whose end the guaranteed recovery
+    /// time counts, or `None` if the event is planned work or no fault.
     pub(super) const fn disturbance_ms(self) -> Option<u64> {
         match self {
             Self::Idle
@@ -116,7 +123,8 @@
         }
     }
 
-    /// Returns the actions of an event, each with its time after the beginning in milliseconds.
+    /// Returns the actions of the event, each with its time after the start of the event in
+    /// milliseconds.
     pub(super) const fn actions(self) -> &'static [(u64, Action)] {
         use Action::{
             Crash, DelayOrders, Deregister, Drain, EndIsolation, HealPartition, HoldWrites,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
@@ -1,17 +1,18 @@
-//! Events, and the effect of each of their actions on the simulation.
+//! Scheduling of events, and the effects of their actions on the simulation.
 
 use super::action::Action;
 use super::machine::MACHINE_MILLI_CPUS;
 use super::{Event, STEP_MS, Simulation};
 use crate::cluster::task;
 
-/// Time from a deregistration until the agent treats the minion as departed, in milliseconds.
+/// Time from a minion's deregistration until its agent records the departure, in milliseconds.
 const DEREGISTRATION_MS: u64 = 300;
-/// Time that an agent has to stop after it was asked to, in milliseconds.
+/// Time after which an agent that was asked to stop is terminated, in milliseconds.
 const AGENT_STOP_GRACE_MS: u64 = 5_000;
 
 impl Simulation {
-    /// Schedules an event's actions at the machine where the checked task with an index ran last.
+    /// Schedules the actions of `event` at the machine on which checked task `index` ran last, or
+    /// at the first machine if it never ran.
     pub(super) fn schedule_event(&mut self, event: Event, index: u32) {
         let now_ms = self.cluster.now.steady_ms;
         let at = self.checker.last_machine(task(1, 0, index)).unwrap_or(0);
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Applies all due actions. An action may schedule another one, so each is searched for again.
+    /// Applies all due actions, including those that an applied action schedules.
     pub(super) fn run_due_actions(&mut self) {
         let now_ms = self.cluster.now.steady_ms;
         while let Some(next) =
@@ -47,7 +48,7 @@
             Action::KillAgent => self.terminate_agent(at),
             Action::StartAgent => self.start_agent(at),
             Action::LoseCoordinator(loss) => self.lose_coordinator(loss),
-            Action::EntryAnswers(number) => self.succession.mark_answering(number),
+            Action::EntryResponds(loss_number) => self.succession.mark_responding(loss_number),
             Action::IsolateCoordinator => self.isolate_coordinator(at),
             Action::EndIsolation => self.end_isolation(),
             Action::HoldWrites => self.cluster.confirm_writes = false,
@@ -85,7 +86,7 @@
         self.machines[at].stop_deadline_ms = Some(self.cluster.now.steady_ms + AGENT_STOP_GRACE_MS);
     }
 
-    /// Starts an agent, or waits for the previous one to stop.
+    /// Starts an agent. If the previous process has not stopped yet, tries again in the next step.
     fn start_agent(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let machine = &mut self.machines[at];
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Reduces the capacity of all other machines to what is in use there, or restores it.
+    /// Reduces the capacity of all machines except `at` to the processors in use there if `limit`
+    /// is set, otherwise restores it.
     fn limit_other_machines(&mut self, at: usize, limit: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != at) {
             let used = self.used_milli_cpus(other);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/incarnation.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/incarnation.rs
@@ -3,14 +3,15 @@
 use geraniumpost_batch::TaskId;
 use geraniumpost_schema::Name;
 
-/// An incarnation of a minion. A minion that restarts has another id and no state of its last one.
+/// An incarnation of a minion. After a restart the minion has a new id and no state of earlier
+/// incarnations.
 #[derive(Debug)]
 pub(super) struct Incarnation {
     pub(super) id: Name,
     pub(super) draining: bool,
-    /// When the lease on its runs ends; 0 if it holds none.
+    /// End of the lease on the minion's runs, on the monotonic clock; 0 without a lease.
     pub(super) lease_until_ms: u64,
-    /// The highest run of each task that was stopped or has ended.
+    /// Highest run number of each task that was stopped or has ended.
     pub(super) ended_runs: BTreeMap<TaskId, u32>,
 }
 
@@ -19,7 +20,8 @@
         Self { id: name.into(), draining: false, lease_until_ms: 0, ended_runs: BTreeMap::new() }
     }
 
-    /// Returns whether a run was stopped or has ended, so that an order to start it is refused.
+    /// Returns whether `run` or a later run of `task` was stopped or has ended, so that an order to
+    /// start it is refused.
     pub(super) fn has_ended(&self, task: TaskId, run: u32) -> bool {
         run <= self.ended_runs.get(&task).copied().unwrap_or(0)
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -6,45 +6,50 @@
 
 /// Capacity of a machine, in thousandths of a processor.
 pub(super) const MACHINE_MILLI_CPUS: i64 = 16_000;
-/// Time after its last answer for which a minion counts as answering, in milliseconds.
-const ANSWER_TIMEOUT_MS: u64 = 1_600;
+/// Time after its last response for which a minion counts as responsive, in milliseconds.
+const RESPONSE_TIMEOUT_MS: u64 = 1_600;
 
 /// A machine with a minion and its agent.
 ///
-/// The agent's view of the minion may be outdated: tests examine the time until it is correct
-/// again.
+/// The agent's knowledge of the minion (`known_...`) is updated only by polls and deregistrations,
+/// so it may be outdated.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) name: String,
-    /// Number of incarnations of its minion so far.
+    /// Number of incarnations of the minion so far.
     pub(super) incarnations: u32,
+    /// Running incarnation of the minion, if any.
     pub(super) minion: Option<Incarnation>,
+    /// Capacity that the minion offers, in thousandths of a processor.
     pub(super) milli_cpus: i64,
     pub(super) agent_up: bool,
-    /// Whether messages pass between the agent and coordinators.
+    /// Whether the network between the agent and coordinators is up.
     pub(super) network_up: bool,
-    /// Whether the agent has an open link, as far as it knows.
+    /// Whether the agent considers its link open.
     pub(super) linked: bool,
-    /// Whether the coordinator has an open link of the agent, which may be dead.
+    /// Whether the coordinator considers a link of the agent open. It does not detect a dead link
+    /// that was not closed.
     pub(super) coordinator_sees_link: bool,
-    /// The earliest time at which the agent opens its next link.
+    /// Earliest time at which the agent opens its next link, on the monotonic clock.
     pub(super) next_link_ms: u64,
-    /// The incarnation that the agent knows.
+    /// Incarnation that the agent has discovered and not recorded as departed.
     pub(super) known_minion: Option<Name>,
     /// Whether the agent knows that the minion drains.
-    pub(super) reported_draining: bool,
-    /// Capacity that the minion offers, as far as the agent knows.
-    pub(super) reported_milli_cpus: i64,
-    /// Sequence number of the last message about the minion.
+    pub(super) known_draining: bool,
+    /// Capacity that the minion offers, as far as the agent knows, in thousandths of a processor.
+    pub(super) known_milli_cpus: i64,
+    /// Sequence number of the agent's last message about the minion.
     pub(super) sequence: u64,
-    /// When the minion last answered the agent.
-    pub(super) last_answer_ms: u64,
-    /// When the agent's lease ends.
+    /// Time at which the minion last responded to the agent, on the monotonic clock.
+    pub(super) last_response_ms: u64,
+    /// End of the agent's lease, on the monotonic clock.
     pub(super) lease_until_ms: u64,
-    /// A deregistered incarnation, and when the agent treats it as departed.
+    /// A deregistered incarnation, and the time at which the agent records its departure.
     pub(super) deregistered: Option<(u64, Name)>,
+    /// Departures that the coordinator has not recorded yet.
     pub(super) departures: Departures,
-    /// Deadline of an agent that was asked to stop; it stops earlier if all departures are settled.
+    /// Time at which an agent that was asked to stop is terminated at the latest. It stops earlier
+    /// if all departures are settled.
     pub(super) stop_deadline_ms: Option<u64>,
 }
 
@@ -61,10 +66,10 @@
             coordinator_sees_link: false,
             next_link_ms: 0,
             known_minion: None,
-            reported_draining: false,
-            reported_milli_cpus: MACHINE_MILLI_CPUS,
+            known_draining: false,
+            known_milli_cpus: MACHINE_MILLI_CPUS,
             sequence: 0,
-            last_answer_ms: 0,
+            last_response_ms: 0,
             lease_until_ms: 0,
             deregistered: None,
             departures: Departures::default(),
@@ -72,45 +77,46 @@
         }
     }
 
-    /// Returns the agent's next message about its minion, if it knows one.
-    pub(super) fn reported_info(&mut self) -> Option<MinionInfo> {
+    /// Returns the agent's next description of its minion, or `None` if it has discovered no
+    /// minion.
+    pub(super) fn next_minion_info(&mut self) -> Option<MinionInfo> {
         let id = self.known_minion.clone()?;
         self.sequence += 1;
         let mut info = minion_info(&id);
-        info.draining = self.reported_draining;
-        info.remaining_ms = self.reported_draining.then_some(3_000);
-        info.capacity.milli_cpus = self.reported_milli_cpus;
+        info.draining = self.known_draining;
+        info.remaining_ms = self.known_draining.then_some(3_000);
+        info.capacity.milli_cpus = self.known_milli_cpus;
         info.sequence = self.sequence;
         Some(info)
     }
 
     pub(super) const fn heartbeat(&self, now_ms: u64) -> FromAgent {
-        let answering = now_ms < self.last_answer_ms + ANSWER_TIMEOUT_MS;
+        let responding = now_ms < self.last_response_ms + RESPONSE_TIMEOUT_MS;
         FromAgent::Heartbeat {
             sent_at_ms: now_ms,
-            minion_ok: self.known_minion.is_some() && answering,
+            minion_ok: self.known_minion.is_some() && responding,
         }
     }
 
-    /// Returns whether an incarnation is running here.
+    /// Returns whether the incarnation `id` is running on this machine.
     pub(super) fn hosts(&self, id: &Name) -> bool {
         self.minion.as_ref().is_some_and(|minion| minion.id == *id)
     }
 
-    /// Returns whether the agent knows the running incarnation.
+    /// Returns whether a minion is running and its agent has discovered this incarnation.
     pub(super) fn knows_minion(&self) -> bool {
         self.known_minion.as_ref().is_some_and(|id| self.hosts(id))
     }
 
-    /// Updates the agent's view of the minion. Returns whether it has changed.
-    pub(super) fn refresh_reported(&mut self) -> bool {
+    /// Updates the agent's knowledge of the minion's state. Returns whether the state has changed.
+    pub(super) fn refresh_known_state(&mut self) -> bool {
         let Some(minion) = &self.minion else { return false };
-        let draining = std::mem::replace(&mut self.reported_draining, minion.draining);
-        let milli_cpus = std::mem::replace(&mut self.reported_milli_cpus, self.milli_cpus);
+        let draining = std::mem::replace(&mut self.known_draining, minion.draining);
+        let milli_cpus = std::mem::replace(&mut self.known_milli_cpus, self.milli_cpus);
         draining != minion.draining || milli_cpus != self.milli_cpus
     }
 
-    /// Extends the agent's lease until a time, unless it already lasts longer.
+    /// Extends the agent's lease until `until_ms`, unless it already lasts longer.
     pub(super) fn extend_lease(&mut self, until_ms: u64) {
         self.lease_until_ms = self.lease_until_ms.max(until_ms);
     }
@@ -126,8 +132,8 @@
         self.linked = false;
     }
 
-    /// Returns whether no change is pending here: a minion without an agent ends its runs when its
-    /// lease has expired.
+    /// Returns whether nothing is pending: the agent is linked, or the minion holds no lease, whose
+    /// expiry would end its runs.
     pub(super) fn is_stable(&self) -> bool {
         self.linked || self.minion.as_ref().is_none_or(|minion| minion.lease_until_ms == 0)
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/minions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/minions.rs
@@ -1,4 +1,4 @@
-//! Minions that start and terminate, run tasks, and end them when their lease has expired.
+//! Start and termination of minions, execution of orders, and expiry of leases.
 
 use geraniumpost_batch::{EndKind, Order, OrderKind, OrderOutcome};
 use geraniumpost_schema::Name;
@@ -8,14 +8,14 @@
 use super::workload::task_milli_cpus;
 
 impl Simulation {
-    /// Returns the processors that the tasks on a machine use, in thousandths.
+    /// Returns the capacity that the tasks on a machine use, in thousandths of a processor.
     pub(super) fn used_milli_cpus(&self, at: usize) -> i64 {
         let id = self.machines[at].minion.as_ref().map(|minion| &minion.id);
         let runs = id.and_then(|id| self.cluster.running.get(id));
         runs.map_or(0, |runs| runs.keys().copied().map(task_milli_cpus).sum())
     }
 
-    /// Terminates a minion with all its runs. Returns the incarnation that was running.
+    /// Terminates a minion with all its runs. Returns the id of the incarnation that was running.
     pub(super) fn terminate_minion(&mut self, at: usize) -> Option<Name> {
         let minion = self.machines[at].minion.take()?;
         self.cluster.running.remove(&minion.id);
@@ -23,7 +23,7 @@
         Some(minion.id)
     }
 
-    /// Starts another incarnation, unless one is running.
+    /// Starts a new incarnation, unless one is running.
     pub(super) fn restart_minion(&mut self, at: usize) {
         let machine = &mut self.machines[at];
         if machine.minion.is_none() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Ends a minion's runs once its lease has expired.
+    /// Ends all runs of a minion if its lease has expired.
     pub(super) fn expire_minion_lease(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let Some(minion) = &mut self.machines[at].minion else { return };
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Carries out an order, if the incarnation that it names is running.
+    /// Carries out an order. Returns `OrderOutcome::MinionTerminated` if the incarnation to which
+    /// the order is addressed is not running.
     pub(super) fn execute_order(&mut self, order: &Order) -> OrderOutcome {
         let at = self.machine_of(&order.minion);
         let Some(at) = at.filter(|at| self.machines[*at].hosts(&order.minion)) else {
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
@@ -1,23 +1,27 @@
-//! A simulated deployment: four machines with an agent and a minion each, entries that take over
-//! from each other, and a clock.
+//! Simulation of a deployment: four machines with an agent and a minion each, five entries of which
+//! one coordinates, and a clock.
 //!
-//! A test lists what happens and when ([`Event`]). [`Simulation::run`] advances the clock in small
-//! steps until nothing is pending, and returns what users would have noticed ([`Report`]). Each
-//! step has the same order: due actions of events, a due takeover, each machine in turn, then
-//! orders, then the check of the guarantees.
+//! A test lists events and the times between them ([`Event`]). [`Simulation::run`] advances the
+//! clock in steps until nothing is pending, and returns violations of the guarantees ([`Report`]).
+//! Each step has the same order: due actions of events, a due takeover, queries to predecessors,
+//! each machine in turn, orders, and the check of the guarantees.
 //!
-//! Agents behave like `batch/agent` of the `geraniumpost` crate: they send a heartbeat each half
-//! second, poll each 0.4 s, report only over an open link, and report the present minion and
-//! unsettled departures over a new link.
+//! Agents behave like `batch/agent` of the `geraniumpost` crate: they send a heartbeat every 0.5 s,
+//! poll every 0.4 s, report only over an open link, and report the present minion and unsettled
+//! departures over a new link.
 //!
-//! The coordinator is the real one, and so are the predecessor leases that it leaves to its
-//! successor ([`PredecessorLeases`](geraniumpost_batch::PredecessorLeases)), the departures that
-//! agents keep ([`Departures`](geraniumpost_batch::Departures)), and the support of entries
-//! ([`quorum`](geraniumpost_batch::quorum)). The behaviour of the processes around them is modelled
-//! here and must be kept in line with them: when an entry takes over and which predecessors it
-//! queries (`Candidate`, `await_predecessor`), when the key names the voters and how they are
-//! queried (`Writer`, `Asker`), what an agent reports to whom (`State`), and that a coordinator
-//! does not notice a dead link that was not closed (`Doorway::pass_on`).
+//! The simulation uses the production code of the coordinator, of the leases that it records for
+//! its successor ([`PredecessorLeases`](geraniumpost_batch::PredecessorLeases)), of the departures
+//! that agents hold ([`Departures`](geraniumpost_batch::Departures)), and of the support of entries
+//! ([`quorum`](geraniumpost_batch::quorum)). The processes around them are modelled here. The model
+//! must match these modules of the `geraniumpost` crate:
+//!
+//! - `batch/coordination/candidate.rs`: when an entry takes over;
+//! - `batch/coordination/term.rs`: which predecessors a coordinator queries;
+//! - `batch/coordination/writer.rs`: when the coordinator's store key names the voters;
+//! - `batch/coordination/release_requester.rs`: how the voters of a silent coordinator are queried;
+//! - `batch/coordination/peer_listener.rs`: that a dead link that was not closed is not detected;
+//! - `batch/agent/state.rs`: what an agent reports.
 
 mod action;
 mod agents;
@@ -47,21 +51,22 @@
 
 use crate::cluster::Cluster;
 
-/// One step of the clock, in milliseconds, which is also the interval between ticks of the
-/// coordinator.
+/// Time by which the clock advances in each step, in milliseconds. The coordinator ticks once per
+/// step.
 const STEP_MS: u64 = 100;
-/// Longest time that a simulation runs after its last event.
+/// Maximum time that a simulation runs after its last event, in milliseconds.
 const SETTLE_TIMEOUT_MS: u64 = 32_000;
-/// A simulation ends when nothing was pending for this time.
-const IDLE_MS: u64 = 1_000;
+/// Time without pending work after which a simulation ends, in milliseconds.
+const REQUIRED_IDLE_MS: u64 = 1_000;
 
-/// A simulated deployment. Machines are referred to by their index in `machines`.
+/// A simulated deployment. Methods refer to machines by their index in `machines`, called `at`.
 pub struct Simulation {
-    /// The coordinator, its store, and the runs on minions.
+    /// The coordinator, its store, the runs on minions, and the clock.
     cluster: Cluster,
     machines: Vec<Machine>,
+    /// Start of the simulation, on the monotonic clock.
     started_ms: u64,
-    /// Pending actions of events: the time, the machine and the action.
+    /// Pending actions of events: the time, the index of the machine, and the action.
     scheduled_actions: Vec<(u64, usize, Action)>,
     entries: Entries,
     succession: Succession,
@@ -70,8 +75,8 @@
 }
 
 impl Simulation {
-    /// Returns a simulation of four machines that run a persistent step of six tasks. If it is
-    /// crowded, each machine also runs a large persistent task, and a fifth one is waiting for
+    /// Returns a simulation of four machines that run a persistent step of six tasks. If `crowded`
+    /// is set, each machine also runs a large persistent task, and a fifth large task waits for
     /// capacity.
     pub fn new(crowded: bool) -> Self {
         let mut cluster = Cluster::new();
@@ -93,10 +98,10 @@
         simulation
     }
 
-    /// Runs a list of events, each given with its delay in milliseconds after the one before, and
-    /// then what follows from them.
+    /// Runs the simulation with a list of events until nothing is pending.
     ///
-    /// Events at a machine happen where the checked task with the given index ran last.
+    /// Each event has a delay after the previous event, in milliseconds, and the index of a checked
+    /// task, which selects the machine of the event: the one on which the task ran last.
     pub fn run(mut self, events: &[(u64, Event, u32)]) -> Report {
         for (gap_ms, event, index) in events {
             self.advance_until(self.elapsed_ms() + gap_ms);
@@ -106,12 +111,12 @@
         self.into_report()
     }
 
-    /// Returns the time since the simulation started.
+    /// Returns the time since the start of the simulation, in milliseconds.
     const fn elapsed_ms(&self) -> u64 {
         self.cluster.now.steady_ms - self.started_ms
     }
 
-    /// Adds a line with the time to the report.
+    /// Adds a line to the trace in the report, preceded by the time in seconds.
     fn trace(&mut self, line: &str) {
         let at_s = self.elapsed_ms() as f64 / 1_000.0;
         self.checker.trace(format!("{at_s:5.1} {line}"));
@@ -123,11 +128,11 @@
         }
     }
 
-    /// Advances until nothing is pending, at most until the time-out.
+    /// Advances until nothing is pending for `REQUIRED_IDLE_MS`, at most by `SETTLE_TIMEOUT_MS`.
     fn run_until_idle(&mut self) {
         let until_ms = self.elapsed_ms() + SETTLE_TIMEOUT_MS;
         let mut idle_ms = 0;
-        while self.elapsed_ms() < until_ms && idle_ms < IDLE_MS {
+        while self.elapsed_ms() < until_ms && idle_ms < REQUIRED_IDLE_MS {
             self.run_step();
             idle_ms = if self.is_idle() { idle_ms + STEP_MS } else { 0 };
         }
@@ -136,11 +141,10 @@
     fn is_idle(&self) -> bool {
         self.scheduled_actions.is_empty()
             && !self.succession.is_vacant()
-            && self.checker.all_running()
+            && self.checker.is_every_task_running()
             && self.machines.iter().all(Machine::is_stable)
     }
 
-    /// Advances by one step.
     fn run_step(&mut self) {
         self.advance_clock();
         self.run_due_actions();
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
@@ -1,4 +1,4 @@
-//! Agents that poll their minions and report changes to the coordinator.
+//! Polls of minions by their agents, and the reports of agents to the coordinator.
 
 use geraniumpost_batch::FromAgent;
 use geraniumpost_schema::Name;
@@ -9,7 +9,8 @@
 const POLL_INTERVAL_MS: u64 = 400;
 
 impl Simulation {
-    /// Updates the agent's view of its minion: deregistrations, polls and messages about its state.
+    /// Lets the agent handle a deregistration of its minion, poll the minion if a poll is due, and
+    /// report a change of the minion's state.
     pub(super) fn observe_minion(&mut self, at: usize) {
         if !self.machines[at].agent_up {
             return;
@@ -20,12 +21,12 @@
             self.poll_minion(at);
         }
         let machine = &mut self.machines[at];
-        if machine.knows_minion() && machine.refresh_reported() {
+        if machine.knows_minion() && machine.refresh_known_state() {
             self.report_minion(at);
         }
     }
 
-    /// Records the departure of a minion that deregistered some time ago.
+    /// Records the departure of a deregistered minion, if it is due.
     fn complete_deregistration(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let deregistered = &mut self.machines[at].deregistered;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Detects an incarnation that the agent does not know, and reports it at once.
+    /// Lets the agent discover a new incarnation of its minion, and report it at once.
     fn discover_minion(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let machine = &mut self.machines[at];
@@ -43,18 +44,19 @@
         }
         let Some(minion) = &machine.minion else { return };
         machine.known_minion = Some(minion.id.clone());
-        machine.refresh_reported();
-        machine.last_answer_ms = now_ms;
+        machine.refresh_known_state();
+        machine.last_response_ms = now_ms;
         self.report_minion(at);
         self.heartbeat(at);
     }
 
-    /// Polls the minion's lists, extends its lease, and reports the lists.
+    /// Polls the minion, extends its lease up to that of the agent, and reports its lists of
+    /// running and ended tasks to the coordinator.
     pub(super) fn poll_minion(&mut self, at: usize) {
         let now_ms = self.cluster.now.steady_ms;
         let machine = &mut self.machines[at];
         let Some(minion) = &mut machine.minion else { return };
-        machine.last_answer_ms = now_ms;
+        machine.last_response_ms = now_ms;
         if machine.lease_until_ms > now_ms {
             minion.lease_until_ms = minion.lease_until_ms.max(machine.lease_until_ms);
         }
@@ -64,14 +66,15 @@
         }
     }
 
-    /// Records the departure of an incarnation, if the agent knew it.
+    /// Records the departure of the incarnation `id`, if it is the one that the agent knows.
     pub(super) fn detect_departure(&mut self, at: usize, id: &Name) {
         if self.machines[at].known_minion.as_ref() == Some(id) {
             self.record_departure(at, id);
         }
     }
 
-    /// Records a departure until it is settled, and reports it.
+    /// Records a departure, which the agent holds until the coordinator has recorded it, and
+    /// reports it to the coordinator.
     fn record_departure(&mut self, at: usize, id: &Name) {
         let machine = &mut self.machines[at];
         machine.known_minion.take_if(|known_minion| known_minion == id);
@@ -83,7 +86,7 @@
         self.send(at, FromAgent::MinionTerminated { minion: id.clone() });
     }
 
-    /// Removes departures that the coordinator has recorded.
+    /// Lets agents drop departures that the coordinator has recorded.
     pub(super) fn settle_departures(&mut self) {
         for minion in std::mem::take(&mut self.cluster.settled_departures) {
             if let Some(at) = self.machine_of(&minion).filter(|at| self.can_reach_coordinator(*at))
@@ -93,10 +96,10 @@
         }
     }
 
-    /// Reports the state of the minion, if the agent knows one.
+    /// Reports the minion's state to the coordinator, if the agent has discovered a minion.
     pub(super) fn report_minion(&mut self, at: usize) {
         if self.can_reach_coordinator(at)
-            && let Some(info) = self.machines[at].reported_info()
+            && let Some(info) = self.machines[at].next_minion_info()
         {
             self.send(at, FromAgent::Minion(info));
         }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
@@ -1,4 +1,4 @@
-//! Check of the guarantees: no task runs twice at once, and none is down for too long.
+//! Check of the guarantees that no task runs twice at once and none is down for too long.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,24 @@
 use super::workload::{TASK_MILLI_CPUS, is_checked};
 use super::{Report, STEP_MS, Simulation};
 
-/// Guaranteed time until a task whose run ended is running again, in milliseconds.
+/// Maximum time from the end of a run until the task is running again, in milliseconds.
 const RECOVERY_LIMIT_MS: u64 = 9_000;
-/// The same, counted from the end of the last disturbance.
+/// Maximum time from the end of the last fault until all tasks are running again, in milliseconds.
+/// A task may be down until the later of the two limits.
 const RECOVERY_AFTER_DISTURBANCE_MS: u64 = 7_000;
 
-/// State of the check between steps.
+/// State of the check that lasts from step to step. Times are on the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryChecker {
-    /// Beginning and end of each disturbance.
+    /// Start and end of each fault, in milliseconds.
     disturbances: Vec<(u64, u64)>,
-    /// The machine where each task ran last.
+    /// Index of the machine on which each task ran last.
     last_machine: BTreeMap<TaskId, usize>,
-    /// Since when each task is down.
+    /// Start of the downtime of each checked task that is down, in milliseconds.
     down_since: BTreeMap<TaskId, u64>,
-    /// Since when there has been capacity for one more task.
+    /// Start of the present time with capacity for one more task, or `None` without capacity.
     capacity_since_ms: Option<u64>,
-    /// Number of the coordinator's log lines that are in the trace.
+    /// Number of the coordinator's log lines that are already in the trace.
     traced_lines: usize,
     report: Report,
 }
@@ -42,23 +43,25 @@
         self.last_machine.get(&task).copied()
     }
 
-    pub(super) fn all_running(&self) -> bool {
+    pub(super) fn is_every_task_running(&self) -> bool {
         self.down_since.is_empty()
     }
 
-    /// Records that a task is down at a time.
+    /// Records that `task` is down at `now_ms`, and reports it if this violates the guarantee. A
+    /// task that cannot be placed for lack of capacity is not reported.
     fn record_downtime(&mut self, task: TaskId, now_ms: u64) {
         let since_ms = *self.down_since.entry(task).or_insert(now_ms);
         let Some(capacity_since_ms) = self.capacity_since_ms else { return };
-        let limit_ms = self.limit_ms(since_ms.max(capacity_since_ms), now_ms);
-        if now_ms > limit_ms {
-            self.report.record_overdue(now_ms - limit_ms, task, now_ms - since_ms);
+        let recovery_deadline_ms =
+            self.recovery_deadline_ms(since_ms.max(capacity_since_ms), now_ms);
+        if now_ms > recovery_deadline_ms {
+            self.report.record_overdue(now_ms - recovery_deadline_ms, task, now_ms - since_ms);
         }
     }
 
-    /// Returns the time until which a task may be down that could have been placed since
-    /// `since_ms`.
-    fn limit_ms(&self, since_ms: u64, now_ms: u64) -> u64 {
+    /// Returns the time until which a task may be down that has been down since `since_ms`, with
+    /// capacity for it all the time.
+    fn recovery_deadline_ms(&self, since_ms: u64, now_ms: u64) -> u64 {
         let started = self.disturbances.iter().filter(|(start_ms, _)| *start_ms <= now_ms);
         let recovered_by_ms =
             started.map(|(_, end_ms)| end_ms + RECOVERY_AFTER_DISTURBANCE_MS).max().unwrap_or(0);
@@ -67,11 +70,12 @@
 }
 
 impl Simulation {
-    /// Checks that no task runs twice at once, and for how long each is down.
+    /// Reports tasks that run twice at once, and checked tasks that are down for longer than
+    /// guaranteed.
     pub(super) fn check_guarantees(&mut self) {
         self.trace_log_lines();
         let running = self.find_running();
-        self.update_capacity();
+        self.update_capacity_since();
         let now_ms = self.cluster.now.steady_ms;
         let checked = self.checker.last_machine.keys().copied().filter(|task| is_checked(*task));
         for task in checked.collect::<Vec<_>>() {
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Returns the report at the end of the simulation.
+    /// Completes and returns the report at the end of the simulation.
     pub(super) fn into_report(self) -> Report {
         let has_placement_gap = self.has_placement_gap();
         Report { has_placement_gap, ..self.checker.report }
@@ -101,7 +105,7 @@
         self.checker.traced_lines = self.cluster.log_lines.len();
     }
 
-    /// Returns the minion of each running task, and reports tasks that run on two.
+    /// Returns the minion of each running task, and reports tasks that run on two minions.
     fn find_running(&mut self) -> BTreeMap<TaskId, Name> {
         let mut running: BTreeMap<TaskId, Name> = BTreeMap::new();
         for (task, minion, run) in self.cluster.running_tasks() {
@@ -117,13 +121,14 @@
         running
     }
 
-    /// Updates since when there has been capacity: without it no task can be placed.
-    fn update_capacity(&mut self) {
+    /// Updates the start of the time with capacity for one more task.
+    fn update_capacity_since(&mut self) {
         let since_ms = self.checker.capacity_since_ms.unwrap_or(self.cluster.now.steady_ms);
         self.checker.capacity_since_ms = self.has_capacity().then_some(since_ms);
     }
 
-    /// Returns whether a machine that can be linked has capacity for one more task.
+    /// Returns whether any machine has capacity for one more task, a minion that does not drain,
+    /// and an agent that could open a link.
     fn has_capacity(&self) -> bool {
         (0..self.machines.len()).any(|at| {
             let machine = &self.machines[at];
@@ -134,8 +139,8 @@
         })
     }
 
-    /// Returns whether the store holds a step in which a task that was never placed precedes one
-    /// that was.
+    /// Returns whether the store holds a step in which a task that was never placed precedes a task
+    /// that was placed.
     fn has_placement_gap(&self) -> bool {
         self.cluster.store.values().any(|record| {
             let record = JobRecord::decode(record).expect("the stored record is valid");
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -1,4 +1,4 @@
-//! Coordinators that are lost, and entries that take over from them.
+//! Loss of coordinators, and takeover by other entries.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,35 +10,38 @@
 use super::coordinator_loss::CoordinatorLoss;
 use crate::cluster::LEASE_MS;
 
-/// Time after which agents treat a coordinator that does not answer as lost, in milliseconds.
+/// Time without a response after which agents consider the coordinator lost, in milliseconds.
 const COORDINATOR_TIMEOUT_MS: u64 = 700;
-/// Interval between queries to a silent predecessor, in milliseconds.
+/// Interval between two queries of a coordinator to its silent predecessors, in milliseconds.
 const PREDECESSOR_QUERY_INTERVAL_MS: u64 = 300;
 
 /// State of takeovers and of earlier coordinators.
 #[derive(Debug, Default)]
 pub(super) struct Succession {
+    /// Present if there is no coordinator.
     vacancy: Option<Vacancy>,
-    /// Number of coordinators lost so far.
+    /// Number of coordinators lost so far. The n-th coordinator that is lost has loss number n,
+    /// from which its address follows.
     losses: u64,
-    /// Predecessor leases that the coordinator's key leaves to the next one.
+    /// Predecessor leases in the coordinator's store key, from which its successor reads them.
     predecessor_leases: PredecessorLeases,
-    /// When the coordinator next queries silent predecessors.
+    /// Time at which the coordinator next queries silent predecessors, on the monotonic clock.
     next_query_ms: u64,
-    /// Loss numbers of earlier coordinators that answer again and know the current one.
-    answering: BTreeSet<u64>,
-    /// An isolated coordinator, and the machine of the only agent that it reaches.
+    /// Loss numbers of earlier coordinators that respond again and confirm the end of their terms.
+    responding: BTreeSet<u64>,
+    /// An isolated coordinator, and the index of the machine of the only agent that it reaches.
     pub(super) isolated: Option<(Coordinator, usize)>,
 }
 
 /// A time without a coordinator.
 #[derive(Debug)]
 struct Vacancy {
+    /// Earliest time at which another entry takes over, on the monotonic clock.
     until_ms: u64,
     loss: CoordinatorLoss,
-    /// Loss number of the coordinator that the key names.
-    number: u64,
-    /// Earliest time at which agents link again.
+    /// Loss number of the coordinator that the store key names.
+    loss_number: u64,
+    /// Earliest time at which agents link to the next coordinator, on the monotonic clock.
     relink_ms: u64,
 }
 
@@ -48,38 +51,38 @@
         self.vacancy.is_some()
     }
 
-    /// Returns whether a machine's agent still follows the isolated coordinator.
-    pub(super) fn agent_follows_isolated(&self, at: usize) -> bool {
+    /// Returns whether a machine's agent is still linked to the isolated coordinator.
+    pub(super) fn agent_follows_isolated_coordinator(&self, at: usize) -> bool {
         self.isolated.as_ref().is_some_and(|(_, machine)| *machine == at)
     }
 
-    /// Records that an earlier coordinator answers again.
-    pub(super) fn mark_answering(&mut self, number: u64) {
-        self.answering.insert(number);
+    /// Records that the coordinator with loss number `loss_number` responds again.
+    pub(super) fn mark_responding(&mut self, loss_number: u64) {
+        self.responding.insert(loss_number);
     }
 
-    /// Opens a vacancy, or extends the present one.
+    /// Starts a vacancy, or prolongs the present one.
     fn open_vacancy(&mut self, loss: CoordinatorLoss, now_ms: u64) {
         let until_ms = now_ms + loss.vacancy_ms();
         let relink_ms =
             if loss.is_silent() { until_ms.max(now_ms + COORDINATOR_TIMEOUT_MS) } else { until_ms };
-        // The entry about to take over is lost as well; the key still names the coordinator before
-        // it.
-        let (loss, number) = match &self.vacancy {
-            Some(before) => (before.loss, before.number),
+        // During a vacancy the entry about to take over is lost. The store key still names the
+        // coordinator that was lost first.
+        let (loss, loss_number) = match &self.vacancy {
+            Some(before) => (before.loss, before.loss_number),
             None => (loss, self.losses),
         };
-        self.vacancy = Some(Vacancy { until_ms, loss, number, relink_ms });
+        self.vacancy = Some(Vacancy { until_ms, loss, loss_number, relink_ms });
     }
 }
 
 impl Simulation {
-    /// Loses the coordinator, or the entry about to take over.
+    /// Makes the coordinator fail or step down, or, during a vacancy, the entry about to take over.
     pub(super) fn lose_coordinator(&mut self, loss: CoordinatorLoss) {
         let now = self.cluster.now;
         self.succession.losses += 1;
         self.trace(&format!("coordinator is lost: {loss:?}"));
-        // Without the store, the coordinator cannot announce its end in its key.
+        // Without the store, the coordinator cannot record the end of its term in its key.
         let unannounced = loss == CoordinatorLoss::Planned && !self.cluster.store_confirms;
         let loss = if unannounced { CoordinatorLoss::Killed } else { loss };
         let unavailable_until_ms = now.steady_ms + loss.unavailable_ms();
@@ -87,9 +90,9 @@
             unavailable_until_ms,
             matches!(loss, CoordinatorLoss::Paused | CoordinatorLoss::Isolated),
         );
-        if let Some(answers_after_ms) = loss.answers_after_ms() {
-            let answers = Action::EntryAnswers(self.succession.losses);
-            self.scheduled_actions.push((now.steady_ms + answers_after_ms, 0, answers));
+        if let Some(responds_after_ms) = loss.responds_after_ms() {
+            let responds = Action::EntryResponds(self.succession.losses);
+            self.scheduled_actions.push((now.steady_ms + responds_after_ms, 0, responds));
         }
         if loss == CoordinatorLoss::Planned && !self.succession.is_vacant() {
             self.succession.predecessor_leases = self.cluster.coordinator.leases_for_successor(now);
@@ -102,7 +105,8 @@
         self.cluster.orders.clear();
     }
 
-    /// Isolates the coordinator from all but a machine's agent; it continues beside its successor.
+    /// Isolates the coordinator from all processes except a machine's agent. It continues to run
+    /// while another entry takes over.
     pub(super) fn isolate_coordinator(&mut self, at: usize) {
         if self.succession.is_vacant() || self.succession.isolated.is_some() {
             return;
@@ -113,14 +117,15 @@
         self.lose_coordinator(CoordinatorLoss::Isolated);
     }
 
-    /// Ends the isolated coordinator; its agent links to the current one.
+    /// Ends the isolated coordinator. Its agent then links to the current coordinator.
     pub(super) fn end_isolation(&mut self) {
         if let Some((_, at)) = self.succession.isolated.take() {
             self.machines[at].next_link_ms = self.cluster.now.steady_ms + 300;
         }
     }
 
-    /// Lets another entry take over once the vacancy ends and the store is available.
+    /// Lets another entry take over if the vacancy has ended and the store and an entry are
+    /// available.
     pub(super) fn take_over_if_due(&mut self) {
         let (now_ms, store) = (self.cluster.now.steady_ms, self.cluster.store_confirms);
         let due = |vacancy: &mut Vacancy| store && vacancy.until_ms <= now_ms;
@@ -133,7 +138,8 @@
         }
     }
 
-    /// Lets entries promise support to the coordinator, which names its voters in its key.
+    /// Lets entries promise support to the coordinator and, if the store is available, writes
+    /// changed voters to the coordinator's store key.
     pub(super) fn support_coordinator(&mut self) {
         if self.succession.is_vacant() {
             return;
@@ -148,7 +154,7 @@
 
     fn take_over(&mut self, vacancy: &Vacancy) {
         let silent = (vacancy.loss != CoordinatorLoss::Planned)
-            .then(|| (coordinator_address(vacancy.number), vacancy.number));
+            .then(|| (coordinator_address(vacancy.loss_number), vacancy.loss_number));
         let own_address = coordinator_address(self.succession.losses + 1);
         let predecessor_leases = std::mem::take(&mut self.succession.predecessor_leases);
         let leases = predecessor_leases.after_takeover(silent, own_address, LEASE_MS);
@@ -164,8 +170,8 @@
         }
     }
 
-    /// Queries silent predecessors for the end of their terms, and all entries for the end of their
-    /// support.
+    /// Queries voters of silent predecessors for the end of their support, and silent predecessors
+    /// for the end of their terms.
     pub(super) fn query_predecessors(&mut self) {
         let now = self.cluster.now;
         if self.succession.is_vacant() {
@@ -181,8 +187,8 @@
             return;
         }
         self.succession.next_query_ms = now.steady_ms + PREDECESSOR_QUERY_INTERVAL_MS;
-        for number in self.succession.answering.iter().copied() {
-            let address = coordinator_address(number);
+        for loss_number in self.succession.responding.iter().copied() {
+            let address = coordinator_address(loss_number);
             if self.cluster.coordinator.leases_for_successor(now).silent.contains_key(&address) {
                 self.cluster.coordinator.record_predecessor_end(address, now);
             }
@@ -190,7 +196,7 @@
     }
 }
 
-/// Returns the address of the coordinator with a loss number.
-fn coordinator_address(number: u64) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, 1], number as u16))
+/// Returns the address of the coordinator with loss number `loss_number`.
+fn coordinator_address(loss_number: u64) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 1], loss_number as u16))
 }
