--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -1,4 +1,4 @@
-//! Steps: order, gangs, spread, labels, repetitions and approvals.
+//! Placement rules of steps: dependencies, gangs, spread, labels, repetitions and approvals.
 
 use geraniumpost_batch::{
     CallerRequest, CallerResponse, EndKind, JobId, JobSpec, OrderKind, OrderKindTag, OrderOutcome,
@@ -25,8 +25,8 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// If only some members of a gang were started, they would hold resources while waiting for the
-/// others. No member starts before all fit.
+/// Members of a gang that start before the others would hold resources while waiting for them, so
+/// no member starts until there is capacity for all.
 #[test]
 fn gang_starts_whole_or_not_at_all() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -39,7 +39,7 @@
     assert!(cluster.orders.iter().all(|order| order.run == 1));
 }
 
-/// One member of a gang fails, which ends the others. All restart under the same run number.
+/// One member of a gang fails, which ends the others. All members restart with the same run number.
 #[test]
 fn gang_restarts_together_after_a_failure() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -126,7 +126,7 @@
     assert_eq!(cluster.job_state(1), COMPLETED);
 }
 
-/// A step that depends on itself could never start, and its caller would wait for ever.
+/// A step that depends on itself could never start, and its caller would wait forever.
 #[test]
 fn step_that_depends_on_itself_is_rejected() {
     let mut cluster = Cluster::new();
@@ -150,8 +150,8 @@
     assert_eq!(pending(&mut cluster), Some(CallerResponse::Pending(1)));
 }
 
-/// Steps of this queue need approval. Tasks start only on approved minions, with the ticket of the
-/// admission service, and one request covers all tasks of a step.
+/// The terms of the queue require approval. Tasks start only on approved minions, with the ticket
+/// of the admission service, and one approval request covers all tasks of a step.
 #[test]
 fn tasks_start_only_on_approved_minions() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
@@ -161,7 +161,7 @@
     assert_eq!(cluster.approval_requests.len(), 1);
     let request = cluster.approval_requests.remove(0);
     assert_eq!(request.1.len(), 2);
-    cluster.answer_approval(&request, Some(&["m2"]));
+    cluster.respond_to_approval_request(&request, Some(&["m2"]));
     assert_eq!(cluster.orders.len(), 3);
     for order in &cluster.orders {
         assert_eq!(&*order.minion, "m2");
@@ -170,7 +170,7 @@
     assert!(cluster.approval_requests.is_empty());
 }
 
-/// A ticket expires before the minion receives the start. Nothing was started, and approval is
+/// A ticket expires before the minion receives the start. The start is refused, and approval is
 /// requested again.
 #[test]
 fn approval_is_requested_again_after_a_ticket_expires() {
@@ -178,7 +178,7 @@
     let terms = geraniumpost_batch::QueueTerms { needs_approval: true, ..terms() };
     cluster.submit_with_terms(1, vec![step(1)], terms);
     let request = cluster.approval_requests.remove(0);
-    cluster.answer_approval(&request, Some(&["m1"]));
+    cluster.respond_to_approval_request(&request, Some(&["m1"]));
     let order = cluster.orders.remove(0);
     cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::BadTicket);
     cluster.advance(300);
@@ -186,10 +186,10 @@
     assert_eq!(cluster.approval_requests.len(), 1);
 }
 
-/// The admission service is slow, and a second request with a minion that joined since is sent
-/// before the first one is answered. The late response approves nothing, and says nothing about the
-/// new minion. If that one counted as refused, it would never be requested again, and the job would
-/// wait for ever beside a free minion.
+/// The admission service is slow. A second request, which includes a minion that has just joined,
+/// is sent before the response to the first. That late response rejects the first minion, and does
+/// not cover the new one. If the new minion counted as refused, approval for it would never be
+/// requested again, and the job would wait forever although a minion is free.
 #[test]
 fn late_approval_response_covers_only_the_requested_minions() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -200,17 +200,17 @@
     cluster.advance(2_100);
     let second = cluster.approval_requests.remove(0);
     assert_eq!((first.1.len(), second.1.len()), (1, 2));
-    cluster.answer_approval(&first, Some(&[]));
-    cluster.answer_approval(&second, None);
+    cluster.respond_to_approval_request(&first, Some(&[]));
+    cluster.respond_to_approval_request(&second, None);
     cluster.advance(2_100);
     let third = cluster.approval_requests.remove(0);
     assert_eq!(third.1, ["m2".into()]);
-    cluster.answer_approval(&third, Some(&["m2"]));
+    cluster.respond_to_approval_request(&third, Some(&["m2"]));
     assert!(matches!(&cluster.orders[..], [order] if &*order.minion == "m2"));
 }
 
-/// The second request is answered first and approves both minions. The late response to the first
-/// one must not withdraw an approval.
+/// The response to the second approval request arrives first and approves both minions. The late
+/// response to the first request, which did not include m2, must not withdraw the approval of m2.
 #[test]
 fn late_approval_response_withdraws_no_approval() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -220,14 +220,14 @@
     cluster.join("m2", |info| info);
     cluster.advance(2_100);
     let second = cluster.approval_requests.remove(0);
-    cluster.answer_approval(&second, Some(&["m1", "m2"]));
-    cluster.answer_approval(&first, Some(&["m1"]));
+    cluster.respond_to_approval_request(&second, Some(&["m1", "m2"]));
+    cluster.respond_to_approval_request(&first, Some(&["m1"]));
     cluster.carry_out_orders();
     assert_eq!(cluster.running_tasks().len(), 18);
 }
 
-/// Two members of a gang fail in the same run. This counts as one failed attempt of the two that
-/// the queue allows.
+/// Two members of a gang fail in the same run. Together they count as one failed attempt, of the
+/// two attempts that the queue allows.
 #[test]
 fn gang_failure_counts_one_attempt_per_run() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
