--- a/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -30,12 +30,12 @@
         cluster.heartbeat("m1");
         cluster.poll("m1");
     }
-    let last_paces = |index| {
-        let paced = cluster.orders.iter().rev().find(|o| o.task == task(2, 0, index));
-        paced.map(|order| order.kind.clone())
+    let last_order_kind = |index| {
+        let last_order = cluster.orders.iter().rev().find(|o| o.task == task(2, 0, index));
+        last_order.map(|order| order.kind.clone())
     };
-    assert_eq!(last_paces(0), Some(OrderKind::Pace { percent: 0 }));
-    assert_eq!(last_paces(1), Some(OrderKind::Pace { percent: 0 }));
+    assert_eq!(last_order_kind(0), Some(OrderKind::Pace { percent: 0 }));
+    assert_eq!(last_order_kind(1), Some(OrderKind::Pace { percent: 0 }));
     cluster.orders.clear();
     cluster.submit(3, vec![best_effort_step(1)]);
     assert!(cluster.orders.is_empty());
@@ -51,7 +51,8 @@
         ..best_effort_step(3)
     };
     cluster.submit(2, vec![large]);
-    // Half of the processors are in use, so the task starts here only because no minion is better.
+    // Half of the processors are in use, so the first task waits for a better minion before it
+    // starts here.
     cluster.advance(2_000);
     assert_eq!(cluster.orders.len(), 1);
 }
@@ -79,7 +80,7 @@
 /// If no minion can run a job's tasks at full speed, although processors are idle, the job would
 /// wait forever. Its first task starts anyway after two seconds.
 #[test]
-fn idle_job_starts_at_any_speed_after_two_seconds() {
+fn job_without_running_tasks_starts_at_any_speed_after_two_seconds() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(8));
     let wide = StepSpec {
         demand: Demand { milli_cpus: 16_000, memory_mb: 1_000, accelerators: 0 },
@@ -98,7 +99,7 @@
 /// A best-effort task that is paused because a serving task on its minion exceeds its latency bound
 /// would delay its job for as long as the load lasts. It moves at once to a minion with capacity.
 #[test]
-fn paused_task_moves_at_once() {
+fn paused_best_effort_task_moves_at_once() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
     cluster.submit(2, vec![best_effort_step(1)]);
     cluster.carry_out_orders();
--- a/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
@@ -52,7 +52,7 @@
     /// Number of best-effort jobs completed within `OBJECTIVE_MS`.
     on_time: u32,
     /// Number of samples of serving tasks' tail latencies, and of samples above the bound.
-    polls: (u32, u32),
+    latency_samples: (u32, u32),
 }
 
 impl Fleet {
@@ -72,7 +72,7 @@
         }
         cluster.carry_out_orders();
         let (work_done_ms, submitted_ms) = (BTreeMap::new(), BTreeMap::new());
-        Self { cluster, work_done_ms, submitted_ms, jobs: 0, on_time: 0, polls: (0, 0) }
+        Self { cluster, work_done_ms, submitted_ms, jobs: 0, on_time: 0, latency_samples: (0, 0) }
     }
 
     /// Submits jobs for `ms` milliseconds, and returns the share of them that was completed within
@@ -139,8 +139,8 @@
                     best_effort.iter().map(|(id, pace)| slope(*id) * pace * speed).sum();
                 let tail_latency_ms = IDLE_TAIL_LATENCY_MS / (1.0 - (user_load + added).min(0.97));
                 self.cluster.set_measurement(*task, tail_latency_ms as u32);
-                self.polls.0 += 1;
-                self.polls.1 += u32::from(tail_latency_ms > f64::from(LATENCY_BOUND_MS));
+                self.latency_samples.0 += 1;
+                self.latency_samples.1 += u32::from(tail_latency_ms > f64::from(LATENCY_BOUND_MS));
             }
             for (task, pace) in best_effort {
                 let work_done_ms = self.work_done_ms.entry(task).or_default();
@@ -177,13 +177,13 @@
     let mut fleet = Fleet::new();
     // The coordinator learns the interference between images first; this time is not measured.
     fleet.run(10_000);
-    fleet.polls = (0, 0);
+    fleet.latency_samples = (0, 0);
     let on_time = fleet.run(40_000);
-    let over_bound = f64::from(fleet.polls.1) / f64::from(fleet.polls.0);
+    let over_bound = f64::from(fleet.latency_samples.1) / f64::from(fleet.latency_samples.0);
     println!("completed in time {on_time:.2}, tail latencies above the bound {over_bound:.3}");
     assert!(on_time >= 0.85, "only {on_time:.2} of the jobs were completed in time");
     assert!(
         over_bound <= 0.07,
-        "tail latencies were above the bound in {over_bound:.3} of the polls"
+        "tail latencies were above the bound in {over_bound:.3} of the samples"
     );
 }
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -192,15 +192,15 @@
         self.response(request_id).expect("the coordinator responds to state requests at once")
     }
 
-    /// Responds to an approval request with the approved minions `good`, or reports the request as
-    /// failed if `good` is `None`.
+    /// Responds to an approval request with the minions `approved`, or reports the request as
+    /// failed if `approved` is `None`.
     pub fn respond_to_approval_request(
         &mut self,
         request: &(TaskId, Vec<Name>),
-        good: Option<&[&str]>,
+        approved: Option<&[&str]>,
     ) {
         let ticket = |minion: &&str| (Name::from(*minion), Name::from("t-1"));
-        let response = good.map(|good| (good.iter().map(ticket).collect(), 3_000));
+        let response = approved.map(|approved| (approved.iter().map(ticket).collect(), 3_000));
         self.coordinator.handle_approval(request.0, &request.1, response, self.now);
         self.process_effects();
     }
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -92,12 +92,12 @@
     }
     cluster.submit(3, vec![best_effort_step("logs", 1)]);
     cluster.submit(4, vec![best_effort_step("study", 1)]);
-    let place = |job| {
+    let minion_of_job = |job| {
         let order = cluster.orders.iter().find(|order| order.task.job == JobId(job));
         order.map(|order| order.minion.to_string())
     };
-    assert_eq!(place(3).as_deref(), Some("m2"));
-    assert_eq!(place(4).as_deref(), Some("m1"));
+    assert_eq!(minion_of_job(3).as_deref(), Some("m2"));
+    assert_eq!(minion_of_job(4).as_deref(), Some("m1"));
 }
 
 /// More work is submitted than the minions have capacity for. If jobs were ordered by deadline, all
--- a/crates/geraniumpost-batch/tests/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/draining.rs
@@ -74,12 +74,12 @@
 #[test]
 fn tasks_of_a_draining_minion_are_stopped_once() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], persistent_step(2));
-    let leaving = cluster.running_tasks()[0].1.clone();
-    cluster.send(&leaving, FromAgent::Minion(draining_info(&leaving, 10_000)));
+    let draining_minion = cluster.running_tasks()[0].1.clone();
+    cluster.send(&draining_minion, FromAgent::Minion(draining_info(&draining_minion, 10_000)));
     let first = stop_orders(&cluster.orders).len();
     cluster.advance(1_000);
     assert_eq!(stop_orders(&cluster.orders).len(), first);
-    assert_eq!(cluster.orders.iter().filter(|order| order.minion != leaving).count(), 0);
+    assert_eq!(cluster.orders.iter().filter(|order| order.minion != draining_minion).count(), 0);
 }
 
 /// A coordinator is lost before the write of a minion's departure is confirmed. The agent still
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -192,7 +192,7 @@
 /// Waits of tasks with an end are reported apart from those of persistent tasks. They count from
 /// the last placement of a task of the step, and not while the step waits for another step.
 #[test]
-fn other_tasks_are_counted_separately() {
+fn tasks_with_an_end_are_counted_separately() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![step(20), StepSpec { after: vec![0], ..step(1) }]);
     cluster.carry_out_orders();
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -83,7 +83,8 @@
             .prop_map(|(at, failed)| Event::EndTask { at, failed }),
         5 => (0..3_usize).prop_map(|minion| Event::Poll { minion }),
         3 => (50..800_u64).prop_map(|ms| Event::Advance { ms }),
-        // Longer than the time after which a start without a result is repeated.
+        // Up to longer than `ORDER_RESULT_TIMEOUT_MS`, after which a start without a result is sent
+        // again.
         1 => (800..3_000_u64).prop_map(|ms| Event::Advance { ms }),
         1 => Just(Event::HoldWrites),
         2 => Just(Event::ConfirmWrites),
@@ -194,7 +195,7 @@
                 }
             }
             Event::Advance { ms } => {
-                // Linked agents renew their leases.
+                // Agents that are linked and not paused renew their leases.
                 self.cluster.advance(ms);
                 for minion in 0..MINIONS.len() {
                     self.heartbeat(minion);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/action.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/action.rs
@@ -18,11 +18,11 @@
     HealPartition,
     /// The agent is asked to stop, which it does once its departures are settled.
     StopAgent,
-    /// The agent is killed.
+    /// The agent is killed. If the network is up, its link closes.
     KillAgent,
     /// The agent starts, once the previous process has stopped.
     StartAgent,
-    /// The coordinator is lost, and another entry takes over.
+    /// The coordinator is lost in the given way, and another entry takes over.
     LoseCoordinator(CoordinatorLoss),
     /// The coordinator with this loss number (see `Succession::losses`) responds again, and knows
     /// that it has a successor.
@@ -37,7 +37,7 @@
     ResumeWrites,
     /// The store confirms neither writes nor the coordinator's term.
     StoreDown,
-    /// The store is available again.
+    /// The store confirms the coordinator's term and writes again, including those held back.
     StoreUp,
     /// Sets whether orders to all machines are delayed.
     DelayOrders(bool),
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
@@ -7,7 +7,7 @@
 /// Time for which an isolated coordinator does not learn of its successor, in milliseconds.
 pub(super) const ISOLATION_MS: u64 = 14_000;
 
-/// The way in which a coordinator is lost.
+/// Cause of the loss of a coordinator, which determines what its successor has to wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CoordinatorLoss {
     /// The coordinator steps down, and has recorded the end of its term in its store key.
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -60,8 +60,8 @@
     /// which a majority supports this coordinator.
     pub(super) fn support(&mut self, term: u64, now_ms: u64) -> u64 {
         for (index, entry) in self.all.iter_mut().enumerate() {
-            let up = index != self.coordinator && entry.unavailable_until_ms <= now_ms;
-            if up && entry.promises.promise(term, now_ms) {
+            let available = index != self.coordinator && entry.unavailable_until_ms <= now_ms;
+            if available && entry.promises.promise(term, now_ms) {
                 self.support.record_promise(&entry.name, entry.incarnation, now_ms);
             }
         }
@@ -91,20 +91,20 @@
     pub(super) fn elect(&mut self, now_ms: u64) -> bool {
         let from = self.coordinator;
         let mut next = (1..=ENTRY_COUNT).map(|step| (from + step) % ENTRY_COUNT);
-        let up = next.find(|index| self.all[*index].unavailable_until_ms <= now_ms);
-        up.inspect(|index| self.coordinator = *index).is_some()
+        let available = next.find(|index| self.all[*index].unavailable_until_ms <= now_ms);
+        available.inspect(|index| self.coordinator = *index).is_some()
     }
 
     /// Lets the elected entry take over, and starts queries to the voters of all silent
     /// coordinators. The address of the one that was lost last is `silent`, or `None` if it has
     /// ended its term.
     pub(super) fn take_over(&mut self, silent: Option<SocketAddr>, now_ms: u64) {
-        let before = self.support.voters().clone();
+        let predecessor_voters = self.support.voters().clone();
         if let Some(address) = silent {
-            self.voters.insert(address, before.clone());
+            self.voters.insert(address, predecessor_voters.clone());
         }
-        let own = &self.all[self.coordinator].name;
-        self.support = Support::new(before.without(own), now_ms);
+        let coordinator_name = &self.all[self.coordinator].name;
+        self.support = Support::new(predecessor_voters.without(coordinator_name), now_ms);
         self.next_query_ms = now_ms;
         let new_query = |(address, voters): (&SocketAddr, &Voters)| {
             (
@@ -122,19 +122,19 @@
             return Vec::new();
         }
         self.next_query_ms = now_ms + QUERY_INTERVAL_MS;
-        let up = self.all.iter_mut().filter(|entry| entry.unavailable_until_ms <= now_ms);
-        for entry in up {
+        let available = self.all.iter_mut().filter(|entry| entry.unavailable_until_ms <= now_ms);
+        for entry in available {
             let lasts_ms = entry.promises.release(term, now_ms);
             for query in self.queries.values_mut() {
                 query.releases.record(&entry.name, entry.incarnation, lasts_ms, now_ms);
             }
         }
-        let end = |query: &PredecessorQuery| {
+        let support_end_ms = |query: &PredecessorQuery| {
             query
                 .releases
                 .support_end_ms()
                 .map(|ms| ms.max(query.taken_over_ms + STORE_CONFIRMATION_VALIDITY_MS))
         };
-        self.queries.iter().filter_map(|(at, query)| Some((*at, end(query)?))).collect()
+        self.queries.iter().filter_map(|(at, query)| Some((*at, support_end_ms(query)?))).collect()
     }
 }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -15,7 +15,7 @@
 /// Interval between two queries of a coordinator to its silent predecessors, in milliseconds.
 const PREDECESSOR_QUERY_INTERVAL_MS: u64 = 300;
 
-/// State of takeovers and of earlier coordinators.
+/// State of the present takeover, if there is one, and of earlier coordinators.
 #[derive(Debug, Default)]
 pub(super) struct Succession {
     /// Present if there is no coordinator.
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -45,8 +45,8 @@
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![StepSpec { gang: true, ..step(3) }]);
     cluster.carry_out_orders();
-    let places = cluster.running_tasks();
-    for (at, (task, minion, _)) in places.iter().enumerate() {
+    let runs = cluster.running_tasks();
+    for (at, (task, minion, _)) in runs.iter().enumerate() {
         cluster.end_run(
             minion,
             *task,
