--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -67,12 +67,12 @@
     },
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
         2 => (1..4_u32).prop_map(|count| Event::Submit { count }),
         6 => proptest::bool::weighted(0.8)
             .prop_map(|response_arrives| Event::CarryOut { response_arrives }),
-        2 => (0..4_usize, refusal()).prop_map(|(at, outcome)| Event::Refuse { at, outcome }),
+        2 => (0..4_usize, any_refusal()).prop_map(|(at, outcome)| Event::Refuse { at, outcome }),
         2 => (0..4_usize).prop_map(|at| Event::CarryOutOfOrder { at }),
         1 => (0..3_usize).prop_map(|minion| Event::PauseAgent { minion }),
         2 => (0..3_usize, 0..4_usize)
@@ -94,7 +94,7 @@
     ]
 }
 
-fn refusal() -> impl Strategy<Value = OrderOutcome> {
+fn any_refusal() -> impl Strategy<Value = OrderOutcome> {
     prop_oneof![
         Just(OrderOutcome::NotSent),
         Just(OrderOutcome::NoCapacity),
@@ -107,7 +107,7 @@
 
 const MINIONS: [&str; 3] = ["m1", "m2", "m3"];
 
-/// State of an agent, and the expiry of its lease.
+/// State of an agent and its lease.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentState {
     /// Time at which the heartbeat that last extended the lease was sent, on the monotonic clock.
@@ -414,7 +414,7 @@
     /// writes are delayed, links break, and coordinators take over. No task ever runs on two
     /// minions at once, and all jobs end.
     #[test]
-    fn no_task_runs_twice_at_once_and_all_jobs_end(events in vec(event(), 1..120)) {
+    fn no_task_runs_twice_at_once_and_all_jobs_end(events in vec(any_event(), 1..120)) {
         run_to_completion(events);
     }
 }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -24,7 +24,7 @@
         (self.cluster.now.steady_ms + AGENT_OFFSET_MS * at as u64).is_multiple_of(every_ms)
     }
 
-    /// Returns whether messages pass between an agent and the coordinator.
+    /// Returns whether an agent has a link over which messages reach the coordinator.
     pub(super) fn can_reach_coordinator(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         machine.linked && machine.network_up && !self.succession.is_vacant()
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
@@ -1,4 +1,4 @@
-/// Time from the end of an entry's process until its successor process is running, in milliseconds.
+/// Time from the end of an entry's process until a new process is running, in milliseconds.
 pub(super) const RESTART_MS: u64 = 2_000;
 /// Duration of a pause of the coordinator's process, in milliseconds.
 pub(super) const PAUSE_MS: u64 = 2_500;
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -96,8 +96,8 @@
     }
 
     /// Lets the elected entry take over, and starts queries to the voters of all silent
-    /// coordinators. The address of the one that was lost last is `silent`, or `None` if it has
-    /// ended its term.
+    /// coordinators. `silent` is the address of the previous coordinator, or `None` if the previous
+    /// coordinator has ended its term.
     pub(super) fn take_over(&mut self, silent: Option<SocketAddr>, now_ms: u64) {
         let predecessor_voters = self.support.voters().clone();
         if let Some(address) = silent {
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
@@ -2,8 +2,8 @@
 use super::coordinator_loss::{CoordinatorLoss, ISOLATION_MS, PAUSE_MS, RESTART_MS};
 use super::orders::ORDER_DELAY_MS;
 
-/// A fault or planned work in a simulation. The minion, agent or machine that it affects is given
-/// with the event.
+/// A fault or planned work in a simulation. Events of a minion, agent or machine occur on the
+/// machine that [`Simulation::run`](super::Simulation::run) selects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// Nothing happens.
@@ -55,8 +55,8 @@
     WritesLost,
     /// The store is unavailable for nine seconds.
     StoreUnavailable,
-    /// Orders that are sent within a second are carried out 2.5 s later, and agents report them as
-    /// unanswered before that.
+    /// Orders that are sent within a second are carried out only 2.5 s later, after agents have
+    /// reported them as unanswered.
     OrdersDelayed,
     /// All machines except the event's offer no free capacity for three seconds.
     OtherMachinesFull,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -11,8 +11,8 @@
 
 /// A machine with a minion and its agent.
 ///
-/// The agent's knowledge of the minion (`known_...`) is updated only by polls and deregistrations,
-/// so it may be outdated.
+/// What the agent knows of the minion (`known_...`) may be outdated, for example until the next
+/// poll discovers a new incarnation.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) name: String,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
@@ -18,7 +18,7 @@
 //!
 //! - `batch/coordination/candidate.rs`: when an entry takes over;
 //! - `batch/coordination/term.rs`: which predecessors a coordinator queries;
-//! - `batch/coordination/writer.rs`: when the coordinator's store key names the voters;
+//! - `batch/coordination/coordinator_key.rs`: when the coordinator's store key names the voters;
 //! - `batch/coordination/release_requester.rs`: how the voters of a silent coordinator are queried;
 //! - `batch/coordination/peer_listener.rs`: that a dead link that was not closed is not detected;
 //! - `batch/agent/state.rs`: what an agent reports.
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -18,10 +18,10 @@
 /// State of the present takeover, if there is one, and of earlier coordinators.
 #[derive(Debug, Default)]
 pub(super) struct Succession {
-    /// Present if there is no coordinator.
+    /// The present vacancy, or `None` if there is a coordinator.
     vacancy: Option<Vacancy>,
-    /// Number of coordinators lost so far. The n-th coordinator that is lost has loss number n,
-    /// from which its address follows.
+    /// Number of coordinators lost so far, including entries that were lost before they took over.
+    /// The n-th that is lost has loss number n, from which its address follows.
     losses: u64,
     /// Predecessor leases in the coordinator's store key, from which its successor reads them.
     predecessor_leases: PredecessorLeases,
