--- a/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
@@ -24,7 +24,7 @@
 /// Duration of a best-effort task at full speed, in milliseconds.
 const TASK_DURATION_MS: f64 = 1_700.0;
 /// Time from its submission within which a job should be completed, in milliseconds.
-const OBJECTIVE_MS: u64 = 4_400;
+const COMPLETION_OBJECTIVE_MS: u64 = 4_400;
 /// Interval between submitted jobs, in milliseconds. At this rate the jobs need three quarters of
 /// the processor time that serving tasks leave idle.
 const JOB_INTERVAL_MS: u64 = 500;
@@ -49,7 +49,7 @@
     submitted_ms: BTreeMap<JobId, u64>,
     /// Number of best-effort jobs submitted so far.
     jobs: u32,
-    /// Number of best-effort jobs completed within `OBJECTIVE_MS`.
+    /// Number of best-effort jobs completed within `COMPLETION_OBJECTIVE_MS`.
     on_time: u32,
     /// Number of samples of serving tasks' tail latencies, and of samples above the bound.
     latency_samples: (u32, u32),
@@ -76,11 +76,11 @@
     }
 
     /// Submits jobs for `ms` milliseconds, and returns the share of them that was completed within
-    /// `OBJECTIVE_MS`.
+    /// `COMPLETION_OBJECTIVE_MS`.
     fn run(&mut self, ms: u64) -> f64 {
         let started_ms = self.cluster.now.steady_ms;
         let before = (self.jobs, self.on_time);
-        for tick in 0..(ms + OBJECTIVE_MS) / TICK_MS {
+        for tick in 0..(ms + COMPLETION_OBJECTIVE_MS) / TICK_MS {
             if tick * TICK_MS < ms && (tick * TICK_MS).is_multiple_of(JOB_INTERVAL_MS) {
                 self.jobs += 1;
                 self.submit(JobId(10 + u64::from(self.jobs)));
@@ -161,7 +161,7 @@
         let mut open_jobs = std::mem::take(&mut self.submitted_ms);
         open_jobs.retain(|id, submitted_ms| {
             let done = self.cluster.job_state(id.0) == crate::cluster::COMPLETED;
-            self.on_time += u32::from(done && now_ms <= *submitted_ms + OBJECTIVE_MS);
+            self.on_time += u32::from(done && now_ms <= *submitted_ms + COMPLETION_OBJECTIVE_MS);
             !done
         });
         self.submitted_ms = open_jobs;
@@ -169,9 +169,10 @@
 }
 
 /// The fleet has capacity for all submitted jobs if they are placed well. Nearly all must be
-/// completed within `OBJECTIVE_MS`, and serving tasks must hardly ever exceed their latency bound.
-/// In comparison, a scheduler that lets tasks wait until a minion offers nine tenths of full speed
-/// completes a quarter of these jobs in time, and one that starts tasks at any speed half of them.
+/// completed within `COMPLETION_OBJECTIVE_MS`, and serving tasks must hardly ever exceed their
+/// latency bound. In comparison, a scheduler that lets tasks wait until a minion offers nine tenths
+/// of full speed completes a quarter of these jobs in time, and one that starts tasks at any speed
+/// half of them.
 #[test]
 fn wide_jobs_complete_in_time_beside_varying_loads() {
     let mut fleet = Fleet::new();
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -25,7 +25,7 @@
 pub const LEASE_MS: u64 = 5_000;
 
 /// Number of entries that support the coordinator, without the coordinator itself.
-const SUPPORTERS: usize = 2;
+const SUPPORTER_COUNT: usize = 2;
 /// Interval between heartbeats of an agent, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Address of a predecessor that stopped responding without reporting the end of its term.
@@ -157,7 +157,7 @@
             }
             if self.entries_support {
                 let until_ms = self.now.steady_ms + PROMISE_DURATION_MS;
-                self.coordinator.set_supported_until(until_ms, SUPPORTERS);
+                self.coordinator.set_supported_until(until_ms, SUPPORTER_COUNT);
             }
             self.coordinator.tick(self.now);
             self.process_effects();
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -19,21 +19,21 @@
     StepSpec { demand: Demand { milli_cpus, memory_mb: 100, accelerators: 0 }, ..step(1) }
 }
 
-fn lines_with(cluster: &Cluster, part: &str) -> Vec<String> {
+fn log_lines_with(cluster: &Cluster, part: &str) -> Vec<String> {
     cluster.log_lines.iter().filter(|line| line.contains(part)).cloned().collect()
 }
 
-fn last_line_with(cluster: &Cluster, part: &str) -> String {
-    lines_with(cluster, part).pop().unwrap_or_default()
+fn last_log_line_with(cluster: &Cluster, part: &str) -> String {
+    log_lines_with(cluster, part).pop().unwrap_or_default()
 }
 
 /// Returns the value of `name=value` in a log line, or `None` if the line has no such field.
-fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+fn field_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ').find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
 
 fn number_field(line: &str, name: &str) -> u64 {
-    let value = field(line, name).unwrap_or_else(|| panic!("no {name} in: {line}"));
+    let value = field_value(line, name).unwrap_or_else(|| panic!("no {name} in: {line}"));
     value.parse().unwrap_or_else(|_| panic!("{name} is not a number in: {line}"))
 }
 
@@ -43,7 +43,7 @@
     let mut cluster = Cluster::new();
     arrange(&mut cluster);
     cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
-    last_line_with(&cluster, "event=not_placed job=0000000000000007")
+    last_log_line_with(&cluster, "event=not_placed job=0000000000000007")
 }
 
 /// Checks that the log line gives the expected reason for which the only minion is rejected, and no
@@ -147,7 +147,7 @@
         cluster.end_all_runs(EndKind::Failed);
     }
     cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
-    let logged = lines_with(&cluster, "event=not_placed");
+    let logged = log_lines_with(&cluster, "event=not_placed");
     assert!(
         logged.iter().any(|line| line.ends_with("minions=1 quarantined=1")),
         "{:?}",
@@ -164,7 +164,7 @@
     cluster.submit(7, vec![best_effort(40)]);
     cluster.carry_out_orders();
     cluster.advance(OTHER_TASK_LOGGED_AFTER_MS);
-    let line = last_line_with(&cluster, "event=not_placed");
+    let line = last_log_line_with(&cluster, "event=not_placed");
     assert!(line.ends_with("minions=1 too_slow=1"), "{line}");
 }
 
@@ -180,7 +180,7 @@
     cluster.disconnect_agent("m3");
     cluster.submit(7, vec![step(1), labelled(persistent_step(3))]);
     cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
-    let line = last_line_with(&cluster, "event=not_placed");
+    let line = last_log_line_with(&cluster, "event=not_placed");
     assert!(
         line.starts_with(
             "event=not_placed job=0000000000000007 step=0.1 first=0 waiting=3 ran=0 waited_ms="
@@ -202,12 +202,12 @@
         cluster.advance(2_500);
         cluster.heartbeat("m1");
     }
-    assert!(lines_with(&cluster, "event=not_placed").is_empty());
+    assert!(log_lines_with(&cluster, "event=not_placed").is_empty());
     cluster.join("m1", |info| MinionInfo { draining: true, sequence: 2, ..info });
     cluster.end_run(&"m1".into(), task(7, 0, 1), EndKind::Failed);
     cluster.poll("m1");
     cluster.advance(PERSISTENT_TASK_LOGGED_AFTER_MS);
-    let line = last_line_with(&cluster, "event=not_placed");
+    let line = last_log_line_with(&cluster, "event=not_placed");
     assert_eq!((number_field(&line, "first"), number_field(&line, "waiting")), (1, 1), "{line}");
     assert_eq!(number_field(&line, "ran"), 1, "{line}");
     assert!(
@@ -229,7 +229,7 @@
         }
         cluster.advance(100);
     }
-    let line = last_line_with(&cluster, "event=not_placed");
+    let line = last_log_line_with(&cluster, "event=not_placed");
     assert!((1..=150).contains(&number_field(&line, "pause_ms")), "{line}");
     assert!(line.ends_with("minions=1 fits=1"), "{line}");
 }
@@ -241,7 +241,7 @@
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(7, vec![StepSpec { gang: true, ..step(20) }]);
     cluster.advance(OTHER_TASK_LOGGED_AFTER_MS);
-    let line = last_line_with(&cluster, "event=not_placed");
+    let line = last_log_line_with(&cluster, "event=not_placed");
     assert_eq!(
         (number_field(&line, "waiting"), number_field(&line, "gang_size")),
         (20, 20),
@@ -258,16 +258,16 @@
     cluster.submit(1, vec![step(1)]);
     cluster.submit(2, vec![persistent_step(1)]);
     cluster.advance(1_900);
-    assert!(lines_with(&cluster, "event=not_placed").is_empty());
+    assert!(log_lines_with(&cluster, "event=not_placed").is_empty());
     cluster.advance(700);
-    assert_eq!(lines_with(&cluster, "event=not_placed").len(), 1);
+    assert_eq!(log_lines_with(&cluster, "event=not_placed").len(), 1);
     cluster.advance(2_000);
-    assert_eq!(lines_with(&cluster, "event=not_placed").len(), 1);
+    assert_eq!(log_lines_with(&cluster, "event=not_placed").len(), 1);
     cluster.advance(1_000);
-    assert_eq!(lines_with(&cluster, "job=0000000000000001 step").len(), 1);
+    assert_eq!(log_lines_with(&cluster, "job=0000000000000001 step").len(), 1);
     cluster.advance(20_000);
-    assert_eq!(lines_with(&cluster, "job=0000000000000001 step").len(), 5);
-    assert_eq!(lines_with(&cluster, "job=0000000000000002 step").len(), 5);
+    assert_eq!(log_lines_with(&cluster, "job=0000000000000001 step").len(), 5);
+    assert_eq!(log_lines_with(&cluster, "job=0000000000000002 step").len(), 5);
 }
 
 /// Hundreds of steps wait under overload. At most four lines are written per second, persistent
@@ -283,23 +283,23 @@
         cluster.submit(id, vec![persistent_step(1)]);
     }
     cluster.advance(10_000);
-    let logged = lines_with(&cluster, "event=not_placed");
+    let logged = log_lines_with(&cluster, "event=not_placed");
     let first: Vec<u64> = logged[..3].iter().map(|line| job_field(line)).collect();
     assert_eq!(first, [301, 302, 303]);
     assert!((20..=40).contains(&logged.len()), "{}", logged.len());
     let omitted =
-        logged.iter().filter_map(|line| field(line, "omitted")).map(|n| n.parse().unwrap());
+        logged.iter().filter_map(|line| field_value(line, "omitted")).map(|n| n.parse().unwrap());
     assert!((295..=300).contains(&omitted.max().unwrap_or(0)));
     cluster.log_lines.clear();
     cluster.advance(100_000);
-    let logged = lines_with(&cluster, "event=not_placed");
+    let logged = log_lines_with(&cluster, "event=not_placed");
     assert!((350..=400).contains(&logged.len()), "{}", logged.len());
     let seen: std::collections::BTreeSet<u64> = logged.iter().map(|line| job_field(line)).collect();
     assert!(seen.len() >= 303, "only {} steps were logged", seen.len());
 }
 
 fn job_field(line: &str) -> u64 {
-    u64::from_str_radix(field(line, "job").expect("a job"), 16).expect("a hexadecimal number")
+    u64::from_str_radix(field_value(line, "job").expect("a job"), 16).expect("a hexadecimal number")
 }
 
 /// A step does not count as waiting while some of its tasks are placed every few seconds.
@@ -313,7 +313,7 @@
         cluster.heartbeat("m1");
         cluster.end_all_runs(EndKind::Done);
     }
-    assert!(lines_with(&cluster, "event=not_placed").is_empty(), "{:?}", cluster.log_lines);
+    assert!(log_lines_with(&cluster, "event=not_placed").is_empty(), "{:?}", cluster.log_lines);
 }
 
 /// Tasks of a disconnected agent's minion count as running until the agent's lease has expired. One
@@ -328,22 +328,22 @@
     cluster.heartbeat("m1");
     cluster.disconnect_agent("m1");
     cluster.advance(600);
-    let logged = lines_with(&cluster, "event=unreachable");
+    let logged = log_lines_with(&cluster, "event=unreachable");
     assert_eq!(logged.len(), 1, "{:?}", cluster.log_lines);
     assert!(logged[0].starts_with(
         "minion=m1 agent=agent-m1 event=unreachable linked=false runs=3 persistent=2 wait_ms="
     ));
-    assert_eq!(field(&logged[0], "lease_of"), Some("coordinator"));
+    assert_eq!(field_value(&logged[0], "lease_of"), Some("coordinator"));
     let remaining_ms = number_field(&logged[0], "wait_ms");
     assert!(
         (lease_expiry_bound_ms(LEASE_MS) - 600..lease_expiry_bound_ms(LEASE_MS))
             .contains(&remaining_ms)
     );
     cluster.advance(remaining_ms - 600);
-    assert!(lines_with(&cluster, "event=lease_expired").is_empty());
+    assert!(log_lines_with(&cluster, "event=lease_expired").is_empty());
     cluster.advance(1_200);
-    assert_eq!(lines_with(&cluster, "event=lease_expired").len(), 1);
-    assert_eq!(lines_with(&cluster, "event=unreachable").len(), 1);
+    assert_eq!(log_lines_with(&cluster, "event=lease_expired").len(), 1);
+    assert_eq!(log_lines_with(&cluster, "event=unreachable").len(), 1);
 }
 
 /// The lease of a minion that does not respond to its agent is not extended, although the agent's
@@ -355,9 +355,9 @@
     cluster.advance(1_500);
     cluster.heartbeat_with_unresponsive_minion("m1");
     cluster.advance(600);
-    let line = last_line_with(&cluster, "event=unreachable");
+    let line = last_log_line_with(&cluster, "event=unreachable");
     assert_eq!(
-        (field(&line, "linked"), field(&line, "lease_of")),
+        (field_value(&line, "linked"), field_value(&line, "lease_of")),
         (Some("true"), Some("coordinator"))
     );
 }
@@ -373,7 +373,7 @@
         cluster.join("m1", |info| info);
         cluster.advance(1_000);
     }
-    assert_eq!(lines_with(&cluster, "event=unreachable").len(), 2);
+    assert_eq!(log_lines_with(&cluster, "event=unreachable").len(), 2);
 }
 
 /// One agent does not link after a takeover from a silent predecessor. The lines give the remaining
@@ -385,7 +385,7 @@
     cluster.carry_out_orders();
     cluster.take_over_from_silent_coordinator();
     cluster.advance(100);
-    let first = last_line_with(&cluster, "event=predecessor_lease_wait");
+    let first = last_log_line_with(&cluster, "event=predecessor_lease_wait");
     let predecessor_wait_ms = lease_expiry_bound_ms(LEASE_MS) + STORE_OUTAGE_TOLERANCE_MS;
     assert_eq!(number_field(&first, "wait_ms"), predecessor_wait_ms - 100);
     assert_eq!(
@@ -393,14 +393,17 @@
         (2, 2)
     );
     cluster.join("m2", |info| info);
-    assert!(lines_with(&cluster, "event=unreachable").is_empty());
+    assert!(log_lines_with(&cluster, "event=unreachable").is_empty());
     cluster.advance(1_200);
-    let logged = lines_with(&cluster, "event=predecessor_lease_wait");
+    let logged = log_lines_with(&cluster, "event=predecessor_lease_wait");
     assert_eq!((logged.len(), number_field(&logged[1], "not_linked")), (2, 1));
-    let logged = lines_with(&cluster, "event=unreachable");
+    let logged = log_lines_with(&cluster, "event=unreachable");
     assert_eq!(logged.len(), 1, "{logged:?}");
-    assert_eq!((field(&logged[0], "minion"), field(&logged[0], "runs")), (Some("m1"), Some("1")));
-    assert_eq!(field(&logged[0], "lease_of"), Some("predecessor"));
+    assert_eq!(
+        (field_value(&logged[0], "minion"), field_value(&logged[0], "runs")),
+        (Some("m1"), Some("1"))
+    );
+    assert_eq!(field_value(&logged[0], "lease_of"), Some("predecessor"));
     let remaining_ms = number_field(&logged[0], "wait_ms");
     assert!((predecessor_wait_ms - 1_300..=predecessor_wait_ms - 1_000).contains(&remaining_ms));
 }
@@ -419,8 +422,8 @@
     cluster.carry_out_orders();
     cluster.take_over();
     cluster.advance(2_000);
-    let logged = lines_with(&cluster, "event=unreachable");
+    let logged = log_lines_with(&cluster, "event=unreachable");
     assert!((2..=6).contains(&logged.len()), "{}", logged.len());
-    assert_eq!(field(&logged[0], "persistent"), Some("1"));
-    assert_eq!(field(&logged[0], "omitted"), Some("48"));
+    assert_eq!(field_value(&logged[0], "persistent"), Some("1"));
+    assert_eq!(field_value(&logged[0], "omitted"), Some("48"));
 }
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    fn apply(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         match event {
             Event::Submit { count } => {
                 self.jobs += 1;
@@ -372,17 +372,17 @@
 fn run_to_completion(events: Vec<Event>) {
     let mut scenario = Scenario::new();
     for event in events {
-        scenario.apply(event);
+        scenario.apply_event(event);
         scenario.check_no_duplicate_runs();
     }
     scenario.cluster.confirm_pending_writes();
     for minion in 0..MINIONS.len() {
-        scenario.apply(Event::ResumeAgent { minion, refused: 1 });
+        scenario.apply_event(Event::ResumeAgent { minion, refused: 1 });
         scenario.check_no_duplicate_runs();
     }
     for _ in 0..60 {
         while !scenario.cluster.orders.is_empty() {
-            scenario.apply(Event::CarryOut { response_arrives: true });
+            scenario.apply_event(Event::CarryOut { response_arrives: true });
             scenario.check_no_duplicate_runs();
         }
         for (at, (task, minion, run)) in scenario.cluster.running_tasks().into_iter().enumerate() {
@@ -392,9 +392,9 @@
             }
         }
         for minion in 0..MINIONS.len() {
-            scenario.apply(Event::Poll { minion });
+            scenario.apply_event(Event::Poll { minion });
         }
-        scenario.apply(Event::Advance { ms: 700 });
+        scenario.apply_event(Event::Advance { ms: 700 });
         scenario.check_no_duplicate_runs();
     }
     for id in 1..=scenario.jobs {
--- a/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
@@ -184,7 +184,7 @@
     vec(event.prop_map(|(tenths, event, index)| (100 * tenths, event, index)), 1..=5)
 }
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 300,
         rng_seed: RngSeed::Fixed(601),
@@ -194,7 +194,7 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     /// Under up to five tolerated events no task is down for longer than guaranteed or runs twice
     /// at once.
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -83,7 +83,7 @@
         if !machine.agent_up {
             return;
         }
-        let heartbeat = machine.heartbeat(self.cluster.now.steady_ms);
+        let heartbeat = machine.heartbeat_message(self.cluster.now.steady_ms);
         if self.succession.agent_follows_isolated_coordinator(at) {
             self.heartbeat_to_isolated_coordinator(at, heartbeat);
         } else {
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
@@ -1,11 +1,11 @@
 /// Time from the end of an entry's process until a new process is running, in milliseconds.
-pub(super) const RESTART_MS: u64 = 2_000;
+pub(super) const RESTART_DELAY_MS: u64 = 2_000;
 /// Duration of a pause of the coordinator's process, in milliseconds.
-pub(super) const PAUSE_MS: u64 = 2_500;
+pub(super) const PAUSE_DURATION_MS: u64 = 2_500;
 /// Time from the loss of an entry's machine until the entry runs on another one, in milliseconds.
-const REPLACEMENT_MS: u64 = 10_000;
+const REPLACEMENT_DELAY_MS: u64 = 10_000;
 /// Time for which an isolated coordinator does not learn of its successor, in milliseconds.
-pub(super) const ISOLATION_MS: u64 = 14_000;
+pub(super) const ISOLATION_DURATION_MS: u64 = 14_000;
 
 /// Cause of the loss of a coordinator, which determines what its successor has to wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,9 +41,9 @@
     /// in milliseconds, or `None` if it never does.
     pub(super) const fn responds_after_ms(self) -> Option<u64> {
         match self {
-            Self::Killed | Self::KilledSlowRelink => Some(RESTART_MS),
-            Self::Paused => Some(PAUSE_MS),
-            Self::Isolated => Some(ISOLATION_MS),
+            Self::Killed | Self::KilledSlowRelink => Some(RESTART_DELAY_MS),
+            Self::Paused => Some(PAUSE_DURATION_MS),
+            Self::Isolated => Some(ISOLATION_DURATION_MS),
             Self::Planned | Self::MachineLost => None,
         }
     }
@@ -52,9 +52,9 @@
     /// coordinator again, in milliseconds.
     pub(super) const fn unavailable_ms(self) -> u64 {
         match (self, self.responds_after_ms()) {
-            (Self::Planned, _) => RESTART_MS,
+            (Self::Planned, _) => RESTART_DELAY_MS,
             (_, Some(responds_after_ms)) => responds_after_ms,
-            (_, None) => REPLACEMENT_MS,
+            (_, None) => REPLACEMENT_DELAY_MS,
         }
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -58,7 +58,7 @@
 
     /// Lets available entries promise support to the coordinator of `term`. Returns the time until
     /// which a majority supports this coordinator.
-    pub(super) fn support(&mut self, term: u64, now_ms: u64) -> u64 {
+    pub(super) fn renew_support(&mut self, term: u64, now_ms: u64) -> u64 {
         for (index, entry) in self.all.iter_mut().enumerate() {
             let available = index != self.coordinator && entry.unavailable_until_ms <= now_ms;
             if available && entry.promises.promise(term, now_ms) {
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
@@ -1,5 +1,7 @@
 use super::action::Action;
-use super::coordinator_loss::{CoordinatorLoss, ISOLATION_MS, PAUSE_MS, RESTART_MS};
+use super::coordinator_loss::{
+    CoordinatorLoss, ISOLATION_DURATION_MS, PAUSE_DURATION_MS, RESTART_DELAY_MS,
+};
 use super::orders::ORDER_DELAY_MS;
 
 /// A fault or planned work in a simulation. Events of a minion, agent or machine occur on the
@@ -94,7 +96,7 @@
 
     /// Returns the duration of the fault in milliseconds, from whose end the guaranteed recovery
     /// time counts, or `None` if the event is planned work or no fault.
-    pub(super) const fn disturbance_ms(self) -> Option<u64> {
+    pub(super) const fn fault_duration_ms(self) -> Option<u64> {
         match self {
             Self::Idle
             | Self::DrainAndDeregister
@@ -110,14 +112,14 @@
             | Self::MachineLost
             | Self::AgentKilled
             | Self::CoordinatorMachineLost => Some(0),
-            Self::CoordinatorKilled | Self::AgentsRelinkSlowly => Some(RESTART_MS),
+            Self::CoordinatorKilled | Self::AgentsRelinkSlowly => Some(RESTART_DELAY_MS),
             Self::AgentPartitioned => Some(2_500),
             Self::AgentPartitionedLong => Some(8_000),
-            Self::CoordinatorPaused => Some(PAUSE_MS),
-            Self::CoordinatorIsolated => Some(ISOLATION_MS),
-            Self::EntriesKilledInTurn => Some(4_000 + RESTART_MS),
+            Self::CoordinatorPaused => Some(PAUSE_DURATION_MS),
+            Self::CoordinatorIsolated => Some(ISOLATION_DURATION_MS),
+            Self::EntriesKilledInTurn => Some(4_000 + RESTART_DELAY_MS),
             Self::WritesDelayed => Some(3_000),
-            Self::WritesLost => Some(3_000 + RESTART_MS),
+            Self::WritesLost => Some(3_000 + RESTART_DELAY_MS),
             Self::StoreUnavailable => Some(9_000),
             Self::OrdersDelayed => Some(1_000 + ORDER_DELAY_MS),
         }
@@ -148,7 +150,9 @@
             Self::CoordinatorKilled => &[(0, LoseCoordinator(CoordinatorLoss::Killed))],
             Self::CoordinatorPaused => &[(0, LoseCoordinator(CoordinatorLoss::Paused))],
             Self::CoordinatorMachineLost => &[(0, LoseCoordinator(CoordinatorLoss::MachineLost))],
-            Self::CoordinatorIsolated => &[(0, IsolateCoordinator), (ISOLATION_MS, EndIsolation)],
+            Self::CoordinatorIsolated => {
+                &[(0, IsolateCoordinator), (ISOLATION_DURATION_MS, EndIsolation)]
+            }
             Self::RollingRestart => &[
                 (0, LoseCoordinator(CoordinatorLoss::Planned)),
                 (2_000, LoseCoordinator(CoordinatorLoss::Planned)),
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
@@ -6,7 +6,7 @@
 use crate::cluster::task;
 
 /// Time from a minion's deregistration until its agent records the departure, in milliseconds.
-const DEREGISTRATION_MS: u64 = 300;
+const DEPARTURE_DELAY_MS: u64 = 300;
 /// Time after which an agent that was asked to stop is terminated, in milliseconds.
 const AGENT_STOP_GRACE_MS: u64 = 5_000;
 
@@ -20,8 +20,8 @@
         let actions = event.actions().iter();
         self.scheduled_actions
             .extend(actions.map(|(after_ms, action)| (now_ms + after_ms, at, *action)));
-        if let Some(lasts_ms) = event.disturbance_ms() {
-            self.checker.add_disturbance(now_ms, now_ms + lasts_ms);
+        if let Some(lasts_ms) = event.fault_duration_ms() {
+            self.checker.add_fault(now_ms, now_ms + lasts_ms);
         }
     }
 
@@ -67,7 +67,7 @@
     }
 
     fn deregister(&mut self, at: usize) {
-        let departed_ms = self.cluster.now.steady_ms + DEREGISTRATION_MS;
+        let departed_ms = self.cluster.now.steady_ms + DEPARTURE_DELAY_MS;
         let agent_up = self.machines[at].agent_up;
         if let Some(id) = self.terminate_minion(at).filter(|_| agent_up) {
             self.machines[at].departures.record_leaving(&id);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -90,7 +90,7 @@
         Some(info)
     }
 
-    pub(super) const fn heartbeat(&self, now_ms: u64) -> FromAgent {
+    pub(super) const fn heartbeat_message(&self, now_ms: u64) -> FromAgent {
         let responding = now_ms < self.last_response_ms + RESPONSE_TIMEOUT_MS;
         FromAgent::Heartbeat {
             sent_at_ms: now_ms,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
@@ -5,20 +5,20 @@
 use geraniumpost_batch::{JobRecord, TaskId, TaskRecord};
 use geraniumpost_schema::Name;
 
-use super::workload::{TASK_MILLI_CPUS, is_checked};
+use super::workload::{CHECKED_TASK_MILLI_CPUS, is_checked};
 use super::{Report, STEP_MS, Simulation};
 
 /// Maximum time from the end of a run until the task is running again, in milliseconds.
 const RECOVERY_LIMIT_MS: u64 = 9_000;
 /// Maximum time from the end of the last fault until all tasks are running again, in milliseconds.
 /// A task may be down until the later of the two limits.
-const RECOVERY_AFTER_DISTURBANCE_MS: u64 = 7_000;
+const RECOVERY_LIMIT_AFTER_FAULT_MS: u64 = 7_000;
 
 /// State of the check that lasts from step to step. Times are on the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryChecker {
     /// Start and end of each fault, in milliseconds.
-    disturbances: Vec<(u64, u64)>,
+    faults: Vec<(u64, u64)>,
     /// Index of the machine on which each task ran last.
     last_machine: BTreeMap<TaskId, usize>,
     /// Start of the downtime of each checked task that is down, in milliseconds.
@@ -35,8 +35,8 @@
         self.report.trace.push(line);
     }
 
-    pub(super) fn add_disturbance(&mut self, start_ms: u64, end_ms: u64) {
-        self.disturbances.push((start_ms, end_ms));
+    pub(super) fn add_fault(&mut self, start_ms: u64, end_ms: u64) {
+        self.faults.push((start_ms, end_ms));
     }
 
     pub(super) fn last_machine(&self, task: TaskId) -> Option<usize> {
@@ -62,9 +62,9 @@
     /// Returns the time until which a task may be down that has been down since `since_ms`, with
     /// capacity for it all the time.
     fn recovery_deadline_ms(&self, since_ms: u64, now_ms: u64) -> u64 {
-        let started = self.disturbances.iter().filter(|(start_ms, _)| *start_ms <= now_ms);
+        let started = self.faults.iter().filter(|(start_ms, _)| *start_ms <= now_ms);
         let recovered_by_ms =
-            started.map(|(_, end_ms)| end_ms + RECOVERY_AFTER_DISTURBANCE_MS).max().unwrap_or(0);
+            started.map(|(_, end_ms)| end_ms + RECOVERY_LIMIT_AFTER_FAULT_MS).max().unwrap_or(0);
         (since_ms + RECOVERY_LIMIT_MS).max(recovered_by_ms) + STEP_MS
     }
 }
@@ -135,7 +135,7 @@
             let accepts_tasks = machine.minion.as_ref().is_some_and(|minion| !minion.draining);
             accepts_tasks
                 && self.can_link(at)
-                && self.used_milli_cpus(at) + TASK_MILLI_CPUS <= machine.milli_cpus
+                && self.used_milli_cpus(at) + CHECKED_TASK_MILLI_CPUS <= machine.milli_cpus
         })
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -145,7 +145,7 @@
             return;
         }
         let now_ms = self.cluster.now.steady_ms;
-        let until_ms = self.entries.support(self.cluster.coordinator.fence(), now_ms);
+        let until_ms = self.entries.renew_support(self.cluster.coordinator.fence(), now_ms);
         self.cluster.coordinator.set_supported_until(until_ms, 0);
         if self.cluster.store_confirms {
             self.entries.update_voters(now_ms);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/workload.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/workload.rs
@@ -12,7 +12,7 @@
 /// Number of tasks of `CHECKED_JOB`, in one step.
 const CHECKED_TASK_COUNT: u32 = 6;
 /// Demand of a task of `CHECKED_JOB`, in thousandths of a processor.
-pub(super) const TASK_MILLI_CPUS: i64 = 1_000;
+pub(super) const CHECKED_TASK_MILLI_CPUS: i64 = 1_000;
 /// Demand of a task of `LARGE_JOB`, in thousandths of a processor.
 const LARGE_TASK_MILLI_CPUS: i64 = 12_000;
 /// Time after the start by which all machines are linked and accept tasks, in milliseconds.
@@ -25,7 +25,7 @@
     /// in a healthy state.
     pub(super) fn start_workload(&mut self, crowded: bool) {
         self.advance_until(LINKED_BY_MS);
-        self.submit_persistent_step(CHECKED_JOB, CHECKED_TASK_COUNT, TASK_MILLI_CPUS);
+        self.submit_persistent_step(CHECKED_JOB, CHECKED_TASK_COUNT, CHECKED_TASK_MILLI_CPUS);
         if crowded {
             // One task more than there are machines, so that one task always waits for capacity.
             self.submit_persistent_step(LARGE_JOB, 5, LARGE_TASK_MILLI_CPUS);
@@ -53,5 +53,5 @@
 
 /// Returns the processor demand of `task`, in thousandths of a processor.
 pub(super) fn task_milli_cpus(task: TaskId) -> i64 {
-    if task.job == CHECKED_JOB { TASK_MILLI_CPUS } else { LARGE_TASK_MILLI_CPUS }
+    if task.job == CHECKED_JOB { CHECKED_TASK_MILLI_CPUS } else { LARGE_TASK_MILLI_CPUS }
 }
