--- a/crates/geraniumpost-core/tests/jobs_simulation/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/main.rs
@@ -76,7 +76,7 @@
 }
 
 fn cases() -> u32 {
-    std::env::var("JOBS_SIMULATION_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(48)
+    std::env::var("JOBS_WORLD_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(48)
 }
 
 // A store outage outlasts the time in which the only planner may grant agent leases, while it
