--- a/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
@@ -18,11 +18,11 @@
 }
 
 impl Adoption {
-    /// Returns the state after a list that was requested at `asked`.
-    pub(super) fn after_list(self, asked: Millis, settle_ms: u64) -> Self {
+    /// Returns the state after a list that was requested at `requested_at`.
+    pub(super) fn after_list(self, requested_at: Millis, settle_ms: u64) -> Self {
         match self {
-            Self::NotStarted => Self::Listed(asked),
-            Self::Listed(first) if asked < first.plus(settle_ms) => self,
+            Self::NotStarted => Self::Listed(requested_at),
+            Self::Listed(first) if requested_at < first.plus(settle_ms) => self,
             Self::Listed(_) | Self::Complete => Self::Complete,
         }
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
@@ -33,7 +33,7 @@
     /// The worker's list of tasks.
     Listed {
         /// When the list was requested.
-        asked: Millis,
+        requested_at: Millis,
         /// All tasks that the worker knows.
         tasks: Vec<WorkerTask>,
     },
--- a/crates/geraniumpost-core/src/jobs/ledger/lists.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/lists.rs
@@ -10,7 +10,7 @@
 impl VmLedger {
     pub(super) fn on_listed(
         &mut self,
-        asked: Millis,
+        requested_at: Millis,
         listed: Vec<WorkerTask>,
         now: Millis,
         actions: &mut Vec<LedgerAction>,
@@ -20,15 +20,15 @@
         for found in listed.values() {
             self.reconcile(found, now, actions);
         }
-        self.end_vanished(&listed, asked, now, actions);
-        self.advance_adoption(asked, actions);
+        self.end_vanished(&listed, requested_at, now, actions);
+        self.advance_adoption(requested_at, actions);
     }
 
-    fn advance_adoption(&mut self, asked: Millis, actions: &mut Vec<LedgerAction>) {
+    fn advance_adoption(&mut self, requested_at: Millis, actions: &mut Vec<LedgerAction>) {
         if self.adoption == Adoption::Complete {
             return;
         }
-        self.adoption = self.adoption.after_list(asked, self.config.settle_ms);
+        self.adoption = self.adoption.after_list(requested_at, self.config.settle_ms);
         if self.is_complete() && std::mem::take(&mut self.inventory_requested) {
             actions.push(self.inventory());
         }
@@ -96,7 +96,7 @@
     fn end_vanished(
         &mut self,
         listed: &HashMap<(Name, u64), WorkerTask>,
-        asked: Millis,
+        requested_at: Millis,
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
@@ -105,7 +105,7 @@
             .values()
             .filter(|task| task.phase.is_live() && task.phase != Phase::Starting)
             .filter(|task| {
-                task.phase_since < asked && !task.start_may_take_effect(now, &self.config)
+                task.phase_since < requested_at && !task.start_may_take_effect(now, &self.config)
             })
             .filter(|task| !listed.contains_key(&(task.job.clone(), task.epoch)))
             .map(|task| task.job.clone())
--- a/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
@@ -16,7 +16,9 @@
         actions: &mut Vec<LedgerAction>,
     ) {
         match response {
-            LedgerEvent::Listed { asked, tasks } => self.on_listed(asked, tasks, now, actions),
+            LedgerEvent::Listed { requested_at, tasks } => {
+                self.on_listed(requested_at, tasks, now, actions)
+            }
             LedgerEvent::Started { job, epoch } => self.on_started(&job, epoch, now, actions),
             LedgerEvent::StartRefused { job, epoch, reason } => {
                 self.on_start_refused(&job, epoch, reason, now, actions);
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -172,8 +172,8 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         match effect {
-            Effect::Reply { reply, answer } => {
-                actions.push(PlannerAction::Reply { reply, answer });
+            Effect::Reply { request_id, response } => {
+                actions.push(PlannerAction::Reply { request_id, response });
             }
             Effect::SendStart { job, epoch } => {
                 if let Some(run) = self.runs.get_mut(&job).filter(|run| run.epoch == epoch) {
--- a/crates/geraniumpost-core/src/jobs/planner/effect.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/effect.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Effect {
     /// Responds to a submission or cancellation.
-    Reply { reply: u64, answer: JobResponse },
+    Reply { request_id: u64, response: JobResponse },
     /// Sends the order to start a run.
     SendStart { job: Name, epoch: u64 },
     /// Sends the order to stop a run.
--- a/crates/geraniumpost-core/src/jobs/planner/planner.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner.rs
@@ -111,11 +111,11 @@
         }
         self.role = role;
         match event {
-            PlannerEvent::Submit { spec, reply } => {
-                self.on_submit(spec, reply, now, &mut actions);
+            PlannerEvent::Submit { spec, request_id } => {
+                self.on_submit(spec, request_id, now, &mut actions);
             }
-            PlannerEvent::Cancel { job, customer, reply } => {
-                self.on_cancel(&job, &customer, reply, now, &mut actions);
+            PlannerEvent::Cancel { job, customer, request_id } => {
+                self.on_cancel(&job, &customer, request_id, now, &mut actions);
             }
             PlannerEvent::Report { agent, report } => {
                 self.on_report(&agent, &report, now, &mut actions);
--- a/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
@@ -30,9 +30,9 @@
     /// Respond to a submission or cancellation.
     Reply {
         /// Number passed with the event.
-        reply: u64,
+        request_id: u64,
         /// Response to the request.
-        answer: JobResponse,
+        response: JobResponse,
     },
     /// Pass an observation to the placer.
     Observe(Observation),
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -10,7 +10,7 @@
         /// Submitted job.
         spec: JobSpec,
         /// Number that identifies the request in the response.
-        reply: u64,
+        request_id: u64,
     },
     /// A customer or operator cancels a job.
     Cancel {
@@ -19,7 +19,7 @@
         /// Customer that requests it, empty for an operator, who may cancel any job.
         customer: Name,
         /// Number that identifies the request in the response.
-        reply: u64,
+        request_id: u64,
     },
     /// A link to an agent was established.
     LinkUp {
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -19,16 +19,16 @@
     pub(super) fn on_submit(
         &mut self,
         spec: JobSpec,
-        reply: u64,
+        request_id: u64,
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if let Some(answer) = self.unavailable_response().or_else(|| self.rejection(&spec, now)) {
-            return actions.push(PlannerAction::Reply { reply, answer });
+        if let Some(response) = self.unavailable_response().or_else(|| self.rejection(&spec, now)) {
+            return actions.push(PlannerAction::Reply { request_id, response });
         }
         let job = spec.id.clone();
-        let answer = self.repeat_response(&spec).unwrap_or_else(|| self.accept(spec, now));
-        self.after_commit(&job, Effect::Reply { reply, answer }, now, actions);
+        let response = self.repeat_response(&spec).unwrap_or_else(|| self.accept(spec, now));
+        self.after_commit(&job, Effect::Reply { request_id, response }, now, actions);
     }
 
     fn unavailable_response(&self) -> Option<JobResponse> {
@@ -121,20 +121,20 @@
         &mut self,
         job: &Name,
         customer: &Name,
-        reply: u64,
+        request_id: u64,
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if let Some(answer) =
+        if let Some(response) =
             self.unavailable_response().or_else(|| self.cancel_rejection(job, customer))
         {
-            return actions.push(PlannerAction::Reply { reply, answer });
+            return actions.push(PlannerAction::Reply { request_id, response });
         }
-        let answer = self.cancel(job, now);
-        if answer.state == Some(JobState::Cancelling) {
+        let response = self.cancel(job, now);
+        if response.state == Some(JobState::Cancelling) {
             self.after_commit(job, Effect::SendStop { job: job.clone() }, now, actions);
         }
-        self.after_commit(job, Effect::Reply { reply, answer }, now, actions);
+        self.after_commit(job, Effect::Reply { request_id, response }, now, actions);
     }
 
     fn cancel_rejection(&self, job: &Name, customer: &Name) -> Option<JobResponse> {
--- a/crates/geraniumpost-core/tests/jobs_ledger.rs
+++ b/crates/geraniumpost-core/tests/jobs_ledger.rs
@@ -38,7 +38,7 @@
     }
 
     fn receive_list(&mut self, tasks: &[WorkerTask]) -> Vec<LedgerAction> {
-        self.handle(LedgerEvent::Listed { asked: Millis(self.now), tasks: tasks.to_vec() })
+        self.handle(LedgerEvent::Listed { requested_at: Millis(self.now), tasks: tasks.to_vec() })
     }
 
     fn send_heartbeat(&mut self) -> u64 {
@@ -319,11 +319,11 @@
     assert!(contains_start(&fixture.order_start(1, "study-1", 1, 100)));
     fixture.handle(LedgerEvent::Stop(task_ref(1, "study-1", 1)));
     fixture.now += 10;
-    let asked = Millis(fixture.now);
+    let requested_at = Millis(fixture.now);
     fixture.now += 10;
     let started = LedgerEvent::Started { job: "study-1".into(), epoch: 1 };
     assert_matches!(&fixture.handle(started)[..], [LedgerAction::Stop { .. }]);
-    assert_eq!(fixture.handle(LedgerEvent::Listed { asked, tasks: Vec::new() }), []);
+    assert_eq!(fixture.handle(LedgerEvent::Listed { requested_at, tasks: Vec::new() }), []);
     fixture.now += 10;
     assert_eq!(reported_states(&fixture.receive_list(&[])), [TaskState::Stopped]);
 }
--- a/crates/geraniumpost-core/tests/jobs_planner/fixture.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/fixture.rs
@@ -108,7 +108,7 @@
                     self.handle(done);
                 }
                 PlannerAction::Send { agent, frame } => self.sent.push((agent, frame)),
-                PlannerAction::Reply { answer, .. } => self.replies.push(answer),
+                PlannerAction::Reply { response, .. } => self.replies.push(response),
                 PlannerAction::StepDown(_) => self.stepped_down = true,
                 PlannerAction::Read { .. } => self.reads += 1,
                 _ => {}
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -120,7 +120,8 @@
 fn read_back(term: u64, sequence: u64) -> Fixture {
     let mut fixture = Fixture::new(&[]);
     fixture.now += 1_000;
-    let actions = fixture.actions_for(PlannerEvent::Submit { spec: job_spec("study-1"), reply: 1 });
+    let actions =
+        fixture.actions_for(PlannerEvent::Submit { spec: job_spec("study-1"), request_id: 1 });
     let bucket = assert_matches!(&actions[..], [PlannerAction::Commit { bucket, .. }] => *bucket);
     let read = fixture.actions_for(PlannerEvent::CommitUnknown { bucket });
     assert_eq!(read, [PlannerAction::Read { bucket }]);
@@ -157,7 +158,7 @@
 fn a_job_stays_pending_while_no_worker_is_reachable() {
     let mut fixture = Fixture::new(&[]);
     fixture.now += 1_000;
-    fixture.handle(PlannerEvent::Submit { spec: job_spec("study-1"), reply: 1 });
+    fixture.handle(PlannerEvent::Submit { spec: job_spec("study-1"), request_id: 1 });
     for second in 10..400 {
         fixture.tick_at(second * 1_000);
         assert!(fixture.planner.fleet().awaiting_workers());
@@ -174,7 +175,7 @@
     fixture.send_heartbeat("agent-1");
     let need = Resources { memory_mb: 99_000, ..NEED };
     let large = JobSpec { need, ..job_spec("study-1") };
-    fixture.handle(PlannerEvent::Submit { spec: large, reply: 1 });
+    fixture.handle(PlannerEvent::Submit { spec: large, request_id: 1 });
     assert_eq!(fixture.replies[0].code, codes::IMPOSSIBLE);
     assert!(fixture.replies[0].detail.contains("agent-1"), "{:?}", fixture.replies);
 }
@@ -190,8 +191,10 @@
         fixture.tick_at(2_000 + tick * 50);
         fixture.send_heartbeat("agent-1");
         for job in tick * 4..tick * 4 + 4 {
-            fixture
-                .handle(PlannerEvent::Submit { spec: job_spec(&format!("job-{job}")), reply: job });
+            fixture.handle(PlannerEvent::Submit {
+                spec: job_spec(&format!("job-{job}")),
+                request_id: job,
+            });
             if let Some(placed) = job.checked_sub(40) {
                 fixture.assign(&format!("job-{placed}"), "agent-1");
             }
@@ -235,7 +238,10 @@
 fn simultaneous_cancellations_share_store_writes() {
     let mut fixture = Fixture::new(&[]);
     for job in 0..4_000 {
-        fixture.handle(PlannerEvent::Submit { spec: job_spec(&format!("job-{job}")), reply: job });
+        fixture.handle(PlannerEvent::Submit {
+            spec: job_spec(&format!("job-{job}")),
+            request_id: job,
+        });
     }
     fixture.tick_at(10_000);
     fixture.commits = 0;
@@ -245,7 +251,7 @@
         let cancel = PlannerEvent::Cancel {
             job: format!("job-{job}").into(),
             customer: "entel".into(),
-            reply: job,
+            request_id: job,
         };
         fixture.handle(cancel);
     }
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/agents.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/agents.rs
@@ -84,7 +84,7 @@
         let duration_ms = self.rng.random_range(500..6_000);
         let worker = &mut self.agents[agent].worker;
         let event = if call == LedgerAction::List {
-            Some(LedgerEvent::Listed { asked: Millis(sent_at), tasks: worker.list(now) })
+            Some(LedgerEvent::Listed { requested_at: Millis(sent_at), tasks: worker.list(now) })
         } else {
             worker.handle(call, now, duration_ms)
         };
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
@@ -84,9 +84,9 @@
         let unconfirmed: Vec<JobSpec> =
             self.jobs.values().filter(|s| !self.accepted.contains(&s.id)).cloned().collect();
         for spec in unconfirmed {
-            let reply = self.rng.random();
-            self.open_requests.insert(reply, (spec.id.clone(), false));
-            self.handle_planner_event(index, PlannerEvent::Submit { spec, reply });
+            let request_id = self.rng.random();
+            self.open_requests.insert(request_id, (spec.id.clone(), false));
+            self.handle_planner_event(index, PlannerEvent::Submit { spec, request_id });
         }
         for job in self
             .cancel_requests
@@ -97,11 +97,11 @@
             if !self.accepted.contains(&job) {
                 continue;
             }
-            let reply = self.rng.random();
-            self.open_requests.insert(reply, (job.clone(), true));
+            let request_id = self.rng.random();
+            self.open_requests.insert(request_id, (job.clone(), true));
             self.handle_planner_event(
                 index,
-                PlannerEvent::Cancel { job, customer: Name::default(), reply },
+                PlannerEvent::Cancel { job, customer: Name::default(), request_id },
             );
         }
     }
@@ -155,7 +155,9 @@
                     self.send_store_call(index, Caller::Read(bucket), call);
                 }
                 PlannerAction::Send { agent, frame } => self.send_to_agent(index, &agent, frame),
-                PlannerAction::Reply { reply, answer } => self.on_reply(reply, &answer),
+                PlannerAction::Reply { request_id, response } => {
+                    self.on_reply(request_id, &response)
+                }
                 PlannerAction::PredecessorsExpired => {
                     let actions = self.entries[index]
                         .handle_lease_event(LeaseEvent::PredecessorsExpired, self.now);
@@ -171,8 +173,8 @@
         }
     }
 
-    pub(super) fn on_reply(&mut self, reply: u64, response: &JobResponse) {
-        let Some((job, cancel)) = self.open_requests.remove(&reply) else { return };
+    pub(super) fn on_reply(&mut self, request_id: u64, response: &JobResponse) {
+        let Some((job, cancel)) = self.open_requests.remove(&request_id) else { return };
         if response.is_ok() && cancel {
             self.confirmed_cancellations.insert(job);
         } else if response.is_ok() {
--- a/crates/geraniumpost/src/agent/tasks/worker_calls.rs
+++ b/crates/geraniumpost/src/agent/tasks/worker_calls.rs
@@ -105,11 +105,11 @@
 }
 
 async fn list(worker: &Worker, clock: Clock) -> Option<LedgerEvent> {
-    let asked = clock.now();
+    let requested_at = clock.now();
     match worker.list().await {
         Ok(tasks) => {
             let tasks = tasks.into_iter().map(listed).collect();
-            Some(LedgerEvent::Listed { asked, tasks })
+            Some(LedgerEvent::Listed { requested_at, tasks })
         }
         Err(error) => {
             spdlog::warn!("listing the worker's tasks: {error}");
--- a/crates/geraniumpost/src/planner/calls.rs
+++ b/crates/geraniumpost/src/planner/calls.rs
@@ -13,11 +13,13 @@
 const MAX_LISTED: usize = 2_000;
 
 /// Returns the event of a call that changes a job.
-pub(super) fn event(call: &JobCall, reply: u64) -> Option<PlannerEvent> {
+pub(super) fn event(call: &JobCall, request_id: u64) -> Option<PlannerEvent> {
     match call {
-        JobCall::Submit { id, job } => Some(PlannerEvent::Submit { spec: spec(id, job), reply }),
+        JobCall::Submit { id, job } => {
+            Some(PlannerEvent::Submit { spec: spec(id, job), request_id })
+        }
         JobCall::Cancel { id } => {
-            Some(PlannerEvent::Cancel { job: id.clone(), customer: Name::default(), reply })
+            Some(PlannerEvent::Cancel { job: id.clone(), customer: Name::default(), request_id })
         }
         JobCall::Status { .. } | JobCall::Explain { .. } | JobCall::List => None,
     }
--- a/crates/geraniumpost/src/planner/driver.rs
+++ b/crates/geraniumpost/src/planner/driver.rs
@@ -311,10 +311,10 @@
                 store_calls::read(store, &self.answers, (term, bucket), key);
             }
             PlannerAction::Send { agent, frame } => self.links.send(&agent, frame),
-            PlannerAction::Reply { reply, answer } => {
-                if let Some((id, asker)) = self.replies.remove(&reply) {
+            PlannerAction::Reply { request_id, response } => {
+                if let Some((id, asker)) = self.replies.remove(&request_id) {
                     // The asker may have left.
-                    let _ = asker.send(job_reply(&id, &answer));
+                    let _ = asker.send(job_reply(&id, &response));
                 }
             }
             PlannerAction::Observe(observation) => {
