--- a/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
@@ -25,7 +25,7 @@
     WriteTerm {
         /// Expected revision, `None` if the record must be absent.
         expected: Option<u64>,
-        /// Value to be written.
+        /// Record to be written, with an incremented number of writes.
         record: TermRecord,
     },
     /// Renew the store lease for its full time to live.
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -90,7 +90,7 @@
         self.lease.is_valid(now)
     }
 
-    /// Returns the highest planner term received.
+    /// Returns the highest planner term received, 0 if none was received.
     pub const fn term(&self) -> u64 {
         self.term
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
@@ -17,7 +17,7 @@
     ) {
         match response {
             LedgerEvent::Listed { requested_at, tasks } => {
-                self.on_listed(requested_at, tasks, now, actions)
+                self.on_listed(requested_at, tasks, now, actions);
             }
             LedgerEvent::Started { job, epoch } => self.on_started(&job, epoch, now, actions),
             LedgerEvent::StartRefused { job, epoch, reason } => {
--- a/crates/geraniumpost-core/src/jobs/planner/agent_view.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agent_view.rs
@@ -23,8 +23,8 @@
         if self.inventory_received { self.link } else { None }
     }
 
-    /// Returns the state that placement uses. Draining takes precedence over a lost worker, and
-    /// that over a quarantine.
+    /// Returns the worker state for placement. If several apply, draining takes precedence, then
+    /// lost, then quarantined.
     pub(super) fn worker_state(&self, now: Millis) -> WorkerState {
         if self.draining {
             WorkerState::Draining
--- a/crates/geraniumpost-core/src/jobs/planner/job_response.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/job_response.rs
@@ -40,7 +40,7 @@
         self
     }
 
-    /// Returns whether the request took effect, now or by an earlier repetition.
+    /// Returns whether the request took effect, by this or an earlier attempt.
     pub const fn is_ok(&self) -> bool {
         self.code < codes::ID_TAKEN
     }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
@@ -25,7 +25,7 @@
     pub finished_retention_ms: u64,
     /// Back-off after the first failed run, doubled with each further one.
     pub backoff_ms: u64,
-    /// Upper limit of the back-off, to which up to 50 % of jitter is added.
+    /// Upper limit of the back-off before jitter, which varies it by up to 50 % either way.
     pub max_backoff_ms: u64,
 }
 
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
@@ -156,7 +156,7 @@
                 }
                 PlannerAction::Send { agent, frame } => self.send_to_agent(index, &agent, frame),
                 PlannerAction::Reply { request_id, response } => {
-                    self.on_reply(request_id, &response)
+                    self.on_reply(request_id, &response);
                 }
                 PlannerAction::PredecessorsExpired => {
                     let actions = self.entries[index]
