--- a/crates/geraniumpost-core/src/jobs/job_spec.rs
+++ b/crates/geraniumpost-core/src/jobs/job_spec.rs
@@ -10,13 +10,13 @@
 pub struct JobSpec {
     /// Id chosen by the customer, which identifies repeated submissions.
     pub id: Name,
-    /// Customer that owns the job.
+    /// Customer that owns the job, against whose quota it counts.
     pub customer: Name,
     /// Name of a job class in the configuration.
     pub class: Name,
     /// Resources that each run of the job reserves on its VM, unless placement reserves more.
     pub need: Resources,
-    /// Command that the worker runs.
+    /// Command that the worker runs, limited to 4096 bytes.
     pub command: String,
 }
 
--- a/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
@@ -22,7 +22,7 @@
     CallFailed,
     /// No earlier holder can grant agent leases any longer.
     PredecessorsExpired,
-    /// The configured times have changed.
+    /// The configured times have changed; longer ones apply once the term record contains them.
     Configure(LeaseConfig),
     /// The planner found that another one took over, or that it cannot continue.
     StepDown,
--- a/crates/geraniumpost-core/src/jobs/lease/lease_holder.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_holder.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, Constructor)]
 #[display("{name}#{incarnation}")]
 pub struct LeaseHolder {
-    /// Name of the entry.
+    /// Name of the entry, which remains the same after a restart.
     pub name: Name,
     /// Random number that identifies one process of the entry, drawn at its start.
     pub incarnation: u64,
--- a/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
@@ -36,10 +36,13 @@
     open_call: Option<(StoreCall, Millis)>,
     next_call_at: Millis,
     lease: u64,
+    /// Expiry of the store lease, counted from the sending of the last successful renewal.
     valid_until: Millis,
+    /// End of the time in which agent leases may be granted without the store.
     grants_until: Millis,
     lease_requested_at: Millis,
     held: Option<HeldTerm>,
+    /// Term record of the open write, or of a write with an unknown outcome.
     pending_record: Option<TermRecord>,
     predecessors_expired: bool,
     configured_at: Millis,
@@ -132,7 +135,7 @@
         if self.held.take().is_some() {
             actions.push(LeaseAction::Lost(reason));
         }
-        // A term must not be reused. A planner that started anew under it would consider the
+        // A term must not be reused. A planner that started again under it would consider the
         // records in the store its own writes, and overwrite them with its empty ones.
         self.pending_record = None;
         self.predecessors_expired = false;
@@ -406,7 +409,7 @@
     }
 
     /// Returns whether the event is a response to the open store call.
-    pub const fn awaits(&self, event: &LeaseEvent) -> bool {
+    pub const fn is_response_to_open_call(&self, event: &LeaseEvent) -> bool {
         let Some((call, _)) = self.open_call else { return false };
         match event {
             LeaseEvent::AliveRead(_) => matches!(call, StoreCall::Poll | StoreCall::CheckClaim),
--- a/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
@@ -3,7 +3,7 @@
 /// Progress of a restarted agent in adopting the tasks that its worker runs.
 ///
 /// Until the adoption is complete the ledger does not know what the VM runs. It accepts no start
-/// and sends no inventory, because a task missing from the inventory would be started elsewhere
+/// and sends no inventory, because a task missing from the inventory would be started on another VM
 /// while it still runs here. Two lists are read with an interval between them, because a start sent
 /// by the agent's previous process may still be in transit to the worker when the first list is
 /// read.
--- a/crates/geraniumpost-core/src/jobs/ledger/agent_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/agent_lease.rs
@@ -71,7 +71,7 @@
     /// A process that just started knows no term and could accept an order of a planner that was
     /// superseded long ago. Such a planner has noticed that its lease expired and grants no agent
     /// leases, so its orders are rejected by requiring a lease of the same term.
-    pub(super) fn covers(&self, term: u64, now: Millis) -> bool {
+    pub(super) fn permits_starts_under(&self, term: u64, now: Millis) -> bool {
         self.term == term && self.is_valid(now)
     }
 }
--- a/crates/geraniumpost-core/src/jobs/ledger/orders.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the planner.
+//! Handling of the planner's orders and heartbeat acknowledgements.
 
 use geraniumpost_schema::{
     HeartbeatAck, Name, Resources, StartTask, TaskRef, TaskReport, TaskState, Throttle,
@@ -42,7 +42,7 @@
         } else if self.has_task_without_size() {
             // The planner repeats the order. The free resources are unknown until the size of every
             // task is known.
-        } else if !self.lease.covers(start.term, now) {
+        } else if !self.lease.permits_starts_under(start.term, now) {
             self.counters.without_lease += 1;
         } else if let Some(reason) = self.refusal_reason(&start) {
             self.refuse_start(&start, reason, now, actions);
--- a/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Responses of the worker to calls about one task.
+//! Handling of the worker's responses to calls about one task.
 
 use geraniumpost_schema::{Name, TaskState};
 
@@ -87,7 +87,7 @@
         let may_begin = task.start_may_take_effect(now, &config);
         match task.phase {
             // The earlier call may still take effect. If the run were reported as refused now, the
-            // planner could start the job elsewhere while this run starts as well. The run ends
+            // planner could start the job on another VM while this run starts as well. The run ends
             // once the call can no longer overtake a stop.
             Phase::Starting if may_begin => {
                 task.result = reason;
--- a/crates/geraniumpost-core/src/jobs/planner/bucket_slot.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/bucket_slot.rs
@@ -3,7 +3,7 @@
 
 /// State of a bucket's store calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stage {
+pub(super) enum BucketStage {
     /// No call is open and the stored value is known.
     Ready,
     /// No call is open and the stored value must be read first.
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct BucketSlot {
     pub(super) bucket: Bucket,
-    pub(super) stage: Stage,
+    pub(super) stage: BucketStage,
     /// Revision of the stored value, `None` if it is absent.
     pub(super) revision: Option<u64>,
     /// Sequence number of the last commit sent.
@@ -39,7 +39,7 @@
     pub(super) fn new() -> Self {
         Self {
             bucket: Bucket::default(),
-            stage: Stage::Unknown,
+            stage: BucketStage::Unknown,
             revision: None,
             sequence: 0,
             fenced: false,
@@ -53,7 +53,7 @@
 
     /// Returns whether the store contains the bucket's current state, except for newer checkpoints.
     pub(super) fn is_committed(&self) -> bool {
-        self.fenced && !self.dirty && self.stage == Stage::Ready
+        self.fenced && !self.dirty && self.stage == BucketStage::Ready
     }
 
     /// Returns whether a commit is due: a change was made, or a checkpoint has waited for its
@@ -67,7 +67,7 @@
         let checkpoint_due =
             self.checkpoint_since.is_some_and(|since| now.since(since) >= max_checkpoint_delay_ms);
         let paced = !self.fenced || now.since(self.last_call) >= commit_interval_ms;
-        self.stage == Stage::Ready && (self.dirty || checkpoint_due) && paced
+        self.stage == BucketStage::Ready && (self.dirty || checkpoint_due) && paced
     }
 
     /// Moves the effects of a commit that did not take effect back in front of the next one.
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::{Name, TaskRef, ToAgent};
 
-use super::{Effect, Planner, PlannerAction, RunGoal, Stage};
+use super::{BucketStage, Effect, Planner, PlannerAction, RunGoal};
 use crate::{
     Millis,
     jobs::{Bucket, JobRecord, Now},
@@ -13,8 +13,8 @@
         let retry_ms = self.config.store_retry_interval_ms;
         for (bucket, slot) in self.slots.iter_mut().enumerate() {
             let paced = slot.last_call.0 == 0 || now.clock.since(slot.last_call) >= retry_ms;
-            if slot.stage == Stage::Unknown && paced {
-                slot.stage = Stage::Reading;
+            if slot.stage == BucketStage::Unknown && paced {
+                slot.stage = BucketStage::Reading;
                 slot.last_call = now.clock;
                 self.counters.reads += 1;
                 actions.push(PlannerAction::Read { bucket });
@@ -33,7 +33,7 @@
             if !slot.is_due(now.clock, commit_interval_ms, max_checkpoint_delay_ms) {
                 continue;
             }
-            slot.stage = Stage::Writing;
+            slot.stage = BucketStage::Writing;
             slot.sequence += 1;
             slot.dirty = false;
             slot.checkpoint_since = None;
@@ -53,10 +53,10 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
-        if !matches!(slot.stage, Stage::Writing | Stage::Reading) {
+        if !matches!(slot.stage, BucketStage::Writing | BucketStage::Reading) {
             return;
         }
-        slot.stage = Stage::Ready;
+        slot.stage = BucketStage::Ready;
         slot.revision = Some(revision);
         slot.fenced = true;
         for effect in std::mem::take(&mut slot.committing) {
@@ -75,10 +75,10 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
-        if slot.stage != Stage::Writing {
+        if slot.stage != BucketStage::Writing {
             return;
         }
-        slot.stage = Stage::Reading;
+        slot.stage = BucketStage::Reading;
         slot.last_call = now.clock;
         self.counters.uncertain_commits += 1;
         self.counters.reads += 1;
@@ -87,8 +87,8 @@
 
     pub(super) fn on_read_failed(&mut self, bucket: usize, now: Now) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
-        if slot.stage == Stage::Reading {
-            slot.stage = Stage::Unknown;
+        if slot.stage == BucketStage::Reading {
+            slot.stage = BucketStage::Unknown;
             slot.last_call = now.clock;
         }
     }
@@ -100,7 +100,7 @@
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if self.slots.get(bucket).is_none_or(|slot| slot.stage != Stage::Reading) {
+        if self.slots.get(bucket).is_none_or(|slot| slot.stage != BucketStage::Reading) {
             return;
         }
         let (revision, read) = match found.map(|(at, value)| (at, Bucket::decode(&value))) {
@@ -128,7 +128,7 @@
     fn load_bucket(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, now: Now) {
         let own = read.term() == self.term;
         let slot = &mut self.slots[bucket];
-        slot.stage = Stage::Ready;
+        slot.stage = BucketStage::Ready;
         slot.revision = revision;
         slot.requeue_effects();
         if own || slot.fenced {
--- a/crates/geraniumpost-core/src/jobs/planner/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/mod.rs
@@ -23,7 +23,7 @@
 mod runs;
 
 use agent_view::AgentView;
-use bucket_slot::{BucketSlot, Stage};
+use bucket_slot::{BucketSlot, BucketStage};
 use effect::Effect;
 pub use job_response::JobResponse;
 pub use job_view::JobView;
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -75,8 +75,8 @@
             Decision::GiveUp { job, reason } => {
                 self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), now);
             }
-            Decision::Quarantine { worker, .. } => self.quarantine(&worker, true),
-            Decision::Release { worker, .. } => self.quarantine(&worker, false),
+            Decision::Quarantine { worker, .. } => self.set_quarantined(&worker, true),
+            Decision::Release { worker, .. } => self.set_quarantined(&worker, false),
             Decision::Wait { .. } => {}
         }
     }
@@ -128,7 +128,7 @@
         let _ = self.apply_transition(job, Transition::GiveUp { code, reason }, now);
     }
 
-    fn quarantine(&mut self, worker: &Name, quarantined: bool) {
+    fn set_quarantined(&mut self, worker: &Name, quarantined: bool) {
         if let Some(view) = self.agents.get_mut(worker) {
             view.quarantined = quarantined;
         }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -71,7 +71,7 @@
         /// Index of the bucket, below [`BUCKETS`](crate::jobs::BUCKETS).
         bucket: usize,
     },
-    /// A bucket was read from the store.
+    /// A read of a bucket succeeded, or found that the bucket is absent.
     ReadDone {
         /// Index of the bucket, below [`BUCKETS`](crate::jobs::BUCKETS).
         bucket: usize,
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -1,4 +1,4 @@
-//! Reports and inventories of agents.
+//! Handling of agents' reports and inventories.
 
 use geraniumpost_schema::{Inventory, Name, TaskRef, TaskReport, TaskState, ToAgent};
 
@@ -34,7 +34,7 @@
         for report in &inventory.tasks {
             self.on_report(agent, report, now, actions);
         }
-        self.reconcile_missing(agent, inventory);
+        self.reconcile_missing_runs(agent, inventory);
     }
 
     /// Handles the runs that are missing from the agent's inventory, and sends the sizes of the
@@ -43,7 +43,7 @@
     /// A lost start is sent again if it cannot have taken effect. In all other cases the run may
     /// have begun: the agent is ordered to prevent its start, and the job waits for the
     /// confirmation.
-    fn reconcile_missing(&mut self, agent: &Name, inventory: &Inventory) {
+    fn reconcile_missing_runs(&mut self, agent: &Name, inventory: &Inventory) {
         let listed = |job: &Name, epoch: u64| {
             inventory.tasks.iter().any(|task| task.job == *job && task.epoch == epoch)
         };
@@ -80,16 +80,16 @@
             .get(&report.job)
             .is_some_and(|run| run.epoch == report.epoch && run.agent == *agent);
         if !current {
-            self.on_stale(agent, report, now, actions);
+            self.on_stale_report(agent, report, now, actions);
         } else if matches!(report.state, TaskState::Starting | TaskState::Running) {
-            self.on_progress(report, now, actions);
+            self.on_progress_report(report, now, actions);
         } else {
-            self.on_end(agent, report, now, actions);
+            self.on_end_report(agent, report, now, actions);
         }
     }
 
     /// Handles a report of a run that is not the current one of its job, or of an unknown job.
-    fn on_stale(
+    fn on_stale_report(
         &mut self,
         agent: &Name,
         report: &TaskReport,
@@ -117,7 +117,12 @@
         }
     }
 
-    fn on_progress(&mut self, report: &TaskReport, now: Now, actions: &mut Vec<PlannerAction>) {
+    fn on_progress_report(
+        &mut self,
+        report: &TaskReport,
+        now: Now,
+        actions: &mut Vec<PlannerAction>,
+    ) {
         let job = &report.job;
         let usage = report.usage;
         self.fleet.update_task(job, |task| task.usage(usage));
@@ -143,7 +148,7 @@
         }
     }
 
-    fn on_end(
+    fn on_end_report(
         &mut self,
         agent: &Name,
         report: &TaskReport,
@@ -155,7 +160,7 @@
         self.observe_end(job, run_outcome(report.state), now, actions);
         let transition = self.end_transition(report, now);
         if self.apply_transition(job, transition, now).is_ok() {
-            self.count_end(report.state, state_before == Some(JobState::Cancelling));
+            self.count_run_end(report.state, state_before == Some(JobState::Cancelling));
         }
         let effect = Effect::SendSettled { agent: agent.clone(), job: job.clone(), epoch };
         self.after_commit(job, effect, now, actions);
@@ -189,7 +194,7 @@
         }
     }
 
-    const fn count_end(&mut self, state: TaskState, cancelled: bool) {
+    const fn count_run_end(&mut self, state: TaskState, cancelled: bool) {
         let counters = &mut self.counters;
         match state {
             TaskState::Done if cancelled => counters.late_results += 1,
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of customers and operators.
+//! Handling of submissions and cancellations by customers and operators.
 
 use geraniumpost_schema::Name;
 
@@ -11,7 +11,7 @@
 /// Time after which to retry when no planner is ready.
 const RETRY_NO_PLANNER_MS: u64 = 1_000;
 /// Time after which to retry when the bucket is full.
-const RETRY_FULL_MS: u64 = 30_000;
+const RETRY_BUCKET_FULL_MS: u64 = 30_000;
 /// Minimum retention of a finished record in a full bucket.
 const MIN_RETENTION_WHEN_FULL_MS: u64 = 60_000;
 
@@ -104,7 +104,7 @@
         let before = now.wall_ms.saturating_sub(MIN_RETENTION_WHEN_FULL_MS);
         slot.bucket.drop_finished_before(before);
         let full = slot.bucket.is_full(size);
-        full.then(|| JobResponse::new(codes::RECORDS_FULL).retry_after_ms(RETRY_FULL_MS))
+        full.then(|| JobResponse::new(codes::RECORDS_FULL).retry_after_ms(RETRY_BUCKET_FULL_MS))
     }
 
     fn accept(&mut self, spec: JobSpec, now: Now) -> JobResponse {
--- a/crates/geraniumpost-core/src/time.rs
+++ b/crates/geraniumpost-core/src/time.rs
@@ -31,7 +31,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Returns the instant `ms` milliseconds later.
+    /// Returns the instant `ms` milliseconds later, or the maximum value on overflow.
     #[must_use]
     pub const fn plus(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms))
--- a/crates/geraniumpost-core/tests/config_adoption.rs
+++ b/crates/geraniumpost-core/tests/config_adoption.rs
@@ -176,6 +176,7 @@
         }
     }
 
+    /// Advances the time by 200 ms and lets each process send its offer to every other one.
     fn run_round(&mut self, mut is_lost: impl FnMut() -> bool) {
         self.now += 200;
         for to in 0..self.nodes.len() {
--- a/crates/geraniumpost-core/tests/jobs_ledger.rs
+++ b/crates/geraniumpost-core/tests/jobs_ledger.rs
@@ -218,7 +218,7 @@
 }
 
 // A new agent process knows no term. An order in transit from a planner that was superseded long
-// ago would start a job that runs elsewhere.
+// ago would start a job that runs on another VM.
 #[test]
 fn a_start_requires_an_agent_lease_of_the_same_term() {
     let mut fixture = Fixture::ready();
@@ -301,7 +301,7 @@
 }
 
 // If no response was lost, a refusal is final. A delayed report would keep the job from being
-// started elsewhere.
+// started on another VM.
 #[test]
 fn a_refused_start_is_reported_at_once() {
     let mut fixture = Fixture::ready();
@@ -403,6 +403,8 @@
     assert_eq!(written, 5, "one every two minutes");
 }
 
+/// An order, worker response or usage report; the first number selects the job. `Start` also has
+/// the epoch and the size in thousandths of a processor, `Usage` the used size.
 #[derive(Debug, Clone)]
 enum Operation {
     Start(u8, u64, u64),
--- a/crates/geraniumpost-core/tests/jobs_planner/fixture.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/fixture.rs
@@ -128,7 +128,7 @@
         assert_eq!(granted, (2, AGENT_LEASE_MS));
     }
 
-    pub fn connect(&mut self, agent: &str, tasks: Vec<TaskReport>) {
+    pub fn connect_agent(&mut self, agent: &str, tasks: Vec<TaskReport>) {
         let agent = Name::from(agent);
         self.handle(PlannerEvent::LinkUp { agent: agent.clone(), incarnation: 5 });
         let inventory = Inventory { incarnation: 5, term: 2, tasks };
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -25,7 +25,7 @@
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.handle(PlannerEvent::PredecessorStopped(LeaseHolder::new("entry-1".into(), 1)));
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     fixture.now = 50_000;
     fixture.send_heartbeat("agent-1");
     fixture.handle(PlannerEvent::LinkDown { agent: "agent-1".into(), incarnation: 5 });
@@ -65,7 +65,7 @@
 fn a_run_missing_from_an_inventory_is_stopped_before_it_is_requeued() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", Vec::new());
+    fixture.connect_agent("agent-1", Vec::new());
     fixture.tick_at(1_100);
     let stop = |(_, frame): &(Name, ToAgent)| matches!(frame, ToAgent::Stop(_));
     assert!(fixture.sent.iter().any(stop), "{:?}", fixture.sent);
@@ -81,7 +81,7 @@
 fn a_late_result_of_an_earlier_run_is_rejected_and_counted() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     fixture.report("agent-1", report("study-1", 1, TaskState::Evicted));
     assert_eq!(fixture.job_state("study-1"), (JobState::Pending, 2));
     fixture.assign("study-1", "agent-1");
@@ -99,7 +99,7 @@
 fn a_completion_is_settled_only_after_it_is_recorded() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     fixture.now += 1_000;
     let report = report("study-1", 1, TaskState::Done);
     let event = PlannerEvent::Report { agent: "agent-1".into(), report };
@@ -117,7 +117,7 @@
 }
 
 /// Reports a commit as of unknown outcome; reading the bucket back returns this term and sequence.
-fn read_back(term: u64, sequence: u64) -> Fixture {
+fn read_back_unknown_commit(term: u64, sequence: u64) -> Fixture {
     let mut fixture = Fixture::new(&[]);
     fixture.now += 1_000;
     let actions =
@@ -135,7 +135,7 @@
     ($($name:ident: ($term:literal, $sequence:literal) => $down:literal, $replies:literal;)*) => {$(
         #[test]
         fn $name() {
-            let fixture = read_back($term, $sequence);
+            let fixture = read_back_unknown_commit($term, $sequence);
             assert_eq!((fixture.stepped_down, fixture.replies.len()), ($down, $replies));
         }
     )*};
@@ -170,7 +170,7 @@
 fn a_job_too_large_for_every_worker_is_refused_at_once() {
     let mut fixture = Fixture::new(&[]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", Vec::new());
+    fixture.connect_agent("agent-1", Vec::new());
     fixture.tick_at(7_000);
     fixture.send_heartbeat("agent-1");
     let need = Resources { memory_mb: 99_000, ..NEED };
@@ -181,10 +181,10 @@
 }
 
 /// Takes 80 jobs per second through submission, start and completion, with a tick every 50 ms.
-fn run_jobs(seconds: u64) -> Fixture {
+fn run_jobs_to_completion(seconds: u64) -> Fixture {
     let mut fixture = Fixture::new(&[]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", Vec::new());
+    fixture.connect_agent("agent-1", Vec::new());
     fixture.commits = 0;
     fixture.bytes_written = 0;
     for tick in 0..seconds * 20 {
@@ -208,7 +208,7 @@
 
 #[test]
 fn store_writes_stay_bounded_at_80_starts_per_second() {
-    let fixture = run_jobs(20);
+    let fixture = run_jobs_to_completion(20);
     let jobs = fixture.planner.counters().completed;
     let per_second = fixture.commits as f64 / 20.0;
     let per_job = fixture.commits as f64 / jobs as f64;
@@ -222,7 +222,7 @@
 fn an_idle_planner_neither_reads_nor_writes_records() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     (fixture.commits, fixture.reads) = (0, 0);
     for tick in 0..1_200 {
         fixture.tick_at(2_000 + tick * 50);
@@ -277,7 +277,7 @@
         fixture.send_heartbeat(&agent_name(agent));
         let jobs = (0..5_200).filter(|job| job % 570 == agent);
         let running = |job| report(&format!("job-{job}"), 1, TaskState::Running);
-        fixture.connect(&agent_name(agent), jobs.map(running).collect());
+        fixture.connect_agent(&agent_name(agent), jobs.map(running).collect());
     }
     fixture.tick_at(1_500);
     let started_at = std::time::Instant::now();
--- a/crates/geraniumpost-core/tests/jobs_record.rs
+++ b/crates/geraniumpost-core/tests/jobs_record.rs
@@ -7,7 +7,7 @@
 use geraniumpost_schema::Resources;
 use proptest::prelude::*;
 
-fn record(id: &str) -> JobRecord {
+fn pending_record(id: &str) -> JobRecord {
     let need = Resources { milli_cpus: 500, memory_mb: 64, accelerators: 0 };
     let spec = JobSpec {
         id: id.into(),
@@ -20,7 +20,7 @@
 }
 
 fn assigned_record() -> JobRecord {
-    let mut job = record("study-7");
+    let mut job = pending_record("study-7");
     job.apply(Transition::Assign { worker: "agent-1".into() }, 2_000).expect("pending");
     job
 }
@@ -46,11 +46,11 @@
         => Pending, epoch 2;
     a_refusal_requeues_the_job: Transition::Refused { not_before_ms: 5 } => Pending, epoch 2;
     a_loss_requeues_the_job: Transition::Lost { checkpoint: "cp".into() } => Pending, epoch 2;
-    a_failure_requeues_the_job: failure(2) => Pending, epoch 2;
-    the_last_failure_fails_the_job: failure(1) => Failed, epoch 1;
+    a_failure_requeues_the_job: run_failure(2) => Pending, epoch 2;
+    the_last_failure_fails_the_job: run_failure(1) => Failed, epoch 1;
 }
 
-fn failure(max_attempts: u32) -> Transition {
+fn run_failure(max_attempts: u32) -> Transition {
     Transition::RunFailed { reason: "exit 1".into(), max_attempts, not_before_ms: 9_000 }
 }
 
@@ -73,7 +73,7 @@
     let mut done = assigned_record();
     done.apply(Transition::Complete { result: "a \"quoted\" line\n".into() }, 3_000).expect("ok");
     bucket.put(done.clone());
-    bucket.put(record("study-8"));
+    bucket.put(pending_record("study-8"));
     let value = bucket.encode(4, 9);
     let read = Bucket::decode(&value).expect("own encoding");
     assert_eq!((read.term(), read.sequence()), (4, 9));
@@ -104,7 +104,7 @@
     let mut bucket = Bucket::default();
     let mut count = 0;
     while !bucket.is_full(400) {
-        bucket.put(record(&format!("study-{count}")));
+        bucket.put(pending_record(&format!("study-{count}")));
         count += 1;
     }
     let ids: Vec<_> = bucket.records().map(|job| job.id().clone()).collect();
@@ -188,7 +188,7 @@
         Operation::Evict => Transition::Evicted { checkpoint: "cp".into() },
         Operation::Refuse => Transition::Refused { not_before_ms: 5 },
         Operation::Lose => Transition::Lost { checkpoint: "".into() },
-        Operation::Fail => failure(3),
+        Operation::Fail => run_failure(3),
         Operation::Complete => Transition::Complete { result: "ok".into() },
         Operation::Cancel => Transition::Cancel,
     }
@@ -199,7 +199,7 @@
     fn a_record_matches_the_reference_table(
         operations in prop::collection::vec(operation(), 0..60),
     ) {
-        let mut job = record("study-7");
+        let mut job = pending_record("study-7");
         let mut reference = ReferenceRecord { state: "pending", requeued_runs: 0, failures: 0 };
         for operation in &operations {
             let applied = job.apply(transition(operation), 5).is_ok();
--- a/crates/geraniumpost-core/tests/jobs_simulation/agent.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/agent.rs
@@ -24,7 +24,7 @@
         Self {
             name: format!("agent-{index}").into(),
             incarnation: 1,
-            ledger: ledger(1),
+            ledger: new_ledger(1),
             worker: Worker::default(),
             paused_until: 0,
             down_until: 0,
@@ -35,7 +35,7 @@
 
     pub fn restart(&mut self) {
         self.incarnation += 1;
-        self.ledger = ledger(self.incarnation);
+        self.ledger = new_ledger(self.incarnation);
         self.inbox.clear();
         self.paused_until = 0;
     }
@@ -80,7 +80,7 @@
     }
 }
 
-fn ledger(incarnation: u64) -> VmLedger {
+fn new_ledger(incarnation: u64) -> VmLedger {
     let config = LedgerConfig {
         worker_lease_ms: WORKER_LEASE_MS,
         list_interval_ms: 300,
--- a/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
@@ -33,7 +33,7 @@
             incarnation,
             lease: PlannerLease::new(holder(index, incarnation), lease_config()),
             planner: None,
-            placer: Placer::new(&document()),
+            placer: Placer::new(&config_document()),
             paused_until: 0,
             store_cut_until: 0,
             down_until: 0,
@@ -76,7 +76,7 @@
             ..PlannerConfig::default()
         };
         let mut planner = Planner::new(takeover, config);
-        planner.configure(&document());
+        planner.configure(&config_document());
         self.planner = Some(planner);
         self.links = [None; 3];
     }
@@ -107,7 +107,7 @@
     }
 }
 
-pub fn document() -> Document {
+pub fn config_document() -> Document {
     serde_json::from_value(serde_json::json!({
         "customers": {"entel": {"token_sha256": "0", "quota": {}}},
         "services": {}, "classes": {"study": {}}, "domains": {}, "operators": {}
--- a/crates/geraniumpost-core/tests/jobs_simulation/fault.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/fault.rs
@@ -16,7 +16,7 @@
     Cancel(u64),
 }
 
-pub fn fault() -> impl Strategy<Value = Fault> {
+pub fn any_fault() -> impl Strategy<Value = Fault> {
     let span = 500..15_000_u64;
     prop_oneof![
         span.clone().prop_map(Fault::StoreOutage),
@@ -34,8 +34,8 @@
 }
 
 /// Faults with the time of each, spread over 30 s.
-pub fn faults() -> impl Strategy<Value = Vec<(u64, Fault)>> {
-    prop::collection::vec((0..30_000_u64, fault()), 0..12).prop_map(|mut faults| {
+pub fn fault_schedule() -> impl Strategy<Value = Vec<(u64, Fault)>> {
+    prop::collection::vec((0..30_000_u64, any_fault()), 0..12).prop_map(|mut faults| {
         faults.sort_by_key(|(at, _)| *at);
         faults
     })
--- a/crates/geraniumpost-core/tests/jobs_simulation/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/main.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use fault::{Fault, faults};
+use fault::{Fault, fault_schedule};
 use geraniumpost_core::jobs::JobState;
 use proptest::prelude::*;
 use simulation::{ProtocolStep, Simulation};
@@ -68,7 +68,7 @@
     #[test]
     fn every_job_finishes_exactly_once_under_random_faults(
         seed in any::<u64>(),
-        faults in faults(),
+        faults in fault_schedule(),
     ) {
         let simulation = simulate(seed, 10, &faults);
         check_outcomes(&simulation);
@@ -89,7 +89,7 @@
 }
 
 /// Injects a fault when a message of the protocol step is first sent.
-fn inject_at(step: ProtocolStep, fault: fn(usize, usize) -> Fault) {
+fn inject_fault_at_step(step: ProtocolStep, fault: fn(usize, usize) -> Fault) {
     let mut injected = false;
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed);
@@ -116,46 +116,46 @@
 macro_rules! fault_cases {
     ($($name:ident: $step:ident;)*) => {$(
         mod $name {
-            use super::{Fault, ProtocolStep, inject_at};
+            use super::{Fault, ProtocolStep, inject_fault_at_step};
             #[test]
             fn survives_lost_responses() {
-                inject_at(ProtocolStep::$step, |_, _| Fault::ResponsesLost(3_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, _| Fault::ResponsesLost(3_000));
             }
             #[test]
             fn survives_a_store_outage() {
-                inject_at(ProtocolStep::$step, |_, _| Fault::StoreOutage(5_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, _| Fault::StoreOutage(5_000));
             }
             #[test]
             fn survives_a_long_store_outage() {
-                inject_at(ProtocolStep::$step, |_, _| Fault::StoreOutage(14_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, _| Fault::StoreOutage(14_000));
             }
             #[test]
             fn survives_the_death_of_the_planner() {
-                inject_at(ProtocolStep::$step, |e, _| Fault::EntryKilled(e));
+                inject_fault_at_step(ProtocolStep::$step, |e, _| Fault::EntryKilled(e));
             }
             #[test]
             fn survives_a_pause_of_the_planner() {
-                inject_at(ProtocolStep::$step, |e, _| Fault::EntryPaused(e, 6_000));
+                inject_fault_at_step(ProtocolStep::$step, |e, _| Fault::EntryPaused(e, 6_000));
             }
             #[test]
             fn survives_a_planner_without_the_store() {
-                inject_at(ProtocolStep::$step, |e, _| Fault::EntryCutFromStore(e, 12_000));
+                inject_fault_at_step(ProtocolStep::$step, |e, _| Fault::EntryCutFromStore(e, 12_000));
             }
             #[test]
             fn survives_a_restart_of_the_agent() {
-                inject_at(ProtocolStep::$step, |_, a| Fault::AgentRestarted(a));
+                inject_fault_at_step(ProtocolStep::$step, |_, a| Fault::AgentRestarted(a));
             }
             #[test]
             fn survives_a_pause_of_the_agent() {
-                inject_at(ProtocolStep::$step, |_, a| Fault::AgentPaused(a, 7_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, a| Fault::AgentPaused(a, 7_000));
             }
             #[test]
             fn survives_a_cut_link() {
-                inject_at(ProtocolStep::$step, |e, a| Fault::LinkCut(e, a, 9_000));
+                inject_fault_at_step(ProtocolStep::$step, |e, a| Fault::LinkCut(e, a, 9_000));
             }
             #[test]
             fn survives_the_loss_of_the_vm() {
-                inject_at(ProtocolStep::$step, |_, a| Fault::VmLost(a));
+                inject_fault_at_step(ProtocolStep::$step, |_, a| Fault::VmLost(a));
             }
         }
     )*};
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/agents.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/agents.rs
@@ -21,8 +21,8 @@
             self.handle_agent_event(index, LedgerEvent::HeartbeatSent(sequence));
             let heartbeat = self.agents[index].heartbeat();
             for entry in 0..self.entries.len() {
-                if !self.drops_message() && !self.is_link_cut(entry, index) {
-                    let (delay, heartbeat) = (self.delay(), Box::new(heartbeat.clone()));
+                if !self.is_message_lost() && !self.is_link_cut(entry, index) {
+                    let (delay, heartbeat) = (self.random_delay_ms(), Box::new(heartbeat.clone()));
                     self.send(delay, Message::Heartbeat { entry, agent: index, heartbeat });
                 }
             }
@@ -50,7 +50,7 @@
                     );
                 }
                 call => {
-                    let delay = self.delay().min(100);
+                    let delay = self.random_delay_ms().min(100);
                     let message =
                         Message::WorkerCall { agent: index, incarnation, sent_at: now, call };
                     self.send(delay, message);
@@ -62,9 +62,9 @@
     pub(super) fn send_to_entries(&mut self, agent: usize, event: &PlannerEvent) {
         for entry in 0..self.entries.len() {
             let linked = self.entries[entry].links[agent] == Some(self.agents[agent].incarnation);
-            if linked && !self.drops_message() && !self.is_link_cut(entry, agent) {
+            if linked && !self.is_message_lost() && !self.is_link_cut(entry, agent) {
                 let incarnation = self.entries[entry].incarnation;
-                let delay = self.delay();
+                let delay = self.random_delay_ms();
                 self.send(delay, Message::ToEntry { entry, incarnation, event: event.clone() });
             }
         }
@@ -90,13 +90,13 @@
         };
         let Some(event) = event else { return };
         let event = match event {
-            LedgerEvent::Started { job, epoch } if self.drops_message() => {
+            LedgerEvent::Started { job, epoch } if self.is_message_lost() => {
                 LedgerEvent::StartUncertain { job, epoch }
             }
             event => event,
         };
-        if matches!(event, LedgerEvent::StartUncertain { .. }) || !self.drops_message() {
-            let delay = self.delay().min(100);
+        if matches!(event, LedgerEvent::StartUncertain { .. }) || !self.is_message_lost() {
+            let delay = self.random_delay_ms().min(100);
             self.send(delay, Message::ToAgent { agent, incarnation, event });
         }
     }
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
@@ -209,7 +209,7 @@
 
     pub(super) fn send_store_call(&mut self, entry: usize, caller: StoreCaller, call: StoreCall) {
         let incarnation = self.entries[entry].incarnation;
-        let delay = self.delay();
+        let delay = self.random_delay_ms();
         self.send(delay, Message::StoreCall { entry, incarnation, caller, call });
     }
 
@@ -229,8 +229,8 @@
             ToAgent::Supersede(term) => LedgerEvent::Supersede(term),
             _ => return,
         };
-        if !self.drops_message() && !self.is_link_cut(entry, index) {
-            let delay = self.delay();
+        if !self.is_message_lost() && !self.is_link_cut(entry, index) {
+            let delay = self.random_delay_ms();
             self.send(delay, Message::ToAgent { agent: index, incarnation, event });
         }
     }
@@ -245,10 +245,10 @@
         let now = self.now;
         let cut = now < self.store_down_until || now < self.entries[entry].store_cut_until;
         let response = if cut { StoreResponse::Failed } else { self.store.handle(call, now) };
-        let lost = now < self.responses_lost_until || self.drops_message();
+        let lost = now < self.responses_lost_until || self.is_message_lost();
         let failed = cut || lost;
         let response = if failed { StoreResponse::Failed } else { response };
-        let delay = if failed { STORE_TIMEOUT_MS } else { self.delay() };
+        let delay = if failed { STORE_TIMEOUT_MS } else { self.random_delay_ms() };
         self.send(delay, Message::StoreResponse { entry, incarnation, caller, response });
         self.record_final_states();
     }
@@ -311,7 +311,7 @@
             StoreResponse::KeptAlive(known) => vec![LeaseEvent::KeptAlive(known)],
             StoreResponse::Failed => vec![LeaseEvent::CallFailed],
         };
-        let event = events.into_iter().find(|event| entry.lease.awaits(event));
+        let event = events.into_iter().find(|event| entry.lease.is_response_to_open_call(event));
         event.map_or_else(Vec::new, |event| entry.handle_lease_event(event, now))
     }
 
@@ -335,8 +335,8 @@
             entries: Vec::new(),
         };
         let (incarnation, event) = (heartbeat.incarnation, LedgerEvent::Ack(ack));
-        if !self.drops_message() && !self.is_link_cut(entry, agent) {
-            let delay = self.delay();
+        if !self.is_message_lost() && !self.is_link_cut(entry, agent) {
+            let delay = self.random_delay_ms();
             self.send(delay, Message::ToAgent { agent, incarnation, event });
         }
     }
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
@@ -161,7 +161,7 @@
         self.messages.insert((self.now + delay, self.messages_sent), message);
     }
 
-    fn delay(&mut self) -> u64 {
+    fn random_delay_ms(&mut self) -> u64 {
         if self.reliable_network || self.rng.random_ratio(9, 10) {
             self.rng.random_range(1..10)
         } else {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn drops_message(&mut self) -> bool {
+    fn is_message_lost(&mut self) -> bool {
         !self.reliable_network && self.rng.random_ratio(1, 50)
     }
 
@@ -230,7 +230,7 @@
         let now = self.now;
         for agent in &mut self.agents {
             agent.worker.advance(now);
-            let load = agent.worker.load();
+            let load = agent.worker.allocated();
             assert!(amounts::fits(&load, &CAPACITY), "{} runs {load:?}", agent.name);
             for task in agent.worker.running() {
                 let first = seen.insert(task.job.clone());
--- a/crates/geraniumpost-core/tests/jobs_simulation/worker.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/worker.rs
@@ -47,7 +47,8 @@
         self.tasks.values().map(|entry| &entry.task).filter(|task| task.state == TaskState::Running)
     }
 
-    pub fn load(&self) -> Resources {
+    /// Returns the sum of the declared sizes of all running tasks.
+    pub fn allocated(&self) -> Resources {
         let running = self.tasks.values().filter(|entry| entry.task.state == TaskState::Running);
         running.fold(amounts::NONE, |sum, entry| amounts::plus(&sum, &entry.need))
     }
