--- a/crates/geraniumpost-core/src/config/change_protocol.rs
+++ b/crates/geraniumpost-core/src/config/change_protocol.rs
@@ -29,7 +29,7 @@
 
     /// Returns the first action, a read of the stored value.
     pub fn begin(&mut self) -> ChangeAction {
-        self.call(ChangeAction::Read)
+        self.begin_call(ChangeAction::Read)
     }
 
     /// Handles the result of the last store call and returns the next action.
@@ -39,10 +39,10 @@
             ChangeEvent::Written(revision) => {
                 ChangeAction::Done(ChangeOutcome::Committed { revision })
             }
-            ChangeEvent::Conflict | ChangeEvent::Failed => self.call(ChangeAction::Read),
+            ChangeEvent::Conflict | ChangeEvent::Failed => self.begin_call(ChangeAction::Read),
             ChangeEvent::Lost => {
                 self.in_doubt |= self.writing;
-                self.call(ChangeAction::Read)
+                self.begin_call(ChangeAction::Read)
             }
         }
     }
@@ -52,7 +52,7 @@
         let stored = current.as_ref().map(|(_, stored)| stored);
         if revision == self.change.based_on {
             let value = StoredDocument::from_change(stored, &self.change);
-            return self.call(ChangeAction::Write { expected: revision, value });
+            return self.begin_call(ChangeAction::Write { expected: revision, value });
         }
         match stored.and_then(|stored| stored.changes_since(self.change.based_on)) {
             Some(changes) => ChangeAction::Done(self.outcome(revision, changes)),
@@ -73,7 +73,7 @@
         ChangeOutcome::Committed { revision: committed_at }
     }
 
-    fn call(&mut self, action: ChangeAction) -> ChangeAction {
+    fn begin_call(&mut self, action: ChangeAction) -> ChangeAction {
         if self.calls == MAX_CALLS {
             let outcome =
                 if self.in_doubt { ChangeOutcome::Uncertain } else { ChangeOutcome::Unavailable };
--- a/crates/geraniumpost-core/src/jobs/ledger/lists.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/lists.rs
@@ -30,13 +30,13 @@
         }
         self.adoption = self.adoption.after_list(requested_at, self.config.settle_ms);
         if self.is_complete() && std::mem::take(&mut self.inventory_requested) {
-            actions.push(self.inventory());
+            actions.push(self.inventory_action());
         }
     }
 
     fn reconcile_task(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
         match self.tasks.get(&found.job) {
-            Some(task) if task.epoch == found.epoch => self.update_known(found, now, actions),
+            Some(task) if task.epoch == found.epoch => self.update_known_task(found, now, actions),
             Some(task) if task.phase.is_live() || task.epoch > found.epoch => {
                 discard_unexpected(found, actions);
             }
@@ -65,7 +65,12 @@
         self.tasks.insert(found.job.clone(), task);
     }
 
-    fn update_known(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn update_known_task(
+        &mut self,
+        found: &WorkerTask,
+        now: Millis,
+        actions: &mut Vec<LedgerAction>,
+    ) {
         let Some(task) = self.tasks.get_mut(&found.job) else { return };
         if task.is_ended() {
             return;
--- a/crates/geraniumpost-core/src/jobs/ledger/orders.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/orders.rs
@@ -10,17 +10,17 @@
 impl VmLedger {
     pub(super) fn on_ack(&mut self, ack: &HeartbeatAck) {
         let grants = ack.term > 0 && ack.hold_ms > 0 && ack.incarnation == self.incarnation;
-        if grants && self.accepts_term(ack.term) {
+        if grants && self.accept_term(ack.term) {
             self.lease.extend(ack);
         }
     }
 
     pub(super) fn on_supersede(&mut self, term: u64, actions: &mut Vec<LedgerAction>) {
-        if !self.accepts_term(term) {
+        if !self.accept_term(term) {
             return;
         }
         if self.is_complete() {
-            actions.push(self.inventory());
+            actions.push(self.inventory_action());
         } else {
             self.inventory_requested = true;
         }
@@ -32,7 +32,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accepts_term(start.term) || !self.is_complete() {
+        if !self.accept_term(start.term) || !self.is_complete() {
             return;
         }
         if self.knows_epoch(&start.job, start.epoch) {
@@ -132,7 +132,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accepts_term(order.term) || !self.is_complete() {
+        if !self.accept_term(order.term) || !self.is_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
@@ -160,7 +160,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accepts_term(order.term) || !self.is_complete() {
+        if !self.accept_term(order.term) || !self.is_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn on_throttle(&mut self, order: &Throttle, actions: &mut Vec<LedgerAction>) {
-        if !self.accepts_term(order.term) {
+        if !self.accept_term(order.term) {
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
@@ -196,7 +196,7 @@
     }
 
     pub(super) fn on_settled(&mut self, order: &TaskRef, actions: &mut Vec<LedgerAction>) {
-        if !self.accepts_term(order.term) {
+        if !self.accept_term(order.term) {
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
--- a/crates/geraniumpost-core/src/jobs/ledger/tick.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/tick.rs
@@ -16,7 +16,7 @@
             self.stop_without_lease(now, actions);
         }
         self.retry_stops(now, actions);
-        self.end_expired(now, actions);
+        self.end_expired_stops(now, actions);
         self.repeat_reports(now, actions);
         self.request_sizes(now, actions);
         self.drop_old_epochs(now);
@@ -106,7 +106,7 @@
 
     /// Ends runs that are being stopped once the worker's lease must have expired, in case the
     /// worker never responds.
-    fn end_expired(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn end_expired_stops(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let margin = self.config.worker_lease_ms;
         let expired: Vec<Name> = self
             .tasks
@@ -142,7 +142,7 @@
         let due = now.since(self.last_size_request) >= self.config.repeat_interval_ms;
         if due && self.is_complete() && self.has_task_without_size() {
             self.last_size_request = now;
-            actions.push(self.inventory());
+            actions.push(self.inventory_action());
         }
     }
 
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -125,7 +125,7 @@
         self.tasks.values().map(Task::report).collect()
     }
 
-    pub(super) fn inventory(&self) -> LedgerAction {
+    pub(super) fn inventory_action(&self) -> LedgerAction {
         LedgerAction::Inventory(Inventory {
             incarnation: self.incarnation,
             term: self.term,
@@ -153,7 +153,7 @@
 
     /// Records `term` unless a higher one was received, and returns whether its orders are
     /// accepted.
-    pub(super) fn accepts_term(&mut self, term: u64) -> bool {
+    pub(super) fn accept_term(&mut self, term: u64) -> bool {
         if term < self.term {
             self.counters.stale_terms += 1;
             return false;
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -204,7 +204,7 @@
 
     /// Replaces records whose retention period has passed by tombstones, as part of the next
     /// commit.
-    pub(super) fn drop_finished(&mut self, now: Now) {
+    pub(super) fn drop_expired_records(&mut self, now: Now) {
         let before = now.wall_ms.saturating_sub(self.config.finished_retention_ms);
         for slot in &mut self.slots {
             if slot.dirty {
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -97,7 +97,7 @@
         let epoch = record.epoch();
         self.add_run(&record, Run::new(worker.clone(), epoch, need), now.clock);
         let effect = Effect::SendStart { job: job.clone(), epoch };
-        self.after_commit(job, effect, now, actions);
+        self.apply_after_commit(job, effect, now, actions);
     }
 
     fn throttle(&mut self, job: &Name, permille: u32, now: Now, actions: &mut Vec<PlannerAction>) {
--- a/crates/geraniumpost-core/src/jobs/planner/planner.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner.rs
@@ -164,7 +164,7 @@
     fn on_tick(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
         let clock = now.clock;
         self.read_unknown_buckets(now, actions);
-        if self.predecessors.newly_expired(clock) {
+        if self.predecessors.check_newly_expired(clock) {
             actions.push(PlannerAction::PredecessorsExpired);
         }
         self.update_worker_states(clock);
@@ -172,7 +172,7 @@
         self.request_inventories(clock, actions);
         if self.is_ready() {
             self.end_expired_runs(now, actions);
-            self.drop_finished(now);
+            self.drop_expired_records(now);
         }
         self.send_due_orders(clock, actions);
     }
--- a/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns true once, as soon as no earlier planner can grant leases any longer.
-    pub(super) fn newly_expired(&mut self, now: Millis) -> bool {
+    pub(super) fn check_newly_expired(&mut self, now: Millis) -> bool {
         let expired = !self.reported && now >= self.grants_until;
         self.reported |= expired;
         expired
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -118,7 +118,7 @@
     }
 
     /// Applies an effect once the store contains the current state of the job's bucket.
-    pub(super) fn after_commit(
+    pub(super) fn apply_after_commit(
         &mut self,
         job: &str,
         effect: Effect,
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -112,7 +112,7 @@
                     self.counters.late_results += 1;
                 }
                 let effect = Effect::SendSettled { agent: agent.clone(), job: job.clone(), epoch };
-                self.after_commit(&job, effect, now, actions);
+                self.apply_after_commit(&job, effect, now, actions);
             }
         }
     }
@@ -163,7 +163,7 @@
             self.count_run_end(report.state, state_before == Some(JobState::Cancelling));
         }
         let effect = Effect::SendSettled { agent: agent.clone(), job: job.clone(), epoch };
-        self.after_commit(job, effect, now, actions);
+        self.apply_after_commit(job, effect, now, actions);
     }
 
     fn end_transition(&self, report: &TaskReport, now: Now) -> Transition {
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -27,8 +27,8 @@
             return actions.push(PlannerAction::Reply { request_id, response });
         }
         let job = spec.id.clone();
-        let response = self.repeat_response(&spec).unwrap_or_else(|| self.accept(spec, now));
-        self.after_commit(&job, Effect::Reply { request_id, response }, now, actions);
+        let response = self.repeat_response(&spec).unwrap_or_else(|| self.accept_job(spec, now));
+        self.apply_after_commit(&job, Effect::Reply { request_id, response }, now, actions);
     }
 
     fn unavailable_response(&self) -> Option<JobResponse> {
@@ -107,7 +107,7 @@
         full.then(|| JobResponse::new(codes::RECORDS_FULL).retry_after_ms(RETRY_BUCKET_FULL_MS))
     }
 
-    fn accept(&mut self, spec: JobSpec, now: Now) -> JobResponse {
+    fn accept_job(&mut self, spec: JobSpec, now: Now) -> JobResponse {
         let record = JobRecord::new(spec, now.wall_ms);
         let slot = &mut self.slots[bucket_of(record.id())];
         slot.dirty = true;
@@ -130,11 +130,11 @@
         {
             return actions.push(PlannerAction::Reply { request_id, response });
         }
-        let response = self.cancel(job, now);
+        let response = self.cancel_job(job, now);
         if response.state == Some(JobState::Cancelling) {
-            self.after_commit(job, Effect::SendStop { job: job.clone() }, now, actions);
+            self.apply_after_commit(job, Effect::SendStop { job: job.clone() }, now, actions);
         }
-        self.after_commit(job, Effect::Reply { request_id, response }, now, actions);
+        self.apply_after_commit(job, Effect::Reply { request_id, response }, now, actions);
     }
 
     fn cancel_rejection(&self, job: &Name, customer: &Name) -> Option<JobResponse> {
@@ -147,7 +147,7 @@
         foreign.then(|| JobResponse::new(codes::UNKNOWN_JOB))
     }
 
-    fn cancel(&mut self, job: &Name, now: Now) -> JobResponse {
+    fn cancel_job(&mut self, job: &Name, now: Now) -> JobResponse {
         if let Ok(state) = self.apply_transition(job, Transition::Cancel, now) {
             return JobResponse::new(codes::CANCELLED).state(state);
         }
--- a/crates/geraniumpost-core/src/jobs/store/bucket.rs
+++ b/crates/geraniumpost-core/src/jobs/store/bucket.rs
@@ -7,10 +7,10 @@
 use crate::jobs::{JobRecord, JobState};
 
 /// Version of the stored encoding.
-const FORMAT: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 /// Size in bytes, including expected growth, up to which submissions are accepted. The store
 /// accepts one megabyte, and the records of accepted jobs still grow.
-const MAX_BYTES: usize = 900_000;
+const MAX_VALUE_BYTES: usize = 900_000;
 /// Bytes by which an unfinished record may still grow: its result and the name of a checkpoint.
 const MAX_GROWTH_BYTES: usize = 700;
 /// Encoded size of a tombstone with its comma.
@@ -48,7 +48,7 @@
     /// Returns an error if the value is not a bucket of the supported format.
     pub fn decode(value: &[u8]) -> Result<Self, BucketError> {
         let value: BucketValue = serde_json::from_slice(value)?;
-        if value.format != FORMAT {
+        if value.format != FORMAT_VERSION {
             return Err(BucketError::Format(value.format));
         }
         let mut bucket = Self {
@@ -68,7 +68,7 @@
         self.term = term;
         self.sequence = sequence;
         let mut text = format!(
-            r#"{{"format":{FORMAT},"term":{term},"sequence":{sequence},"tombstones":{},"jobs":["#,
+            r#"{{"format":{FORMAT_VERSION},"term":{term},"sequence":{sequence},"tombstones":{},"jobs":["#,
             serde_json::to_string(&self.tombstones).unwrap_or_else(|_| "[]".into()),
         );
         text.reserve(self.bytes);
@@ -150,7 +150,7 @@
     /// record its checkpoint and result.
     pub fn is_full(&self, additional: usize) -> bool {
         let growth = (self.unfinished + 1) * MAX_GROWTH_BYTES;
-        self.encoded_len() + additional + growth > MAX_BYTES
+        self.encoded_len() + additional + growth > MAX_VALUE_BYTES
     }
 
     /// Returns the number of records in `state`, by a scan of all records.
