--- a/crates/geraniumpost-core/src/config/change.rs
+++ b/crates/geraniumpost-core/src/config/change.rs
@@ -6,7 +6,7 @@
 pub struct Change {
     /// Random id, which is the same in every repetition of the request.
     pub change_id: Name,
-    /// Operator who requested the change.
+    /// Name of the operator who requested the change.
     pub changed_by: Name,
     /// Revision that the operator edited, 0 if there was none.
     pub based_on: u64,
--- a/crates/geraniumpost-core/src/config/past_change.rs
+++ b/crates/geraniumpost-core/src/config/past_change.rs
@@ -6,7 +6,7 @@
 pub struct PastChange {
     /// Random id of the change, chosen by the client that requested it.
     pub change_id: Name,
-    /// Operator who requested the change.
+    /// Name of the operator who requested the change.
     pub changed_by: Name,
     /// Revision that the change replaced, 0 if there was none.
     pub based_on: u64,
--- a/crates/geraniumpost-core/src/config/stored_document.rs
+++ b/crates/geraniumpost-core/src/config/stored_document.rs
@@ -6,14 +6,14 @@
 
 /// Maximum number of changes listed in the stored value.
 ///
-/// After a lost response the protocol searches its own change in this list. A conflict can be
+/// After a lost response the protocol searches this list for its own change. A conflict can be
 /// proven only while the list reaches back to the operator's revision. This is more than the
 /// changes of a day.
 const MAX_CHANGES: usize = 300;
 /// Number of latest changes that keep their paths. Older ones keep only their id, operator and base
 /// revision.
 const MAX_CHANGES_WITH_PATHS: usize = 32;
-/// Maximum number of paths recorded for a change.
+/// Maximum number of paths recorded for a change; further ones are omitted.
 const MAX_PATHS: usize = 12;
 
 /// The stored value of the configuration key.
@@ -21,7 +21,7 @@
 pub struct StoredDocument {
     /// The latest changes, starting with the one that wrote this value.
     pub changes: Vec<PastChange>,
-    /// The configuration document.
+    /// The complete configuration document, in force once processes adopt its revision.
     pub document: Value,
 }
 
--- a/crates/geraniumpost-core/src/jobs/lease/store_call.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/store_call.rs
@@ -3,9 +3,9 @@
 pub(super) enum StoreCall {
     /// Reads the alive key to check for a planner.
     Poll,
-    /// Acquires a store lease.
+    /// Creates the store lease that the alive key will be attached to.
     Grant,
-    /// Creates the alive key.
+    /// Creates the alive key under the new lease, if no other process has done so.
     Claim,
     /// Reads the alive key back because the response to the claim was lost.
     CheckClaim,
@@ -13,7 +13,7 @@
     ReadTerm,
     /// Writes the record of a new or a resumed term.
     WriteTerm,
-    /// Renews the lease.
+    /// Renews the store lease of the current term.
     KeepAlive,
     /// Updates the record of the term that this process holds.
     UpdateTerm,
--- a/crates/geraniumpost-core/src/jobs/planner/effect.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/effect.rs
@@ -7,9 +7,9 @@
 pub(super) enum Effect {
     /// Responds to a submission or cancellation.
     Reply { request_id: u64, response: JobResponse },
-    /// Sends the order to start a run.
+    /// Marks an assignment as committed and sends the start order of its run.
     SendStart { job: Name, epoch: u64 },
-    /// Sends the order to stop a run.
+    /// Changes the goal of a cancelled job's run to `Stop` and sends the order.
     SendStop { job: Name },
     /// Notifies the agent that a final report is recorded and the task may be deleted.
     SendSettled { agent: Name, job: Name, epoch: u64 },
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -25,14 +25,14 @@
     LinkUp {
         /// Name of the agent, as in its heartbeats.
         agent: Name,
-        /// Number that identifies the agent's process.
+        /// Number that identifies the agent's process and changes when it restarts.
         incarnation: u64,
     },
     /// The last link to an incarnation of an agent was closed.
     LinkDown {
         /// Name of the agent, as in its heartbeats.
         agent: Name,
-        /// Number that identifies the agent's process.
+        /// Number that identifies the agent's process and changes when it restarts.
         incarnation: u64,
     },
     /// An agent announced that it accepts no new work and will shut down.
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/message.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/message.rs
@@ -6,7 +6,7 @@
 use crate::fault::Fault;
 use crate::store::{StoreCall, StoreResponse};
 
-/// A message in transit.
+/// A message or call that has been sent and has not arrived yet.
 pub(super) enum Message {
     StoreCall { entry: usize, incarnation: u64, caller: StoreCaller, call: StoreCall },
     StoreResponse { entry: usize, incarnation: u64, caller: StoreCaller, response: StoreResponse },
