--- a/crates/geraniumpost-core/src/config/change_protocol.rs
+++ b/crates/geraniumpost-core/src/config/change_protocol.rs
@@ -3,13 +3,14 @@
 /// Store calls after which the protocol ends without a result.
 const MAX_CALLS: u32 = 8;
 
-/// Commits one change to the store exactly once, or reports accurately why it was not committed.
+/// State machine that commits one change to the store exactly once, or reports why it was not
+/// committed.
 ///
 /// A response can be lost after the write took effect, and the write may even take effect after the
-/// loss was noticed. An operator who was told that the change failed would repeat it and overwrite
-/// a colleague's change. Therefore the value is read back after a lost response. Of all changes
-/// based on one revision only one can be in the store, and the list of changes in the stored value
-/// identifies it. See `docs/design/0401-configuration.md`.
+/// loss was noticed. An operator who received an error for such a change would repeat it and
+/// overwrite a colleague's change. Therefore the value is read back after a lost response. Of all
+/// changes based on one revision only one can be in the store, and the list of changes in the
+/// stored value identifies it. See `docs/design/0401-configuration.md`.
 #[derive(Debug, Clone)]
 pub struct ChangeProtocol {
     change: Change,
@@ -21,14 +22,14 @@
 }
 
 impl ChangeProtocol {
-    /// Creates the protocol of one change.
+    /// Creates the protocol in its initial state; [`Self::begin`] returns the first store call.
     pub const fn new(change: Change) -> Self {
         Self { change, calls: 0, writing: false, in_doubt: false }
     }
 
-    /// Returns the first action.
+    /// Returns the first action, a read of the stored value.
     pub fn begin(&mut self) -> ChangeAction {
-        self.call(ChangeAction::Read)
+        self.begin_call(ChangeAction::Read)
     }
 
     /// Handles the result of the last store call and returns the next action.
@@ -38,10 +39,10 @@
             ChangeEvent::Written(revision) => {
                 ChangeAction::Done(ChangeOutcome::Committed { revision })
             }
-            ChangeEvent::Conflict | ChangeEvent::Failed => self.call(ChangeAction::Read),
+            ChangeEvent::Conflict | ChangeEvent::Failed => self.begin_call(ChangeAction::Read),
             ChangeEvent::Lost => {
                 self.in_doubt |= self.writing;
-                self.call(ChangeAction::Read)
+                self.begin_call(ChangeAction::Read)
             }
         }
     }
@@ -51,7 +52,7 @@
         let stored = current.as_ref().map(|(_, stored)| stored);
         if revision == self.change.based_on {
             let value = StoredDocument::from_change(stored, &self.change);
-            return self.call(ChangeAction::Write { expected: revision, value });
+            return self.begin_call(ChangeAction::Write { expected: revision, value });
         }
         match stored.and_then(|stored| stored.changes_since(self.change.based_on)) {
             Some(changes) => ChangeAction::Done(self.outcome(revision, changes)),
@@ -68,11 +69,11 @@
         if first.change_id != self.change.change_id {
             return ChangeOutcome::Conflict { revision, changes: changes.to_vec() };
         }
-        let became = later.last().map_or(revision, |next| next.based_on);
-        ChangeOutcome::Committed { revision: became }
+        let committed_at = later.last().map_or(revision, |next| next.based_on);
+        ChangeOutcome::Committed { revision: committed_at }
     }
 
-    fn call(&mut self, action: ChangeAction) -> ChangeAction {
+    fn begin_call(&mut self, action: ChangeAction) -> ChangeAction {
         if self.calls == MAX_CALLS {
             let outcome =
                 if self.in_doubt { ChangeOutcome::Uncertain } else { ChangeOutcome::Unavailable };
--- a/crates/geraniumpost-core/src/jobs/job_spec.rs
+++ b/crates/geraniumpost-core/src/jobs/job_spec.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::{Name, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a command; larger input belongs in the customer's own storage.
+/// Maximum length of a command in bytes; larger input belongs in the customer's own storage.
 const MAX_COMMAND_BYTES: usize = 4096;
 const MAX_ID_BYTES: usize = 128;
 
@@ -10,13 +10,13 @@
 pub struct JobSpec {
     /// Id chosen by the customer, which identifies repeated submissions.
     pub id: Name,
-    /// Customer that owns the job.
+    /// Customer that owns the job, against whose quota it counts.
     pub customer: Name,
     /// Name of a job class in the configuration.
     pub class: Name,
-    /// Resources that the job requests.
+    /// Resources that each run of the job reserves on its VM, unless placement reserves more.
     pub need: Resources,
-    /// Command that the worker runs.
+    /// Command that the worker runs, limited to 4096 bytes.
     pub command: String,
 }
 
--- a/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
@@ -4,7 +4,7 @@
 /// or a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Time has passed.
+    /// Time has passed: checks for an expired term and begins the next store call, if due.
     Tick,
     /// Value of the alive key, `None` if it is absent.
     AliveRead(Option<Vec<u8>>),
@@ -22,7 +22,7 @@
     CallFailed,
     /// No earlier holder can grant agent leases any longer.
     PredecessorsExpired,
-    /// The configured times have changed.
+    /// The configured times have changed; longer ones apply once the term record contains them.
     Configure(LeaseConfig),
     /// The planner found that another one took over, or that it cannot continue.
     StepDown,
--- a/crates/geraniumpost-core/src/jobs/ledger/lists.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/lists.rs
@@ -10,7 +10,7 @@
 impl VmLedger {
     pub(super) fn on_listed(
         &mut self,
-        asked: Millis,
+        requested_at: Millis,
         listed: Vec<WorkerTask>,
         now: Millis,
         actions: &mut Vec<LedgerAction>,
@@ -18,30 +18,30 @@
         let listed: HashMap<(Name, u64), WorkerTask> =
             listed.into_iter().map(|task| ((task.job.clone(), task.epoch), task)).collect();
         for found in listed.values() {
-            self.reconcile(found, now, actions);
+            self.reconcile_task(found, now, actions);
         }
-        self.end_vanished(&listed, asked, now, actions);
-        self.advance_adoption(asked, actions);
+        self.end_vanished(&listed, requested_at, now, actions);
+        self.advance_adoption(requested_at, actions);
     }
 
-    fn advance_adoption(&mut self, asked: Millis, actions: &mut Vec<LedgerAction>) {
+    fn advance_adoption(&mut self, requested_at: Millis, actions: &mut Vec<LedgerAction>) {
         if self.adoption == Adoption::Complete {
             return;
         }
-        self.adoption = self.adoption.after_list(asked, self.config.settle_ms);
+        self.adoption = self.adoption.after_list(requested_at, self.config.settle_ms);
         if self.is_complete() && std::mem::take(&mut self.inventory_requested) {
-            actions.push(self.inventory());
+            actions.push(self.inventory_action());
         }
     }
 
-    fn reconcile(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn reconcile_task(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
         match self.tasks.get(&found.job) {
-            Some(task) if task.epoch == found.epoch => self.update_known(found, now, actions),
+            Some(task) if task.epoch == found.epoch => self.update_known_task(found, now, actions),
             Some(task) if task.phase.is_live() || task.epoch > found.epoch => {
                 discard_unexpected(found, actions);
             }
             _ if self.is_settled(found) => discard_unexpected(found, actions),
-            _ => self.adopt(found, now, actions),
+            _ => self.adopt_task(found, now, actions),
         }
     }
 
@@ -49,13 +49,13 @@
         self.known_epochs.get(&found.job).is_some_and(|&(known, _)| found.epoch <= known)
     }
 
-    fn adopt(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn adopt_task(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
         let phase = match found.state {
             TaskState::Starting | TaskState::Running => Phase::Running,
             ended => Phase::Ended(ended),
         };
         let mut task = Task::new(found.job.clone(), found.epoch, None, phase, now);
-        task.observe(found.usage, &found.checkpoint);
+        task.update_from_list(found.usage, &found.checkpoint);
         task.result.clone_from(&found.result);
         task.lease_until = now.plus(self.config.worker_lease_ms);
         task.last_renewal = Millis::default();
@@ -65,12 +65,17 @@
         self.tasks.insert(found.job.clone(), task);
     }
 
-    fn update_known(&mut self, found: &WorkerTask, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn update_known_task(
+        &mut self,
+        found: &WorkerTask,
+        now: Millis,
+        actions: &mut Vec<LedgerAction>,
+    ) {
         let Some(task) = self.tasks.get_mut(&found.job) else { return };
         if task.is_ended() {
             return;
         }
-        task.observe(found.usage, &found.checkpoint);
+        task.update_from_list(found.usage, &found.checkpoint);
         task.settle_start();
         match found.state {
             TaskState::Starting | TaskState::Running => {
@@ -81,22 +86,23 @@
             }
             TaskState::Done | TaskState::Failed => {
                 task.result.clone_from(&found.result);
-                self.end(&found.job, found.state, now, actions);
+                self.end_task(&found.job, found.state, now, actions);
             }
             _ => {
                 let state = task.end_state();
-                self.end(&found.job, state, now, actions);
+                self.end_task(&found.job, state, now, actions);
             }
         }
     }
 
     /// Ends runs that are missing from the worker's list, for example after the worker restarted.
     ///
-    /// A list is not conclusive for a run whose call was made after the list was requested.
+    /// A run is not ended if its phase began after the list was requested, or if its start may
+    /// still take effect.
     fn end_vanished(
         &mut self,
         listed: &HashMap<(Name, u64), WorkerTask>,
-        asked: Millis,
+        requested_at: Millis,
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
@@ -105,7 +111,7 @@
             .values()
             .filter(|task| task.phase.is_live() && task.phase != Phase::Starting)
             .filter(|task| {
-                task.phase_since < asked && !task.start_may_take_effect(now, &self.config)
+                task.phase_since < requested_at && !task.start_may_take_effect(now, &self.config)
             })
             .filter(|task| !listed.contains_key(&(task.job.clone(), task.epoch)))
             .map(|task| task.job.clone())
@@ -113,7 +119,7 @@
         for job in vanished {
             self.counters.vanished += 1;
             let state = self.tasks.get(&job).map_or(TaskState::Lapsed, Task::end_state);
-            self.end(&job, state, now, actions);
+            self.end_task(&job, state, now, actions);
         }
     }
 }
--- a/crates/geraniumpost-core/src/jobs/ledger/orders.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the planner.
+//! Handling of the planner's orders and heartbeat acknowledgements.
 
 use geraniumpost_schema::{
     HeartbeatAck, Name, Resources, StartTask, TaskRef, TaskReport, TaskState, Throttle,
@@ -10,17 +10,17 @@
 impl VmLedger {
     pub(super) fn on_ack(&mut self, ack: &HeartbeatAck) {
         let grants = ack.term > 0 && ack.hold_ms > 0 && ack.incarnation == self.incarnation;
-        if grants && self.accepts_term(ack.term) {
+        if grants && self.accept_term(ack.term) {
             self.lease.extend(ack);
         }
     }
 
     pub(super) fn on_supersede(&mut self, term: u64, actions: &mut Vec<LedgerAction>) {
-        if !self.accepts_term(term) {
+        if !self.accept_term(term) {
             return;
         }
         if self.is_complete() {
-            actions.push(self.inventory());
+            actions.push(self.inventory_action());
         } else {
             self.inventory_requested = true;
         }
@@ -32,7 +32,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accepts_term(start.term) || !self.is_complete() {
+        if !self.accept_term(start.term) || !self.is_complete() {
             return;
         }
         if self.knows_epoch(&start.job, start.epoch) {
@@ -42,10 +42,10 @@
         } else if self.has_task_without_size() {
             // The planner repeats the order. The free resources are unknown until the size of every
             // task is known.
-        } else if !self.lease.covers(start.term, now) {
+        } else if !self.lease.permits_starts_under(start.term, now) {
             self.counters.without_lease += 1;
         } else if let Some(reason) = self.refusal_reason(&start) {
-            self.refuse(&start, reason, now, actions);
+            self.refuse_start(&start, reason, now, actions);
         } else {
             self.reserve_and_start(start, now, actions);
         }
@@ -57,7 +57,7 @@
 
     /// Records the declared size of an adopted task from the planner's repeated order.
     fn record_need(&mut self, start: &StartTask) {
-        if let Some(task) = self.run(&start.job, start.epoch) {
+        if let Some(task) = self.task_mut(&start.job, start.epoch) {
             task.need.get_or_insert(start.need);
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /// Records the refusal as an ended run, so that a repeated order cannot start it later.
-    fn refuse(
+    fn refuse_start(
         &mut self,
         start: &StartTask,
         reason: &str,
@@ -132,7 +132,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accepts_term(order.term) || !self.is_complete() {
+        if !self.accept_term(order.term) || !self.is_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
@@ -160,7 +160,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accepts_term(order.term) || !self.is_complete() {
+        if !self.accept_term(order.term) || !self.is_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn on_throttle(&mut self, order: &Throttle, actions: &mut Vec<LedgerAction>) {
-        if !self.accepts_term(order.term) {
+        if !self.accept_term(order.term) {
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
@@ -196,7 +196,7 @@
     }
 
     pub(super) fn on_settled(&mut self, order: &TaskRef, actions: &mut Vec<LedgerAction>) {
-        if !self.accepts_term(order.term) {
+        if !self.accept_term(order.term) {
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::{Name, TaskRef, ToAgent};
 
-use super::{Effect, Planner, PlannerAction, RunGoal, Stage};
+use super::{BucketStage, Effect, Planner, PlannerAction, RunGoal};
 use crate::{
     Millis,
     jobs::{Bucket, JobRecord, Now},
@@ -10,11 +10,11 @@
 
 impl Planner {
     pub(super) fn read_unknown_buckets(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
-        let retry_ms = self.config.store_retry_ms;
+        let retry_ms = self.config.store_retry_interval_ms;
         for (bucket, slot) in self.slots.iter_mut().enumerate() {
             let paced = slot.last_call.0 == 0 || now.clock.since(slot.last_call) >= retry_ms;
-            if slot.stage == Stage::Unknown && paced {
-                slot.stage = Stage::Reading;
+            if slot.stage == BucketStage::Unknown && paced {
+                slot.stage = BucketStage::Reading;
                 slot.last_call = now.clock;
                 self.counters.reads += 1;
                 actions.push(PlannerAction::Read { bucket });
@@ -22,17 +22,18 @@
         }
     }
 
-    /// Sends all commits that are due.
+    /// Sends the commits of all buckets that are due, if the lease permits writes.
     pub(super) fn send_commits(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
         if !self.role.may_assign() || self.stepped_down {
             return;
         }
-        let (commit_ms, checkpoint_ms) = (self.config.commit_ms, self.config.checkpoint_commit_ms);
+        let (commit_interval_ms, max_checkpoint_delay_ms) =
+            (self.config.commit_interval_ms, self.config.max_checkpoint_delay_ms);
         for (bucket, slot) in self.slots.iter_mut().enumerate() {
-            if !slot.is_due(now.clock, commit_ms, checkpoint_ms) {
+            if !slot.is_due(now.clock, commit_interval_ms, max_checkpoint_delay_ms) {
                 continue;
             }
-            slot.stage = Stage::Writing;
+            slot.stage = BucketStage::Writing;
             slot.sequence += 1;
             slot.dirty = false;
             slot.checkpoint_since = None;
@@ -52,10 +53,10 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
-        if !matches!(slot.stage, Stage::Writing | Stage::Reading) {
+        if !matches!(slot.stage, BucketStage::Writing | BucketStage::Reading) {
             return;
         }
-        slot.stage = Stage::Ready;
+        slot.stage = BucketStage::Ready;
         slot.revision = Some(revision);
         slot.fenced = true;
         for effect in std::mem::take(&mut slot.committing) {
@@ -67,27 +68,27 @@
     ///
     /// A conflict is as inconclusive as a lost response: an earlier commit of this planner that was
     /// considered lost may have taken effect in between.
-    pub(super) fn on_commit_unclear(
+    pub(super) fn on_commit_uncertain(
         &mut self,
         bucket: usize,
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
-        if slot.stage != Stage::Writing {
+        if slot.stage != BucketStage::Writing {
             return;
         }
-        slot.stage = Stage::Reading;
+        slot.stage = BucketStage::Reading;
         slot.last_call = now.clock;
-        self.counters.commits_unclear += 1;
+        self.counters.uncertain_commits += 1;
         self.counters.reads += 1;
         actions.push(PlannerAction::Read { bucket });
     }
 
     pub(super) fn on_read_failed(&mut self, bucket: usize, now: Now) {
         let Some(slot) = self.slots.get_mut(bucket) else { return };
-        if slot.stage == Stage::Reading {
-            slot.stage = Stage::Unknown;
+        if slot.stage == BucketStage::Reading {
+            slot.stage = BucketStage::Unknown;
             slot.last_call = now.clock;
         }
     }
@@ -99,7 +100,7 @@
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if self.slots.get(bucket).is_none_or(|slot| slot.stage != Stage::Reading) {
+        if self.slots.get(bucket).is_none_or(|slot| slot.stage != BucketStage::Reading) {
             return;
         }
         let (revision, read) = match found.map(|(at, value)| (at, Bucket::decode(&value))) {
@@ -122,11 +123,12 @@
         }
     }
 
-    /// Loads a stored value that the open commit has not replaced.
+    /// Handles a stored value that the open commit has not replaced. Marks the bucket for a new
+    /// commit, and loads the records unless a commit of this term is in the store.
     fn load_bucket(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, now: Now) {
         let own = read.term() == self.term;
         let slot = &mut self.slots[bucket];
-        slot.stage = Stage::Ready;
+        slot.stage = BucketStage::Ready;
         slot.revision = revision;
         slot.requeue_effects();
         if own || slot.fenced {
@@ -164,7 +166,7 @@
         actions.push(PlannerAction::StepDown(reason));
     }
 
-    /// Applies an effect after its commit.
+    /// Performs an effect whose commit is known to be in the store.
     pub(super) fn apply_effect(
         &mut self,
         effect: Effect,
@@ -172,8 +174,8 @@
         actions: &mut Vec<PlannerAction>,
     ) {
         match effect {
-            Effect::Reply { reply, answer } => {
-                actions.push(PlannerAction::Reply { reply, answer });
+            Effect::Reply { request_id, response } => {
+                actions.push(PlannerAction::Reply { request_id, response });
             }
             Effect::SendStart { job, epoch } => {
                 if let Some(run) = self.runs.get_mut(&job).filter(|run| run.epoch == epoch) {
@@ -202,7 +204,7 @@
 
     /// Replaces records whose retention period has passed by tombstones, as part of the next
     /// commit.
-    pub(super) fn drop_finished(&mut self, now: Now) {
+    pub(super) fn drop_expired_records(&mut self, now: Now) {
         let before = now.wall_ms.saturating_sub(self.config.finished_retention_ms);
         for slot in &mut self.slots {
             if slot.dirty {
--- a/crates/geraniumpost-core/src/jobs/planner/effect.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/effect.rs
@@ -6,11 +6,11 @@
 #[derive(Debug, Clone)]
 pub(super) enum Effect {
     /// Responds to a submission or cancellation.
-    Reply { reply: u64, answer: JobResponse },
-    /// Sends the order to start a run.
+    Reply { request_id: u64, response: JobResponse },
+    /// Marks an assignment as committed and sends the start order of its run.
     SendStart { job: Name, epoch: u64 },
-    /// Sends the order to stop a run.
+    /// Changes the goal of a cancelled job's run to `Stop` and sends the order.
     SendStop { job: Name },
-    /// Tells the agent that a final report is recorded and the task may be deleted.
+    /// Notifies the agent that a final report is recorded and the task may be deleted.
     SendSettled { agent: Name, job: Name, epoch: u64 },
 }
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placing.rs
@@ -54,8 +54,8 @@
         let class = self.classes.get(&spec.class);
         PlacementRequest::new(spec.id.clone(), spec.customer.clone(), spec.class.clone(), spec.need)
             .priority(class.map_or(Priority::Normal, |class| class.priority))
-            .submitted(to_clock(record.submitted_ms(), now))
-            .not_before(to_clock(record.not_before_ms(), now))
+            .submitted(to_monotonic(record.submitted_ms(), now))
+            .not_before(to_monotonic(record.not_before_ms(), now))
     }
 
     fn apply_decision(&mut self, decision: Decision, now: Now, actions: &mut Vec<PlannerAction>) {
@@ -75,8 +75,8 @@
             Decision::GiveUp { job, reason } => {
                 self.give_up(&job, codes::FAILED_TOO_OFTEN, reason.to_string(), now);
             }
-            Decision::Quarantine { worker, .. } => self.quarantine(&worker, true),
-            Decision::Release { worker, .. } => self.quarantine(&worker, false),
+            Decision::Quarantine { worker, .. } => self.set_quarantined(&worker, true),
+            Decision::Release { worker, .. } => self.set_quarantined(&worker, false),
             Decision::Wait { .. } => {}
         }
     }
@@ -97,7 +97,7 @@
         let epoch = record.epoch();
         self.add_run(&record, Run::new(worker.clone(), epoch, need), now.clock);
         let effect = Effect::SendStart { job: job.clone(), epoch };
-        self.after_commit(job, effect, now, actions);
+        self.apply_after_commit(job, effect, now, actions);
     }
 
     fn throttle(&mut self, job: &Name, permille: u32, now: Now, actions: &mut Vec<PlannerAction>) {
@@ -114,8 +114,8 @@
         actions.push(PlannerAction::Send { agent, frame: ToAgent::Throttle(order) });
     }
 
-    /// Fails a job that has been impossible for the configured time. An accepted job must not fail
-    /// because its worker, or all workers, were unreachable for a short time.
+    /// Fails a job that no worker was large enough to run for the configured time. An accepted job
+    /// must not fail because its worker, or all workers, were unreachable for a short time.
     fn on_impossible(&mut self, job: &Name, reason: String, now: Now) {
         let since = *self.impossible.entry(job.clone()).or_insert(now.clock);
         if now.clock.since(since) >= self.config.impossible_timeout_ms {
@@ -128,7 +128,7 @@
         let _ = self.apply_transition(job, Transition::GiveUp { code, reason }, now);
     }
 
-    fn quarantine(&mut self, worker: &Name, quarantined: bool) {
+    fn set_quarantined(&mut self, worker: &Name, quarantined: bool) {
         if let Some(view) = self.agents.get_mut(worker) {
             view.quarantined = quarantined;
         }
@@ -136,7 +136,7 @@
 }
 
 /// Converts a recorded wall time to an instant of this process's monotonic clock.
-const fn to_clock(wall_ms: u64, now: Now) -> Millis {
+const fn to_monotonic(wall_ms: u64, now: Now) -> Millis {
     if wall_ms >= now.wall_ms {
         now.clock.plus(wall_ms - now.wall_ms)
     } else {
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -117,8 +117,8 @@
             .evictable(class.is_none_or(|class| class.evictable))
     }
 
-    /// Applies an effect once the store contains the present state of the job's bucket.
-    pub(super) fn after_commit(
+    /// Applies an effect once the store contains the current state of the job's bucket.
+    pub(super) fn apply_after_commit(
         &mut self,
         job: &str,
         effect: Effect,
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of customers and operators.
+//! Handling of submissions and cancellations by customers and operators.
 
 use geraniumpost_schema::Name;
 
@@ -11,7 +11,7 @@
 /// Time after which to retry when no planner is ready.
 const RETRY_NO_PLANNER_MS: u64 = 1_000;
 /// Time after which to retry when the bucket is full.
-const RETRY_FULL_MS: u64 = 30_000;
+const RETRY_BUCKET_FULL_MS: u64 = 30_000;
 /// Minimum retention of a finished record in a full bucket.
 const MIN_RETENTION_WHEN_FULL_MS: u64 = 60_000;
 
@@ -19,16 +19,16 @@
     pub(super) fn on_submit(
         &mut self,
         spec: JobSpec,
-        reply: u64,
+        request_id: u64,
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if let Some(answer) = self.unavailable_response().or_else(|| self.rejection(&spec, now)) {
-            return actions.push(PlannerAction::Reply { reply, answer });
+        if let Some(response) = self.unavailable_response().or_else(|| self.rejection(&spec, now)) {
+            return actions.push(PlannerAction::Reply { request_id, response });
         }
         let job = spec.id.clone();
-        let answer = self.repeat_response(&spec).unwrap_or_else(|| self.accept(spec, now));
-        self.after_commit(&job, Effect::Reply { reply, answer }, now, actions);
+        let response = self.repeat_response(&spec).unwrap_or_else(|| self.accept_job(spec, now));
+        self.apply_after_commit(&job, Effect::Reply { request_id, response }, now, actions);
     }
 
     fn unavailable_response(&self) -> Option<JobResponse> {
@@ -104,10 +104,10 @@
         let before = now.wall_ms.saturating_sub(MIN_RETENTION_WHEN_FULL_MS);
         slot.bucket.drop_finished_before(before);
         let full = slot.bucket.is_full(size);
-        full.then(|| JobResponse::new(codes::RECORDS_FULL).retry_after_ms(RETRY_FULL_MS))
+        full.then(|| JobResponse::new(codes::RECORDS_FULL).retry_after_ms(RETRY_BUCKET_FULL_MS))
     }
 
-    fn accept(&mut self, spec: JobSpec, now: Now) -> JobResponse {
+    fn accept_job(&mut self, spec: JobSpec, now: Now) -> JobResponse {
         let record = JobRecord::new(spec, now.wall_ms);
         let slot = &mut self.slots[bucket_of(record.id())];
         slot.dirty = true;
@@ -121,20 +121,20 @@
         &mut self,
         job: &Name,
         customer: &Name,
-        reply: u64,
+        request_id: u64,
         now: Now,
         actions: &mut Vec<PlannerAction>,
     ) {
-        if let Some(answer) =
+        if let Some(response) =
             self.unavailable_response().or_else(|| self.cancel_rejection(job, customer))
         {
-            return actions.push(PlannerAction::Reply { reply, answer });
+            return actions.push(PlannerAction::Reply { request_id, response });
         }
-        let answer = self.cancel(job, now);
-        if answer.state == Some(JobState::Cancelling) {
-            self.after_commit(job, Effect::SendStop { job: job.clone() }, now, actions);
+        let response = self.cancel_job(job, now);
+        if response.state == Some(JobState::Cancelling) {
+            self.apply_after_commit(job, Effect::SendStop { job: job.clone() }, now, actions);
         }
-        self.after_commit(job, Effect::Reply { reply, answer }, now, actions);
+        self.apply_after_commit(job, Effect::Reply { request_id, response }, now, actions);
     }
 
     fn cancel_rejection(&self, job: &Name, customer: &Name) -> Option<JobResponse> {
@@ -147,7 +147,7 @@
         foreign.then(|| JobResponse::new(codes::UNKNOWN_JOB))
     }
 
-    fn cancel(&mut self, job: &Name, now: Now) -> JobResponse {
+    fn cancel_job(&mut self, job: &Name, now: Now) -> JobResponse {
         if let Ok(state) = self.apply_transition(job, Transition::Cancel, now) {
             return JobResponse::new(codes::CANCELLED).state(state);
         }
--- a/crates/geraniumpost-core/tests/jobs_lease.rs
+++ b/crates/geraniumpost-core/tests/jobs_lease.rs
@@ -1,4 +1,4 @@
-//! The planner lease: acquisition, expiry, and what a new planner learns of its predecessors.
+//! The planner lease: acquisition, expiry, takeover and changes of its configured times.
 
 use assert_matches::assert_matches;
 use geraniumpost_core::Millis;
@@ -8,7 +8,7 @@
 };
 
 const CONFIG: LeaseConfig =
-    LeaseConfig { ttl_ms: 6_000, poll_ms: 2_000, outage_hold_ms: 60_000, hold_ms: 10_000 };
+    LeaseConfig { ttl_ms: 6_000, poll_interval_ms: 2_000, outage_hold_ms: 60_000, hold_ms: 10_000 };
 
 fn holder(number: u64) -> LeaseHolder {
     LeaseHolder::new(format!("entry-{number}").into(), number)
@@ -32,7 +32,7 @@
     assert_matches!(&acquired[..], [LeaseAction::Acquired(takeover)] => takeover.clone())
 }
 
-fn leader() -> PlannerLease {
+fn new_leader() -> PlannerLease {
     let mut lease = PlannerLease::new(holder(1), CONFIG);
     acquire(&mut lease, None, 1_000);
     lease
@@ -51,7 +51,7 @@
 // checked its clock, two planners would assign jobs.
 #[test]
 fn a_holder_paused_past_its_lease_loses_its_role() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     assert_eq!(lease.role(Millis(6_999)), LeaseRole::Leader { term: 1 });
     assert_eq!(lease.role(Millis(7_000)), LeaseRole::Disconnected { term: 1 });
     assert_eq!(lease.role(Millis(61_000)), LeaseRole::Follower);
@@ -63,7 +63,7 @@
 // renewal; a holder that counted from the response would assume a lease that has expired.
 #[test]
 fn a_renewal_counts_from_when_it_was_sent() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     let renewal = lease.handle(LeaseEvent::Tick, Millis(3_000));
     assert_eq!(renewal, [LeaseAction::KeepAlive { lease: 5 }]);
     lease.handle(LeaseEvent::KeptAlive(true), Millis(6_500));
@@ -75,7 +75,7 @@
 // holder must stop assigning at once, while running tasks continue.
 #[test]
 fn a_lease_unknown_to_the_store_ends_assignment_at_once() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     lease.handle(LeaseEvent::Tick, Millis(3_000));
     lease.handle(LeaseEvent::KeptAlive(false), Millis(3_100));
     assert_eq!(lease.role(Millis(3_100)), LeaseRole::Disconnected { term: 1 });
@@ -85,7 +85,7 @@
 // its own term, a takeover would disturb running tasks without need.
 #[test]
 fn a_holder_resumes_its_term_after_a_store_outage() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     let own = TermRecord::first(holder(1), &CONFIG);
     let at = Millis(30_000);
     assert_eq!(lease.handle(LeaseEvent::Tick, at), [LeaseAction::ReadAlive]);
@@ -100,11 +100,11 @@
 }
 
 // The time in which the holder may grant agent leases ends while it rewrites its term after an
-// outage. If it then started anew under the old term, its empty planner would take the stored
-// records for its own and overwrite them: every accepted job would be lost.
+// outage. If it then started again under the old term, its empty planner would consider the stored
+// records its own writes and overwrite them: every accepted job would be lost.
 #[test]
 fn a_lost_term_is_not_resumed() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     let own = TermRecord::first(holder(1), &CONFIG);
     let at = Millis(60_000);
     lease.handle(LeaseEvent::Tick, at);
@@ -117,11 +117,12 @@
     assert_eq!(lease.role(Millis(61_500)), LeaseRole::Follower);
 }
 
-// Another entry takes over while the holder is disconnected from the store. A holder that did not
-// give up its term at the first read would keep agents that only it reaches from the new planner.
+// Another entry takes over while the holder is disconnected from the store. A holder that kept its
+// term after the first read would continue to grant leases to agents that the new planner cannot
+// reach, and delay the takeover of their tasks.
 #[test]
 fn a_holder_gives_up_its_term_when_another_process_plans() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     lease.handle(LeaseEvent::Tick, Millis(30_000));
     let actions =
         lease.handle(LeaseEvent::AliveRead(Some(b"entry-2#2 8".to_vec())), Millis(30_000));
@@ -144,8 +145,8 @@
     assert_eq!(read, [LeaseAction::ReadTerm]);
 }
 
-// A candidate is paused between its claim and its write of the term. The claim has expired by then
-// and another process may plan, so the written term must not make the candidate the planner.
+// A candidate is paused while it writes the term, until its claim has expired. Another process may
+// be the planner by then, so the written term must not make the candidate the planner.
 #[test]
 fn a_candidate_paused_past_its_claim_does_not_become_planner() {
     let mut lease = PlannerLease::new(holder(1), CONFIG);
@@ -163,7 +164,7 @@
 // record says, so the longer lease must be recorded before it is first granted.
 #[test]
 fn a_longer_agent_lease_is_recorded_before_it_is_granted() {
-    let mut lease = leader();
+    let mut lease = new_leader();
     let longer = LeaseConfig { hold_ms: 50_000, ..CONFIG };
     lease.handle(LeaseEvent::Configure(longer), Millis(1_500));
     assert_eq!(lease.agent_lease_ms(), 10_000);
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -17,7 +17,7 @@
 /// drift of 1 % and a margin of 500 ms.
 const WORKER_LEASE_BOUND_MS: u64 = 2 * WORKER_LEASE_MS + 2 * WORKER_LEASE_MS / 100 + 500;
 
-// An agent with a running task becomes unreachable. It may only be disconnected: until its agent
+// An agent with a running task becomes unreachable. The agent may be merely disconnected: until its
 // lease and the worker's lease have expired the task may still run, and a second start would run
 // the job twice.
 #[test]
@@ -25,7 +25,7 @@
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.handle(PlannerEvent::PredecessorStopped(LeaseHolder::new("entry-1".into(), 1)));
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     fixture.now = 50_000;
     fixture.send_heartbeat("agent-1");
     fixture.handle(PlannerEvent::LinkDown { agent: "agent-1".into(), incarnation: 5 });
@@ -65,7 +65,7 @@
 fn a_run_missing_from_an_inventory_is_stopped_before_it_is_requeued() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", Vec::new());
+    fixture.connect_agent("agent-1", Vec::new());
     fixture.tick_at(1_100);
     let stop = |(_, frame): &(Name, ToAgent)| matches!(frame, ToAgent::Stop(_));
     assert!(fixture.sent.iter().any(stop), "{:?}", fixture.sent);
@@ -81,7 +81,7 @@
 fn a_late_result_of_an_earlier_run_is_rejected_and_counted() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     fixture.report("agent-1", report("study-1", 1, TaskState::Evicted));
     assert_eq!(fixture.job_state("study-1"), (JobState::Pending, 2));
     fixture.assign("study-1", "agent-1");
@@ -92,14 +92,14 @@
     assert_eq!(fixture.planner.counters().late_results, 1);
 }
 
-// The planner dies after it received a completion report and before it recorded the completion. If
-// the agent had been told to forget the run by then, the completion would be lost and the job would
-// run again.
+// The planner crashes after it received a completion report and before it recorded the completion.
+// If the agent had been ordered to delete the run by then, the completion would be lost and the job
+// would run again.
 #[test]
 fn a_completion_is_settled_only_after_it_is_recorded() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     fixture.now += 1_000;
     let report = report("study-1", 1, TaskState::Done);
     let event = PlannerEvent::Report { agent: "agent-1".into(), report };
@@ -117,10 +117,11 @@
 }
 
 /// Reports a commit as of unknown outcome; reading the bucket back returns this term and sequence.
-fn read_back(term: u64, sequence: u64) -> Fixture {
+fn read_back_unknown_commit(term: u64, sequence: u64) -> Fixture {
     let mut fixture = Fixture::new(&[]);
     fixture.now += 1_000;
-    let actions = fixture.actions_for(PlannerEvent::Submit { spec: job_spec("study-1"), reply: 1 });
+    let actions =
+        fixture.actions_for(PlannerEvent::Submit { spec: job_spec("study-1"), request_id: 1 });
     let bucket = assert_matches!(&actions[..], [PlannerAction::Commit { bucket, .. }] => *bucket);
     let read = fixture.actions_for(PlannerEvent::CommitUnknown { bucket });
     assert_eq!(read, [PlannerAction::Read { bucket }]);
@@ -134,15 +135,15 @@
     ($($name:ident: ($term:literal, $sequence:literal) => $down:literal, $replies:literal;)*) => {$(
         #[test]
         fn $name() {
-            let fixture = read_back($term, $sequence);
+            let fixture = read_back_unknown_commit($term, $sequence);
             assert_eq!((fixture.stepped_down, fixture.replies.len()), ($down, $replies));
         }
     )*};
 }
 
-// The response to a commit is lost. The stored bucket shows whether the commit took effect, must
-// be repeated, or was superseded by another planner's write. A planner that guessed would lose
-// jobs or confirm submissions that were not recorded.
+// The response to a commit is lost. The stored bucket shows whether the commit took effect, must be
+// repeated, or was superseded by another planner's write. Without reading it back, a planner would
+// lose jobs or confirm submissions that were not recorded.
 read_back_cases! {
     a_commit_that_took_effect_is_confirmed: (2, 2) => false, 1;
     a_commit_without_effect_is_repeated: (2, 1) => false, 1;
@@ -151,13 +152,13 @@
     a_foreign_write_of_an_earlier_term_makes_the_planner_step_down: (1, 9) => true, 0;
 }
 
-// A planner's network is cut and it sees no worker. If it judged by the workers it sees, every
-// waiting job would fail as impossible after its submission was accepted.
+// A planner is disconnected from all agents and knows no worker. If it considered only the workers
+// that it knows, every pending job would fail as impossible after its submission was accepted.
 #[test]
 fn a_job_stays_pending_while_no_worker_is_reachable() {
     let mut fixture = Fixture::new(&[]);
     fixture.now += 1_000;
-    fixture.handle(PlannerEvent::Submit { spec: job_spec("study-1"), reply: 1 });
+    fixture.handle(PlannerEvent::Submit { spec: job_spec("study-1"), request_id: 1 });
     for second in 10..400 {
         fixture.tick_at(second * 1_000);
         assert!(fixture.planner.fleet().awaiting_workers());
@@ -169,29 +170,31 @@
 fn a_job_too_large_for_every_worker_is_refused_at_once() {
     let mut fixture = Fixture::new(&[]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", Vec::new());
+    fixture.connect_agent("agent-1", Vec::new());
     fixture.tick_at(7_000);
     fixture.send_heartbeat("agent-1");
     let need = Resources { memory_mb: 99_000, ..NEED };
     let large = JobSpec { need, ..job_spec("study-1") };
-    fixture.handle(PlannerEvent::Submit { spec: large, reply: 1 });
+    fixture.handle(PlannerEvent::Submit { spec: large, request_id: 1 });
     assert_eq!(fixture.replies[0].code, codes::IMPOSSIBLE);
     assert!(fixture.replies[0].detail.contains("agent-1"), "{:?}", fixture.replies);
 }
 
 /// Takes 80 jobs per second through submission, start and completion, with a tick every 50 ms.
-fn run_jobs(seconds: u64) -> Fixture {
+fn run_jobs_to_completion(seconds: u64) -> Fixture {
     let mut fixture = Fixture::new(&[]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", Vec::new());
+    fixture.connect_agent("agent-1", Vec::new());
     fixture.commits = 0;
     fixture.bytes_written = 0;
     for tick in 0..seconds * 20 {
         fixture.tick_at(2_000 + tick * 50);
         fixture.send_heartbeat("agent-1");
         for job in tick * 4..tick * 4 + 4 {
-            fixture
-                .handle(PlannerEvent::Submit { spec: job_spec(&format!("job-{job}")), reply: job });
+            fixture.handle(PlannerEvent::Submit {
+                spec: job_spec(&format!("job-{job}")),
+                request_id: job,
+            });
             if let Some(placed) = job.checked_sub(40) {
                 fixture.assign(&format!("job-{placed}"), "agent-1");
             }
@@ -205,7 +208,7 @@
 
 #[test]
 fn store_writes_stay_bounded_at_80_starts_per_second() {
-    let fixture = run_jobs(20);
+    let fixture = run_jobs_to_completion(20);
     let jobs = fixture.planner.counters().completed;
     let per_second = fixture.commits as f64 / 20.0;
     let per_job = fixture.commits as f64 / jobs as f64;
@@ -219,7 +222,7 @@
 fn an_idle_planner_neither_reads_nor_writes_records() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
     fixture.send_heartbeat("agent-1");
-    fixture.connect("agent-1", vec![report("study-1", 1, TaskState::Running)]);
+    fixture.connect_agent("agent-1", vec![report("study-1", 1, TaskState::Running)]);
     (fixture.commits, fixture.reads) = (0, 0);
     for tick in 0..1_200 {
         fixture.tick_at(2_000 + tick * 50);
@@ -235,7 +238,10 @@
 fn simultaneous_cancellations_share_store_writes() {
     let mut fixture = Fixture::new(&[]);
     for job in 0..4_000 {
-        fixture.handle(PlannerEvent::Submit { spec: job_spec(&format!("job-{job}")), reply: job });
+        fixture.handle(PlannerEvent::Submit {
+            spec: job_spec(&format!("job-{job}")),
+            request_id: job,
+        });
     }
     fixture.tick_at(10_000);
     fixture.commits = 0;
@@ -245,7 +251,7 @@
         let cancel = PlannerEvent::Cancel {
             job: format!("job-{job}").into(),
             customer: "entel".into(),
-            reply: job,
+            request_id: job,
         };
         fixture.handle(cancel);
     }
@@ -271,7 +277,7 @@
         fixture.send_heartbeat(&agent_name(agent));
         let jobs = (0..5_200).filter(|job| job % 570 == agent);
         let running = |job| report(&format!("job-{job}"), 1, TaskState::Running);
-        fixture.connect(&agent_name(agent), jobs.map(running).collect());
+        fixture.connect_agent(&agent_name(agent), jobs.map(running).collect());
     }
     fixture.tick_at(1_500);
     let started_at = std::time::Instant::now();
--- a/crates/geraniumpost-core/tests/jobs_simulation/agent.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/agent.rs
@@ -24,7 +24,7 @@
         Self {
             name: format!("agent-{index}").into(),
             incarnation: 1,
-            ledger: ledger(1),
+            ledger: new_ledger(1),
             worker: Worker::default(),
             paused_until: 0,
             down_until: 0,
@@ -35,7 +35,7 @@
 
     pub fn restart(&mut self) {
         self.incarnation += 1;
-        self.ledger = ledger(self.incarnation);
+        self.ledger = new_ledger(self.incarnation);
         self.inbox.clear();
         self.paused_until = 0;
     }
@@ -80,15 +80,15 @@
     }
 }
 
-fn ledger(incarnation: u64) -> VmLedger {
+fn new_ledger(incarnation: u64) -> VmLedger {
     let config = LedgerConfig {
         worker_lease_ms: WORKER_LEASE_MS,
-        list_ms: 300,
-        repeat_ms: 300,
-        usage_ms: 1_000,
+        list_interval_ms: 300,
+        repeat_interval_ms: 300,
+        usage_report_interval_ms: 1_000,
         settle_ms: 500,
         call_timeout_ms: 1_000,
-        checkpoint_ms: 5_000,
+        checkpoint_interval_ms: 5_000,
         epoch_retention_ms: 60_000,
     };
     VmLedger::new(incarnation, CAPACITY, config)
--- a/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
@@ -33,7 +33,7 @@
             incarnation,
             lease: PlannerLease::new(holder(index, incarnation), lease_config()),
             planner: None,
-            placer: Placer::new(&document()),
+            placer: Placer::new(&config_document()),
             paused_until: 0,
             store_cut_until: 0,
             down_until: 0,
@@ -65,18 +65,18 @@
 
     fn start_planner(&mut self, takeover: &Takeover) {
         let config = PlannerConfig {
-            commit_ms: 100,
+            commit_interval_ms: 100,
             worker_lease_ms: WORKER_LEASE_MS,
-            resend_ms: 300,
+            resend_interval_ms: 300,
             drift_margin_ms: 200,
             settling_ms: 1_000,
             finished_retention_ms: 10_000_000,
             backoff_ms: 100,
-            store_retry_ms: 200,
+            store_retry_interval_ms: 200,
             ..PlannerConfig::default()
         };
         let mut planner = Planner::new(takeover, config);
-        planner.configure(&document());
+        planner.configure(&config_document());
         self.planner = Some(planner);
         self.links = [None; 3];
     }
@@ -101,13 +101,13 @@
 fn lease_config() -> LeaseConfig {
     LeaseConfig {
         ttl_ms: 2_000,
-        poll_ms: 500,
+        poll_interval_ms: 500,
         outage_hold_ms: OUTAGE_HOLD_MS,
         hold_ms: AGENT_LEASE_MS,
     }
 }
 
-pub fn document() -> Document {
+pub fn config_document() -> Document {
     serde_json::from_value(serde_json::json!({
         "customers": {"entel": {"token_sha256": "0", "quota": {}}},
         "services": {}, "classes": {"study": {}}, "domains": {}, "operators": {}
--- a/crates/geraniumpost-core/tests/jobs_simulation/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/main.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use fault::{Fault, faults};
+use fault::{Fault, fault_schedule};
 use geraniumpost_core::jobs::JobState;
 use proptest::prelude::*;
 use simulation::{ProtocolStep, Simulation};
@@ -57,31 +57,31 @@
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        cases: cases(),
+        cases: case_count(),
         max_shrink_iters: 200,
         ..ProptestConfig::default()
     })]
 
     // Entries, agents, VMs, links and the store fail in any order while jobs run, and responses are
-    // lost or late. A flaw in the protocol shows as a job that is lost, completed twice, running
-    // on two VMs, or completed after its cancellation was confirmed.
+    // lost or late. A flaw in the protocol shows as a job that is lost, completed twice, running on
+    // two VMs, or completed after its cancellation was confirmed.
     #[test]
     fn every_job_finishes_exactly_once_under_random_faults(
         seed in any::<u64>(),
-        faults in faults(),
+        faults in fault_schedule(),
     ) {
         let simulation = simulate(seed, 10, &faults);
         check_outcomes(&simulation);
     }
 }
 
-fn cases() -> u32 {
-    std::env::var("JOBS_SIMULATION_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(48)
+fn case_count() -> u32 {
+    std::env::var("JOBS_WORLD_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(48)
 }
 
 // A store outage outlasts the time in which the only planner may grant agent leases, while it
-// rewrites its term. If it started anew under its old term, its planner would write empty records
-// over all jobs: every accepted job would be lost.
+// rewrites its term. If it started again under its old term, its planner would overwrite all
+// records with empty ones: every accepted job would be lost.
 #[test]
 fn a_store_outage_during_a_term_rewrite_loses_no_job() {
     let simulation = simulate(10_401_606_922_207_304_795, 10, &[(602, Fault::StoreOutage(6_221))]);
@@ -89,7 +89,7 @@
 }
 
 /// Injects a fault when a message of the protocol step is first sent.
-fn inject_at(step: ProtocolStep, fault: fn(usize, usize) -> Fault) {
+fn inject_fault_at_step(step: ProtocolStep, fault: fn(usize, usize) -> Fault) {
     let mut injected = false;
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed);
@@ -116,54 +116,54 @@
 macro_rules! fault_cases {
     ($($name:ident: $step:ident;)*) => {$(
         mod $name {
-            use super::{Fault, ProtocolStep, inject_at};
+            use super::{Fault, ProtocolStep, inject_fault_at_step};
             #[test]
             fn survives_lost_responses() {
-                inject_at(ProtocolStep::$step, |_, _| Fault::ResponsesLost(3_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, _| Fault::ResponsesLost(3_000));
             }
             #[test]
             fn survives_a_store_outage() {
-                inject_at(ProtocolStep::$step, |_, _| Fault::StoreOutage(5_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, _| Fault::StoreOutage(5_000));
             }
             #[test]
             fn survives_a_long_store_outage() {
-                inject_at(ProtocolStep::$step, |_, _| Fault::StoreOutage(14_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, _| Fault::StoreOutage(14_000));
             }
             #[test]
             fn survives_the_death_of_the_planner() {
-                inject_at(ProtocolStep::$step, |e, _| Fault::EntryKilled(e));
+                inject_fault_at_step(ProtocolStep::$step, |e, _| Fault::EntryKilled(e));
             }
             #[test]
             fn survives_a_pause_of_the_planner() {
-                inject_at(ProtocolStep::$step, |e, _| Fault::EntryPaused(e, 6_000));
+                inject_fault_at_step(ProtocolStep::$step, |e, _| Fault::EntryPaused(e, 6_000));
             }
             #[test]
             fn survives_a_planner_without_the_store() {
-                inject_at(ProtocolStep::$step, |e, _| Fault::EntryCutFromStore(e, 12_000));
+                inject_fault_at_step(ProtocolStep::$step, |e, _| Fault::EntryCutFromStore(e, 12_000));
             }
             #[test]
             fn survives_a_restart_of_the_agent() {
-                inject_at(ProtocolStep::$step, |_, a| Fault::AgentRestarted(a));
+                inject_fault_at_step(ProtocolStep::$step, |_, a| Fault::AgentRestarted(a));
             }
             #[test]
             fn survives_a_pause_of_the_agent() {
-                inject_at(ProtocolStep::$step, |_, a| Fault::AgentPaused(a, 7_000));
+                inject_fault_at_step(ProtocolStep::$step, |_, a| Fault::AgentPaused(a, 7_000));
             }
             #[test]
             fn survives_a_cut_link() {
-                inject_at(ProtocolStep::$step, |e, a| Fault::LinkCut(e, a, 9_000));
+                inject_fault_at_step(ProtocolStep::$step, |e, a| Fault::LinkCut(e, a, 9_000));
             }
             #[test]
             fn survives_the_loss_of_the_vm() {
-                inject_at(ProtocolStep::$step, |_, a| Fault::VmLost(a));
+                inject_fault_at_step(ProtocolStep::$step, |_, a| Fault::VmLost(a));
             }
         }
     )*};
 }
 
-// Between any two steps of the protocol a process may die or pause, a response may be lost, and the
-// store or a link may fail. A successor sees only what was written by then: a gap in the protocol
-// shows as a job that is lost, runs in two places, or completes twice.
+// Between any two steps of the protocol a process may crash or pause, a response may be lost, and
+// the store or a link may fail. The next planner knows only the records written until then: a flaw
+// in the protocol shows as a job that is lost, runs in two places, or completes twice.
 fault_cases! {
     submission_commit: SubmitCommit;
     assignment_commit: AssignCommit;
@@ -182,8 +182,8 @@
 }
 
 // A stop overtakes the start of its task. The worker reports that there is no such task and starts
-// it a moment later; its response to the start arrives before the one to the stop, and the job runs
-// in two places.
+// it a moment later. Its response to the start arrives before the response to the stop, and the job
+// runs on two VMs.
 #[test]
 fn a_stop_does_not_overtake_its_start() {
     let simulation = simulate(9_631_381_433_693_569_758, 10, &[]);
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
@@ -42,13 +42,13 @@
     /// Jobs to submit. Submissions are repeated until the job is in `accepted`.
     pub jobs: BTreeMap<Name, JobSpec>,
     pub accepted: BTreeSet<Name>,
-    /// Jobs to cancel, unless they finish before.
+    /// Jobs to cancel; a job that finishes first is removed.
     pub cancel_requests: BTreeSet<Name>,
     pub confirmed_cancellations: BTreeSet<Name>,
     /// Job of each request without a response, and whether the request is a cancellation.
     open_requests: BTreeMap<u64, (Name, bool)>,
     pub final_states: BTreeMap<Name, (JobState, String)>,
-    /// Whether the network loses no messages and delays them only shortly.
+    /// Whether the network loses no messages and delays each by less than 10 ms.
     pub reliable_network: bool,
     /// Fault to inject when a message of the step is first sent.
     pub trigger: Option<FaultTrigger>,
@@ -161,7 +161,7 @@
         self.messages.insert((self.now + delay, self.messages_sent), message);
     }
 
-    fn delay(&mut self) -> u64 {
+    fn random_delay_ms(&mut self) -> u64 {
         if self.reliable_network || self.rng.random_ratio(9, 10) {
             self.rng.random_range(1..10)
         } else {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn drops_message(&mut self) -> bool {
+    fn is_message_lost(&mut self) -> bool {
         !self.reliable_network && self.rng.random_ratio(1, 50)
     }
 
@@ -230,7 +230,7 @@
         let now = self.now;
         for agent in &mut self.agents {
             agent.worker.advance(now);
-            let load = agent.worker.load();
+            let load = agent.worker.allocated();
             assert!(amounts::fits(&load, &CAPACITY), "{} runs {load:?}", agent.name);
             for task in agent.worker.running() {
                 let first = seen.insert(task.job.clone());
