--- a/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -12,14 +12,14 @@
 
 /// Timeout of one read of the coordinator's key.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause between two reads while there is no link, or the coordinator is silent.
+/// Pause between two reads while there is no link or the coordinator is silent.
 const SEARCH_PAUSE: Duration = Duration::from_millis(200);
 /// Silence of the coordinator after which the agent looks for a successor in the store, in
-/// milliseconds: one missing response. A VM without power sends no reset, and entries take over
-/// after 0.9 s of silence. An agent that waited as long would leave its minion without orders for
-/// another second.
+/// milliseconds: one missing response. A VM without power does not reset its connections, and
+/// entries take over after 0.9 s of silence. If agents waited as long, minions would get no orders
+/// for another second.
 const LOOKUP_SILENCE_MS: u64 = 700;
-/// Pause between two checks whether the link still works.
+/// Pause between two checks of whether the link still works.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two reads while the linked coordinator may have a successor.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(600);
@@ -27,7 +27,7 @@
 /// Reads the coordinator's key while there is no link, or the linked coordinator may have a
 /// successor, and publishes the current coordinator.
 ///
-/// While the link works the store is not read, so that a large fleet puts no load on it.
+/// The store is not read while the link works, so that a large fleet puts no load on the store.
 pub async fn follow_coordinator(
     store: Arc<Store>,
     state: Arc<State>,
@@ -36,7 +36,7 @@
     let mut store_unreachable = false;
     loop {
         let linked = state.reported_result_count().is_some();
-        let silent = state.silent_ms() > LOOKUP_SILENCE_MS;
+        let silent = state.coordinator_silence_ms() > LOOKUP_SILENCE_MS;
         let may_be_replaced = state.coordinator_may_be_replaced.load(Ordering::Relaxed);
         if linked && !may_be_replaced && !silent {
             tokio::time::sleep(LINK_CHECK_INTERVAL).await;
--- a/crates/geraniumpost/src/batch/agent/heartbeats.rs
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -17,16 +17,16 @@
 use super::super::http_server::{HttpResponse, empty_response};
 use super::state::State;
 
-/// Pause before each check whether a deregistered minion has terminated. By its protocol it
-/// terminates as soon as it receives the response to its deregistration; the pause allows for a
-/// slow machine.
+/// Pause before each check of whether a deregistered minion has terminated. By the platform's
+/// protocol the minion terminates as soon as it receives the response to its deregistration; the
+/// pause allows for a slow machine.
 const TERMINATION_CHECK_PAUSE: Duration = Duration::from_millis(300);
 /// Timeout of the poll that checks whether a deregistered minion is still running.
 const POLL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Largest accepted body of a heartbeat, in bytes.
+/// Maximum length of the body of a heartbeat, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
-/// Handles a heartbeat or a deregistration.
+/// Handles the HTTP request by which a minion sends a heartbeat or deregisters.
 pub async fn respond(req: Request<Incoming>, state: Arc<State>) -> HttpResponse {
     let Some(id) = heartbeat_minion_id(req.uri().path()).map(str::to_owned) else {
         return empty_response(StatusCode::NOT_FOUND);
@@ -63,11 +63,11 @@
 /// Waits until a minion that has deregistered no longer responds, and records that it has
 /// terminated.
 ///
-/// Its tasks end with it. If they only counted as ended when their lease expires, they would be
-/// restarted elsewhere seconds later, or not until a store outage ends. A minion that receives the
-/// response to its deregistration late, because this process was paused, ignores it and keeps
-/// running for some seconds. Without the check its tasks would be restarted elsewhere while they
-/// still run.
+/// The minion's tasks end when the minion terminates. If the coordinator waited until the lease
+/// expires, the tasks would be restarted elsewhere seconds later, or only after a store outage. A
+/// minion ignores a late response to its deregistration, for example after a pause of this process,
+/// and keeps running for some seconds. Without this check its tasks would be restarted elsewhere
+/// while they are still running.
 async fn await_termination(id: Name, state: Arc<State>) {
     let mut still_running = false;
     loop {
--- a/crates/geraniumpost/src/batch/agent/link.rs
+++ b/crates/geraniumpost/src/batch/agent/link.rs
@@ -13,16 +13,17 @@
 use super::orders;
 use super::state::State;
 
-/// Interval of heartbeats to the coordinator. A lease of several seconds survives the loss of many.
+/// Interval of heartbeats to the coordinator. A lease of several seconds survives the loss of many
+/// heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence of the coordinator after which the link is reopened, in milliseconds: three missing
 /// responses.
 const LINK_SILENCE_TIMEOUT_MS: u64 = 1_700;
 /// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(80);
-/// Age of the minion's last response up to which an extension of its lease is requested, in
-/// milliseconds. Calls to a minion that does not respond may still reach it, and each could extend
-/// the lease.
+/// Maximum age of the minion's last response for which an extension of the lease is requested, in
+/// milliseconds. Calls may reach a minion whose responses are lost, and each call could extend the
+/// minion's lease.
 const MAX_MINION_SILENCE_MS: u64 = 1_600;
 
 /// Keeps a link to the known coordinator open, and reopens it when the coordinator changes.
@@ -77,7 +78,7 @@
                 handle(state, message);
             }
             _ = heartbeats.tick() => {
-                if state.silent_ms() > LINK_SILENCE_TIMEOUT_MS {
+                if state.coordinator_silence_ms() > LINK_SILENCE_TIMEOUT_MS {
                     spdlog::warn!("event=dependency_lost dependency=coordinator why=silent");
                     return;
                 }
@@ -97,8 +98,8 @@
     }
 }
 
-/// Sends a heartbeat, which requests an extension of the lease if the minion responds. Returns
-/// false if the link has closed.
+/// Sends a heartbeat. The heartbeat requests an extension of the lease if the minion has responded
+/// recently. Returns false if the link has closed.
 fn send_heartbeat(state: &State, tx: &LinkSender<FromPeer>) -> bool {
     let minion_ok = state.has_responded_within(MAX_MINION_SILENCE_MS);
     let heartbeat = FromAgent::Heartbeat { sent_at_ms: BootClock.now_ms(), minion_ok };
--- a/crates/geraniumpost/src/batch/agent/mod.rs
+++ b/crates/geraniumpost/src/batch/agent/mod.rs
@@ -18,18 +18,18 @@
 use super::http_server;
 use state::State;
 
-/// Time for responses to heartbeats that have already arrived when the process is asked to stop.
+/// Time allowed for responses to heartbeats that are in progress when the process is asked to stop.
 /// Each takes about a millisecond.
 const HEARTBEAT_DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Part of the grace period that is reserved for the exit of the process, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_000;
-/// Pause between two checks whether a coordinator has recorded all departures.
+/// Pause between two checks of whether a coordinator has recorded all departures.
 const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves until the process is asked to stop. The agent persists nothing: the minion keeps running
 /// under its lease, and the next agent process reads the minion's own lists. Only the departure of
-/// a minion cannot be read again, so the process waits until a coordinator has recorded it, or its
-/// grace period is nearly over.
+/// a minion cannot be read again, so the process waits until a coordinator has recorded each
+/// departure, or until the process's grace period is nearly over.
 ///
 /// # Errors
 ///
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Waits until a coordinator has recorded every departure.
+/// Waits until [`State::are_departures_recorded`] returns true.
 async fn await_departures_recorded(state: &State) {
     while !state.are_departures_recorded() {
         tokio::time::sleep(DEPARTURE_CHECK_INTERVAL).await;
--- a/crates/geraniumpost/src/batch/agent/orders.rs
+++ b/crates/geraniumpost/src/batch/agent/orders.rs
@@ -8,20 +8,21 @@
 
 use super::state::State;
 
-/// Timeout of one order. A minion responds within about a millisecond; a busy agent adds some tens
-/// of milliseconds.
+/// Timeout of one order. A minion responds within about a millisecond; on a busy VM the agent may
+/// need some tens of milliseconds more.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Fencing token and end of the lease that are forwarded with an order.
+/// State of the agent at the arrival of an order, which determines whether and how the order is
+/// forwarded.
 ///
-/// Both are read when the order arrives, before any later message of the link is handled. The
-/// coordinator may have sent the order, then assumed that the minion's tasks have ended, and then
-/// granted a new lease. If the order were forwarded under that lease, a task would run twice.
+/// The state is read before any later message of the link is handled. The coordinator may have sent
+/// the order, then concluded that the minion's tasks have ended, and then granted a new lease. If
+/// the order were forwarded under the new lease, a task would run twice.
 #[derive(Debug, Clone, Copy)]
 struct OrderContext {
     fence: u64,
-    /// End of the lease in milliseconds on the minion's clock; `None` if it has expired.
-    lease_end: Option<u64>,
+    /// As returned by [`State::lease_end_on_minion_clock_ms`].
+    lease_end_on_minion_clock_ms: Option<u64>,
     draining: bool,
 }
 
@@ -29,14 +30,14 @@
     fn read(state: &State, order: &Order) -> Self {
         Self {
             fence: state.fence.load(Ordering::SeqCst),
-            lease_end: state.lease_end(),
+            lease_end_on_minion_clock_ms: state.lease_end_on_minion_clock_ms(),
             draining: state.current_minion().is_some_and(|p| p.id == order.minion && p.draining),
         }
     }
 }
 
-/// Forwards one order, and reports its outcome to the coordinator. The [`OrderContext`] is read by
-/// this call itself, not when the returned future runs.
+/// Forwards one order, and reports the outcome to the coordinator. The [`OrderContext`] is read
+/// before this function returns, not when the returned future runs.
 pub fn execute_order(state: Arc<State>, order: Order) -> impl Future<Output = ()> + Send + use<> {
     let context = OrderContext::read(&state, &order);
     async move {
@@ -73,16 +74,16 @@
     if is_start && context.draining {
         return OrderOutcome::NotSent;
     }
-    let lease_end = match context.lease_end {
-        Some(lease_end) => lease_end,
-        // A task that starts without a lease would count as ended while it runs.
+    let lease_end_ms = match context.lease_end_on_minion_clock_ms {
+        Some(lease_end_ms) => lease_end_ms,
+        // If a task started without a lease, the coordinator would consider it ended while it runs.
         None if is_start => return OrderOutcome::NotSent,
         None => 0,
     };
-    let outcome = state.minion.send_order(order, context.fence, lease_end, ORDER_TIMEOUT).await;
-    // A poll for the current coordinator may have overtaken this order of an earlier one, so that
-    // the minion refused it. `Superseded` would make the current coordinator end its term; the
-    // order had no effect, so `NotSent` is reported.
+    let outcome = state.minion.send_order(order, context.fence, lease_end_ms, ORDER_TIMEOUT).await;
+    // The order may be from an earlier coordinator, and the minion may have refused it because a
+    // poll for the current coordinator arrived first. `Superseded` would make the current
+    // coordinator end its term. `NotSent` is reported instead, because the order had no effect.
     let is_outdated = context.fence < state.fence.load(Ordering::SeqCst);
     if outcome == OrderOutcome::Superseded && is_outdated { OrderOutcome::NotSent } else { outcome }
 }
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -1,4 +1,4 @@
-//! Polls the minion's lists of running and ended tasks, which also extends its lease.
+//! Polls the minion's lists of running and ended tasks. Each poll also extends the minion's lease.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,17 +11,17 @@
 use super::super::BootClock;
 use super::state::State;
 
-/// Longest time for which the minion waits for a task to end before it responds to a poll.
+/// Maximum time for which the minion waits for a task to end before it responds to a poll.
 const POLL_WAIT: Duration = Duration::from_millis(400);
 /// Timeout of a poll in addition to [`POLL_WAIT`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longest pause between two polls while the minion lists ends that the coordinator has not
+/// Maximum pause between two polls while the minion lists ended tasks that the coordinator has not
 /// acknowledged. An acknowledgement takes about 10 ms.
 const ACKNOWLEDGEMENT_PAUSE: Duration = Duration::from_millis(150);
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Interval at which running tasks are reported in addition to ends, in milliseconds. Their
-/// progress and tail latencies change slowly.
+/// Interval at which running tasks are reported in addition to ended ones, in milliseconds. The
+/// progress and tail latency of running tasks change slowly.
 const FULL_REPORT_INTERVAL_MS: u64 = 400;
 
 /// Polls the minion until the process exits.
@@ -40,10 +40,11 @@
             let wait = if unconfirmed || has_unacknowledged { Duration::ZERO } else { POLL_WAIT };
             let reported_before = state.reported_result_count();
             let (acknowledged, _) = if unconfirmed { (0, 0) } else { state.end_sequences() };
-            let lease_end = if unconfirmed { None } else { state.lease_end() };
+            let lease_end_ms =
+                if unconfirmed { None } else { state.lease_end_on_minion_clock_ms() };
             let reply = state
                 .minion
-                .poll(&id, fence, acknowledged, lease_end, wait, RESPONSE_TIMEOUT)
+                .poll(&id, fence, acknowledged, lease_end_ms, wait, RESPONSE_TIMEOUT)
                 .await;
             match reply {
                 MinionReply::Ok(lists) => {
@@ -58,8 +59,8 @@
             }
         }
         if has_unacknowledged {
-            // While the minion lists ends that are not acknowledged, it responds to polls at once.
-            // The pause keeps this loop from reading the same ends again and again.
+            // While the minion lists ended tasks that are not acknowledged, it responds to polls at
+            // once. Without the pause, this loop would read the same list repeatedly.
             let _ = tokio::time::timeout(ACKNOWLEDGEMENT_PAUSE, state.poll_wakeup.notified()).await;
             let (acknowledged, reported) = state.end_sequences();
             has_unacknowledged = acknowledged < reported;
@@ -67,8 +68,8 @@
     }
 }
 
-/// Reports to the coordinator the lists that a poll has read. Returns whether they contain ends,
-/// which are not acknowledged yet.
+/// Reports to the coordinator the lists that a poll has read. Returns whether the lists contain
+/// ended tasks, which the coordinator has yet to acknowledge.
 fn report_lists(
     state: &State,
     id: &Name,
@@ -86,10 +87,8 @@
     };
     let ended: Vec<_> = lists.ended.into_iter().filter(|end| end.sequence > reported).collect();
     let now_ms = BootClock.now_ms();
-    let is_full = state.record_reported_ends(
-        last_sequence,
-        now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS,
-    );
+    let is_full =
+        state.begin_report(last_sequence, now_ms >= *last_full_report_ms + FULL_REPORT_INTERVAL_MS);
     if is_full {
         *last_full_report_ms = now_ms;
     } else if ended.is_empty() {
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -10,7 +10,8 @@
 
 use super::super::{BootClock, FromPeer};
 
-/// Lowest speed of a minion's clock relative to the agent's that leases allow for, in percent.
+/// Minimum speed of a minion's clock relative to the agent's clock for which leases are correct, in
+/// percent.
 const MIN_CLOCK_SPEED_PERCENT: u64 = 98;
 
 /// State that the agent's tasks share.
@@ -22,14 +23,15 @@
     pub minion: Minion,
     /// Highest fencing token of a coordinator that has granted a lease; 0 before the first lease.
     pub fence: AtomicU64,
-    /// Ends pauses between polls. Notified when ends are acknowledged, an unknown incarnation sends
-    /// a heartbeat, the link changes or a new coordinator grants a lease.
+    /// Ends pauses between polls. Notified when ended tasks are acknowledged, an incarnation that
+    /// is not the current one sends a heartbeat, the link changes, or a new coordinator grants a
+    /// lease.
     pub poll_wakeup: Notify,
-    /// Notified when a heartbeat must be sent to the coordinator at once: without a lease a new
-    /// incarnation gets no work.
+    /// Notified when a heartbeat must be sent to the coordinator at once, because a new incarnation
+    /// gets no work without a lease.
     pub heartbeat_now: Notify,
-    /// Whether the linked coordinator may have a successor: it reports that it does not reach the
-    /// store, or the minion has rejected its fencing token.
+    /// Whether the linked coordinator may have a successor: the coordinator reports that it does
+    /// not reach the store, or the minion has rejected the coordinator's fencing token.
     pub coordinator_may_be_replaced: std::sync::atomic::AtomicBool,
     /// Time of the coordinator's last message over the current link, on the monotonic clock.
     pub coordinator_heard_ms: AtomicU64,
@@ -43,17 +45,18 @@
     current: Option<MinionInfo>,
     /// Incarnations that have sent heartbeats but have not responded to a call yet.
     unconfirmed: HashMap<Name, MinionInfo>,
-    /// Incarnations that have deregistered or terminated, until a coordinator has recorded that.
+    /// Incarnations that have deregistered or terminated, until a coordinator has recorded their
+    /// departure.
     departures: Departures,
-    /// Last reading of the minion's clock, and the time at which it was received, on the monotonic
-    /// clock.
+    /// Last reading of the minion's clock, and the time at which the reading was received, on the
+    /// agent's monotonic clock.
     minion_clock: Option<(u64, u64)>,
     /// Time of the minion's last response to a poll, on the monotonic clock.
     minion_responded_ms: u64,
-    /// Sequence number up to which the coordinator has acknowledged ends.
-    acknowledged: u64,
-    /// Sequence number of the last end that was reported over the current link.
-    reported: u64,
+    /// Sequence number of the last ended task that the coordinator has acknowledged.
+    acknowledged_sequence: u64,
+    /// Sequence number of the last ended task that was reported over the current link.
+    reported_sequence: u64,
     /// Whether the next report must include the running tasks.
     full_report: bool,
     link: Option<LinkSender<FromPeer>>,
@@ -81,9 +84,9 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat. An incarnation becomes the current one only when it responds to a call,
+    /// Records a heartbeat. An incarnation becomes the current one only when it responds to a poll,
     /// because a delayed heartbeat of an earlier incarnation may arrive after the first heartbeat
-    /// of the next.
+    /// of its successor.
     pub fn record_heartbeat(&self, info: MinionInfo) {
         let mut inner = self.lock();
         let changed = match &inner.current {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Returns the incarnations to poll, any of which may be running: unconfirmed ones first.
+    /// Returns all incarnations that may be running, unconfirmed ones first.
     pub fn possible_incarnations(&self) -> Vec<Name> {
         let inner = self.lock();
         let current = inner.current.iter().map(|info| info.id.clone());
@@ -129,15 +132,15 @@
         inner.current = Some(info.clone());
         inner.departures.remove(id);
         inner.unconfirmed.clear();
-        inner.acknowledged = 0;
-        inner.reported = 0;
+        inner.acknowledged_sequence = 0;
+        inner.reported_sequence = 0;
         inner.full_report = true;
         drop(inner);
         self.send(FromAgent::Minion(info));
         self.heartbeat_now.notify_one();
     }
 
-    /// Records that another incarnation has responded in place of this one.
+    /// Records that another incarnation has responded to a call that was addressed to `id`.
     pub fn record_replaced(&self, id: &Name) {
         let mut inner = self.lock();
         inner.unconfirmed.remove(id);
@@ -151,8 +154,8 @@
         self.lock().departures.record_leaving(id);
     }
 
-    /// Records that an incarnation has terminated after its deregistration. It need not be known:
-    /// the agent may have started after the incarnation's last heartbeat.
+    /// Records that an incarnation has terminated after its deregistration. The incarnation may be
+    /// unknown, because the agent may have started after its last heartbeat.
     pub fn record_terminated(&self, id: &Name) {
         let mut inner = self.lock();
         inner.unconfirmed.remove(id);
@@ -182,8 +185,8 @@
     }
 
     /// Extends the lease as granted in response to a heartbeat. The lease counts from the time at
-    /// which the heartbeat was sent, so that a late response does not extend it beyond the end that
-    /// the coordinator assumes. Leases of superseded coordinators are ignored.
+    /// which the heartbeat was sent, so that a late response does not extend the lease beyond the
+    /// end that the coordinator assumes. Leases of superseded coordinators are ignored.
     pub fn extend_lease(&self, sent_at_ms: u64, duration_ms: u64, fence: u64) {
         if self.fence.fetch_max(fence, Ordering::SeqCst) < fence {
             spdlog::info!("event=coordinator_accepted fence={fence}");
@@ -194,42 +197,44 @@
         }
     }
 
-    /// Returns the end of the lease in milliseconds on the minion's clock, or `None` if it has
-    /// expired or no reading of that clock is known.
-    pub fn lease_end(&self) -> Option<u64> {
+    /// Returns the end of the lease in milliseconds on the minion's clock, or `None` if the lease
+    /// has expired or the agent has no reading of that clock.
+    pub fn lease_end_on_minion_clock_ms(&self) -> Option<u64> {
         let (clock_ms, received_ms) = self.lock().minion_clock?;
         let lease_end_ms = self.lease_end_ms.load(Ordering::SeqCst);
         if lease_end_ms <= BootClock.now_ms() {
             return None;
         }
         let remaining_ms = lease_end_ms.saturating_sub(received_ms);
-        // On a slow clock the same number of milliseconds takes longer.
+        // The minion's clock may be slow. The remaining time is shortened so that the minion's
+        // lease does not outlast the agent's.
         Some(clock_ms + remaining_ms * MIN_CLOCK_SPEED_PERCENT / 100)
     }
 
-    /// Records that the coordinator has committed the ends up to a sequence number, so that the
-    /// minion may forget them.
+    /// Records that the coordinator has committed the ends of tasks up to a sequence number. The
+    /// minion may then remove these tasks from its list.
     pub fn record_acknowledged(&self, minion: &Name, up_to: u64) {
         let mut inner = self.lock();
         if inner.current.as_ref().is_some_and(|current| current.id == *minion) {
-            inner.acknowledged = inner.acknowledged.max(up_to);
+            inner.acknowledged_sequence = inner.acknowledged_sequence.max(up_to);
         }
         drop(inner);
         self.poll_wakeup.notify_waiters();
     }
 
-    /// Returns the sequence numbers of the last acknowledged end and of the last reported one.
+    /// Returns the sequence numbers of the last acknowledged and of the last reported ended task.
     pub fn end_sequences(&self) -> (u64, u64) {
         let inner = self.lock();
-        (inner.acknowledged, inner.reported)
+        (inner.acknowledged_sequence, inner.reported_sequence)
     }
 
-    /// Records that the ends up to a sequence number are being reported. Returns whether the report
-    /// must include the running tasks, as requested by `full_report` or after a change.
-    pub fn record_reported_ends(&self, last_sequence: Option<u64>, full_report: bool) -> bool {
+    /// Records that ended tasks up to a sequence number are being reported. Returns whether the
+    /// report must include the running tasks: if `full_report` is set, and in the first report
+    /// about a new incarnation or over a new link.
+    pub fn begin_report(&self, last_sequence: Option<u64>, full_report: bool) -> bool {
         let mut inner = self.lock();
         if let Some(last_sequence) = last_sequence {
-            inner.reported = inner.reported.max(last_sequence);
+            inner.reported_sequence = inner.reported_sequence.max(last_sequence);
         }
         let is_full_report = inner.full_report || full_report;
         inner.full_report = false;
@@ -237,11 +242,11 @@
     }
 
     /// Sets or clears the link to the coordinator. Over a new link the minion, departures, and all
-    /// ends that are not acknowledged are reported again.
+    /// ended tasks that are not acknowledged are reported again.
     pub fn set_link(&self, link: Option<LinkSender<FromPeer>>) {
         let mut inner = self.lock();
         inner.link = link;
-        inner.reported = inner.acknowledged;
+        inner.reported_sequence = inner.acknowledged_sequence;
         inner.full_report = true;
         for minion in inner.departures.unrecorded_terminations().cloned().collect::<Vec<_>>() {
             send_on_link(&inner, FromAgent::MinionTerminated { minion });
@@ -254,7 +259,7 @@
     }
 
     /// Returns for how long the coordinator has been silent, in milliseconds.
-    pub fn silent_ms(&self) -> u64 {
+    pub fn coordinator_silence_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.coordinator_heard_ms.load(Ordering::Relaxed))
     }
 
@@ -264,13 +269,13 @@
         inner.link.as_ref().map(|_| inner.reported_result_count)
     }
 
-    /// Sends a message to the coordinator if there is a link; otherwise drops it, as the state is
-    /// reported again over the next link.
+    /// Sends a message to the coordinator. Drops the message if there is no link, because the state
+    /// is reported again over the next link.
     pub fn send(&self, message: FromAgent) {
         send_on_link(&self.lock(), message);
     }
 
-    /// Sends the result of an order to the coordinator, numbered by the results reported so far.
+    /// Sends the result of an order to the coordinator, with the number of results reported so far.
     pub fn send_result(&self, mut result: OrderResult) {
         let mut inner = self.lock();
         inner.reported_result_count += 1;
@@ -284,8 +289,8 @@
     inner.link.as_ref().is_some_and(|link| link.send(FromPeer::AgentMessage(message)).is_ok())
 }
 
-/// Keeps the departure of an incarnation until a coordinator confirms it, and reports it over the
-/// link, if any.
+/// Records the departure of an incarnation until a coordinator confirms it, and reports the
+/// departure if there is a link.
 fn report_departure(inner: &mut Inner, id: &Name) {
     if inner.current.as_ref().is_some_and(|current| current.id == *id) {
         inner.current = None;
--- a/crates/geraniumpost/src/batch/boot_clock.rs
+++ b/crates/geraniumpost/src/batch/boot_clock.rs
@@ -6,7 +6,7 @@
 /// Monotonic clock that keeps running while the VM is suspended (`CLOCK_BOOTTIME`). Comments call
 /// it "the monotonic clock".
 ///
-/// On a clock that stops during a suspension, a lease would still seem valid afterwards, although
+/// If the clock stopped during a suspension, a lease would still seem valid afterwards, although
 /// the coordinator may have restarted the tasks on other minions. The tasks would run twice.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -1,4 +1,5 @@
-//! An entry's candidacy: follows the current coordinator, and takes over when that is lost.
+//! An entry's candidacy: follows the current coordinator, and takes over when the coordinator is
+//! lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +27,7 @@
 
 /// Timeout of one call to the store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failed call to the store, and between two checks whether the coordinator is lost.
+/// Pause after a failed call to the store, and between checks of whether the coordinator is lost.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Upper bound of the random part of the delay before a takeover, in milliseconds. Different delays
 /// keep candidates from competing for the key.
@@ -37,10 +38,12 @@
 const ISOLATED_TAKEOVER_MS: u64 = 3_000;
 /// Upper bound of the duration of leases, in milliseconds.
 const MAX_LEASE_MS: u64 = 5_000;
-/// Margin between the longest lease that minions accept and the lease used, in milliseconds.
+/// Margin between the longest lease that minions accept and the lease that is granted, in
+/// milliseconds.
 const LEASE_MARGIN_MS: u64 = 500;
 
-/// Follows the coordinator on behalf of one entry, and competes for its key when it is lost.
+/// Follows the coordinator on behalf of one entry, and competes for the coordinator's key when the
+/// coordinator is lost.
 pub struct Candidate {
     store: Arc<Store>,
     node: Name,
@@ -59,10 +62,10 @@
     confirmed_ms: Arc<AtomicU64>,
 }
 
-/// Results of earlier reads of the store.
+/// Results of earlier reads of the coordinator's key.
 #[derive(Debug, Default)]
 struct StoreObservations {
-    /// Revision that the coordinator's key had when its coordinator was last found to have ended.
+    /// Revision of the coordinator's key when a coordinator was last found to have ended.
     ended_revision: Option<u64>,
     /// Whether the last read failed.
     last_read_failed: bool,
@@ -115,8 +118,8 @@
         Arc::clone(&self.peers)
     }
 
-    /// Runs until the process exits. After `stop` turns true, it only follows the current
-    /// coordinator, for the callers that are still served, and does not take over.
+    /// Runs until the process exits. After `stop` turns true, the candidate no longer takes over,
+    /// and follows the current coordinator only to serve the remaining callers.
     pub async fn run(self, listener: TcpListener, stop: watch::Receiver<bool>) {
         let (inputs_tx, inputs) = watch::channel::<CurrentTermInputs>(None);
         let peer_listener = PeerListener {
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Reads the coordinator's key, waits until that coordinator is lost, and takes over if
-    /// allowed.
+    /// Reads the coordinator's key, waits until the coordinator named there is lost, and takes over
+    /// if allowed.
     async fn run_once(
         &self,
         inputs: &watch::Sender<CurrentTermInputs>,
@@ -158,13 +161,15 @@
             return;
         };
         if record.stepped_down {
-            // No random delay: a second candidate finds the key taken, which costs only one call.
+            // Without a random delay two candidates may compete. The second one's transaction
+            // fails, which costs only one call.
             tokio::time::sleep(Duration::from_millis(self.takeover_delay_ms)).await;
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
         if record.node == self.node {
-            // The record is from an earlier process of this entry, or an earlier term of this one.
+            // The record is from an earlier process of this entry, or from an earlier term of this
+            // process.
             self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
             return;
         }
@@ -184,7 +189,8 @@
         }
     }
 
-    /// Asks the other entries for the coordinator, while the store does not respond to this entry.
+    /// Asks the other entries for the current coordinator, after the store did not respond to this
+    /// entry.
     async fn learn_from_peers(&self) {
         let fence = self.known_coordinator.borrow().map_or(0, |coordinator| coordinator.fence);
         if let Some(successor) = self.peers.find_successor(fence).await {
@@ -198,7 +204,8 @@
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 
-    /// Waits until the state of the link shows that the coordinator is lost; returns how.
+    /// Waits until the state of the link shows that the coordinator is lost, and returns how it was
+    /// lost.
     async fn wait_for_loss(
         &self,
         coordinator: &KnownCoordinator,
@@ -278,8 +285,8 @@
         let term_revision = match self.store.commit(&transaction, STORE_CALL_TIMEOUT).await {
             Ok(revision) => revision,
             Err(CommitError::NotApplied(_)) => return tokio::time::sleep(RETRY_PAUSE).await,
-            // The next read shows which entry holds the key. If a commit without a response was
-            // applied, the key names this process, and is taken over again.
+            // The next read shows which entry holds the key. If this commit was applied without a
+            // response, the key names this process, which then takes over again.
             Err(CommitError::Conflict(_) | CommitError::Indeterminate(_)) => return,
         };
         let term = Term {
@@ -317,17 +324,17 @@
         item: Option<&KeyValue>,
         loss: CoordinatorLoss,
     ) -> (CoordinatorRecord, PredecessorLeases) {
-        // The store's revisions only grow, also when keys are removed, so the term grows even if
-        // the previous record is lost.
+        // No term exceeds the revision at which its record was written. Therefore the new term is
+        // higher than all earlier ones even if the previous record cannot be decoded.
         let revision = item.map_or(0, |item| item.revision);
         let term = previous.as_ref().map_or(0, |previous| previous.term).max(revision) + 1;
-        // The voters of the previous term, as no entry has responded in the new one yet.
+        // The voters of the previous term, because no entry has responded in the new term yet.
         let voters_except_self = previous.as_ref().map_or_else(Voters::default, |previous| {
             previous.voters_of(previous.term).without(&self.node)
         });
         let (mut voters, predecessor_leases) = previous.map_or_else(Default::default, |previous| {
-            // A silent coordinator may respond again, and then reports whether it still
-            // coordinates.
+            // The address allows the successor to probe the silent coordinator, which may respond
+            // again.
             let silent =
                 (loss == CoordinatorLoss::Silent).then_some((previous.address, previous.term));
             let predecessor_leases =
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -14,15 +14,15 @@
 use super::record::CoordinatorRecord;
 use super::writer::{RETRY_PAUSE, TermLost, Writer};
 
-/// The key is rewritten if it overstates the remaining time of a silent coordinator's leases by at
-/// least this, in milliseconds. No batch is written during a rewrite; with this value about five
+/// Overstatement of the remaining time of a silent coordinator's leases from which the key is
+/// rewritten, in milliseconds. No batch is written during a rewrite; with this value about five
 /// rewrites are needed until the leases have expired.
 const MAX_OVERSTATEMENT_MS: u64 = 2_500;
 
 impl Writer {
     /// Returns whether the key overstates the remaining time of silent coordinators' leases by
-    /// [`MAX_OVERSTATEMENT_MS`] or more. A successor that reads the key waits for the recorded time
-    /// from that moment on.
+    /// [`MAX_OVERSTATEMENT_MS`] or more. A successor counts the recorded time from its takeover, so
+    /// an overstated time delays its work.
     pub(super) fn overstates_leases(&self) -> bool {
         let recorded = &self.record.predecessor_leases.silent;
         if recorded.is_empty() {
@@ -37,22 +37,22 @@
         recorded.iter().any(overstated)
     }
 
-    /// Returns whether the key should name other voters and the store responds. The change is not
-    /// urgent enough to be retried while the store does not respond.
+    /// Returns whether the key must be rewritten with other voters. Returns false while the store
+    /// does not respond, because the change is not urgent enough to be retried.
     pub(super) fn is_voter_change_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         let store_responds = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
         store_responds && self.support.voters_to_write().is_some()
     }
 
-    /// Rewrites the coordinator's key, so that the store rejects all earlier writes from then on.
+    /// Rewrites the coordinator's key. The store then rejects all writes that were sent before.
     ///
-    /// The store may apply a write seconds after its timeout. If a newer write of the same record
-    /// was applied meanwhile, the old value would return, and after the loss of all processes an
-    /// ended task would seem to run. Every write requires the current revision of the coordinator's
-    /// key, which the rewrite changes.
+    /// The store may apply a write seconds after the call has timed out. Such a write would
+    /// overwrite a newer value of the same record, and after the loss of all processes an ended
+    /// task would seem to run. Every write requires the current revision of the coordinator's key,
+    /// which the rewrite changes.
     ///
-    /// The same rewrite changes the voters if they differ; each attempt names the same ones.
+    /// The same rewrite changes the voters if a change is due; all attempts write the same voters.
     pub(super) async fn fence_earlier_writes(&mut self) -> Result<(), TermLost> {
         if let Some(voters) = self.support.voters_to_write() {
             self.record.voters.insert(self.record.term, voters.clone());
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Reads the revision of the coordinator's key. Returns whether it has changed, so that an
-    /// earlier attempt of this writer was applied.
+    /// Reads the revision of the coordinator's key. Returns whether the revision has changed, which
+    /// means that an earlier attempt of this writer was applied.
     async fn refresh_revision(&mut self) -> Result<bool, TermLost> {
         loop {
             let requested_ms = BootClock.now_ms();
@@ -139,8 +139,8 @@
     }
 
     /// Removes an entry that has been silent for [`ENTRY_EXPIRY_MS`] from the registry, so that
-    /// others no longer send requests to it. Removes at most one entry per call, as this is not
-    /// urgent.
+    /// others no longer send requests to it. Removes at most one entry per call, because removal is
+    /// not urgent.
     pub(super) async fn deregister_lost_entry(&self) {
         let term_ms = BootClock.now_ms().saturating_sub(self.term_began_ms);
         let lost = |registered: &&RegisteredEntry| {
@@ -156,7 +156,7 @@
         };
         match self.store.commit(&transaction, self.timeout.get()).await {
             Ok(_) => spdlog::info!("event=entry_deregistered node={}", lost.node),
-            // If the entry was not removed or registered again meanwhile, the next call retries.
+            // A later call tries again if the entry is still lost.
             Err(error) => spdlog::debug!("event=entry_deregister_failed why=\"{error}\""),
         }
     }
@@ -180,7 +180,7 @@
     }
 
     /// Records in the key that the coordinator has stepped down. A successor then takes over at
-    /// once and waits only for the leases that the key names.
+    /// once and waits only for the predecessor leases in the key.
     pub async fn step_down(&mut self) {
         self.record.stepped_down = true;
         self.record.predecessor_leases = self.successor_leases.remaining_at(BootClock.now_ms());
--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -2,16 +2,17 @@
 
 use super::super::entry::LinkState;
 
-/// Silence after which a coordinator counts as lost, in milliseconds: three missing pongs.
+/// Silence after which a coordinator is considered lost, in milliseconds: three missing pongs.
 pub const COORDINATOR_LOSS_MS: u64 = 900;
-/// Number of consecutive failed connects after which a coordinator counts as lost.
+/// Number of consecutive failed connection attempts after which a coordinator is considered lost.
 const MAX_FAILED_CONNECTS: u32 = 2;
-/// Time for which a coordinator may report that it does not reach the store before it counts as
-/// lost, in milliseconds. The coordinator starts to report it after `tuning::STORE_UNREACHABLE_MS`.
-const MAX_STORE_UNREACHABLE_MS: u64 = 200;
-/// Time within which a coordinator must reach the store after an outage that this entry noticed as
-/// well, in milliseconds. During the outage its calls wait for up to a second, and this entry
-/// learns of the first successful one with the next pong.
+/// Time for which a coordinator may report that it does not reach the store before it is considered
+/// lost, in milliseconds. The coordinator reports an outage only after
+/// `tuning::STORE_UNREACHABLE_MS`.
+const STORE_UNREACHABLE_TOLERANCE_MS: u64 = 200;
+/// Time that a coordinator has to reach the store again after an outage that this entry noticed as
+/// well, in milliseconds. The coordinator's calls during the outage wait for up to a second, and
+/// this entry learns of the first successful call with the next pong.
 const OUTAGE_RECOVERY_MS: u64 = 1_200;
 
 /// How a coordinator was lost. It determines whether the coordinator may still extend leases.
@@ -19,16 +20,17 @@
 pub enum CoordinatorLoss {
     /// The coordinator has terminated or stepped down, and can no longer extend leases.
     Ended,
-    /// The coordinator may still run, and extend leases until it learns of its successor.
+    /// The coordinator may still be running, and may extend leases until it learns of its
+    /// successor.
     Silent,
 }
 
-/// Returns how the coordinator was lost, or `None` if it does not count as lost.
+/// Returns how the coordinator was lost, or `None` if it is not considered lost.
 ///
 /// `readable_since_ms` is the time at which the store responded to this entry again after an
 /// outage, and `now_ms` the present time, both on the monotonic clock. After an outage that
-/// affected all entries, the coordinator may reach the store slightly later than this entry. A
-/// takeover at that moment would needlessly interrupt all work for a second.
+/// affected all entries, the coordinator may reach the store slightly later than this entry. An
+/// immediate takeover would needlessly interrupt all work for a second.
 pub fn detect_loss(
     link: &LinkState,
     readable_since_ms: Option<u64>,
@@ -45,6 +47,6 @@
     let recovering = readable_since_ms.is_some_and(|since| now_ms < since + OUTAGE_RECOVERY_MS);
     let store_unreachable = link
         .store_unreachable_since_ms
-        .is_some_and(|since| now_ms >= since + MAX_STORE_UNREACHABLE_MS);
+        .is_some_and(|since| now_ms >= since + STORE_UNREACHABLE_TOLERANCE_MS);
     (store_unreachable && !recovering).then_some(CoordinatorLoss::Silent)
 }
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -20,9 +20,10 @@
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
-/// Interval at which the coordinator checks its timers. The shortest are hundreds of milliseconds.
+/// Interval at which the coordinator checks its timers. The shortest timers run for hundreds of
+/// milliseconds.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Most inputs that are handled in one round, before the coordinator decides on all of them.
+/// Maximum number of inputs that are handled in one round, before the coordinator makes decisions.
 const MAX_INPUTS_PER_ROUND: usize = 64;
 
 /// The process at the other end of a link, as the sender and destination of messages.
@@ -44,12 +45,12 @@
     },
 }
 
-/// Inputs of the driver.
+/// Messages, responses and results that the driver passes to the coordinator.
 #[derive(Debug)]
 pub enum Input {
     /// A link has opened; messages to the peer are sent through the sender.
     LinkOpened(Peer, LinkSender<ToPeer>),
-    /// A link has closed; it may have been replaced by a newer one.
+    /// A link has closed; the peer may already have opened another link.
     LinkClosed(Peer),
     /// An entry relays a caller's request.
     Request {
@@ -62,11 +63,11 @@
     },
     /// Message of the agent with this name.
     AgentMessage(Name, FromAgent),
-    /// The store has committed the batch of this number.
+    /// The store has committed the batch with this number.
     BatchWritten(u64),
     /// Response of the admission service; `None` if it failed to respond.
     ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
-    /// The store has confirmed that this entry coordinates.
+    /// The store has confirmed the term of this coordinator.
     TermConfirmed {
         /// Time at which the call to the store was sent, on the monotonic clock.
         requested_ms: u64,
@@ -79,7 +80,7 @@
     PredecessorExtendsUntil {
         /// Address of the silent coordinator.
         address: SocketAddr,
-        /// Latest time at which it can extend a lease, on the monotonic clock.
+        /// Latest time at which that coordinator can extend a lease, on the monotonic clock.
         until_ms: u64,
     },
 }
@@ -105,8 +106,8 @@
     approval_requests: mpsc::Sender<ApprovalRequest>,
     entries: HashMap<u64, LinkSender<ToPeer>>,
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
-    /// Link and request id of the entry that waits for each response, by the driver's own id of the
-    /// request.
+    /// Link of the entry that waits for each response and the entry's id of the request, by the
+    /// driver's own id of the request.
     pending_replies: HashMap<u64, (u64, u64)>,
     next_request_id: u64,
     /// Leases that a successor has to wait for, as shared with the writer.
@@ -203,7 +204,8 @@
                 self.entries.insert(link, tx);
             }
             Input::LinkOpened(Peer::Agent { node, link }, tx) => {
-                // A new link replaces the old one, even if that still has messages under way.
+                // A new link replaces the old one, even if messages on the old link are still in
+                // flight.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
                     self.coordinator.handle_agent_disconnected(&node, now);
                 }
@@ -235,7 +237,7 @@
             }
             Input::TermConfirmed { requested_ms, received_ms } => {
                 self.coordinator.record_store_confirmation(requested_ms, received_ms);
-                for (agent, message) in self.process_pause.term_confirmed(requested_ms) {
+                for (agent, message) in self.process_pause.record_term_confirmation(requested_ms) {
                     self.send_to_agent(&agent, message);
                 }
             }
@@ -251,7 +253,8 @@
     async fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Write(batch) => {
-                // This does not wait: the queue holds as many batches as may be under way at once.
+                // Sending does not wait: the queue has capacity for all batches that the
+                // coordinator has in flight.
                 if self.writes.send(batch).await.is_err() {
                     spdlog::debug!("event=writer_ended");
                 }
@@ -273,7 +276,7 @@
                 }
             }
             Effect::RequestApproval { step, minions } => {
-                // Without an admission service in the settings the step keeps waiting.
+                // If no admission service is configured, the step keeps waiting.
                 if self.approval_requests.send((step, minions)).await.is_err() {
                     spdlog::warn!("event=no_admission_service step={step}");
                 }
@@ -286,7 +289,7 @@
     fn send_to_agent(&self, agent: &Name, message: ToAgent) {
         self.count_order(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
-            // An order that is lost with its link is repeated over the next link.
+            // An order that is lost when its link closes is repeated over the next link.
             let _ = tx.send(ToPeer::Agent(message));
         }
     }
--- a/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
+++ b/crates/geraniumpost/src/batch/coordination/known_coordinator.rs
@@ -2,7 +2,8 @@
 
 use tokio::sync::watch;
 
-/// Address and fencing token of the current coordinator, as learned from the store or from a peer.
+/// Address and fencing token of the current coordinator, as read from the store or reported by a
+/// peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownCoordinator {
     /// Address on which the coordinator accepts links of agents and entries.
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -7,8 +7,8 @@
 
 use super::super::BootClock;
 
-/// The promises of this process to support coordinators. The relay makes them; the peer listener
-/// and the release requester release them.
+/// The promises of this process to support coordinators. The relay makes promises; the peer
+/// listener and the release requester withdraw support.
 #[derive(Debug)]
 pub struct LocalPromises {
     node: Name,
@@ -33,7 +33,7 @@
         self.incarnation
     }
 
-    /// Records that the process was asked to stop; the next pings report it.
+    /// Records that the process was asked to stop; the next pings report this to the coordinator.
     pub fn set_stopping(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -55,7 +55,7 @@
     }
 
     /// Withdraws support from the coordinators of all terms before `term`. Returns for how many
-    /// milliseconds they may still rely on earlier promises of this entry.
+    /// milliseconds those coordinators may still rely on earlier promises of this entry.
     pub fn release(&self, term: u64) -> u64 {
         self.lock().release(term, BootClock.now_ms())
     }
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -20,7 +20,8 @@
 
 /// Time within which the first message of a new link must arrive.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Silence up to which this entry reports the coordinator as responding, in milliseconds.
+/// Maximum silence of the coordinator for which this entry still reports that the coordinator
+/// responds, in milliseconds.
 const MAX_COORDINATOR_SILENCE_MS: u64 = 800;
 
 /// Destinations of messages in the current term; `None` while this entry does not coordinate.
@@ -31,14 +32,14 @@
 pub struct TermInputs {
     /// Queue of the coordinator's driver.
     pub inputs: mpsc::Sender<Input>,
-    /// Where the promises of other entries are recorded.
+    /// Record of the other entries' promises to support this term.
     pub support: Arc<TermSupport>,
 }
 
-/// An open link and the process at its other end.
+/// A link that a peer has opened to this entry.
 struct Link {
     peer: Peer,
-    /// Random number that identifies the other process if it is an entry; 0 for agents.
+    /// Random number that identifies the process of an entry; 0 for agents.
     incarnation: u64,
     tx: LinkSender<ToPeer>,
 }
@@ -56,7 +57,7 @@
     pub configuration: Arc<ActiveConfiguration>,
     /// The current coordinator as far as this entry knows, reported in responses to probes.
     pub known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
-    /// This entry's promises to coordinators, which release requests withdraw.
+    /// This entry's promises to coordinators; release requests withdraw the entry's support.
     pub promises: Arc<LocalPromises>,
 }
 
@@ -99,8 +100,8 @@
         };
         if let Some(response) = response {
             let _ = tx.send(response);
-            // The peer closes the link after it has read the response. Closing it here could lose
-            // the response.
+            // The peer closes the link after it has read the response. If this side closed the
+            // link, the response could be lost.
             let _ = tokio::time::timeout(HELLO_TIMEOUT, rx.next()).await;
             return;
         }
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -16,15 +16,15 @@
 /// Timeout of one request to another entry, including the connect.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The other entries that are registered in the store, as last read.
+/// Client of the other entries that are registered in the store, with the registry as last read.
 #[derive(Debug)]
 pub struct Peers {
     node: Name,
     address: SocketAddr,
     others: ArcSwap<Vec<RegisteredEntry>>,
-    /// Revision of this entry's own key; 0 while it is not registered.
+    /// Revision of this entry's own key; 0 until the entry has registered.
     own_revision: AtomicU64,
-    /// Whether this entry was asked to stop, and no longer registers itself.
+    /// Whether this entry has deregistered to stop, and must not register again.
     is_stopping: AtomicBool,
 }
 
@@ -56,8 +56,8 @@
     format!("{ENTRY_PREFIX}{node}")
 }
 
-/// Pause between two reads of the registry. Entries are added and removed within minutes, and the
-/// first reads find only some of the entries that start at the same time.
+/// Pause between two reads of the registry. Entries are added and removed at intervals of minutes,
+/// and the first reads find only some of the entries that start at the same time.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
 /// Timeout of one read or registration in the store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
@@ -115,7 +115,8 @@
     }
 
     /// Reads the registry periodically until the process exits. While the store does not respond,
-    /// the entries read last are kept, as this process then depends on them.
+    /// the entries read last are kept, because this process then needs them to find the
+    /// coordinator.
     pub async fn refresh_periodically(self: Arc<Self>, store: Arc<Store>) {
         loop {
             match self.refresh(&store, STORE_CALL_TIMEOUT).await {
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Reads the registry; returns whether this entry is registered as well. Lost entries stay
-    /// registered for a while, and do not respond.
+    /// Reads the registry, and returns whether this entry is registered. Lost entries stay
+    /// registered until the coordinator removes them.
     async fn refresh(&self, store: &Store, timeout: Duration) -> Result<bool, StoreError> {
         let items = store.list(ENTRY_PREFIX, timeout).await?;
         let (own, others): (Vec<_>, Vec<_>) = items
@@ -139,7 +140,7 @@
         Ok(!own.is_empty())
     }
 
-    /// Registers this entry again after a coordinator has removed it as lost.
+    /// Registers this entry again after a coordinator has removed the entry as lost.
     async fn register_again(&self, store: &Store) {
         if self.is_stopping.load(Ordering::Relaxed) {
             return;
@@ -154,7 +155,7 @@
     }
 
     /// Probes all other entries except `excluded` in parallel, and returns the responses that
-    /// arrive.
+    /// arrive within `REQUEST_TIMEOUT`.
     pub async fn probe_others(&self, excluded: Option<&Name>) -> Vec<ProbeResult> {
         let mut probes = JoinSet::new();
         for RegisteredEntry { node, address, .. } in self.others.load().iter() {
@@ -169,7 +170,8 @@
         results
     }
 
-    /// Returns the address of another entry; `None` if it is not registered.
+    /// Returns the address of another entry; `None` if that entry was not registered at the last
+    /// read.
     pub fn address_of(&self, node: &Name) -> Option<SocketAddr> {
         let others = self.others.load();
         others
@@ -178,16 +180,16 @@
             .map(|registered| registered.address)
     }
 
-    /// Returns the number of other entries without `excluded`.
+    /// Returns the number of registered entries other than this one and `excluded`.
     pub fn count_except(&self, excluded: &Name) -> usize {
         self.others.load().iter().filter(|registered| registered.node != *excluded).count()
     }
 
-    /// Asks the other entries for a coordinator with a higher fencing token than `fence`, and
-    /// returns the one with the highest.
+    /// Asks the other entries for coordinators with a higher fencing token than `fence`, and
+    /// returns the coordinator with the highest token.
     ///
-    /// An entry that cannot read the store would not notice a takeover otherwise. Its callers would
-    /// wait for the previous coordinator while all other entries serve.
+    /// Otherwise an entry that cannot read the store would not notice a takeover, and its callers
+    /// would wait for the previous coordinator while all other entries serve.
     pub async fn find_successor(&self, fence: u64) -> Option<KnownCoordinator> {
         let results = self.probe_others(None).await;
         let successors = results.into_iter().filter_map(|result| result.known_coordinator);
@@ -197,7 +199,8 @@
     }
 }
 
-/// Asks one entry for the coordinator; `None` if it does not respond in time.
+/// Asks one entry for the current coordinator; `None` if the entry does not respond within
+/// `REQUEST_TIMEOUT`.
 pub async fn probe_entry(address: SocketAddr) -> Option<ProbeResult> {
     match send_request(address, FromPeer::Probe).await? {
         ToPeer::ProbeResponse { coordinator_responds, coordinator } => {
@@ -209,8 +212,8 @@
     }
 }
 
-/// Sends one message to an entry over a new connection, and returns the response if one arrives in
-/// time.
+/// Sends one message to an entry over a new connection, and returns the response; `None` if there
+/// is none within `REQUEST_TIMEOUT`.
 pub async fn send_request(address: SocketAddr, message: FromPeer) -> Option<ToPeer> {
     let exchange = async {
         let (tx, mut rx) = peer_link::dial::<FromPeer, ToPeer>(address).await.ok()?;
--- a/crates/geraniumpost/src/batch/coordination/process_pause.rs
+++ b/crates/geraniumpost/src/batch/coordination/process_pause.rs
@@ -6,9 +6,9 @@
 
 /// Holds orders back after the process was paused, until the store has confirmed the term.
 ///
-/// A paused process resumes with its inputs and timers as they were, and repeats orders without a
-/// result. It may have a successor that has made other decisions, and an agent that does not know
-/// the successor would still carry the orders out.
+/// A paused process resumes with its inputs and timers unchanged, and repeats orders without a
+/// result. A successor may have made other decisions meanwhile, and an agent that does not know the
+/// successor would still carry out the repeated orders.
 #[derive(Debug)]
 pub struct ProcessPause {
     last_round_ms: u64,
@@ -36,9 +36,9 @@
     }
 
     /// Records that the store has confirmed the term in response to a call sent at `requested_ms`.
-    /// Returns the held orders, which can be sent now; none if the call was sent before the pause
-    /// was detected.
-    pub fn term_confirmed(&mut self, requested_ms: u64) -> Vec<(Name, ToAgent)> {
+    /// Returns the held orders, which can be sent now, or nothing if the call was sent before the
+    /// pause was detected.
+    pub fn record_term_confirmation(&mut self, requested_ms: u64) -> Vec<(Name, ToAgent)> {
         if self.resumed_ms.is_none_or(|resumed_ms| requested_ms < resumed_ms) {
             return Vec::new();
         }
@@ -47,7 +47,8 @@
     }
 
     /// Returns the message, or holds it back if it is an order and the confirmation is missing.
-    /// Responses to heartbeats are not held, as agents check their age and fencing token.
+    /// Responses to heartbeats are not held, because agents check the age and fencing token of each
+    /// response.
     pub fn hold_if_unconfirmed(
         &mut self,
         agent: Name,
--- a/crates/geraniumpost/src/batch/coordination/release_requester.rs
+++ b/crates/geraniumpost/src/batch/coordination/release_requester.rs
@@ -1,4 +1,4 @@
-//! Requests to the voters of a silent coordinator to release their promises to it.
+//! Requests to the voters of a silent coordinator to withdraw their support.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,21 +18,23 @@
 /// Pause between two rounds of requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// The term of a silent coordinator, and the voters that can end it by releasing their promises.
+/// The term of a silent coordinator, and the voters that can end the term by withdrawing their
+/// support.
 #[derive(Debug)]
 pub struct SilentTerm {
-    /// Address of the silent coordinator, which identifies it in the results.
+    /// Address of the silent coordinator, which identifies the coordinator in [`Input`].
     pub address: SocketAddr,
     /// Number of the term, as in the coordinator's key.
     pub term: u64,
-    /// Entries of which a majority must support the coordinator for it to extend leases.
+    /// Entries of which a majority must support the coordinator before the coordinator may extend
+    /// leases.
     pub voters: Voters,
 }
 
-/// Requests releases on behalf of a successor.
+/// Requests on behalf of a successor that voters withdraw their support from silent coordinators.
 #[derive(Debug, Clone)]
 pub struct ReleaseRequester {
-    /// Term of the successor; promises to all earlier terms are released.
+    /// Term of the successor; voters withdraw their support from all earlier terms.
     pub term: u64,
     /// Start of the successor's term, on the monotonic clock.
     pub term_began_ms: u64,
@@ -42,7 +44,7 @@
     pub peers: Arc<Peers>,
 }
 
-/// Response of one voter.
+/// Response of one voter, as in [`ToPeer::ReleaseResponse`].
 struct GrantedRelease {
     node: Name,
     incarnation: u64,
@@ -50,9 +52,8 @@
 }
 
 impl ReleaseRequester {
-    /// Repeats the requests until enough voters have released their promises, and reports the
-    /// latest time at which the silent coordinator may extend leases. Does nothing for a term
-    /// without voters.
+    /// Repeats the requests until enough voters have responded, and then reports the latest time at
+    /// which the silent coordinator may extend leases. Does nothing for a term without voters.
     pub async fn collect_releases(self, silent: SilentTerm, inputs: mpsc::Sender<Input>) {
         let mut releases = Releases::new(silent.voters);
         if releases.voters_without_response().next().is_none() {
@@ -63,7 +64,8 @@
         releases.record(local_node, incarnation, remaining_ms, BootClock.now_ms());
         while !inputs.is_closed() {
             if let Some(released_ms) = releases.support_end_ms() {
-                // The store may have confirmed the silent coordinator's term until the takeover.
+                // The store may have confirmed the silent coordinator's term just before the
+                // takeover.
                 let until_ms = released_ms.max(self.term_began_ms + STORE_CONFIRMATION_VALIDITY_MS);
                 spdlog::info!(
                     "event=predecessor_released term={} entries={} until_in_ms={}",
@@ -83,7 +85,8 @@
         }
     }
 
-    /// Sends requests to all voters that have not responded, in parallel.
+    /// Sends requests in parallel to all voters that have not responded, and records their
+    /// responses.
     async fn request_releases(&self, releases: &mut Releases) {
         let mut requests = JoinSet::new();
         for node in releases.voters_without_response().cloned().collect::<Vec<_>>() {
@@ -102,8 +105,8 @@
     }
 }
 
-/// Requests a release by the entry `node`. A response of another entry that now uses its address
-/// does not count.
+/// Requests that the entry `node` withdraw its support. The response of another entry that now uses
+/// the same address is ignored.
 async fn request_release(node: Name, address: SocketAddr, term: u64) -> Option<GrantedRelease> {
     match send_request(address, FromPeer::Release { term }).await? {
         ToPeer::ReleaseResponse { node: responder, incarnation, remaining_ms }
--- a/crates/geraniumpost/src/batch/coordination/successor_leases.rs
+++ b/crates/geraniumpost/src/batch/coordination/successor_leases.rs
@@ -3,25 +3,26 @@
 
 /// Leases that a successor has to wait for, as last reported by the driver to the writer.
 ///
-/// The driver ends before the writer writes the coordinator's key for the last time, so the last
-/// report is kept here.
+/// The writer writes the coordinator's key for the last time after the driver has ended, so the
+/// last report is kept here.
 #[derive(Debug)]
 pub struct SuccessorLeases(ArcSwap<Snapshot>);
 
 #[derive(Debug)]
 struct Snapshot {
     leases: PredecessorLeases,
-    /// Time to which the remaining times of the leases refer, on the monotonic clock.
+    /// Time from which the remaining times of the leases count, on the monotonic clock.
     recorded_ms: u64,
 }
 
 impl SuccessorLeases {
-    /// Returns the leases as of `recorded_ms` on the monotonic clock.
+    /// Returns a store of leases whose remaining times count from `recorded_ms` on the monotonic
+    /// clock.
     pub fn new(leases: PredecessorLeases, recorded_ms: u64) -> Self {
         Self(ArcSwap::from_pointee(Snapshot { leases, recorded_ms }))
     }
 
-    /// Replaces the leases by those as of `recorded_ms` on the monotonic clock.
+    /// Replaces the leases; their remaining times count from `recorded_ms` on the monotonic clock.
     pub fn set(&self, leases: PredecessorLeases, recorded_ms: u64) {
         self.0.store(Snapshot { leases, recorded_ms }.into());
     }
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -28,21 +28,21 @@
 
 /// Capacity of the input queue, and of the queue of requests to the admission service.
 const INPUT_QUEUE_CAPACITY: usize = 4_096;
-/// Capacity of the writer's queue, in batches. The coordinator never has more batches under way.
+/// Capacity of the writer's queue, in batches. The coordinator never has more batches in flight.
 const WRITE_QUEUE_CAPACITY: usize = 8;
 /// Interval at which further attempts to read records start, until one succeeds.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Longest time without new bytes while the body of a response is received.
+/// Maximum time without new bytes while the body of a response is received.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout of one request to the admission service, which needs some milliseconds for each minion
-/// named.
+/// in the request.
 const ADMISSION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two probes of the other entries for a successor, or of a silent predecessor.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// Everything that one term of the coordinator needs from its takeover.
+/// A term of this entry as the coordinator, as started by a takeover.
 pub struct Term {
     pub store: Arc<Store>,
     pub record: CoordinatorRecord,
@@ -75,7 +75,8 @@
     ) {
         let (tx, mut rx) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         self.confirmed_ms.store(BootClock.now_ms(), Ordering::Relaxed);
-        // Links are accepted from now on; their messages are queued until the records are read.
+        // From now on links are accepted, and messages of peers are queued until the records are
+        // read.
         let voters = self.record.voters_of(self.record.term);
         let support =
             Arc::new(TermSupport::new(self.record.node.clone(), self.record.term, voters));
@@ -148,7 +149,7 @@
             () = await_successor => Err(TermLost),
         };
         // The key records the end of the term before the links close, so that candidates that lose
-        // their links find it there.
+        // their links can take over at once.
         match ended {
             Ok(()) => writer.step_down().await,
             Err(error) => spdlog::warn!("event=term_lost why=\"{error}\""),
@@ -159,8 +160,8 @@
         self.metrics.lease_supporters(0);
     }
 
-    /// Starts to probe silent coordinators, and to request releases from their voters. The results
-    /// are queued until the records are read.
+    /// Starts to probe silent coordinators, and to request that their voters withdraw support. The
+    /// results are queued until the records are read.
     fn query_silent_coordinators(&self, inputs: &mpsc::Sender<Input>) {
         let requester = ReleaseRequester {
             term: self.record.term,
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Reads the interference that earlier coordinators have learned. On failure the coordinator
-    /// learns it again.
+    /// Reads the interference that earlier coordinators have learned. If the read fails, the
+    /// coordinator starts without learned interference.
     async fn read_interference(&self) -> InterferenceSnapshot {
         let response = async {
             self.store
@@ -266,7 +267,8 @@
     }
 }
 
-/// Waits until the store has been unreachable for a while and another entry knows a successor.
+/// Waits until the store has been unreachable for [`STORE_UNREACHABLE_MS`] and another entry knows
+/// a successor.
 async fn await_successor(peers: Arc<Peers>, confirmed_ms: Arc<AtomicU64>, fence: u64) {
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
@@ -277,11 +279,12 @@
     }
 }
 
-/// Probes a silent coordinator until it knows a later term than its own, and reports that its term
-/// has ended.
+/// Probes a silent coordinator until that coordinator knows a later term than `term`, and then
+/// reports that its term has ended.
 ///
 /// Any later term suffices, not only the newest. An entry with a working link to a coordinator does
-/// not read the key, so it may not notice that this coordinator has begun another term.
+/// not read the coordinator's key, and may not notice that the linked coordinator has begun another
+/// term.
 async fn await_predecessor_end(address: SocketAddr, term: u64, inputs: mpsc::Sender<Input>) {
     while !inputs.is_closed() {
         let known_coordinator =
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -11,15 +11,14 @@
 /// key.
 #[derive(Debug)]
 pub struct TermSupport {
-    /// The entry that coordinates. Its own promises are not recorded.
+    /// The entry that coordinates, whose own promises are not recorded.
     local_node: Name,
     term: u64,
     support: Mutex<Support>,
 }
 
 impl TermSupport {
-    /// Returns the support of a term that begins now, with the voters named in the coordinator's
-    /// key.
+    /// Returns the support of a term that begins now, with the voters in the coordinator's key.
     pub fn new(local_node: Name, term: u64, voters: Voters) -> Self {
         Self { local_node, term, support: Mutex::new(Support::new(voters, BootClock.now_ms())) }
     }
@@ -33,21 +32,21 @@
         TermTime { term: self.term, steady_ms: BootClock.now_ms() }
     }
 
-    /// Records that an entry has echoed the time of a pong, which promises its support. Echoes of
-    /// other terms are ignored.
+    /// Records that an entry has echoed the time of a pong, and thereby promised its support.
+    /// Echoes of pongs of other terms are ignored.
     pub fn record_promise(&self, node: &Name, incarnation: u64, sent: TermTime) {
         if sent.term == self.term && *node != self.local_node {
             self.lock().record_promise(node, incarnation, sent.steady_ms);
         }
     }
 
-    /// Records that an entry is about to stop, so that it is no longer proposed as a voter.
+    /// Records that an entry is about to stop. The entry is then no longer proposed as a voter.
     pub fn mark_stopping(&self, node: &Name) {
         self.lock().mark_stopping(node);
     }
 
-    /// Returns the time since the last pong that an entry has echoed was sent, in milliseconds;
-    /// `None` if it has echoed none in this term.
+    /// Returns the age of the last pong that an entry has echoed, in milliseconds since the pong
+    /// was sent; `None` if the entry has echoed no pong of this term.
     pub fn last_promise_age_ms(&self, node: &Name) -> Option<u64> {
         self.lock().last_promise_age_ms(node, BootClock.now_ms())
     }
@@ -59,7 +58,7 @@
         (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
 
-    /// Returns the voters that the key should name; `None` if it names them already.
+    /// Returns the voters to be written to the coordinator's key; `None` if no change is due.
     pub fn voters_to_write(&self) -> Option<Voters> {
         self.lock().voters_to_write(BootClock.now_ms())
     }
--- a/crates/geraniumpost/src/batch/coordination/writer.rs
+++ b/crates/geraniumpost/src/batch/coordination/writer.rs
@@ -24,7 +24,7 @@
 
 /// Pause after a failed call to the store.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Interval at which the coordinator's key is read while no write is under way, so that an idle
+/// Interval at which the coordinator's key is read while no write is in flight, so that an idle
 /// coordinator notices the loss of its term.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
@@ -62,11 +62,12 @@
 }
 
 impl Writer {
-    /// Writes batches until the term is lost, or until `stop` turns true and no write is under way.
+    /// Writes batches until the term is lost, the driver ends, or `stop` turns true and no write is
+    /// in flight.
     ///
     /// # Errors
     ///
-    /// Fails if another entry holds the coordinator's key.
+    /// Fails if another entry or process holds the coordinator's key.
     pub async fn run(
         &mut self,
         batches: &mut mpsc::Receiver<WriteBatch>,
@@ -85,9 +86,9 @@
                 self.fence_earlier_writes().await?;
                 (indeterminate, key_outdated) = (false, false);
             }
-            // A stopping coordinator drops the batches that it has not begun to write. Its
-            // successor learns their contents from the minions' lists, and an earlier takeover
-            // shortens the interruption.
+            // A stopping coordinator drops the batches that it has not begun to write, because an
+            // earlier takeover shortens the interruption. The successor learns the dropped changes
+            // from the minions' lists.
             if stopping && in_flight.is_empty() && !indeterminate {
                 return Ok(());
             }
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Handles the result of a write; returns whether the store may still apply it later.
+    /// Handles the result of a write, and returns whether the store may still apply the write
+    /// later.
     async fn handle_result(
         &mut self,
         finished: FinishedWrite,
--- a/crates/geraniumpost/src/batch/entry/active_configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/active_configuration.rs
@@ -16,15 +16,15 @@
 #[derive(Debug)]
 pub struct ActiveConfiguration {
     routes: ArcSwapOption<Routes>,
-    /// Time at which the last successful call for the newest version was sent, on the monotonic
-    /// clock.
+    /// Time at which the last successful read or watch of the configuration was sent, on the
+    /// monotonic clock.
     confirmed_ms: AtomicU64,
     newer: Mutex<NewerVersions>,
-    /// Time at which this process first heard that another one has a newer version, on the
+    /// Time at which another process first reported a version newer than the active one, on the
     /// monotonic clock, or [`NEVER`].
     behind_since_ms: AtomicU64,
-    /// Time at which the store first announced a change that was not read yet, on the monotonic
-    /// clock, or [`NEVER`].
+    /// Time at which the store first announced a change that this process has not read, on the
+    /// monotonic clock, or [`NEVER`].
     unread_since_ms: AtomicU64,
     metrics: Arc<Metrics>,
 }
@@ -58,20 +58,20 @@
         BootClock.now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    /// Returns the newest known version: the active one, or a newer one that another process has.
+    /// Returns the newest version that this process or, as far as known, another process has.
     pub fn newest_version(&self) -> u64 {
         self.newer.lock().unwrap_or_else(PoisonError::into_inner).newest_version()
     }
 
     /// Returns for how long a version newer than the active one has been known, in milliseconds; 0
-    /// if none is known.
+    /// if no newer version is known.
     pub fn behind_ms(&self) -> u64 {
         let behind_since_ms = self.behind_since_ms.load(Ordering::Relaxed);
         let since_ms = behind_since_ms.min(self.unread_since_ms.load(Ordering::Relaxed));
         BootClock.now_ms().saturating_sub(since_ms)
     }
 
-    /// Records that the store has announced a change that was not read yet.
+    /// Records that the store has announced a change that this process has not read.
     pub fn mark_unread(&self) {
         self.unread_since_ms.fetch_min(BootClock.now_ms(), Ordering::Relaxed);
     }
@@ -82,7 +82,7 @@
         if version <= newest {
             return;
         }
-        self.update_newer(|newer| newer.observe(version, BootClock.now_ms()));
+        self.update_newer_versions(|newer| newer.observe(version, BootClock.now_ms()));
         spdlog::info!(
             "event=configuration_heard version={version} active={} age_ms={}",
             self.version(),
@@ -90,28 +90,29 @@
         );
     }
 
-    fn update_newer(&self, change: impl FnOnce(&mut NewerVersions)) {
+    fn update_newer_versions(&self, change: impl FnOnce(&mut NewerVersions)) {
         let mut newer = self.newer.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut newer);
         let since_ms = newer.behind_since_ms().unwrap_or(NEVER);
         self.behind_since_ms.store(since_ms, Ordering::Relaxed);
     }
 
-    /// Records that the store had no newer version when a call was sent to it at `requested_ms`.
+    /// Records that the active version was the newest in the store at `requested_ms`, when the call
+    /// was sent.
     pub fn record_confirmed(&self, requested_ms: u64) {
         self.confirmed_ms.fetch_max(requested_ms, Ordering::Relaxed);
         self.unread_since_ms.store(NEVER, Ordering::Relaxed);
         self.metrics.config_age(Duration::from_millis(self.age_ms()));
     }
 
-    /// Records the `attempt`th failed read in a row. `requested_ms` is the time at which the read
-    /// began, on the monotonic clock.
+    /// Records a failed read or watch, the `attempt`th failure in a row. `requested_ms` is the time
+    /// at which the read or watch began, on the monotonic clock.
     pub fn record_failure(&self, attempt: u32, requested_ms: u64, why: &str) {
         let age_ms = self.age_ms();
         self.metrics.config_read("failed", 0);
         self.metrics.config_age(Duration::from_millis(age_ms));
-        // Only attempts whose number is a power of two are logged, about a dozen lines for an
-        // outage of minutes.
+        // Only attempts whose number is a power of two are logged, which gives about a dozen lines
+        // for an outage of minutes.
         if attempt.is_power_of_two() {
             let took_ms = BootClock.now_ms().saturating_sub(requested_ms);
             spdlog::warn!(
@@ -152,6 +153,6 @@
         );
         let version = routes.version;
         self.routes.store(Some(Arc::new(routes)));
-        self.update_newer(|newer| newer.adopt(version));
+        self.update_newer_versions(|newer| newer.adopt(version));
     }
 }
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -19,10 +19,11 @@
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
 /// Part of a caller's deadline that is reserved for sending the response, in milliseconds.
 const RESPONSE_MARGIN_MS: u64 = 150;
-/// Longest time for which a request that cannot be sent is held. A takeover takes about as long,
+/// Maximum time for which a request that cannot be sent is held. A takeover takes about as long,
 /// and a retry by the caller would take longer.
 const MAX_UNSENT_WAIT: Duration = Duration::from_millis(1_200);
-/// Time for which a request that cannot be sent is held at least, as a link may open at any moment.
+/// Minimum time for which a request that cannot be sent is held, because a link may open at any
+/// moment.
 const MIN_UNSENT_WAIT: Duration = Duration::from_millis(60);
 /// Value of the `Retry-After` header of requests that this entry refuses, in seconds.
 const RETRY_AFTER_S: u64 = 1;
@@ -103,9 +104,9 @@
     request: CallerRequest,
     response_timeout: Duration,
 ) -> HttpResponse {
-    // The wait counts from the start of the coordinator's silence: if that has lasted for long,
-    // holding the request would only cost the caller time.
-    let silent = Duration::from_millis(shared.relay.silent_ms());
+    // The wait counts from the start of the coordinator's silence. After a long silence a takeover
+    // is not expected soon, and holding the request would only cost the caller time.
+    let silent = Duration::from_millis(shared.relay.coordinator_silence_ms());
     let unsent_wait = MAX_UNSENT_WAIT.saturating_sub(silent).max(MIN_UNSENT_WAIT);
     match shared.relay.request(request, unsent_wait, response_timeout).await {
         Ok(CallerResponse::Accepted | CallerResponse::Cancelled) => empty_response(StatusCode::OK),
@@ -127,7 +128,7 @@
     }
 }
 
-/// Returns a response stating that the request had no effect and will have none.
+/// Returns the response 503 with a `Retry-After` header. The request has no effect, now or later.
 fn refuse(why: &str) -> HttpResponse {
     spdlog::info!("decision=refuse why=\"{why}\" retry_after_s={RETRY_AFTER_S}");
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -10,21 +10,23 @@
 use super::super::{BootClock, hedged_read};
 use super::{ActiveConfiguration, Shared};
 
-/// How long the store waits for a change before it responds to a watch. A connection that no longer
-/// delivers responses is noticed only after this time.
+/// Maximum time for which the store waits for a change before it responds to a watch. A broken
+/// connection is noticed only after this time.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Interval at which further attempts to read start, until one succeeds.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval at which further attempts to watch start: [`WATCH_WAIT`], and about the time of a read.
+/// Interval at which further attempts to watch start: [`WATCH_WAIT`] plus about the duration of a
+/// read.
 const WATCH_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_700);
-/// Longest time without new bytes while the body of a response is received.
+/// Maximum time without new bytes while the body of a response is received.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a failed read or watch.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Time after which a newer version of another entry is read without waiting for the watch to
-/// report it, in milliseconds.
+/// Time after which a newer version that another process has reported is read without waiting for
+/// the watch, in milliseconds.
 const MISSED_CHANGE_MS: u64 = 600;
-/// Length of a watch response in bytes above which only the newest version is read instead.
+/// Maximum length of a watch response that is received, in bytes. Instead of a longer one, only the
+/// newest version is read.
 const MAX_WATCH_BYTES: usize = 64 * 1024;
 
 /// Follows the configuration until the process exits.
@@ -45,7 +47,7 @@
 }
 
 impl<'a> Follower<'a> {
-    /// Reads the newest version; returns the revision from which changes have to be watched.
+    /// Reads the newest version, and returns the revision after which changes have to be watched.
     async fn read(&mut self) -> u64 {
         loop {
             let Ok((requested_ms, response)) = self.begin_read().await else { continue };
@@ -64,8 +66,9 @@
     }
 
     /// Watches for changes after `revision`. Returns when the newest version has to be read
-    /// instead: the history was compacted, a watch failed and may have missed changes, another
-    /// entry has had a newer version for a while, or the response is long.
+    /// instead: after the history was compacted, after a failed watch, which may have missed
+    /// changes, if another process has reported a newer version [`MISSED_CHANGE_MS`] ago, or if the
+    /// response is longer than [`MAX_WATCH_BYTES`].
     ///
     /// A watch returns every version in full, including superseded ones. If long versions are
     /// written faster than they are transferred, each response would be longer than the previous
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Applies the changes of a watch; returns the revision from which to continue.
+    /// Applies the changes of a watch, and returns the revision after which the next watch must
+    /// begin.
     fn apply_changes(&mut self, response: WatchResponse, requested_ms: u64) -> u64 {
         for change in response.changes {
             if let Change::Written(item) = change
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -25,16 +25,17 @@
 pub use relay::{LinkState, NoResponse, Relay};
 
 /// Time for which a stopping entry still accepts connections. The balancer checks readiness once a
-/// second, and removes an entry after two failed checks.
+/// second, and stops sending requests to an entry after two failed checks.
 const DRAIN_DURATION: Duration = Duration::from_millis(2_800);
 /// Timeout of the call that removes this entry from the registry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Part of the grace period that is reserved for the time after requests under way have ended or
-/// timed out, in milliseconds.
+/// Part of the grace period that is reserved for deregistration and exit, after requests in flight
+/// have ended or timed out, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 1_200;
 
-/// Longest time from the acknowledgement of a version until this entry learns of it through the
-/// coordinator, in milliseconds: the fastest entry's read, its ping, and this entry's ping.
+/// Maximum time from the acknowledgement of a configuration until this entry learns of the version
+/// through the coordinator, in milliseconds: the read by the fastest entry, the ping of that entry,
+/// and the next ping of this entry.
 const VERSION_PROPAGATION_MS: u64 = 750;
 
 /// State that the entry's tasks share.
@@ -53,17 +54,17 @@
 }
 
 impl Shared {
-    /// Returns whether the active configuration may be outdated: a newer one should have been
-    /// activated by now, or neither the store nor the coordinator, both of which report newer
-    /// versions, has responded within the time allowed for activating one.
+    /// Returns whether the active configuration may be outdated: the time allowed for activating a
+    /// newer version is over, or neither the store nor the coordinator, which both report newer
+    /// versions, has responded within that time.
     pub fn is_behind(&self) -> bool {
-        let unconfirmed_ms = self.configuration.age_ms().min(self.relay.silent_ms());
+        let unconfirmed_ms = self.configuration.age_ms().min(self.relay.coordinator_silence_ms());
         let max_behind_ms = self.config_apply_ms.saturating_sub(VERSION_PROPAGATION_MS);
         self.configuration.behind_ms() > max_behind_ms || unconfirmed_ms > self.config_apply_ms
     }
 }
 
-/// Serves until the process is asked to stop, and then until requests under way have ended.
+/// Serves until the process is asked to stop, and then until requests in flight have ended.
 ///
 /// # Errors
 ///
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -5,19 +5,20 @@
 use super::super::http_server::{HttpResponse, empty_response};
 use super::Shared;
 
-/// Silence of the coordinator up to which this entry is ready, in milliseconds. The balancer
-/// removes an entry only after two failed checks a second apart, and a takeover takes less time.
+/// Maximum silence of the coordinator for which this entry is ready, in milliseconds. The balancer
+/// stops sending requests to an entry only after two failed checks a second apart, and a takeover
+/// takes less time.
 const MAX_COORDINATOR_SILENCE_MS: u64 = 1_000;
 
-/// Responds to the balancer's check. The entry is ready if its configuration is up to date, the
-/// coordinator responds, and the process was not asked to stop.
+/// Responds to the balancer's readiness check. The entry is ready if its configuration is not
+/// outdated, the coordinator responds, and the process was not asked to stop.
 pub fn respond(req: &Request<Incoming>, shared: &Shared) -> HttpResponse {
     if req.uri().path() != READY_PATH {
         return empty_response(StatusCode::NOT_FOUND);
     }
     let configured = shared.configuration.version() > 0 && !shared.is_behind();
     let stopping = *shared.stop.borrow();
-    let coordinator_responds = shared.relay.silent_ms() < MAX_COORDINATOR_SILENCE_MS;
+    let coordinator_responds = shared.relay.coordinator_silence_ms() < MAX_COORDINATOR_SILENCE_MS;
     let ready = configured && coordinator_responds && !stopping;
     empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -15,10 +15,10 @@
 use super::super::{BootClock, FromPeer, ToPeer, peer_link};
 use super::ActiveConfiguration;
 
-/// Interval of pings. A coordinator counts as lost after three missing pongs.
+/// Interval of pings. A coordinator is considered lost after three missing pongs.
 const PING_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence of the coordinator up to which new requests are sent over a link, in milliseconds: one
-/// missing pong is tolerated.
+/// Maximum silence of the coordinator for which new requests are sent over the link, in
+/// milliseconds: one missing pong is tolerated.
 const MAX_TRUSTED_SILENCE_MS: u64 = 550;
 /// Pause after a link has failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
@@ -30,15 +30,15 @@
 pub struct LinkState {
     /// Address of the coordinator to which the other fields refer.
     pub address: Option<SocketAddr>,
-    /// Time at which the last pong was received, or at which the first connect began if there was
-    /// none, on the monotonic clock.
+    /// Time at which the last pong was received, or the first connection attempt began if there was
+    /// no pong, on the monotonic clock.
     pub last_heard_ms: u64,
-    /// Number of consecutive failed connects.
+    /// Number of failed connection attempts since the last pong.
     pub failed_connects: u32,
     /// Whether the process at the address has responded that it does not coordinate.
     pub not_coordinating: bool,
-    /// Time since which the coordinator reports in all its pongs that it does not reach the store,
-    /// on the monotonic clock; `None` while it reports that it does.
+    /// Time at which the coordinator first reported in a pong that it does not reach the store, on
+    /// the monotonic clock; `None` if the last pong reported that it does.
     pub store_unreachable_since_ms: Option<u64>,
 }
 
@@ -57,9 +57,9 @@
     /// Returns whether the response to one copy settles the request.
     ///
     /// Another copy is sent over each new link, and over a link that was silent for a while. The
-    /// refusal of one copy does not settle the request while other copies are under way: the
-    /// coordinator may accept one of them later, when it has capacity, and the job would run
-    /// although its caller was told that it was refused. A request that is not settled in time is
+    /// refusal of one copy does not settle the request while other copies are in flight: the
+    /// coordinator may accept another copy later, when it has capacity, and the job would run
+    /// although the caller was told that it was refused. A request that is not settled in time is
     /// reported as [`NoResponse::Unknown`].
     fn is_settled_by(&mut self, response: CallerResponse) -> bool {
         if !matches!(response, CallerResponse::Refused { .. }) {
@@ -91,7 +91,7 @@
     /// Starts a task that relays requests to the known coordinator.
     ///
     /// Pings carry the version of the active configuration and this entry's promise to support the
-    /// coordinator. Pongs carry the newest version that the coordinator knows.
+    /// coordinator. Pongs carry the newest configuration version that the coordinator knows.
     pub fn start(
         promises: Arc<LocalPromises>,
         known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
@@ -121,12 +121,12 @@
     }
 
     /// Returns the time since the last pong of any coordinator, in milliseconds.
-    pub fn silent_ms(&self) -> u64 {
+    pub fn coordinator_silence_ms(&self) -> u64 {
         BootClock.now_ms().saturating_sub(self.last_pong_ms.load(Ordering::Relaxed))
     }
 
     /// Sends a request to the coordinator and waits for the response. After a takeover the request
-    /// is sent again to the successor, as all requests are idempotent.
+    /// is sent again to the successor, because all requests are idempotent.
     ///
     /// # Errors
     ///
@@ -159,8 +159,8 @@
             return result.map_err(|_| NoResponse::Unknown);
         }
         // The relay counts a copy before it checks whether this receiver is closed, and this
-        // function closes the receiver before it reads the count. Therefore a request without
-        // copies was not sent and never will be.
+        // function closes the receiver before it reads the count. Therefore a request with a count
+        // of 0 was not sent and never will be.
         response.close();
         if let Ok(result) = response.try_recv() {
             return Ok(result);
@@ -175,8 +175,8 @@
 
 struct RelayTask {
     promises: Arc<LocalPromises>,
-    /// Time at which the coordinator sent its last pong, on its own clock, and time at which the
-    /// pong was received, on the monotonic clock.
+    /// Time at which the coordinator sent its last pong, on the coordinator's clock, and time at
+    /// which the pong was received, on this process's monotonic clock.
     last_pong: Option<(TermTime, u64)>,
     known_coordinator: watch::Receiver<Option<KnownCoordinator>>,
     configuration: Arc<ActiveConfiguration>,
@@ -254,8 +254,8 @@
                 }
                 pending = self.rx.recv() => {
                     let Some(pending) = pending else { return };
-                    // A request that is sent over a silent link may arrive much later, so its
-                    // caller could not be told that it had no effect.
+                    // A request that is sent over a silent link may arrive much later, so the
+                    // caller could not be told that the request had no effect.
                     let trusted = self.link_silent_ms() < MAX_TRUSTED_SILENCE_MS;
                     self.enqueue(pending, trusted.then_some(&tx));
                 }
@@ -288,7 +288,7 @@
         BootClock.now_ms().saturating_sub(self.state.borrow().last_heard_ms)
     }
 
-    /// Handles a message of the coordinator; returns false if the link must be closed.
+    /// Handles a message of the coordinator, and returns false if the link must be closed.
     fn handle_message(&mut self, message: ToPeer) -> bool {
         let now_ms = BootClock.now_ms();
         match message {
@@ -325,7 +325,7 @@
         true
     }
 
-    /// Keeps a request until it is settled, and sends a first copy if a link is given.
+    /// Keeps a request until it is settled, and sends a first copy if `tx` is given.
     fn enqueue(&mut self, pending: PendingRequest, tx: Option<&Tx>) {
         let request_id = self.next_request_id;
         self.next_request_id += 1;
@@ -348,7 +348,7 @@
     if pending.response.is_closed() {
         return;
     }
-    // If the link is closed, the request is sent again over the next one.
+    // If the link is closed, the request is sent again over the next link.
     let _ = tx.send(FromPeer::EntryMessage(FromEntry::Request {
         request_id,
         request: pending.request.clone(),
--- a/crates/geraniumpost/src/batch/hedged_read.rs
+++ b/crates/geraniumpost/src/batch/hedged_read.rs
@@ -6,19 +6,18 @@
 use geraniumpost_platform::{Store, StoreError};
 use tokio::time::Instant;
 
-/// Most attempts of one read that are under way at the same time. Each must get a response within
-/// this many intervals.
+/// Maximum number of concurrent attempts of one read. Each attempt waits for a response for this
+/// many intervals.
 pub const MAX_CONCURRENT_ATTEMPTS: u32 = 3;
 /// Pause before the next attempt if all others have failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Repeats a read until one attempt succeeds; another attempt starts every `interval`.
 ///
-/// An attempt is not cancelled when the next one starts: its response may only be late on a busy
-/// link, and a repetition would add to the load. An attempt that starts while another one is under
-/// way uses a new connection, because idle connections may no longer deliver responses either.
-/// `attempt` gets the time for which it may wait for a response; `on_failure` is called with the
-/// error of each failed attempt.
+/// An attempt is not cancelled when the next one starts: on a busy link the response may merely be
+/// late, and requesting it again would add to the load. An attempt that starts while another one is
+/// under way uses a new connection, because the idle connections may be broken as well. `attempt`
+/// is called with its timeout, and `on_failure` with the error of each failed attempt.
 ///
 /// # Errors
 ///
--- a/crates/geraniumpost/src/batch/http_server.rs
+++ b/crates/geraniumpost/src/batch/http_server.rs
@@ -17,13 +17,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A response with its whole body.
+/// A response whose body is held in memory as a whole.
 pub type HttpResponse = Response<Full<Bytes>>;
 
 /// Time within which the headers of a request must arrive.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed accept, for example when all file descriptors are in use.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Binds a listening socket.
 ///
@@ -34,8 +34,8 @@
     TcpListener::bind(address).await.wrap_err_with(|| format!("binding {address}"))
 }
 
-/// Serves requests until `stop` turns true, and returns once all requests under way have a
-/// response.
+/// Serves requests until `stop` turns true, and returns when all requests in flight have been
+/// responded to.
 pub async fn serve<H, F>(listener: TcpListener, mut stop: watch::Receiver<bool>, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -51,7 +51,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 spdlog::warn!("event=accept_failed why=\"{error}\"");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
--- a/crates/geraniumpost/src/batch/mod.rs
+++ b/crates/geraniumpost/src/batch/mod.rs
@@ -1,8 +1,8 @@
 //! Jobs of many steps on a shared store: the entry that serves callers, and the agent on the VM of
 //! each minion.
 //!
-//! Every entry can coordinate; the one whose record is under the coordinator's key in the store
-//! does. See `docs/design/0601-jobs-on-a-shared-store.md`.
+//! Every entry can coordinate. The current coordinator is the entry whose record is stored under
+//! the coordinator's key. See `docs/design/0601-jobs-on-a-shared-store.md`.
 
 pub mod agent;
 mod boot_clock;
@@ -45,8 +45,8 @@
 /// Port on which both roles serve `/metrics`; exporters commonly use it.
 const METRICS_PORT: u16 = 9_464;
 
-/// Starts to serve metrics on [`METRICS_PORT`]. If that is in use, the process runs without
-/// metrics.
+/// Starts to serve metrics on [`METRICS_PORT`]. If the port is in use, the process runs without
+/// serving metrics.
 ///
 /// # Errors
 ///
--- a/crates/geraniumpost/src/batch/peer_link.rs
+++ b/crates/geraniumpost/src/batch/peer_link.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Timeout of a connect between two VMs. A round trip takes about 1 ms, and a small VM may be busy
-/// for some tens of milliseconds.
+/// Timeout of establishing a connection between two VMs. A round trip takes about 1 ms, and a small
+/// VM may be busy for some tens of milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Connects to another process and opens a link.
--- a/crates/geraniumpost/src/batch/peer_message.rs
+++ b/crates/geraniumpost/src/batch/peer_message.rs
@@ -19,16 +19,18 @@
         /// Name of the agent's VM.
         node: Name,
     },
-    /// Only message of an entry that asks whether the coordinator responds to the receiver.
+    /// Asks the receiver whether the coordinator responds to it. No other message is sent on this
+    /// link.
     Probe,
-    /// Only message of a coordinator that requests the release of all promises to earlier terms.
+    /// Requests that the receiver stop supporting the coordinators of all earlier terms. No other
+    /// message is sent on this link.
     Release {
-        /// Term of the requesting coordinator; promises to all earlier terms are released.
+        /// Term of the requesting coordinator, which the receiver may continue to support.
         term: u64,
     },
-    /// Message of an agent after its first one.
+    /// Any message of an agent after [`Self::AgentHello`].
     AgentMessage(FromAgent),
-    /// Message of an entry after its first one.
+    /// Any message of an entry after [`Self::EntryHello`].
     EntryMessage(FromEntry),
 }
 
@@ -44,7 +46,7 @@
         /// Address and fencing token of the current coordinator as far as the entry knows.
         coordinator: Option<(SocketAddr, u64)>,
     },
-    /// Response to [`FromPeer::Release`]. The release is always granted.
+    /// Response to [`FromPeer::Release`]. The request is always granted.
     ReleaseResponse {
         /// Name of the entry that responds.
         node: Name,
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const INTERVAL: Duration = Duration::from_millis(50);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Returns a client of a store; the attempts of the tests that use it do not call the store.
 fn store() -> Store {
@@ -31,11 +31,12 @@
         attempts.set(attempts.get() + 1);
         let attempt_number = attempts.get();
         async move {
-            tokio::time::sleep(INTERVAL * 2 + INTERVAL / 2).await;
+            tokio::time::sleep(ATTEMPT_INTERVAL * 2 + ATTEMPT_INTERVAL / 2).await;
             Ok(attempt_number)
         }
     };
-    let result = hedged_read(&store(), INTERVAL, attempt, |_| panic!("no attempt fails")).await;
+    let result =
+        hedged_read(&store(), ATTEMPT_INTERVAL, attempt, |_| panic!("no attempt fails")).await;
     assert_eq!((result, attempts.get()), (Ok(1), 3));
 }
 
@@ -55,9 +56,10 @@
         }
     };
     let started_at = Instant::now();
-    let result = hedged_read(&store(), INTERVAL, attempt, |_| panic!("no attempt fails")).await;
+    let result =
+        hedged_read(&store(), ATTEMPT_INTERVAL, attempt, |_| panic!("no attempt fails")).await;
     assert_eq!(result, Ok(2));
-    assert!(started_at.elapsed() < INTERVAL * 2, "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < ATTEMPT_INTERVAL * 2, "{:?}", started_at.elapsed());
 }
 
 #[tokio::test]
@@ -75,8 +77,8 @@
         }
     };
     let store = store();
-    let read = hedged_read(&store, INTERVAL, attempt, |_| *failures.borrow_mut() += 1);
-    let ended = tokio::time::timeout(INTERVAL * MAX_CONCURRENT_ATTEMPTS * 4, read).await;
+    let read = hedged_read(&store, ATTEMPT_INTERVAL, attempt, |_| *failures.borrow_mut() += 1);
+    let ended = tokio::time::timeout(ATTEMPT_INTERVAL * MAX_CONCURRENT_ATTEMPTS * 4, read).await;
     assert!(ended.is_err(), "the read must still be running");
     assert!(*failures.borrow() >= 6, "{} failed", failures.borrow());
     assert_eq!(max_in_flight.get(), MAX_CONCURRENT_ATTEMPTS);
@@ -104,7 +106,7 @@
 #[tokio::test]
 async fn compacted_history_is_reported_at_once() {
     let attempt = |_| async { Err::<(), _>(StoreError::Compacted) };
-    let result = hedged_read(&store(), INTERVAL, attempt, |_| {
+    let result = hedged_read(&store(), ATTEMPT_INTERVAL, attempt, |_| {
         panic!("a compacted history is not a failed attempt")
     })
     .await;
@@ -159,7 +161,7 @@
     assert!(first.is_ok() && second.is_ok());
     responding.store(false, Ordering::SeqCst);
     let started_at = Instant::now();
-    let result = hedged_read(store, INTERVAL, get, |_| panic!("no attempt fails")).await;
+    let result = hedged_read(store, ATTEMPT_INTERVAL, get, |_| panic!("no attempt fails")).await;
     assert!(result.is_ok());
-    assert!(started_at.elapsed() < INTERVAL * 2, "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < ATTEMPT_INTERVAL * 2, "{:?}", started_at.elapsed());
 }
--- a/crates/geraniumpost/tests/process_pause.rs
+++ b/crates/geraniumpost/tests/process_pause.rs
@@ -30,8 +30,8 @@
         let (agent, message) = order(run);
         assert_eq!(pause.hold_if_unconfirmed(agent, message), None);
     }
-    assert_eq!(pause.term_confirmed(7_999), []);
-    assert_eq!(pause.term_confirmed(8_010), [order(1), order(2)]);
+    assert_eq!(pause.record_term_confirmation(7_999), []);
+    assert_eq!(pause.record_term_confirmation(8_010), [order(1), order(2)]);
     let (agent, message) = order(3);
     assert_eq!(pause.hold_if_unconfirmed(agent, message), Some(order(3)));
 }
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -17,9 +17,9 @@
 use tokio::task::JoinHandle;
 
 /// Time for which the caller waits for a response.
-const DEADLINE: Duration = Duration::from_millis(1_200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Longest time that a test waits for an expected message.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 const PONG: ToEntry =
     ToEntry::Pong { store_ok: true, configuration: 0, sent: TermTime { term: 1, steady_ms: 1 } };
 const REFUSED: CallerResponse = CallerResponse::Refused { retry_after_ms: 1_000 };
@@ -32,7 +32,7 @@
 
 impl Link {
     async fn accept(listener: &TcpListener) -> Self {
-        let accepted = tokio::time::timeout(TIMEOUT, listener.accept()).await;
+        let accepted = tokio::time::timeout(MESSAGE_TIMEOUT, listener.accept()).await;
         let (stream, _) = accepted.expect("the entry opens a link").expect("loopback");
         let connection = Connection::from(FrameReader::new(stream));
         let (tx, rx) = open_link(connection, |_| {});
@@ -51,7 +51,7 @@
     async fn next_request_id(&mut self) -> u64 {
         self.send(PONG);
         loop {
-            let message = tokio::time::timeout(TIMEOUT, self.rx.next()).await;
+            let message = tokio::time::timeout(MESSAGE_TIMEOUT, self.rx.next()).await;
             match message.expect("a request arrives").expect("the link is open").head {
                 FromPeer::EntryMessage(FromEntry::Ping { .. }) => {
                     self.send(PONG);
@@ -84,7 +84,7 @@
             spec: JobSpec::default(),
             terms: QueueTerms::default(),
         };
-        let response = relay.request(request, DEADLINE, DEADLINE).await;
+        let response = relay.request(request, RESPONSE_TIMEOUT, RESPONSE_TIMEOUT).await;
         drop(known_coordinator_tx);
         response
     });
@@ -97,7 +97,7 @@
 }
 
 async fn response_of(response_task: ResponseTask) -> Result<CallerResponse, NoResponse> {
-    tokio::time::timeout(TIMEOUT, response_task)
+    tokio::time::timeout(MESSAGE_TIMEOUT, response_task)
         .await
         .expect("the caller gets a result")
         .expect("no panic")
