--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -9,7 +9,7 @@
 use crate::{CallerRequest, CallerResponse, JobId, JobRecord, JobSpec, JobState, Now, QueueTerms};
 
 impl Coordinator {
-    /// Handles a caller's request. The response follows as [`Effect::Reply`] with `request_id`,
+    /// Handles a caller's request. The response follows as [`Effect::Respond`] with `request_id`,
     /// once everything that it confirms is committed.
     pub fn handle_request(&mut self, request_id: u64, request: CallerRequest, now: Now) {
         match request {
@@ -29,7 +29,7 @@
     }
 
     fn reply(&mut self, request_id: u64, response: CallerResponse) {
-        self.effects.push(Effect::Reply { request_id, response });
+        self.effects.push(Effect::Respond { request_id, response });
     }
 
     fn submit(&mut self, request_id: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -65,7 +65,7 @@
     fn run_deferred_action(&mut self, deferred: Deferred, now: Now) {
         match deferred {
             Deferred::Reply(request_id, response) => {
-                self.effects.push(Effect::Reply { request_id, response });
+                self.effects.push(Effect::Respond { request_id, response });
             }
             Deferred::Start(task, run) => self.send_committed_start(task, run, now),
         }
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -4,7 +4,7 @@
 
 use super::minion::Minion;
 use super::{Coordinator, Effect};
-use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, STORE_UNREACHABLE_MS};
+use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, MAX_CONFIRMATION_AGE_MS};
 use crate::{EndKind, Now, ToAgent};
 
 /// Time that an agent has after its link opened to report its minion's lists, in milliseconds; most
@@ -41,7 +41,7 @@
             self.placement_due |= minion_ok && !minion.responsive;
             minion.responsive = minion_ok;
         }
-        let store_ok = store_age_ms < STORE_UNREACHABLE_MS;
+        let store_ok = store_age_ms < MAX_CONFIRMATION_AGE_MS;
         let message = ToAgent::Lease { sent_at_ms, lease_ms, fence: self.fence, store_ok };
         self.effects.push(Effect::Send { agent: agent.clone(), message });
     }
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -24,7 +24,7 @@
 
 impl Departures {
     /// Records that a minion has announced its termination and may still be running.
-    pub fn record_leaving(&mut self, minion: &Name) {
+    pub fn record_termination_notice(&mut self, minion: &Name) {
         if !self.leaving.contains(minion) {
             self.leaving.push(minion.clone());
         }
