--- a/crates/geraniumpost/src/batch/agent/heartbeats.rs
+++ b/crates/geraniumpost/src/batch/agent/heartbeats.rs
@@ -21,7 +21,7 @@
 /// protocol the minion terminates as soon as it receives the response to its deregistration; the
 /// pause allows for a slow machine.
 const TERMINATION_CHECK_PAUSE: Duration = Duration::from_millis(300);
-/// Timeout of the poll that checks whether a deregistered minion is still running.
+/// Timeout of each poll that checks whether a deregistered minion is still running.
 const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum length of the body of a heartbeat, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
@@ -34,7 +34,7 @@
     if req.method() == DEREGISTER_METHOD {
         spdlog::info!("event=minion_deregistered minion={id}");
         let id = id.into();
-        state.record_leaving(&id);
+        state.record_deregistration(&id);
         tokio::spawn(await_termination(id, state));
         return acknowledgement();
     }
--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -117,7 +117,7 @@
         }
         MinionReply::Refused(why)
         | MinionReply::Unreachable(why)
-        | MinionReply::Unanswered(why) => {
+        | MinionReply::NoResponse(why) => {
             spdlog::debug!("event=poll_failed minion={id} why=\"{why}\"");
         }
         MinionReply::Ok(_) => {}
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -150,7 +150,7 @@
     }
 
     /// Records that an incarnation has deregistered and is about to terminate.
-    pub fn record_leaving(&self, id: &Name) {
+    pub fn record_deregistration(&self, id: &Name) {
         self.lock().departures.record_termination_notice(id);
     }
 
--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -7,8 +7,8 @@
 /// Number of consecutive failed connection attempts after which a coordinator is considered lost.
 const MAX_FAILED_CONNECTS: u32 = 2;
 /// Time for which a coordinator may report that it does not reach the store before it is considered
-/// lost, in milliseconds. The coordinator reports an outage only after
-/// `tuning::MAX_CONFIRMATION_AGE_MS`.
+/// lost, in milliseconds. The coordinator begins to report an outage when the store's last
+/// confirmation is older than `tuning::MAX_CONFIRMATION_AGE_MS`.
 const STORE_UNREACHABLE_TOLERANCE_MS: u64 = 200;
 /// Time that a coordinator has to reach the store again after an outage that this entry noticed as
 /// well, in milliseconds. The coordinator's calls during the outage wait for up to a second, and
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -104,7 +104,9 @@
     metrics: Arc<Metrics>,
     writes: mpsc::Sender<WriteBatch>,
     approval_requests: mpsc::Sender<ApprovalRequest>,
+    /// Links of entries, by number.
     entries: HashMap<u64, LinkSender<ToPeer>>,
+    /// Number and sender of the current link of each agent.
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
     /// Link of the entry that waits for each response and the entry's id of the request, by the
     /// driver's own id of the request.
--- a/crates/geraniumpost/src/batch/entry/newer_versions.rs
+++ b/crates/geraniumpost/src/batch/entry/newer_versions.rs
@@ -25,6 +25,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct NewerVersions {
     active: u64,
+    /// Times at which newer versions were first reported, by version.
     pending: BTreeMap<u64, u64>,
 }
 
--- a/crates/geraniumpost/tests/coordinator_loss.rs
+++ b/crates/geraniumpost/tests/coordinator_loss.rs
@@ -1,4 +1,4 @@
-//! Conditions under which an entry considers the coordinator lost.
+//! Tests of the conditions under which an entry considers the coordinator lost.
 
 use geraniumpost::batch::coordination::{CoordinatorLoss, detect_loss};
 use geraniumpost::batch::entry::LinkState;
@@ -30,12 +30,12 @@
     /// successor takes over.
     silent_coordinator_is_lost:
         LinkState { last_heard_ms: NOW_MS - 900, ..healthy() }, None => Some(CoordinatorLoss::Silent);
-    /// The coordinator's process was killed, so that its VM refuses connections.
+    /// The coordinator's process was killed, and its VM refuses connections.
     coordinator_that_refuses_links_is_lost: LinkState { failed_connects: 2, ..healthy() }, None => Some(CoordinatorLoss::Silent);
     /// The process at the coordinator's address responds that it does not coordinate.
     process_that_does_not_coordinate_is_a_loss: LinkState { not_coordinating: true, ..healthy() }, None => Some(CoordinatorLoss::Ended);
-    /// The store is unreachable for the coordinator but not for this entry. Accepted jobs would
-    /// wait until that changes.
+    /// The coordinator cannot reach the store but this entry can. Without a takeover, accepted jobs
+    /// would wait until the coordinator reaches the store.
     coordinator_without_the_store_is_lost:
         LinkState { store_unreachable_since_ms: Some(NOW_MS - 200), ..healthy() }, None => Some(CoordinatorLoss::Silent);
     /// The store was unavailable to all entries and responds again. The coordinator is about to
--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -1,4 +1,4 @@
-//! Encoding of the coordinator's record.
+//! Tests of the encoding of the coordinator's record.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +23,8 @@
     [("entry-2".into(), 22), ("entry-3".into(), 33)].into_iter().collect()
 }
 
-/// A successor must read the predecessor leases that the coordinator before it wrote: it waits
-/// until they have expired.
+/// A successor must read the predecessor leases in the record, because it has to wait until they
+/// have expired.
 #[test]
 fn predecessor_leases_round_trip() {
     let mut record = record();
@@ -34,8 +34,8 @@
     assert_eq!(CoordinatorRecord::decode(&record.encode()), Ok(record));
 }
 
-/// During a rolling upgrade the coordinator may be of a version that writes no predecessor leases.
-/// If its record could not be decoded, another entry would take over although that coordinator is
+/// During a rolling upgrade the coordinator may run a version that writes no predecessor leases. If
+/// its record could not be decoded, another entry would take over although the coordinator is
 /// running.
 #[test]
 fn record_without_predecessor_leases_is_decoded() {
@@ -44,7 +44,8 @@
     assert_eq!(CoordinatorRecord::decode(earlier), Ok(record()));
 }
 
-/// The same for a version that writes predecessor leases but no voters.
+/// During a rolling upgrade the coordinator may also run a version that writes predecessor leases
+/// but no voters.
 #[test]
 fn record_without_voters_is_decoded() {
     let mut record = record();
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the store that start further attempts until one succeeds.
+//! Tests of reads of the store that start further attempts until one attempt succeeds.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns a client of a store; the attempts of the tests that use it do not call the store.
+/// Returns a client for tests whose attempts do not call the store.
 fn store() -> Store {
     Store::new(([127, 0, 0, 1], 9).into())
 }
@@ -23,7 +23,7 @@
 }
 
 /// Guards against cancelling an attempt when the next one starts: over a busy link every response
-/// is late, and none would be used.
+/// is late, and no response would be used.
 #[tokio::test]
 async fn late_response_to_an_earlier_attempt_is_used() {
     let attempts = Cell::new(0);
@@ -40,8 +40,7 @@
     assert_eq!((result, attempts.get()), (Ok(1), 3));
 }
 
-/// Guards against waiting for a connection that no longer delivers responses, without trying
-/// another one.
+/// Guards against waiting for a response on a broken connection without trying another connection.
 #[tokio::test]
 async fn second_attempt_succeeds_while_the_first_is_silent() {
     let attempts = Cell::new(0);
@@ -113,8 +112,8 @@
     assert_eq!(result, Err(StoreError::Compacted));
 }
 
-/// Responds with 404 to each request on a connection while `responding` is true. Once a request
-/// arrives after that, the connection never responds again.
+/// Responds with 404 to each request on a connection while `responding` is true. After a request
+/// that arrives while it is false, the connection never gets a response again.
 async fn serve(mut stream: TcpStream, responding: Arc<AtomicBool>) {
     let mut buf = [0; 4096];
     while let Ok(1..) = stream.read(&mut buf).await {
@@ -147,8 +146,8 @@
     (address, first_two_respond)
 }
 
-/// Guards against trying idle connections one after the other if none of them delivers responses
-/// any longer: each would cost another attempt, although a new connection works.
+/// Guards against trying idle connections one after the other when all of them are broken: each
+/// would cost another attempt, although a new connection works.
 #[tokio::test]
 async fn second_attempt_uses_a_new_connection() {
     let (address, responding) = start_store().await;
--- a/crates/geraniumpost/tests/newer_versions.rs
+++ b/crates/geraniumpost/tests/newer_versions.rs
@@ -1,4 +1,4 @@
-//! Newer versions of the configuration that an entry knows of but does not have.
+//! Tests of the record of configuration versions that are newer than the active one.
 
 use geraniumpost::batch::entry::NewerVersions;
 use proptest::prelude::*;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Guards against unbounded memory use while an entry does not get any of many versions. The time
-/// since which its version is outdated must be kept.
+/// Guards against unbounded memory use while an entry cannot read any of many versions. The time
+/// since which the active version is outdated must be kept.
 #[test]
 fn tracked_versions_are_bounded() {
     let mut newer = NewerVersions::default();
--- a/crates/geraniumpost/tests/process_pause.rs
+++ b/crates/geraniumpost/tests/process_pause.rs
@@ -1,4 +1,4 @@
-//! Orders of a coordinator whose process was paused.
+//! Tests of orders that a coordinator sends after its process was paused.
 
 use geraniumpost::batch::coordination::ProcessPause;
 use geraniumpost_batch::{Order, OrderKind, ToAgent};
@@ -12,7 +12,7 @@
     ("agent-1".into(), ToAgent::Order(order))
 }
 
-/// Returns the state of a process that was paused for seven seconds, until 8,000 ms.
+/// Returns the state of a process that was paused for seven seconds and has resumed at 8,000 ms.
 fn resumed() -> ProcessPause {
     let mut pause = ProcessPause::new(900);
     assert_eq!(pause.begin_round(1_000), None);
@@ -20,9 +20,10 @@
     pause
 }
 
-/// A paused coordinator may resume while its successor already coordinates. Its orders are held, in
-/// the order in which they were sent, until the store has confirmed the term in response to a call
-/// sent after the pause. Responses to earlier calls do not count.
+/// A paused coordinator may resume while its successor already coordinates. The orders of the
+/// resumed coordinator are held, in the sequence in which they were sent, until the store has
+/// confirmed the term in response to a call sent after the pause. Responses to earlier calls are
+/// ignored.
 #[test]
 fn orders_wait_until_the_store_confirms_the_term_again() {
     let mut pause = resumed();
@@ -36,7 +37,8 @@
     assert_eq!(pause.hold_if_unconfirmed(agent, message), Some(order(3)));
 }
 
-/// Responses to heartbeats are not held, as agents check their age and fencing token.
+/// Responses to heartbeats are not held, because agents check the age and fencing token of each
+/// response.
 #[test]
 fn responses_to_heartbeats_do_not_wait() {
     let mut pause = resumed();
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -1,4 +1,4 @@
-//! Responses to requests of which an entry has sent several copies to the coordinator.
+//! Tests of requests of which an entry has sent several copies to the coordinator.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +16,9 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Time for which the caller waits for a response.
+/// Maximum time for which the caller waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Longest time that a test waits for an expected message.
+/// Maximum time that a test waits for an expected message.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 const PONG: ToEntry =
     ToEntry::Pong { store_ok: true, configuration: 0, sent: TermTime { term: 1, steady_ms: 1 } };
@@ -65,8 +65,8 @@
 
 type ResponseTask = JoinHandle<Result<CallerResponse, NoResponse>>;
 
-/// Makes an entry send a job twice, over a link that is then lost and over the next one. Returns
-/// the listener, the second link, the request's id and the caller's task.
+/// Makes an entry send a job twice: over a link that is then lost, and over the next link. Returns
+/// the listener, the second link, the request's id and the task that waits for the response.
 async fn send_job_twice() -> (TcpListener, Link, u64, ResponseTask) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("bound");
