--- a/crates/geraniumpost/src/batch/agent/polling.rs
+++ b/crates/geraniumpost/src/batch/agent/polling.rs
@@ -111,7 +111,7 @@
     match reply {
         MinionReply::IncarnationMismatch => state.record_replaced(id),
         MinionReply::Superseded => {
-            // The linked coordinator has a successor.
+            // The minion has accepted a call of a newer coordinator.
             spdlog::warn!("event=coordinator_superseded minion={id}");
             state.coordinator_may_be_replaced.store(true, Ordering::Relaxed);
         }
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -25,7 +25,7 @@
 use super::{COORDINATOR_KEY, KnownCoordinator};
 use crate::metrics::Metrics;
 
-/// Timeout of one call to the store.
+/// Timeout of a read or write of the coordinator's key, and of the first registration.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a failed call to the store, and between checks of whether the coordinator is lost.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -26,7 +26,7 @@
 /// Maximum number of inputs that are handled in one round, before the coordinator makes decisions.
 const MAX_INPUTS_PER_ROUND: usize = 64;
 
-/// The process at the other end of a link, as the sender and destination of messages.
+/// The process at the other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Peer {
     /// An entry, which relays callers' requests.
@@ -58,7 +58,7 @@
         link: u64,
         /// Number by which the entry matches the response to its request.
         request_id: u64,
-        /// The caller's request, as decoded from HTTP.
+        /// The caller's request, as relayed by the entry.
         request: CallerRequest,
     },
     /// Message of the agent with this name.
@@ -89,10 +89,11 @@
 /// is requested.
 pub type ApprovalRequest = (TaskId, Vec<Name>);
 
-/// Why a coordinator's term ended.
+/// Why the driver has stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TermEnd {
-    /// A minion has rejected this coordinator's fencing token in favor of a newer one.
+    /// A minion has rejected an order of this coordinator because it has seen a higher fencing
+    /// token.
     Superseded,
     /// All senders of inputs were dropped.
     Closed,
@@ -104,7 +105,7 @@
     metrics: Arc<Metrics>,
     writes: mpsc::Sender<WriteBatch>,
     approval_requests: mpsc::Sender<ApprovalRequest>,
-    /// Links of entries, by number.
+    /// Links of entries, by the number of the link.
     entries: HashMap<u64, LinkSender<ToPeer>>,
     /// Number and sender of the current link of each agent.
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
--- a/crates/geraniumpost/src/batch/coordination/local_promises.rs
+++ b/crates/geraniumpost/src/batch/coordination/local_promises.rs
@@ -23,7 +23,7 @@
         Self { node, incarnation, promises: Mutex::default(), is_stopping: AtomicBool::new(false) }
     }
 
-    /// Returns the name of this entry.
+    /// Returns the name under which this entry promises support.
     pub const fn node(&self) -> &Name {
         &self.node
     }
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -13,7 +13,7 @@
 use super::super::{FromPeer, ToPeer, peer_link};
 use super::{ENTRY_PREFIX, KnownCoordinator};
 
-/// Timeout of one request to another entry, including the connect.
+/// Timeout of one request to another entry, including the connection attempt.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Client of the other entries that are registered in the store, with the registry as last read.
@@ -24,11 +24,11 @@
     others: ArcSwap<Vec<RegisteredEntry>>,
     /// Revision of this entry's own key; 0 until the entry has registered.
     own_revision: AtomicU64,
-    /// Whether this entry has deregistered to stop, and must not register again.
+    /// Whether this entry has deregistered because it is stopping, and must not register again.
     is_stopping: AtomicBool,
 }
 
-/// An entry that is registered in the store.
+/// The registration of an entry, as last read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegisteredEntry {
     /// Name of the entry, the last part of its key.
@@ -46,7 +46,7 @@
         Some(Self { node, address, revision: item.revision })
     }
 
-    /// Returns the entry's key in the store.
+    /// Returns the key of the registration: [`ENTRY_PREFIX`] followed by the entry's name.
     pub fn key(&self) -> String {
         entry_key(&self.node)
     }
@@ -59,7 +59,7 @@
 /// Pause between two reads of the registry. Entries are added and removed at intervals of minutes,
 /// and the first reads find only some of the entries that start at the same time.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
-/// Timeout of one read or registration in the store.
+/// Timeout of one read of a page of the registry, and of one registration.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Another entry's response to a probe.
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    /// Removes this entry from the registry and prevents it from registering again. A registration
-    /// by another process of the same name stays.
+    /// Removes this entry from the registry and prevents it from registering again. If another
+    /// process with the same name has registered meanwhile, its registration is kept.
     pub async fn deregister(&self, store: &Store, timeout: Duration) {
         self.is_stopping.store(true, Ordering::Relaxed);
         let key = entry_key(&self.node);
@@ -180,7 +180,7 @@
             .map(|registered| registered.address)
     }
 
-    /// Returns the number of registered entries other than this one and `excluded`.
+    /// Returns the number of registered entries without this entry and `excluded`.
     pub fn count_except(&self, excluded: &Name) -> usize {
         self.others.load().iter().filter(|registered| registered.node != *excluded).count()
     }
--- a/crates/geraniumpost/src/batch/coordination/record.rs
+++ b/crates/geraniumpost/src/batch/coordination/record.rs
@@ -40,7 +40,7 @@
         postcard::to_stdvec(self).expect("every field can be encoded")
     }
 
-    /// Decodes a record of this version or an earlier one.
+    /// Decodes a record that was written by this version of the software or an earlier version.
     ///
     /// # Errors
     ///
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -42,7 +42,7 @@
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// A term of this entry as the coordinator, as started by a takeover.
+/// A term in which this entry coordinates. Created after the takeover.
 pub struct Term {
     pub store: Arc<Store>,
     pub record: CoordinatorRecord,
@@ -52,7 +52,7 @@
     pub lease_ms: u64,
     /// Time at which the takeover was sent to the store, on the monotonic clock.
     pub requested_ms: u64,
-    /// Time at which the store's confirmation of the takeover was received.
+    /// Time at which the store's confirmation of the takeover was received, on both clocks.
     pub began: Now,
     /// Leases that earlier coordinators may have extended, as of the takeover.
     pub predecessor_leases: PredecessorLeases,
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -27,7 +27,7 @@
         self.support.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the present time in this term, to be sent with a pong.
+    /// Returns the term and the present time, to be sent with a pong.
     pub fn pong_time(&self) -> TermTime {
         TermTime { term: self.term, steady_ms: BootClock.now_ms() }
     }
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -25,8 +25,8 @@
 /// Time after which a newer version that another process has reported is read without waiting for
 /// the watch, in milliseconds.
 const MISSED_CHANGE_MS: u64 = 600;
-/// Maximum length of a watch response that is received, in bytes. Instead of a longer one, only the
-/// newest version is read.
+/// Maximum length of a watch response that is received in full, in bytes. If the response is
+/// longer, the newest version is read instead.
 const MAX_WATCH_BYTES: usize = 64 * 1024;
 
 /// Follows the configuration until the process exits.
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -47,7 +47,7 @@
     pub config_apply_ms: u64,
     /// Relays callers' requests to the coordinator.
     pub relay: Relay,
-    /// Metrics that the process serves.
+    /// Metrics of the process, served at `/metrics`.
     pub metrics: Arc<Metrics>,
     /// Turns true when the process is asked to stop.
     pub stop: watch::Receiver<bool>,
