--- a/crates/geraniumpost/tests/coordinator_loss.rs
+++ b/crates/geraniumpost/tests/coordinator_loss.rs
@@ -39,7 +39,7 @@
     coordinator_without_the_store_is_lost:
         LinkState { store_unreachable_since_ms: Some(NOW_MS - 200), ..healthy() }, None => Some(CoordinatorLoss::Silent);
     /// The store was unavailable to all entries and responds again. The coordinator is about to
-    /// reach it, and a takeover would interrupt all work for a second.
+    /// reach the store, and a takeover would interrupt all work for a second.
     recovering_coordinator_is_not_lost_after_an_outage:
         LinkState { store_unreachable_since_ms: Some(NOW_MS - 5_000), ..healthy() }, Some(NOW_MS - 600) => None;
     /// The store has responded to this entry for a while, but not to the coordinator.
--- a/crates/geraniumpost/tests/coordinator_record.rs
+++ b/crates/geraniumpost/tests/coordinator_record.rs
@@ -54,8 +54,8 @@
     assert_eq!(CoordinatorRecord::decode(&bytes[..bytes.len() - 1]), Ok(record));
 }
 
-/// A successor that assumed other voters than its predecessor might conclude that the predecessor
-/// can no longer extend leases while it still does.
+/// If a successor assumed other voters than its predecessor, it might conclude that the predecessor
+/// can no longer extend leases although the predecessor still does.
 #[test]
 fn voters_round_trip() {
     let mut record = record();
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -104,8 +104,8 @@
 }
 
 /// A link is lost after a job was sent over it, and the coordinator refuses the second copy because
-/// it holds too many jobs. It may read the first copy later and accept it, so the caller must not
-/// be told that the job was refused.
+/// it holds too many jobs. The coordinator may read and accept the first copy later, so the caller
+/// must not be told that the job was refused.
 #[tokio::test]
 async fn refusal_of_one_copy_is_not_reported_while_another_may_be_accepted() {
     let (_listener, link, request_id, response_task) = send_job_twice().await;
