--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -20,12 +20,13 @@
 use super::term_support::TermSupport;
 use crate::metrics::Metrics;
 
-/// Interval at which the coordinator checks its timers. The shortest are hundreds of milliseconds.
+/// Interval at which the coordinator checks its timers. The shortest timers run for hundreds of
+/// milliseconds.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Most inputs that are handled in one round, before the coordinator decides on all of them.
+/// Maximum number of inputs that are handled in one round, before the coordinator makes decisions.
 const MAX_INPUTS_PER_ROUND: usize = 64;
 
-/// The process at the other end of a link, as the sender and destination of messages.
+/// The process at the other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Peer {
     /// An entry, which relays callers' requests.
@@ -44,12 +45,12 @@
     },
 }
 
-/// Inputs of the driver.
+/// Messages, responses and results that the driver passes to the coordinator.
 #[derive(Debug)]
 pub enum Input {
     /// A link has opened; messages to the peer are sent through the sender.
     LinkOpened(Peer, LinkSender<ToPeer>),
-    /// A link has closed; it may have been replaced by a newer one.
+    /// A link has closed; the peer may already have opened another link.
     LinkClosed(Peer),
     /// An entry relays a caller's request.
     Request {
@@ -57,16 +58,16 @@
         link: u64,
         /// Number by which the entry matches the response to its request.
         request_id: u64,
-        /// The caller's request, as decoded from HTTP.
+        /// The caller's request, as relayed by the entry.
         request: CallerRequest,
     },
     /// Message of the agent with this name.
     AgentMessage(Name, FromAgent),
-    /// The store has committed the batch of this number.
+    /// The store has committed the batch with this number.
     BatchWritten(u64),
     /// Response of the admission service; `None` if it failed to respond.
     ApprovalResponse(ApprovalRequest, Option<ApprovedMinions>),
-    /// The store has confirmed that this entry coordinates.
+    /// The store has confirmed the term of this coordinator.
     TermConfirmed {
         /// Time at which the call to the store was sent, on the monotonic clock.
         requested_ms: u64,
@@ -79,7 +80,7 @@
     PredecessorExtendsUntil {
         /// Address of the silent coordinator.
         address: SocketAddr,
-        /// Latest time at which it can extend a lease, on the monotonic clock.
+        /// Latest time at which that coordinator can extend a lease, on the monotonic clock.
         until_ms: u64,
     },
 }
@@ -88,10 +89,11 @@
 /// is requested.
 pub type ApprovalRequest = (TaskId, Vec<Name>);
 
-/// Why a coordinator's term ended.
+/// Why the driver has stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TermEnd {
-    /// A minion has rejected this coordinator's fencing token in favor of a newer one.
+    /// A minion has rejected an order of this coordinator because it has seen a higher fencing
+    /// token.
     Superseded,
     /// All senders of inputs were dropped.
     Closed,
@@ -103,10 +105,12 @@
     metrics: Arc<Metrics>,
     writes: mpsc::Sender<WriteBatch>,
     approval_requests: mpsc::Sender<ApprovalRequest>,
+    /// Links of entries, by the number of the link.
     entries: HashMap<u64, LinkSender<ToPeer>>,
+    /// Number and sender of the current link of each agent.
     agents: HashMap<Name, (u64, LinkSender<ToPeer>)>,
-    /// Link and request id of the entry that waits for each response, by the driver's own id of the
-    /// request.
+    /// Link of the entry that waits for each response and the entry's id of the request, by the
+    /// driver's own id of the request.
     pending_replies: HashMap<u64, (u64, u64)>,
     next_request_id: u64,
     /// Leases that a successor has to wait for, as shared with the writer.
@@ -203,7 +207,8 @@
                 self.entries.insert(link, tx);
             }
             Input::LinkOpened(Peer::Agent { node, link }, tx) => {
-                // A new link replaces the old one, even if that still has messages under way.
+                // A new link replaces the old one, even if messages on the old link are still in
+                // flight.
                 if self.agents.insert(node.clone(), (link, tx)).is_some() {
                     self.coordinator.handle_agent_disconnected(&node, now);
                 }
@@ -235,15 +240,15 @@
             }
             Input::TermConfirmed { requested_ms, received_ms } => {
                 self.coordinator.record_store_confirmation(requested_ms, received_ms);
-                for (agent, message) in self.process_pause.term_confirmed(requested_ms) {
+                for (agent, message) in self.process_pause.record_term_confirmation(requested_ms) {
                     self.send_to_agent(&agent, message);
                 }
             }
             Input::PredecessorEnded(address) => {
-                self.coordinator.record_predecessor_end(address, now);
+                self.coordinator.record_predecessor_term_end(address, now);
             }
             Input::PredecessorExtendsUntil { address, until_ms } => {
-                self.coordinator.record_predecessor_extension_end(address, until_ms);
+                self.coordinator.limit_predecessor_leases(address, until_ms);
             }
         }
     }
@@ -251,12 +256,13 @@
     async fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Write(batch) => {
-                // This does not wait: the queue holds as many batches as may be under way at once.
+                // Sending does not wait: the queue has capacity for all batches that the
+                // coordinator has in flight.
                 if self.writes.send(batch).await.is_err() {
                     spdlog::debug!("event=writer_ended");
                 }
             }
-            Effect::Reply { request_id, response } => {
+            Effect::Respond { request_id, response } => {
                 let Some((link, request_id)) = self.pending_replies.remove(&request_id) else {
                     return;
                 };
@@ -273,7 +279,7 @@
                 }
             }
             Effect::RequestApproval { step, minions } => {
-                // Without an admission service in the settings the step keeps waiting.
+                // If no admission service is configured, the step keeps waiting.
                 if self.approval_requests.send((step, minions)).await.is_err() {
                     spdlog::warn!("event=no_admission_service step={step}");
                 }
@@ -286,7 +292,7 @@
     fn send_to_agent(&self, agent: &Name, message: ToAgent) {
         self.count_order(&message);
         if let Some((_, tx)) = self.agents.get(agent) {
-            // An order that is lost with its link is repeated over the next link.
+            // An order that is lost when its link closes is repeated over the next link.
             let _ = tx.send(ToPeer::Agent(message));
         }
     }
--- a/crates/geraniumpost/tests/hedged_reads.rs
+++ b/crates/geraniumpost/tests/hedged_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the store that start further attempts until one succeeds.
+//! Tests of reads of the store that start further attempts until one attempt succeeds.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const INTERVAL: Duration = Duration::from_millis(50);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns a client of a store; the attempts of the tests that use it do not call the store.
+/// Returns a client for tests whose attempts do not call the store.
 fn store() -> Store {
     Store::new(([127, 0, 0, 1], 9).into())
 }
@@ -23,7 +23,7 @@
 }
 
 /// Guards against cancelling an attempt when the next one starts: over a busy link every response
-/// is late, and none would be used.
+/// is late, and no response would be used.
 #[tokio::test]
 async fn late_response_to_an_earlier_attempt_is_used() {
     let attempts = Cell::new(0);
@@ -31,16 +31,16 @@
         attempts.set(attempts.get() + 1);
         let attempt_number = attempts.get();
         async move {
-            tokio::time::sleep(INTERVAL * 2 + INTERVAL / 2).await;
+            tokio::time::sleep(ATTEMPT_INTERVAL * 2 + ATTEMPT_INTERVAL / 2).await;
             Ok(attempt_number)
         }
     };
-    let result = hedged_read(&store(), INTERVAL, attempt, |_| panic!("no attempt fails")).await;
+    let result =
+        hedged_read(&store(), ATTEMPT_INTERVAL, attempt, |_| panic!("no attempt fails")).await;
     assert_eq!((result, attempts.get()), (Ok(1), 3));
 }
 
-/// Guards against waiting for a connection that no longer delivers responses, without trying
-/// another one.
+/// Guards against waiting for a response on a broken connection without trying another connection.
 #[tokio::test]
 async fn second_attempt_succeeds_while_the_first_is_silent() {
     let attempts = Cell::new(0);
@@ -55,9 +55,10 @@
         }
     };
     let started_at = Instant::now();
-    let result = hedged_read(&store(), INTERVAL, attempt, |_| panic!("no attempt fails")).await;
+    let result =
+        hedged_read(&store(), ATTEMPT_INTERVAL, attempt, |_| panic!("no attempt fails")).await;
     assert_eq!(result, Ok(2));
-    assert!(started_at.elapsed() < INTERVAL * 2, "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < ATTEMPT_INTERVAL * 2, "{:?}", started_at.elapsed());
 }
 
 #[tokio::test]
@@ -75,8 +76,8 @@
         }
     };
     let store = store();
-    let read = hedged_read(&store, INTERVAL, attempt, |_| *failures.borrow_mut() += 1);
-    let ended = tokio::time::timeout(INTERVAL * MAX_CONCURRENT_ATTEMPTS * 4, read).await;
+    let read = hedged_read(&store, ATTEMPT_INTERVAL, attempt, |_| *failures.borrow_mut() += 1);
+    let ended = tokio::time::timeout(ATTEMPT_INTERVAL * MAX_CONCURRENT_ATTEMPTS * 4, read).await;
     assert!(ended.is_err(), "the read must still be running");
     assert!(*failures.borrow() >= 6, "{} failed", failures.borrow());
     assert_eq!(max_in_flight.get(), MAX_CONCURRENT_ATTEMPTS);
@@ -104,15 +105,15 @@
 #[tokio::test]
 async fn compacted_history_is_reported_at_once() {
     let attempt = |_| async { Err::<(), _>(StoreError::Compacted) };
-    let result = hedged_read(&store(), INTERVAL, attempt, |_| {
+    let result = hedged_read(&store(), ATTEMPT_INTERVAL, attempt, |_| {
         panic!("a compacted history is not a failed attempt")
     })
     .await;
     assert_eq!(result, Err(StoreError::Compacted));
 }
 
-/// Responds with 404 to each request on a connection while `responding` is true. Once a request
-/// arrives after that, the connection never responds again.
+/// Responds with 404 to each request on a connection while `responding` is true. After a request
+/// that arrives while it is false, the connection never gets a response again.
 async fn serve(mut stream: TcpStream, responding: Arc<AtomicBool>) {
     let mut buf = [0; 4096];
     while let Ok(1..) = stream.read(&mut buf).await {
@@ -145,8 +146,8 @@
     (address, first_two_respond)
 }
 
-/// Guards against trying idle connections one after the other if none of them delivers responses
-/// any longer: each would cost another attempt, although a new connection works.
+/// Guards against trying idle connections one after the other when all of them are broken: each
+/// would cost another attempt, although a new connection works.
 #[tokio::test]
 async fn second_attempt_uses_a_new_connection() {
     let (address, responding) = start_store().await;
@@ -159,7 +160,7 @@
     assert!(first.is_ok() && second.is_ok());
     responding.store(false, Ordering::SeqCst);
     let started_at = Instant::now();
-    let result = hedged_read(store, INTERVAL, get, |_| panic!("no attempt fails")).await;
+    let result = hedged_read(store, ATTEMPT_INTERVAL, get, |_| panic!("no attempt fails")).await;
     assert!(result.is_ok());
-    assert!(started_at.elapsed() < INTERVAL * 2, "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < ATTEMPT_INTERVAL * 2, "{:?}", started_at.elapsed());
 }
--- a/crates/geraniumpost/tests/relay_copies.rs
+++ b/crates/geraniumpost/tests/relay_copies.rs
@@ -1,4 +1,4 @@
-//! Responses to requests of which an entry has sent several copies to the coordinator.
+//! Tests of requests of which an entry has sent several copies to the coordinator.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Time for which the caller waits for a response.
-const DEADLINE: Duration = Duration::from_millis(1_200);
-/// Longest time that a test waits for an expected message.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time for which the caller waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Maximum time that a test waits for an expected message.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 const PONG: ToEntry =
     ToEntry::Pong { store_ok: true, configuration: 0, sent: TermTime { term: 1, steady_ms: 1 } };
 const REFUSED: CallerResponse = CallerResponse::Refused { retry_after_ms: 1_000 };
@@ -32,7 +32,7 @@
 
 impl Link {
     async fn accept(listener: &TcpListener) -> Self {
-        let accepted = tokio::time::timeout(TIMEOUT, listener.accept()).await;
+        let accepted = tokio::time::timeout(MESSAGE_TIMEOUT, listener.accept()).await;
         let (stream, _) = accepted.expect("the entry opens a link").expect("loopback");
         let connection = Connection::from(FrameReader::new(stream));
         let (tx, rx) = open_link(connection, |_| {});
@@ -51,7 +51,7 @@
     async fn next_request_id(&mut self) -> u64 {
         self.send(PONG);
         loop {
-            let message = tokio::time::timeout(TIMEOUT, self.rx.next()).await;
+            let message = tokio::time::timeout(MESSAGE_TIMEOUT, self.rx.next()).await;
             match message.expect("a request arrives").expect("the link is open").head {
                 FromPeer::EntryMessage(FromEntry::Ping { .. }) => {
                     self.send(PONG);
@@ -65,8 +65,8 @@
 
 type ResponseTask = JoinHandle<Result<CallerResponse, NoResponse>>;
 
-/// Makes an entry send a job twice, over a link that is then lost and over the next one. Returns
-/// the listener, the second link, the request's id and the caller's task.
+/// Makes an entry send a job twice: over a link that is then lost, and over the next link. Returns
+/// the listener, the second link, the request's id and the task that waits for the response.
 async fn send_job_twice() -> (TcpListener, Link, u64, ResponseTask) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("bound");
@@ -84,7 +84,7 @@
             spec: JobSpec::default(),
             terms: QueueTerms::default(),
         };
-        let response = relay.request(request, DEADLINE, DEADLINE).await;
+        let response = relay.request(request, RESPONSE_TIMEOUT, RESPONSE_TIMEOUT).await;
         drop(known_coordinator_tx);
         response
     });
@@ -97,15 +97,15 @@
 }
 
 async fn response_of(response_task: ResponseTask) -> Result<CallerResponse, NoResponse> {
-    tokio::time::timeout(TIMEOUT, response_task)
+    tokio::time::timeout(MESSAGE_TIMEOUT, response_task)
         .await
         .expect("the caller gets a result")
         .expect("no panic")
 }
 
 /// A link is lost after a job was sent over it, and the coordinator refuses the second copy because
-/// it holds too many jobs. It may read the first copy later and accept it, so the caller must not
-/// be told that the job was refused.
+/// it holds too many jobs. The coordinator may read and accept the first copy later, so the caller
+/// must not be told that the job was refused.
 #[tokio::test]
 async fn refusal_of_one_copy_is_not_reported_while_another_may_be_accepted() {
     let (_listener, link, request_id, response_task) = send_job_twice().await;
