--- a/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
@@ -8,7 +8,7 @@
 /// Minimum fraction of a best-effort task's speed that unused processors must allow; below it the
 /// task waits. A job is as slow as its slowest task, so one task on a crowded minion delays all
 /// others; with a higher bound, sufficient processors stay idle in a full fleet.
-const MIN_CPU_SPEED: f64 = 0.7;
+const MIN_SPEED_ON_UNUSED_CPUS: f64 = 0.7;
 /// Minimum fraction of its speed that serving tasks must tolerate. It is higher, as their headroom
 /// shrinks when their load rises, and the task would be throttled or moved before it is done.
 const MIN_TOLERATED_SPEED: f64 = 0.9;
@@ -28,7 +28,8 @@
     ) -> bool {
         let may_wait = spec.best_effort && !self.is_job_idle(task, now);
         !may_wait
-            || (speed.cpu_speed >= MIN_CPU_SPEED && speed.tolerated_speed >= MIN_TOLERATED_SPEED)
+            || (speed.speed_on_unused_cpus >= MIN_SPEED_ON_UNUSED_CPUS
+                && speed.tolerated_speed >= MIN_TOLERATED_SPEED)
     }
 
     /// Returns whether a task's job has had no runs for [`IDLE_JOB_TIMEOUT_MS`].
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -9,7 +9,7 @@
 use crate::{CallerRequest, CallerResponse, JobId, JobRecord, JobSpec, JobState, Now, QueueTerms};
 
 impl Coordinator {
-    /// Handles a caller's request. The response follows as [`Effect::Reply`] with `request_id`,
+    /// Handles a caller's request. The response follows as [`Effect::Respond`] with `request_id`,
     /// once everything that it confirms is committed.
     pub fn handle_request(&mut self, request_id: u64, request: CallerRequest, now: Now) {
         match request {
@@ -19,17 +19,17 @@
             CallerRequest::Cancel(job) => self.cancel(request_id, job, now),
             CallerRequest::State(job) => {
                 let response = self.state_response(job);
-                self.reply(request_id, response);
+                self.respond(request_id, response);
             }
             CallerRequest::Pending(queue) => {
                 let response = CallerResponse::Pending(self.pending_job_count(&queue));
-                self.reply(request_id, response);
+                self.respond(request_id, response);
             }
         }
     }
 
-    fn reply(&mut self, request_id: u64, response: CallerResponse) {
-        self.effects.push(Effect::Reply { request_id, response });
+    fn respond(&mut self, request_id: u64, response: CallerResponse) {
+        self.effects.push(Effect::Respond { request_id, response });
     }
 
     fn submit(&mut self, request_id: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
@@ -37,21 +37,21 @@
             // A retry or a late copy of a submission is accepted once the record of the first one
             // is committed, and creates no second job.
             if job.is_durable() {
-                self.reply(request_id, CallerResponse::Accepted);
+                self.respond(request_id, CallerResponse::Accepted);
             } else {
-                job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
+                job.after_commit.push(Deferred::Respond(request_id, CallerResponse::Accepted));
             }
             return;
         }
         if let Err(error) = spec.check() {
             self.log(format!("decision=refuse job={id} why=\"{error}\""));
-            self.reply(request_id, CallerResponse::Invalid);
+            self.respond(request_id, CallerResponse::Invalid);
             return;
         }
         if self.open_jobs.len() >= self.max_open_jobs {
             let open = self.open_jobs.len();
             self.log(format!("decision=refuse job={id} why=\"too many open jobs\" open={open}"));
-            self.reply(request_id, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
+            self.respond(request_id, CallerResponse::Refused { retry_after_ms: RETRY_AFTER_MS });
             return;
         }
         self.log(format!(
@@ -61,7 +61,7 @@
             spec.steps.iter().map(|step| step.count).sum::<u32>(),
         ));
         let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
-        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Accepted));
+        job.after_commit.push(Deferred::Respond(request_id, CallerResponse::Accepted));
         self.jobs.insert(id, job);
         self.open_jobs.insert(id);
         self.dirty.insert(id);
@@ -71,15 +71,15 @@
 
     fn cancel(&mut self, request_id: u64, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else {
-            self.reply(request_id, CallerResponse::Unknown);
+            self.respond(request_id, CallerResponse::Unknown);
             return;
         };
         let finished = job.record.state.is_final();
         if finished && job.durable_version == job.version {
-            self.reply(request_id, CallerResponse::Cancelled);
+            self.respond(request_id, CallerResponse::Cancelled);
             return;
         }
-        job.after_commit.push(Deferred::Reply(request_id, CallerResponse::Cancelled));
+        job.after_commit.push(Deferred::Respond(request_id, CallerResponse::Cancelled));
         if !finished {
             self.finish_job(id, JobState::Cancelled, now);
         }
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Deferred {
     /// Respond to a caller's request: request id and response.
-    Reply(u64, CallerResponse),
+    Respond(u64, CallerResponse),
     /// Send the start order of a run, given by its number.
     Start(TaskId, u32),
 }
@@ -64,8 +64,8 @@
 
     fn run_deferred_action(&mut self, deferred: Deferred, now: Now) {
         match deferred {
-            Deferred::Reply(request_id, response) => {
-                self.effects.push(Effect::Reply { request_id, response });
+            Deferred::Respond(request_id, response) => {
+                self.effects.push(Effect::Respond { request_id, response });
             }
             Deferred::Start(task, run) => self.send_committed_start(task, run, now),
         }
--- a/crates/geraniumpost-batch/src/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/src/coordinator/draining.rs
@@ -8,7 +8,7 @@
 /// Remaining time assumed for a draining minion that reports none, in milliseconds.
 pub(super) const DEFAULT_DRAIN_DURATION_MS: u64 = 2_000;
 /// Time that moving a task takes in any case, in milliseconds: a stop, a commit and a start.
-const MOVE_DURATION_MS: u64 = 400;
+const MIN_MOVE_DURATION_MS: u64 = 400;
 /// Interval between two evacuations of a minion, in milliseconds. Minions terminate seconds after
 /// they begin to drain, and each evacuation checks every minion for each remaining task.
 const EVACUATION_INTERVAL_MS: u64 = 300;
@@ -48,7 +48,7 @@
             if self.runs.get(&task).is_some_and(super::Run::is_stopping)
                 || self
                     .remaining_run_ms(task, now)
-                    .is_some_and(|run_ms| run_ms + MOVE_DURATION_MS < remaining_ms)
+                    .is_some_and(|run_ms| run_ms + MIN_MOVE_DURATION_MS < remaining_ms)
             {
                 continue;
             }
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -9,7 +9,7 @@
     /// [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
     Write(WriteBatch),
     /// Respond to a caller's request.
-    Reply {
+    Respond {
         /// Id that was passed to
         /// [`Coordinator::handle_request`](super::Coordinator::handle_request).
         request_id: u64,
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BestEffortSpeed {
     /// Fraction of full speed, from 0 to 1, that unused processors allow.
-    pub(super) cpu_speed: f64,
+    pub(super) speed_on_unused_cpus: f64,
     /// Fraction of full speed, from 0 to 1, that serving tasks tolerate.
     pub(super) tolerated_speed: f64,
     /// Largest fraction, from 0 to 1, of any group's headroom that the task would use.
@@ -78,10 +78,11 @@
     pub(super) fn best_effort_speed(&self, minion: &Minion, spec: &StepSpec) -> BestEffortSpeed {
         let milli_cpus = spec.demand.milli_cpus;
         let unused = minion.unused_milli_cpus().max(0) as f64;
-        let wanted = (minion.best_effort_cpus + milli_cpus).max(1) as f64;
+        let wanted = (minion.best_effort_milli_cpus + milli_cpus).max(1) as f64;
         let share = minion.cpu_share(milli_cpus as f64);
-        let cpu_speed = (unused / wanted).min(1.0);
-        let mut speed = BestEffortSpeed { cpu_speed, tolerated_speed: 1.0, headroom_share: 0.0 };
+        let speed_on_unused_cpus = (unused / wanted).min(1.0);
+        let mut speed =
+            BestEffortSpeed { speed_on_unused_cpus, tolerated_speed: 1.0, headroom_share: 0.0 };
         for group in &minion.headroom {
             let added = self.interference.added_utilization(&group.image, &spec.image, share);
             if added > group.utilization {
@@ -101,12 +102,12 @@
         let headroom = self.base_headroom(minion);
         let limits: Vec<f64> = headroom.iter().map(|group| group.utilization).collect();
         let load = |(image, tasks): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
-            let processors = tasks.milli_cpus_at(100);
-            let share = minion.cpu_share(processors);
+            let milli_cpus = tasks.milli_cpus_at(100);
+            let share = minion.cpu_share(milli_cpus);
             let added = headroom
                 .iter()
                 .map(|group| self.interference.added_utilization(&group.image, image, share));
-            FullSpeedLoad { processors, added_utilization: added.collect() }
+            FullSpeedLoad { milli_cpus, added_utilization: added.collect() }
         };
         let loads: Vec<FullSpeedLoad> = minion.best_effort_images.iter().map(load).collect();
         let shares = speed_limits(&limits, &loads);
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -4,7 +4,7 @@
 
 use super::minion::Minion;
 use super::{Coordinator, Effect};
-use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, STORE_UNREACHABLE_MS};
+use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, MAX_CONFIRMATION_AGE_MS};
 use crate::{EndKind, Now, ToAgent};
 
 /// Time that an agent has after its link opened to report its minion's lists, in milliseconds; most
@@ -41,7 +41,7 @@
             self.placement_due |= minion_ok && !minion.responsive;
             minion.responsive = minion_ok;
         }
-        let store_ok = store_age_ms < STORE_UNREACHABLE_MS;
+        let store_ok = store_age_ms < MAX_CONFIRMATION_AGE_MS;
         let message = ToAgent::Lease { sent_at_ms, lease_ms, fence: self.fence, store_ok };
         self.effects.push(Effect::Send { agent: agent.clone(), message });
     }
@@ -49,7 +49,7 @@
     /// Returns the time by which all runs on an agent's minion have certainly ended unless the
     /// lease is extended again, on the monotonic clock, and whether leases of earlier coordinators
     /// determine that time.
-    pub(super) fn lease_expiry(&self, agent: &Name) -> (u64, bool) {
+    pub(super) fn lease_expiry_ms_and_origin(&self, agent: &Name) -> (u64, bool) {
         let predecessor_ms = self.predecessor_expiry.lease_end_ms(agent);
         let Some(agent) = self.agents.get(agent) else { return (predecessor_ms, true) };
         // An agent that has linked to this coordinator accepts no lease from an earlier one.
@@ -60,7 +60,7 @@
     }
 
     fn is_lease_expired(&self, agent: &Name, now: Now) -> bool {
-        now.steady_ms >= self.lease_expiry(agent).0
+        now.steady_ms >= self.lease_expiry_ms_and_origin(agent).0
     }
 
     /// Returns whether a minion is about to be polled, as its agent has just linked. Its lists show
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -24,9 +24,9 @@
     /// Resources reserved by the runs placed there; best-effort runs reserve no processors.
     pub(super) used: Demand,
     /// Processors that its best-effort runs could use, in thousandths.
-    pub(super) best_effort_cpus: i64,
+    pub(super) best_effort_milli_cpus: i64,
     /// Processors that its serving runs reserve, in thousandths.
-    pub(super) serving_cpus: i64,
+    pub(super) serving_milli_cpus: i64,
     /// Number of runs that serve users within a latency bound.
     pub(super) serving_runs: u32,
     pub(super) runs: BTreeSet<TaskId>,
@@ -72,8 +72,8 @@
             polled: false,
             responsive: false,
             used: Demand::default(),
-            best_effort_cpus: 0,
-            serving_cpus: 0,
+            best_effort_milli_cpus: 0,
+            serving_milli_cpus: 0,
             serving_runs: 0,
             runs: BTreeSet::new(),
             last_end_sequence: 0,
@@ -100,7 +100,7 @@
 
     /// Returns the processors, in thousandths, that best-effort runs could use together.
     pub(super) fn unused_milli_cpus(&self) -> i64 {
-        self.unreserved().milli_cpus + self.serving_cpus * SERVING_UNUSED_CPU_PERCENT / 100
+        self.unreserved().milli_cpus + self.serving_milli_cpus * SERVING_UNUSED_CPU_PERCENT / 100
     }
 
     /// Returns an amount of processors, in thousandths, as a fraction of the minion's capacity.
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -60,7 +60,7 @@
             OrderOutcome::RunIsOver => run.order = OrderState::Ended { results_reported },
             // Another copy was carried out; the minion's lists decide about the run.
             _ if run.has_started() => {}
-            OrderOutcome::Unanswered => {
+            OrderOutcome::NoResponse => {
                 run.start_unresolved = true;
                 run.order = OrderState::Unknown { since_ms: now.steady_ms };
                 if run.start_count >= MAX_START_ORDERS {
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -33,11 +33,11 @@
     /// nevertheless, all best-effort tasks on the minion are suspended.
     pub(super) fn adjust_paces(&mut self, id: &Name, now: Now) {
         self.learn_from_measurements(id, now);
-        self.change_paces(id, now);
+        self.order_due_pace_changes(id, now);
         self.refresh_headroom(id);
     }
 
-    fn change_paces(&mut self, id: &Name, now: Now) {
+    fn order_due_pace_changes(&mut self, id: &Name, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
         if minion.best_effort_images.is_empty() {
             return;
@@ -58,11 +58,11 @@
             }
         }
         for (image, percent) in changes {
-            self.set_pace(id, &image, percent, worst, now);
+            self.set_image_pace(id, &image, percent, worst, now);
         }
     }
 
-    fn set_pace(
+    fn set_image_pace(
         &mut self,
         id: &Name,
         image: &Name,
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -41,7 +41,7 @@
 
 /// How well a minion suits a task; compared field by field, smaller is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Fit {
+struct PlacementPenalty {
     /// Whether the task's last run failed or was refused there.
     avoided: bool,
     /// Whether the minion is not on the preferred rack.
@@ -200,17 +200,17 @@
         let avoided_minion = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
         let is_eligible =
             |minion: &&Minion| self.task_rejection(&requirements, minion, now).is_none();
-        let fit = |minion: &&Minion| -> Fit {
+        let penalty = |minion: &&Minion| -> PlacementPenalty {
             let off_rack = rack.is_some_and(|rack| !minion.has_label(rack));
             let avoided = avoided_minion == Some(&minion.info.id);
-            Fit { avoided, off_rack, cost: self.placement_cost(minion, spec) }
+            PlacementPenalty { avoided, off_rack, cost: self.placement_cost(minion, spec) }
         };
         let is_fast_enough = |minion: &&Minion| {
             !spec.best_effort
                 || self.accepts_speed(task, spec, self.best_effort_speed(minion, spec), now)
         };
         let best =
-            self.minions.values().filter(is_eligible).filter(is_fast_enough).min_by_key(fit)?;
+            self.minions.values().filter(is_eligible).filter(is_fast_enough).min_by_key(penalty)?;
         Some(best.info.id.clone())
     }
 
@@ -223,21 +223,21 @@
     fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
         /// Weight of one level of [`mixing_cost`], in thousandths of a processor.
         const MIXING_WEIGHT: i64 = 1_000_000;
-        let free_cpus = minion.unreserved().milli_cpus;
+        let free_milli_cpus = minion.unreserved().milli_cpus;
         if spec.best_effort {
-            let BestEffortSpeed { cpu_speed, tolerated_speed, headroom_share } =
+            let BestEffortSpeed { speed_on_unused_cpus, tolerated_speed, headroom_share } =
                 self.best_effort_speed(minion, spec);
             // Among minions at full speed, the one with the most unused processors keeps it
             // longest.
-            let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_cpus;
+            let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_milli_cpus;
             let cost = HEADROOM_WEIGHT * headroom_share
-                - cpu_speed * tolerated_speed.max(MIN_ASSUMED_SPEED);
+                - speed_on_unused_cpus * tolerated_speed.max(MIN_ASSUMED_SPEED);
             return (cost * COST_SCALE) as i64 - unused_milli_cpus / MILLI_CPUS_PER_CPU;
         }
         if spec.is_serving() {
-            return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_cpus;
+            return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_milli_cpus;
         }
-        -free_cpus + minion.best_effort_cpus
+        -free_milli_cpus + minion.best_effort_milli_cpus
     }
 
     /// Returns the rack on which a step's tasks should run: the one that holds its data, the one of
@@ -373,8 +373,8 @@
     let steps = record.occurrences.iter().flat_map(|o| o.steps.iter().zip(&record.spec.steps));
     let of_step = |(tasks, spec): (&Vec<TaskRecord>, &StepSpec)| {
         let left = tasks.iter().filter(|task| task.phase != TaskPhase::Done).count() as u64;
-        let cpus = u64::try_from(spec.demand.milli_cpus).unwrap_or(0);
-        left * cpus * u64::from(spec.estimate_ms) / 1_000
+        let milli_cpus = u64::try_from(spec.demand.milli_cpus).unwrap_or(0);
+        left * milli_cpus * u64::from(spec.estimate_ms) / 1_000
     };
     steps.map(of_step).sum()
 }
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -66,7 +66,7 @@
 
     /// Returns the time by which leases from earlier coordinators have expired for an agent that
     /// the direct predecessor did not report as unreached.
-    pub(super) fn latest_lease_end_ms(&self) -> u64 {
+    pub(super) fn lease_end_of_reached_agents_ms(&self) -> u64 {
         self.silent.values().map(|expiry| expiry.until_ms).fold(self.predecessor_ms, u64::max)
     }
 
@@ -93,14 +93,14 @@
     /// without the store, and persistent tasks whose agents departed meanwhile stay down all that
     /// time. With it, only the leases that the silent coordinator has extended so far remain.
     /// Leases of other silent coordinators are not affected.
-    pub fn record_predecessor_end(&mut self, address: SocketAddr, now: Now) {
-        self.record_predecessor_extension_end(address, now.steady_ms);
+    pub fn record_predecessor_term_end(&mut self, address: SocketAddr, now: Now) {
+        self.limit_predecessor_leases(address, now.steady_ms);
     }
 
     /// Records that the silent coordinator at an address extends no leases after a time on the
     /// monotonic clock, as the store names another coordinator and too few entries support the
     /// silent one.
-    pub fn record_predecessor_extension_end(&mut self, address: SocketAddr, steady_ms: u64) {
+    pub fn limit_predecessor_leases(&mut self, address: SocketAddr, steady_ms: u64) {
         let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let Some(expiry) = self.predecessor_expiry.silent.get_mut(&address) else { return };
         let earlier_by_ms = expiry.until_ms.saturating_sub(until_ms);
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -9,10 +9,10 @@
     /// Resources that the run reserves on the minion.
     pub(super) reserved: Demand,
     /// Processors that the run could use as a best-effort run, in thousandths; 0 for other runs.
-    pub(super) best_effort_cpus: i64,
+    pub(super) best_effort_milli_cpus: i64,
     /// Processors reserved to serve users within a latency bound, in thousandths; `None` for a run
     /// that serves no users.
-    pub(super) serving_cpus: Option<i64>,
+    pub(super) serving_milli_cpus: Option<i64>,
     /// Time at which the run was first known to have started, on the monotonic clock.
     pub(super) started_ms: Option<u64>,
     /// Last reported progress, and the time of its last change on the monotonic clock.
@@ -76,8 +76,8 @@
             number,
             order,
             reserved: reserved_resources(spec),
-            best_effort_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
-            serving_cpus: spec.is_serving().then_some(spec.demand.milli_cpus),
+            best_effort_milli_cpus: if spec.best_effort { spec.demand.milli_cpus } else { 0 },
+            serving_milli_cpus: spec.is_serving().then_some(spec.demand.milli_cpus),
             started_ms: None,
             progress_percent: 0,
             last_progress_ms: now_ms,
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -246,9 +246,9 @@
         });
         minion.runs.insert(task);
         minion.used += run.reserved;
-        minion.best_effort_cpus += run.best_effort_cpus;
-        minion.serving_runs += u32::from(run.serving_cpus.is_some());
-        minion.serving_cpus += run.serving_cpus.unwrap_or(0);
+        minion.best_effort_milli_cpus += run.best_effort_milli_cpus;
+        minion.serving_runs += u32::from(run.serving_milli_cpus.is_some());
+        minion.serving_milli_cpus += run.serving_milli_cpus.unwrap_or(0);
         let id = run.place.minion.clone();
         self.runs.insert(task, run);
         self.update_run_counts(task, &id, true);
@@ -261,9 +261,9 @@
         if let Some(minion) = self.minions.get_mut(&run.place.minion) {
             minion.runs.remove(&task);
             minion.used -= run.reserved;
-            minion.best_effort_cpus -= run.best_effort_cpus;
-            minion.serving_runs -= u32::from(run.serving_cpus.is_some());
-            minion.serving_cpus -= run.serving_cpus.unwrap_or(0);
+            minion.best_effort_milli_cpus -= run.best_effort_milli_cpus;
+            minion.serving_runs -= u32::from(run.serving_milli_cpus.is_some());
+            minion.serving_milli_cpus -= run.serving_milli_cpus.unwrap_or(0);
         }
         Some(run)
     }
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -34,7 +34,8 @@
         else {
             return;
         };
-        let wait_ms = self.predecessor_expiry.latest_lease_end_ms().saturating_sub(now.steady_ms);
+        let wait_ms =
+            self.predecessor_expiry.lease_end_of_reached_agents_ms().saturating_sub(now.steady_ms);
         if wait_ms == 0 || now.steady_ms < self.wait_state.started_ms + after_ms {
             return;
         }
@@ -80,7 +81,7 @@
     /// Logs how long a minion's runs are kept, and whose lease determines that.
     fn log_unreachable_minion(&mut self, id: &Name, persistent: usize, omitted: usize, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
-        let (until_ms, from_predecessor) = self.lease_expiry(&minion.agent);
+        let (until_ms, from_predecessor) = self.lease_expiry_ms_and_origin(&minion.agent);
         let line = format!(
             "minion={id} agent={} event=unreachable linked={} runs={} persistent={persistent} \
              wait_ms={} lease_of={}{}",
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -17,16 +17,16 @@
 #[derive(Debug, Default)]
 pub struct Departures {
     /// Minions that have announced their termination and may still be running.
-    leaving: Vec<Name>,
+    terminating: Vec<Name>,
     /// Minions that have terminated, the latest last.
     terminated: VecDeque<Name>,
 }
 
 impl Departures {
     /// Records that a minion has announced its termination and may still be running.
-    pub fn record_leaving(&mut self, minion: &Name) {
-        if !self.leaving.contains(minion) {
-            self.leaving.push(minion.clone());
+    pub fn record_termination_notice(&mut self, minion: &Name) {
+        if !self.terminating.contains(minion) {
+            self.terminating.push(minion.clone());
         }
     }
 
@@ -42,7 +42,7 @@
     /// Removes a minion, either because the job records hold its termination or because it responds
     /// after all.
     pub fn remove(&mut self, minion: &Name) {
-        self.leaving.retain(|leaving| leaving != minion);
+        self.terminating.retain(|terminating| terminating != minion);
         self.terminated.retain(|terminated| terminated != minion);
     }
 
@@ -53,6 +53,6 @@
 
     /// Returns whether no minion is terminating and no termination is left to report.
     pub fn is_empty(&self) -> bool {
-        self.leaving.is_empty() && self.terminated.is_empty()
+        self.terminating.is_empty() && self.terminated.is_empty()
     }
 }
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -42,7 +42,7 @@
 
 impl ServingStep {
     /// Returns whether the load appears to be even over the step's groups.
-    fn is_even(&self) -> bool {
+    fn is_load_even(&self) -> bool {
         self.step_residual <= self.group_residual
     }
 }
@@ -84,12 +84,12 @@
         let square = |deviation: &Deviation| self.slopes.residual(deviation).powi(2);
         step.step_residual += RESIDUAL_WEIGHT * (square(&of_step) - step.step_residual);
         step.group_residual += RESIDUAL_WEIGHT * (square(&of_group) - step.group_residual);
-        self.slopes.observe(if step.is_even() { &of_step } else { &of_group });
+        self.slopes.observe(if step.is_load_even() { &of_step } else { &of_group });
     }
 
     /// Returns the estimated utilization of a group by its users.
     pub fn user_utilization(&self, group: &ServingGroup) -> f64 {
-        let step = self.steps.get(&group.step).filter(|step| step.is_even());
+        let step = self.steps.get(&group.step).filter(|step| step.is_load_even());
         let baseline = step.map(|step| &step.baseline).or_else(|| self.groups.get(group));
         let unseen = Baseline::default();
         baseline.unwrap_or(&unseen).user_utilization(|index| self.slopes.get(index).mean)
--- a/crates/geraniumpost-batch/src/interference/speed_limits.rs
+++ b/crates/geraniumpost-batch/src/interference/speed_limits.rs
@@ -2,7 +2,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FullSpeedLoad {
     /// Processors that it uses, in thousandths of a processor.
-    pub processors: f64,
+    pub milli_cpus: f64,
     /// The utilization that it adds to each serving group of the minion, in the order of the
     /// groups' headroom.
     pub added_utilization: Vec<f64>,
@@ -21,7 +21,7 @@
         let mut excess: f64 =
             (0..loads.len()).map(|index| added(index, &shares)).sum::<f64>() - headroom;
         let by_cost =
-            |index: usize| loads[index].added_utilization[group] / loads[index].processors.max(1.0);
+            |index: usize| loads[index].added_utilization[group] / loads[index].milli_cpus.max(1.0);
         let mut order: Vec<usize> = (0..loads.len()).collect();
         order.sort_by(|a, b| by_cost(*b).total_cmp(&by_cost(*a)));
         for index in order {
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -119,5 +119,5 @@
     NotSent,
     /// The minion did not respond. The order may have been carried out, or may still be.
     #[display("no answer")]
-    Unanswered,
+    NoResponse,
 }
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -27,17 +27,17 @@
     /// An incarnation other than the voter's does not know the voter's promises. The voter has
     /// terminated and may have given its last promise just before, so that this promise is assumed
     /// to last for its full duration.
-    pub fn record(&mut self, node: &Name, incarnation: u64, remaining_ms: u64, now_ms: u64) {
-        let Some(voter) = self.voters.incarnation(node) else { return };
+    pub fn record(&mut self, entry: &Name, incarnation: u64, remaining_ms: u64, now_ms: u64) {
+        let Some(voter) = self.voters.incarnation(entry) else { return };
         let same = voter == incarnation;
         let remaining_ms =
             if same { remaining_ms } else { PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100 };
-        self.until_ms.entry(node.clone()).or_insert(now_ms + remaining_ms);
+        self.until_ms.entry(entry.clone()).or_insert(now_ms + remaining_ms);
     }
 
     /// Returns the voters that have not responded to a release request.
     pub fn voters_without_response(&self) -> impl Iterator<Item = &Name> {
-        self.voters.names().filter(|node| !self.until_ms.contains_key(*node))
+        self.voters.names().filter(|entry| !self.until_ms.contains_key(*entry))
     }
 
     /// Returns the number of voters that have responded, or whose later incarnation has.
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -37,27 +37,27 @@
 
     /// Records an entry's promise in response to a pong that was sent at `sent_at_ms` on the
     /// monotonic clock. A promise for an earlier pong than the last recorded one is ignored.
-    pub fn record_promise(&mut self, node: &Name, incarnation: u64, sent_at_ms: u64) {
+    pub fn record_promise(&mut self, entry: &Name, incarnation: u64, sent_at_ms: u64) {
         let promise = Promise { incarnation, sent_at_ms, stopping: false };
-        match self.promises.get_mut(node) {
+        match self.promises.get_mut(entry) {
             Some(known) if known.sent_at_ms > sent_at_ms => {}
             Some(known) => *known = promise,
-            None => drop(self.promises.insert(node.clone(), promise)),
+            None => drop(self.promises.insert(entry.clone(), promise)),
         }
     }
 
     /// Records that an entry is about to stop. Its promises remain valid, but it should no longer
     /// be a voter.
-    pub fn mark_stopping(&mut self, node: &Name) {
-        if let Some(promise) = self.promises.get_mut(node) {
+    pub fn mark_stopping(&mut self, entry: &Name) {
+        if let Some(promise) = self.promises.get_mut(entry) {
             promise.stopping = true;
         }
     }
 
     /// Returns the time since the coordinator sent the last pong that an entry has responded to, in
     /// milliseconds, or `None` if the entry never responded.
-    pub fn last_promise_age_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
-        self.promises.get(node).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
+    pub fn last_promise_age_ms(&self, entry: &Name, now_ms: u64) -> Option<u64> {
+        self.promises.get(entry).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
     }
 
     /// Returns the time until which a majority supports the coordinator, on the monotonic clock. A
@@ -83,7 +83,7 @@
         let of_voters = self
             .promises
             .iter()
-            .filter(|(node, promise)| voters.contains(node, promise.incarnation));
+            .filter(|(entry, promise)| voters.contains(entry, promise.incarnation));
         of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_DURATION_MS)
     }
 
@@ -115,7 +115,7 @@
         let recent =
             |promise: &Promise| !promise.stopping && promise.sent_at_ms + VOTER_TIMEOUT_MS > now_ms;
         let responsive = self.promises.iter().filter(|(_, promise)| recent(promise));
-        responsive.map(|(node, promise)| (node.clone(), promise.incarnation)).collect()
+        responsive.map(|(entry, promise)| (entry.clone(), promise.incarnation)).collect()
     }
 
     /// Records that a write of other voters into the key began at `now_ms`.
--- a/crates/geraniumpost-batch/src/quorum/voters.rs
+++ b/crates/geraniumpost-batch/src/quorum/voters.rs
@@ -13,19 +13,19 @@
 
 impl Voters {
     /// Returns whether this incarnation of an entry is a voter.
-    pub fn contains(&self, node: &Name, incarnation: u64) -> bool {
-        self.0.get(node) == Some(&incarnation)
+    pub fn contains(&self, entry: &Name, incarnation: u64) -> bool {
+        self.0.get(entry) == Some(&incarnation)
     }
 
     /// Returns the incarnation of an entry that is a voter, or `None` if the entry is not listed.
-    pub fn incarnation(&self, node: &Name) -> Option<u64> {
-        self.0.get(node).copied()
+    pub fn incarnation(&self, entry: &Name) -> Option<u64> {
+        self.0.get(entry).copied()
     }
 
     /// Returns these voters except for one entry.
     #[must_use]
-    pub fn without(mut self, node: &Name) -> Self {
-        self.0.remove(node);
+    pub fn without(mut self, entry: &Name) -> Self {
+        self.0.remove(entry);
         self
     }
 
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -89,4 +89,4 @@
 pub const VOTER_CHANGE_INTERVAL_MS: u64 = 2_000;
 /// Age of the store's last confirmation from which on a coordinator reports to its peers that it
 /// does not reach the store, in milliseconds.
-pub const STORE_UNREACHABLE_MS: u64 = 900;
+pub const MAX_CONFIRMATION_AGE_MS: u64 = 900;
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -157,7 +157,7 @@
 /// A copy without an answer may be carried out at any time, whatever the result of the other copy.
 fn one_copy_is_refused_and_one_is_unanswered(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
-    cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::Unanswered);
+    cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::NoResponse);
     refuse(&mut cluster, &first, outcome);
     assert_eq!(start_orders(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -165,7 +165,7 @@
             Event::DelayOrder => {
                 if let Some(order) = self.take_order(0) {
                     let verb = OrderKindTag::from(&order.kind);
-                    self.cluster.report_result(&order, verb, OrderOutcome::Unanswered);
+                    self.cluster.report_result(&order, verb, OrderOutcome::NoResponse);
                     self.delay(vec![order]);
                 }
             }
@@ -346,7 +346,7 @@
             }
             OrderKind::Pace { .. } => {}
         }
-        let outcome = if answered { outcome } else { OrderOutcome::Unanswered };
+        let outcome = if answered { outcome } else { OrderOutcome::NoResponse };
         self.cluster.report_result(order, verb, outcome);
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -34,7 +34,7 @@
             self.execute_order(&order);
         }
         while let Some(order) = take_due(&mut self.orders.unanswered, now_ms) {
-            self.report_result(&order, OrderOutcome::Unanswered);
+            self.report_result(&order, OrderOutcome::NoResponse);
         }
         // Orders that follow from these results are delivered one step later, as after a round
         // trip.
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -16,7 +16,7 @@
 #[test]
 fn termination_is_kept_until_it_is_recorded() {
     let mut departures = Departures::default();
-    departures.record_leaving(&name("m1"));
+    departures.record_termination_notice(&name("m1"));
     assert!(unrecorded_names(&departures).is_empty(), "it may still be running");
     assert!(!departures.is_empty());
     departures.record_terminated(&name("m1"));
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -158,7 +158,7 @@
     ) {
         let loads: Vec<FullSpeedLoad> = images
             .into_iter()
-            .map(|(processors, added_utilization)| FullSpeedLoad { processors, added_utilization })
+            .map(|(milli_cpus, added_utilization)| FullSpeedLoad { milli_cpus, added_utilization })
             .collect();
         let shares = speed_limits(&headroom, &loads);
         prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(share)));
@@ -198,7 +198,7 @@
 /// second one as well would delay its tasks without any benefit.
 #[test]
 fn harmless_image_is_not_limited() {
-    let harmful = FullSpeedLoad { processors: 4_000.0, added_utilization: vec![0.3] };
-    let harmless = FullSpeedLoad { processors: 4_000.0, added_utilization: vec![0.0] };
+    let harmful = FullSpeedLoad { milli_cpus: 4_000.0, added_utilization: vec![0.3] };
+    let harmless = FullSpeedLoad { milli_cpus: 4_000.0, added_utilization: vec![0.0] };
     assert_eq!(speed_limits(&[0.15], &[harmful, harmless]), [0.5, 1.0]);
 }
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -45,7 +45,7 @@
     /// its successor assumes that it has stopped.
     pub overlap: Option<String>,
     /// Number of silent coordinators for which a successor determined the end of their leases.
-    pub lease_ends_determined: usize,
+    pub extension_ends_determined: usize,
     /// Number of ticks in which a coordinator extended leases without the store, on the support of
     /// entries.
     pub ticks_without_store: usize,
@@ -159,8 +159,8 @@
         }
         self.advance(SETTLE_DURATION_MS);
         let terms = self.processes.iter().filter_map(|process| process.term.as_ref());
-        self.outcome.lease_ends_determined +=
-            terms.map(|term| term.lease_ends_ms.len()).sum::<usize>();
+        self.outcome.extension_ends_determined +=
+            terms.map(|term| term.extension_ends_ms.len()).sum::<usize>();
         self.outcome
     }
 
@@ -375,7 +375,7 @@
         }
         let clock_ms = self.processes[entry].clock_ms(self.now_ms);
         let Some(term) = &mut self.processes[entry].term else { return };
-        term.record_lease_ends();
+        term.record_extension_ends();
         let number = term.number;
         if writes
             && term.pending_voters.is_none()
@@ -432,7 +432,7 @@
             }
             let ended = |other: &&Process| {
                 let end_ms =
-                    other.term.as_ref().and_then(|other| other.lease_ends_ms.get(&term.number));
+                    other.term.as_ref().and_then(|other| other.extension_ends_ms.get(&term.number));
                 end_ms.is_some_and(|end_ms| other.clock_ms(now_ms) > *end_ms)
             };
             if let Some(other) = self.processes.iter().find(ended) {
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -61,7 +61,7 @@
         Fleet::new(5, seed).run(&faults)
     });
     let (ends, extended) = outcomes.fold((0, 0), |(ends, extended), outcome| {
-        (ends + outcome.lease_ends_determined, extended + outcome.ticks_without_store)
+        (ends + outcome.extension_ends_determined, extended + outcome.ticks_without_store)
     });
     assert!(
         ends >= 30 && extended >= 30,
--- a/crates/geraniumpost-batch/tests/succession/process.rs
+++ b/crates/geraniumpost-batch/tests/succession/process.rs
@@ -22,7 +22,7 @@
     pub releases: BTreeMap<u64, Releases>,
     /// Time after which each silent predecessor extends no leases, by its term, on the process's
     /// clock.
-    pub lease_ends_ms: BTreeMap<u64, u64>,
+    pub extension_ends_ms: BTreeMap<u64, u64>,
 }
 
 impl Term {
@@ -46,7 +46,7 @@
             pending_voters: None,
             voter_writes: 0,
             releases,
-            lease_ends_ms: BTreeMap::new(),
+            extension_ends_ms: BTreeMap::new(),
         }
     }
 
@@ -63,11 +63,11 @@
     }
 
     /// Records for each silent predecessor when it stops extending leases, once that is known.
-    pub fn record_lease_ends(&mut self) {
+    pub fn record_extension_ends(&mut self) {
         for (term, releases) in &self.releases {
             if let Some(until_ms) = releases.support_end_ms() {
                 let end_ms = until_ms.max(self.took_over_ms + STORE_CONFIRMATION_VALIDITY_MS);
-                self.lease_ends_ms.entry(*term).or_insert(end_ms);
+                self.extension_ends_ms.entry(*term).or_insert(end_ms);
             }
         }
     }
--- a/crates/geraniumpost/src/batch/agent/state.rs
+++ b/crates/geraniumpost/src/batch/agent/state.rs
@@ -148,7 +148,7 @@
 
     /// Records that an incarnation has deregistered and is about to terminate.
     pub fn record_leaving(&self, id: &Name) {
-        self.lock().departures.record_leaving(id);
+        self.lock().departures.record_termination_notice(id);
     }
 
     /// Records that an incarnation has terminated after its deregistration. It need not be known:
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use geraniumpost_batch::SilentCoordinator;
-use geraniumpost_batch::tuning::{ENTRY_EXPIRY_MS, STORE_UNREACHABLE_MS};
+use geraniumpost_batch::tuning::{ENTRY_EXPIRY_MS, MAX_CONFIRMATION_AGE_MS};
 use geraniumpost_platform::{CommitError, KeyValue, Transaction};
 
 use super::super::BootClock;
@@ -41,7 +41,7 @@
     /// urgent enough to be retried while the store does not respond.
     pub(super) fn is_voter_change_due(&self) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
-        let store_responds = BootClock.now_ms() < confirmed_ms + STORE_UNREACHABLE_MS;
+        let store_responds = BootClock.now_ms() < confirmed_ms + MAX_CONFIRMATION_AGE_MS;
         store_responds && self.support.voters_to_write().is_some()
     }
 
--- a/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_loss.rs
@@ -7,7 +7,7 @@
 /// Number of consecutive failed connects after which a coordinator counts as lost.
 const MAX_FAILED_CONNECTS: u32 = 2;
 /// Time for which a coordinator may report that it does not reach the store before it counts as
-/// lost, in milliseconds. The coordinator starts to report it after `tuning::STORE_UNREACHABLE_MS`.
+/// lost, in milliseconds. The coordinator starts to report it after `tuning::MAX_CONFIRMATION_AGE_MS`.
 const MAX_STORE_UNREACHABLE_MS: u64 = 200;
 /// Time within which a coordinator must reach the store after an outage that this entry noticed as
 /// well, in milliseconds. During the outage its calls wait for up to a second, and this entry
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -240,10 +240,10 @@
                 }
             }
             Input::PredecessorEnded(address) => {
-                self.coordinator.record_predecessor_end(address, now);
+                self.coordinator.record_predecessor_term_end(address, now);
             }
             Input::PredecessorExtendsUntil { address, until_ms } => {
-                self.coordinator.record_predecessor_extension_end(address, until_ms);
+                self.coordinator.limit_predecessor_leases(address, until_ms);
             }
         }
     }
@@ -256,7 +256,7 @@
                     spdlog::debug!("event=writer_ended");
                 }
             }
-            Effect::Reply { request_id, response } => {
+            Effect::Respond { request_id, response } => {
                 let Some((link, request_id)) = self.pending_replies.remove(&request_id) else {
                     return;
                 };
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
+use geraniumpost_batch::tuning::MAX_CONFIRMATION_AGE_MS;
 use geraniumpost_batch::{FromAgent, FromEntry, ToEntry};
 use geraniumpost_net::{LinkReceiver, LinkSender};
 use geraniumpost_schema::Name;
@@ -160,7 +160,7 @@
                             support.mark_stopping(node);
                         }
                     }
-                    let store_ok = self.store_silent_ms() < STORE_UNREACHABLE_MS;
+                    let store_ok = self.store_silent_ms() < MAX_CONFIRMATION_AGE_MS;
                     let configuration = self.configuration.newest_version();
                     let pong = ToEntry::Pong { store_ok, configuration, sent: support.pong_time() };
                     if tx.send(ToPeer::Entry(pong)).is_err() {
@@ -191,7 +191,7 @@
     /// returns whether the store has confirmed its term recently.
     fn coordinator_responds(&self) -> bool {
         if self.inputs.borrow().is_some() {
-            return self.store_silent_ms() < STORE_UNREACHABLE_MS;
+            return self.store_silent_ms() < MAX_CONFIRMATION_AGE_MS;
         }
         let link = *self.link.borrow();
         let silent_ms = BootClock.now_ms().saturating_sub(link.last_heard_ms);
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use geraniumpost_batch::tuning::STORE_UNREACHABLE_MS;
+use geraniumpost_batch::tuning::MAX_CONFIRMATION_AGE_MS;
 use geraniumpost_batch::{
     Coordinator, InterferenceSnapshot, JobId, JobRecord, Now, PredecessorLeases,
 };
@@ -271,7 +271,7 @@
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
         let silent_ms = BootClock.now_ms().saturating_sub(confirmed_ms.load(Ordering::Relaxed));
-        if silent_ms >= STORE_UNREACHABLE_MS && peers.find_successor(fence).await.is_some() {
+        if silent_ms >= MAX_CONFIRMATION_AGE_MS && peers.find_successor(fence).await.is_some() {
             return;
         }
     }
