--- a/crates/geraniumpost-batch/src/agent_message.rs
+++ b/crates/geraniumpost-batch/src/agent_message.rs
@@ -24,7 +24,7 @@
     /// An incarnation has terminated, and all its tasks with it. Repeated on every connection until
     /// the coordinator responds with [`ToAgent::DepartureRecorded`].
     MinionTerminated {
-        /// Name of the terminated incarnation; another one may run on the VM already.
+        /// Name of the terminated incarnation. A later incarnation may already run on the VM.
         minion: Name,
     },
     /// The minion's lists of running and ended tasks.
@@ -42,7 +42,7 @@
         sent_at_ms: u64,
         /// Duration of the lease from that time, in milliseconds; 0 if it is not extended.
         lease_ms: u64,
-        /// Fencing token of the coordinator. An agent that knows a higher one does not extend its
+        /// Fencing token of the coordinator. An agent that knows a higher token does not extend its
         /// lease.
         fence: u64,
         /// Whether the coordinator reaches the store. If not, a successor may exist.
@@ -50,16 +50,15 @@
     },
     /// An order that the agent passes on to its minion.
     Order(Order),
-    /// All ended tasks up to this sequence number are committed, so that the minion may discard
-    /// them.
+    /// All ended tasks up to this sequence number are committed. The minion may discard them.
     Acknowledge {
         /// Name of the incarnation that listed the ended tasks.
         minion: Name,
         /// Sequence number of the last committed end.
         up_to: u64,
     },
-    /// The stored job records contain the end of every run on a terminated incarnation, so that the
-    /// agent no longer reports it.
+    /// The stored job records contain the end of every run on a terminated incarnation. The agent
+    /// stops reporting that incarnation.
     DepartureRecorded {
         /// Name of the incarnation from [`FromAgent::MinionTerminated`].
         minion: Name,
--- a/crates/geraniumpost-batch/src/demand.rs
+++ b/crates/geraniumpost-batch/src/demand.rs
@@ -26,11 +26,11 @@
     SubAssign,
 )]
 pub struct Demand {
-    /// Processors, in thousandths.
+    /// Thousandths of a processor.
     pub milli_cpus: i64,
     /// Memory in mebibytes.
     pub memory_mb: i64,
-    /// Number of accelerators; they are not shared between tasks.
+    /// Number of accelerators; an accelerator is not shared between tasks.
     pub accelerators: i64,
 }
 
--- a/crates/geraniumpost-batch/src/departures.rs
+++ b/crates/geraniumpost-batch/src/departures.rs
@@ -2,18 +2,19 @@
 
 use geraniumpost_schema::Name;
 
-/// Limit on remembered terminations. A VM rarely has more than one in several minutes; the limit
-/// matters only if a minion restarts continuously while there is no coordinator.
+/// Maximum number of recorded terminations. A VM rarely has more than one termination in several
+/// minutes; the limit matters only if a minion restarts continuously while there is no coordinator.
 const MAX_TERMINATIONS: usize = 16;
 
 /// Minion incarnations that terminate or have terminated on this VM, until a coordinator has
 /// recorded their termination.
 ///
 /// The tasks of a minion end with it, and its agent may be the only process that knows of their
-/// end. A report that is sent once is lost if the agent has no connection at that moment, or if the
-/// coordinator fails before it has written its records. The next coordinator then waits for a lease
-/// that nobody holds, and persistent tasks are down meanwhile. The agent therefore repeats the
-/// report on every connection until a coordinator confirms that its records hold it.
+/// end. A report that is sent only once is lost if the agent has no connection at that moment, or
+/// if the coordinator fails before it has written its records. The next coordinator then waits for
+/// the expiry of a lease that no process holds, and persistent tasks are down meanwhile. The agent
+/// therefore repeats the report on every connection until a coordinator confirms that the job
+/// records contain the termination.
 #[derive(Debug, Default)]
 pub struct Departures {
     /// Minions that have announced their termination and may still be running.
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Records that a minion has terminated. Drops the oldest record if there are too many.
+    /// Records that a minion has terminated. Drops the oldest termination if 16 are recorded
+    /// already.
     pub fn record_terminated(&mut self, minion: &Name) {
         self.remove(minion);
         if self.terminated.len() == MAX_TERMINATIONS {
@@ -39,8 +41,8 @@
         self.terminated.push_back(minion.clone());
     }
 
-    /// Removes a minion, either because the job records hold its termination or because it responds
-    /// after all.
+    /// Removes a minion, either because the job records hold its termination or because the minion
+    /// responds after all.
     pub fn remove(&mut self, minion: &Name) {
         self.terminating.retain(|terminating| terminating != minion);
         self.terminated.retain(|terminated| terminated != minion);
--- a/crates/geraniumpost-batch/src/entry_message.rs
+++ b/crates/geraniumpost-batch/src/entry_message.rs
@@ -35,13 +35,13 @@
     },
     /// The job's specification can never be satisfied.
     Invalid,
-    /// The job's committed state, or running if a task has started.
+    /// The job's committed state. A queued job with a started task is reported as running.
     State(JobState),
     /// The cancellation is committed, or the job had already finished.
     Cancelled,
     /// No job with this id is known.
     Unknown,
-    /// Number of jobs that have not started.
+    /// Number of the queue's jobs that have not started.
     Pending(u64),
 }
 
@@ -61,7 +61,7 @@
     },
     /// A request that the entry passes on for a caller.
     Request {
-        /// Number that the entry chose; the response repeats it.
+        /// Number chosen by the entry; the response repeats the number.
         request_id: u64,
         /// What the caller asks for.
         request: CallerRequest,
@@ -80,7 +80,8 @@
 /// A message from the coordinator to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Response to a ping; the entry's next ping names it as the last pong.
+    /// Response to a ping. The entry's next ping repeats `sent` if the entry supports this
+    /// coordinator.
     Pong {
         /// Whether the coordinator reaches the store.
         store_ok: bool,
--- a/crates/geraniumpost-batch/src/interference/baseline.rs
+++ b/crates/geraniumpost-batch/src/interference/baseline.rs
@@ -1,17 +1,17 @@
-/// Variance of the utilization that a measurement shows around the true value.
+/// Variance of the error of a measured utilization.
 const MEASUREMENT_VARIANCE: f64 = 0.000_9;
-/// Growth of the variance of the user load per second without a measurement: the load changes by
-/// half within tens of seconds.
+/// Growth of the variance of the estimated user load per second: the load changes by half within
+/// tens of seconds.
 const USER_LOAD_VARIANCE_PER_S: f64 = 0.003;
-/// Utilization by a group's users that is assumed before its first measurement.
+/// Utilization by the users of serving tasks that is assumed before the first measurement.
 const INITIAL_USER_UTILIZATION: f64 = 0.5;
 /// Variance of [`INITIAL_USER_UTILIZATION`] around the true value.
 const INITIAL_USER_UTILIZATION_VARIANCE: f64 = 0.06;
 
-/// Running means of the measurements of serving tasks that have the same users, from which the load
-/// by these users follows.
+/// Running means of the measurements of serving tasks that have the same users, for estimating the
+/// load by these users.
 ///
-/// This is a one-dimensional Kalman filter for the user load. Its measurements also contain the
+/// This is a one-dimensional Kalman filter for the user load. The measurements also contain the
 /// effect of best-effort tasks, whose slopes are learned at the same time. The filter therefore
 /// also keeps the mean processor shares of the best-effort images: for any slopes, the mean
 /// utilization minus the mean shares times their slopes is the filter's estimate.
@@ -35,7 +35,7 @@
     pub utilization: f64,
     /// Deviation of the processor share, by index of the best-effort image.
     pub shares: Vec<f64>,
-    /// Variance of the utilization's deviation that is not due to best-effort tasks.
+    /// Expected variance of the utilization's deviation due to user load and measurement errors.
     pub variance: f64,
 }
 
@@ -68,8 +68,8 @@
         Deviation { utilization: deviation, shares: share_deviations, variance: expected }
     }
 
-    /// Returns the utilization by the group's users, given the slopes of the best-effort images.
-    /// The estimate is higher the larger its uncertainty is.
+    /// Returns the estimated utilization by the users, given the slopes of the best-effort images,
+    /// plus a margin that grows with the uncertainty of the estimate.
     pub fn user_utilization(&self, slope: impl Fn(usize) -> f64) -> f64 {
         /// Number of standard deviations that are added to the estimate.
         const MARGIN_DEVIATIONS: f64 = 0.25;
--- a/crates/geraniumpost-batch/src/interference/mod.rs
+++ b/crates/geraniumpost-batch/src/interference/mod.rs
@@ -6,13 +6,13 @@
 //! share `u` of the time has a tail latency of `idle / (1 - u)`. In terms of this
 //! [utilization](ServingImage::utilization) `u` the causes are additive: the load of the task's
 //! users, and for each best-effort image a [slope](Slope) times the share of the minion's
-//! processors that the image uses. The tail latency itself is not additive; close to its bound it
-//! grows so fast that it does not show which image caused it.
+//! processors that the image uses. The tail latency itself is not additive; close to its bound, it
+//! grows so fast that a measurement does not show which image caused the growth.
 //!
 //! The load of a task's users changes within tens of seconds and is not reported. The model
 //! estimates it for each [`ServingGroup`], the tasks of one step on one minion. [`Baseline`] keeps
 //! running means of a group's measurements. The user load cancels in the deviation of a measurement
-//! from these means, so that the deviation is due to the best-effort tasks. [`Slopes`] combines the
+//! from these means, which leaves the effect of the best-effort tasks. [`Slopes`] combines the
 //! deviations of all groups of an image and keeps the uncertainty of the result.
 //! docs/design/0602-colocation.md has the derivation.
 
--- a/crates/geraniumpost-batch/src/interference/model.rs
+++ b/crates/geraniumpost-batch/src/interference/model.rs
@@ -6,13 +6,13 @@
 use super::{ServingGroup, ServingImage, Slope};
 use crate::{InterferencePair, InterferenceSnapshot};
 
-/// Limit on distinct best-effort images. Further images share the last index, so that matrices stay
-/// small.
+/// Maximum number of distinct best-effort images. Further images share the last index, which keeps
+/// matrices small.
 const MAX_BEST_EFFORT_IMAGES: usize = 60;
-/// Limit on serving images, above which those without tasks are removed. A few dozen images have
+/// Number of serving images above which images without tasks are removed. A few dozen images have
 /// tasks at the same time, and each image takes up to 30 KB of memory.
 const MAX_SERVING_IMAGES: usize = 200;
-/// Limit on pairs in a snapshot; each takes about 30 bytes in the store.
+/// Maximum number of pairs in a snapshot; each pair takes about 30 bytes in the store.
 const MAX_SNAPSHOT_PAIRS: usize = 600;
 
 /// Learned interference between images. Measurements of all minions contribute to it.
@@ -78,8 +78,8 @@
         slope.mean * share
     }
 
-    /// Returns a snapshot for a successor. If there are too many pairs, it holds those with the
-    /// least deviation.
+    /// Returns a snapshot for a successor. If there are too many pairs, the snapshot holds those
+    /// with the smallest deviations.
     pub fn snapshot(&self) -> InterferenceSnapshot {
         let mut pairs = Vec::new();
         for (serving, known) in &self.serving {
@@ -128,7 +128,7 @@
     }
 
     /// Removes groups that no longer exist, and serving images without groups if there are too
-    /// many. Images come and go for as long as the process runs, and each takes memory.
+    /// many. New images appear for as long as the process runs, and each image takes memory.
     pub fn retain_groups(&mut self, exists: impl Fn(&ServingGroup) -> bool) {
         for known in self.serving.values_mut() {
             known.retain(&exists);
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -5,10 +5,10 @@
 use crate::TaskId;
 
 /// Assumed tail latency of an idle serving task, as a multiple of its bound, until a lower one is
-/// seen.
+/// measured.
 const INITIAL_IDLE_TAIL_LATENCY_RATIO: f64 = 0.2;
-/// Highest utilization that a measurement can show. Above it a queue has built up, and the tail
-/// latency depends on the duration of the overload more than on its cause.
+/// Maximum utilization that is derived from a measurement. At a higher utilization a queue has
+/// built up, and the tail latency depends on the duration of the overload more than on its cause.
 const MAX_MEASURABLE_UTILIZATION: f64 = 0.95;
 /// Weight of the newest residual in the running mean of squared residuals.
 const RESIDUAL_WEIGHT: f64 = 0.05;
@@ -16,7 +16,7 @@
 /// Learned behaviour of one serving image: its slopes, and the user load of its groups.
 #[derive(Debug)]
 pub struct ServingImage {
-    /// Lowest tail latency so far, as a multiple of its bound.
+    /// Lowest measured tail latency, as a multiple of its bound.
     pub idle_tail_latency_ratio: f64,
     pub slopes: Slopes,
     groups: BTreeMap<ServingGroup, Baseline>,
@@ -26,11 +26,11 @@
 /// Learned user load of a serving step over all its minions.
 ///
 /// Depending on how users reach the tasks, the load may be even: all groups have the same user load
-/// at any time. If so, the groups together show that load sooner and more reliably than each alone,
-/// and a difference between two minions immediately shows which image interferes. If not, a common
-/// baseline would attribute differences in user load to best-effort tasks. Therefore both the
-/// step's and the group's baseline predict each measurement, and the one with the smaller mean
-/// squared residual is used.
+/// at any time. If so, the groups together show the user load sooner and more reliably than each
+/// group alone, and a difference between two minions immediately shows which image interferes. If
+/// not, a common baseline would attribute differences in user load to best-effort tasks. Therefore
+/// both the step's and the group's baseline predict each measurement, and the one with the smaller
+/// mean squared residual is used.
 #[derive(Debug, Default)]
 struct ServingStep {
     baseline: Baseline,
@@ -66,8 +66,8 @@
             .clamp(0.0, MAX_MEASURABLE_UTILIZATION)
     }
 
-    /// Learns from a group's tail latency, as a multiple of its bound, while the best-effort images
-    /// used these shares of the minion's processors, by index.
+    /// Learns from a group's tail latency, as a multiple of its bound. `shares` holds the share of
+    /// the minion's processors that each best-effort image used, by index of the image.
     pub fn observe(
         &mut self,
         group: &ServingGroup,
@@ -95,8 +95,8 @@
         baseline.unwrap_or(&unseen).user_utilization(|index| self.slopes.get(index).mean)
     }
 
-    /// Returns the slope of the best-effort image with this index, or the default for an image that
-    /// was never seen.
+    /// Returns the slope of the best-effort image with this index, or [`Slope::UNKNOWN`] for an
+    /// image without an index.
     pub fn slope(&self, index: Option<usize>) -> Slope {
         index.map_or(Slope::UNKNOWN, |index| self.slopes.get(index))
     }
--- a/crates/geraniumpost-batch/src/interference/slopes.rs
+++ b/crates/geraniumpost-batch/src/interference/slopes.rs
@@ -1,12 +1,13 @@
 use super::Slope;
 use super::baseline::Deviation;
 
-/// Growth of the variance of a slope with each measurement during which its image ran, because the
-/// behaviour of an image's tasks changes over time.
+/// Growth of the variance of a slope with each measurement in which the image's processor share
+/// deviates from its mean, because the behaviour of an image's tasks changes over time.
 const SLOPE_VARIANCE_PER_MEASUREMENT: f64 = 0.000_07;
 /// Residual, in standard deviations, above which a measurement gets less weight.
 const OUTLIER_THRESHOLD_DEVIATIONS: f64 = 3.0;
-/// Least variance of a restored slope, so that this process's own observations soon outweigh it.
+/// Minimum variance of a restored slope; with it, the observations of this process soon outweigh
+/// the restored value.
 const MIN_RESTORED_VARIANCE: f64 = 0.002_5;
 
 /// The slopes of all best-effort images for one serving image: a linear regression that is updated
@@ -20,7 +21,8 @@
 }
 
 impl Slopes {
-    /// Returns the slope of the best-effort image with this index.
+    /// Returns the slope of the best-effort image with this index, or [`Slope::UNKNOWN`] if the
+    /// image has none yet.
     pub fn get(&self, index: usize) -> Slope {
         match self.means.get(index) {
             Some(mean) => {
@@ -37,8 +39,8 @@
         self.covariances[index][index] = slope.deviation.powi(2).max(MIN_RESTORED_VARIANCE);
     }
 
-    /// Returns the difference between the deviation of a measurement and the one that the slopes
-    /// predict.
+    /// Returns the difference between the measured deviation of the utilization and the deviation
+    /// that the slopes predict.
     pub fn residual(&self, deviation: &Deviation) -> f64 {
         let expected =
             deviation.shares.iter().enumerate().map(|(index, share)| self.get(index).mean * share);
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Extends the matrices to `len` images.
+    /// Extends the means and covariances to at least `len` images.
     fn grow(&mut self, len: usize) {
         let before = self.means.len();
         if len <= before {
--- a/crates/geraniumpost-batch/src/interference/speed_limits.rs
+++ b/crates/geraniumpost-batch/src/interference/speed_limits.rs
@@ -1,18 +1,18 @@
 /// The load that a best-effort image puts on its minion at full speed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FullSpeedLoad {
-    /// Processors that it uses, in thousandths of a processor.
+    /// Processor use of the image, in thousandths of a processor.
     pub milli_cpus: f64,
-    /// The utilization that it adds to each serving group of the minion, in the order of the
+    /// Utilization that the image adds to each serving group of the minion, in the order of the
     /// groups' headroom.
     pub added_utilization: Vec<f64>,
 }
 
-/// Returns the share of its full speed, from 0 to 1, at which each best-effort image may run, so
-/// that together they add at most `headroom` to the utilization of each serving group.
+/// Returns the share of its full speed, from 0 to 1, at which each best-effort image may run, such
+/// that the images together add at most `headroom` to the utilization of each serving group.
 ///
 /// The image that adds the most utilization per processor is slowed down first, which costs the
-/// least work. A limit that is set for one group also applies to the following ones.
+/// least work. A limit that is set for one group also applies to all following groups.
 pub fn speed_limits(headroom: &[f64], loads: &[FullSpeedLoad]) -> Vec<f64> {
     let mut shares = vec![1.0; loads.len()];
     for (group, headroom) in headroom.iter().enumerate() {
--- a/crates/geraniumpost-batch/src/interference_snapshot.rs
+++ b/crates/geraniumpost-batch/src/interference_snapshot.rs
@@ -9,7 +9,7 @@
 /// throttles best-effort tasks by default assumptions, and users of the serving tasks on the same
 /// minions see high latency. Without the snapshot, a rolling restart, which changes the coordinator
 /// every few seconds, would lose this knowledge each time. The loss of a snapshot costs only the
-/// time to learn it again.
+/// time to learn the interference again.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct InterferenceSnapshot {
     /// How much best-effort images slow down serving images.
--- a/crates/geraniumpost-batch/src/job_record.rs
+++ b/crates/geraniumpost-batch/src/job_record.rs
@@ -9,13 +9,13 @@
 /// The stored state of a job, which must survive the loss of every process.
 ///
 /// A placement is written before the start order is sent, and the end of a run before the minion
-/// may discard it. A successor therefore knows every run that may exist, whichever processes were
-/// lost.
+/// may discard it. A successor therefore knows every run that may exist, regardless of which
+/// processes were lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The submitted specification; empty once the record is compacted.
     pub spec: JobSpec,
-    /// The settings of its queue at submission.
+    /// Settings of the job's queue at submission.
     pub terms: QueueTerms,
     /// Time at which the coordinator accepted the job, in milliseconds since 1970.
     pub accepted_ms: u64,
@@ -23,7 +23,7 @@
     pub finished_ms: u64,
     /// State of the job; callers see a queued job as running once a task has started.
     pub state: JobState,
-    /// Number of the next occurrence that has not begun.
+    /// Number of the first occurrence that has not begun.
     pub next_occurrence: u32,
     /// Occurrences that have begun and not ended.
     pub occurrences: Vec<Occurrence>,
@@ -68,7 +68,7 @@
 /// A minion and the agent on the same VM.
 ///
 /// The agent's name is stored because it outlasts the minion's incarnation: once the agent reports
-/// another incarnation, no run of the earlier one exists.
+/// another incarnation, no run of the earlier incarnation exists.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Place {
     /// Name of the minion's incarnation.
@@ -78,7 +78,7 @@
 }
 
 impl JobRecord {
-    /// Returns the record of a job of which no occurrence has begun.
+    /// Returns the record of a queued job without occurrences.
     pub const fn new(spec: JobSpec, terms: QueueTerms, accepted_ms: u64) -> Self {
         Self {
             spec,
--- a/crates/geraniumpost-batch/src/job_spec.rs
+++ b/crates/geraniumpost-batch/src/job_spec.rs
@@ -5,7 +5,7 @@
 
 use crate::{SpecError, StepSpec};
 
-/// Limit on the tasks of a job over all its steps. The record of a larger job would exceed the
+/// Maximum number of tasks of a job over all its steps. The record of a larger job would exceed the
 /// store's limit on the size of a value.
 pub const MAX_TASKS: u64 = 20_000;
 
@@ -14,7 +14,7 @@
 pub struct JobSpec {
     /// Opaque text that each task receives.
     pub payload: Arc<str>,
-    /// The steps in topological order: each names only earlier ones as predecessors.
+    /// The steps in topological order: the predecessors of a step all come earlier in the list.
     pub steps: Vec<StepSpec>,
     /// Number of occurrences; 0 for a job that runs once and immediately.
     pub repeat: u32,
@@ -29,7 +29,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first violated rule, with the number of the step if it concerns one.
+    /// Returns the first violated rule, with the number of the step if the rule concerns a single
+    /// step.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
@@ -59,14 +60,14 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Returns whether any step is persistent, so that it runs until the job is cancelled.
+    /// Returns whether any step is persistent. Such a job runs until it is cancelled.
     pub fn is_persistent(&self) -> bool {
         self.steps.iter().any(|step| step.persistent)
     }
 }
 
-/// Settings of a queue that apply to its jobs. Each job keeps a copy, so that it does not depend on
-/// its queue's existence.
+/// Settings of a queue that apply to its jobs. Each job keeps a copy and does not depend on the
+/// existence of its queue.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct QueueTerms {
     /// Name of the queue to which the job was submitted.
--- a/crates/geraniumpost-batch/src/minion_info.rs
+++ b/crates/geraniumpost-batch/src/minion_info.rs
@@ -8,7 +8,7 @@
 pub struct MinionInfo {
     /// Name of the minion's incarnation; it changes with each restart.
     pub id: Name,
-    /// Service whose tasks the minion runs; it gets no others.
+    /// Service whose tasks the minion runs; it gets no tasks of other services.
     pub service: Name,
     /// Failure domain of the minion's VM.
     pub domain: Name,
@@ -18,7 +18,7 @@
     pub labels: Vec<Name>,
     /// Whether the minion is draining and will terminate.
     pub draining: bool,
-    /// Least time until a draining minion terminates, in milliseconds.
+    /// Minimum time until a draining minion terminates, in milliseconds.
     pub remaining_ms: Option<u64>,
     /// Increases with each heartbeat of an incarnation; a report with a lower number is outdated.
     pub sequence: u64,
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -9,7 +9,7 @@
 /// An instruction to a minion that concerns one run. The agent on the minion's VM passes it on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Name of the incarnation that the order is for; any other one refuses it.
+    /// Name of the incarnation that the order is for; any other incarnation refuses the order.
     pub minion: Name,
     /// Task that the run belongs to.
     pub task: TaskId,
@@ -59,16 +59,16 @@
     pub results_reported: u64,
 }
 
-/// The kind of an order, without its contents.
+/// The kind of an order, without the payload, ticket or pace of an [`OrderKind`].
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKindTag {
-    /// [`OrderKind::Start`].
+    /// Start the run.
     #[display("start")]
     Start,
-    /// [`OrderKind::Stop`].
+    /// Stop the run, or prevent it from starting.
     #[display("stop")]
     Stop,
-    /// [`OrderKind::Pace`].
+    /// Limit the run's speed.
     #[display("pace")]
     Pace,
 }
@@ -83,13 +83,13 @@
     }
 }
 
-/// A minion's response to an order.
+/// Outcome of an order: the minion's response, or why there is none.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// The order was carried out, now or when an earlier copy of it arrived.
+    /// The order was carried out, on arrival of this copy or of an earlier copy.
     #[display("carried out")]
     Done,
-    /// The minion has received orders from a newer coordinator.
+    /// The minion has accepted a call with a higher fencing token, from a newer coordinator.
     #[display("refused: newer coordinator")]
     Superseded,
     /// This run or a later run of the task has ended or was stopped on the minion.
@@ -110,14 +110,15 @@
     /// The minion rejects the order as malformed; it was not carried out.
     #[display("refused: malformed")]
     Malformed,
-    /// Another incarnation responded: the addressed one has terminated with all its runs.
+    /// Another incarnation responded: the addressed incarnation has terminated with all its runs.
     #[display("minion has terminated")]
     MinionTerminated,
     /// The agent did not send the order, because it holds no lease or the minion is about to
     /// terminate.
     #[display("not sent")]
     NotSent,
-    /// The minion did not respond. The order may have been carried out, or may still be.
+    /// The minion did not respond. The order may have been carried out, or may be carried out
+    /// later.
     #[display("no answer")]
     NoResponse,
 }
--- a/crates/geraniumpost-batch/src/poll_result.rs
+++ b/crates/geraniumpost-batch/src/poll_result.rs
@@ -9,7 +9,7 @@
 pub struct PollResult {
     /// Name of the incarnation that responded to the poll.
     pub minion: Name,
-    /// All running tasks, or `None` if the poll read only ended ones.
+    /// All running tasks, or `None` if the poll read only ended tasks.
     pub running: Option<Vec<RunningTask>>,
     /// Ended tasks that are not acknowledged yet, by ascending sequence number.
     pub ended: Vec<EndedTask>,
@@ -28,7 +28,8 @@
     pub run: u32,
     /// Id of the task's last checkpoint; empty for none.
     pub checkpoint: Name,
-    /// Progress of the run in percent.
+    /// Reported by the task, from 0 to 100. A run whose progress does not change is stopped as
+    /// stalled, unless it has reached 100.
     pub progress_percent: u8,
     /// For a serving task its tail latency in milliseconds, for any other task its processor use in
     /// thousandths of a processor.
@@ -50,7 +51,7 @@
     pub checkpoint: Name,
 }
 
-/// How a run ended.
+/// Why a run ended.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
     /// The task's work is complete.
@@ -62,13 +63,13 @@
     /// An order stopped the run.
     #[display("stopped")]
     Stopped,
-    /// The minion ended the run because its lease expired.
+    /// The minion ended the run because the lease on its tasks expired.
     #[display("lease_expired")]
     LeaseExpired,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     #[display("gang_member_ended")]
     GangMemberEnded,
-    /// The other members of its gang did not start in time.
+    /// The other members of the run's gang did not start in time.
     #[display("gang_incomplete")]
     GangIncomplete,
 }
--- a/crates/geraniumpost-batch/src/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/predecessor_leases.rs
@@ -10,8 +10,8 @@
 /// A coordinator that stopped responding without stepping down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SilentCoordinator {
-    /// Term of the coordinator. If a process at its address knows a later term, this term has
-    /// ended.
+    /// Term of the coordinator. If a process at the coordinator's address knows a later term, this
+    /// term has ended.
     pub term: u64,
     /// Time until all leases that the coordinator may still extend have expired, in milliseconds.
     pub remaining_ms: u64,
@@ -21,13 +21,14 @@
 /// successor.
 ///
 /// A successor does not know which leases its predecessors extended. If it considered only its
-/// direct predecessor, it would miss coordinators that stopped responding earlier. One of these may
-/// still reach an agent and extend its lease, and the successor would start tasks that still run
-/// there. If it assumed a full lease for every agent, the wait would start again at each planned
-/// handover, and the persistent tasks of a crashed minion would be down all that time.
+/// direct predecessor, it would miss coordinators that stopped responding earlier. Such a
+/// coordinator may still reach an agent and extend the agent's lease, and the successor would start
+/// tasks that still run there. If it assumed a full lease for every agent, the wait would start
+/// again at each planned handover, and the persistent tasks of a crashed minion would be down all
+/// that time.
 ///
-/// All durations count from the time of the report, so that no two clocks are compared. A report
-/// that is read late gives durations that are too long and never too short.
+/// All durations count from the time of the report; readings of two clocks are never compared. A
+/// report that is read late gives durations that are too long and never too short.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PredecessorLeases {
     /// Coordinators that stopped responding and may still be running, by address.
@@ -38,8 +39,8 @@
 }
 
 impl PredecessorLeases {
-    /// Returns the leases that a coordinator at address `own` has to expect, given those that its
-    /// predecessor reported. `silent` is the predecessor's address and term if it stopped
+    /// Returns the leases that a coordinator at address `own` has to expect, given the leases that
+    /// its predecessor reported. `silent` is the predecessor's address and term if it stopped
     /// responding, `None` if it stepped down.
     #[must_use]
     pub fn after_takeover(
@@ -55,16 +56,16 @@
             self.silent.insert(address, SilentCoordinator { term, remaining_ms });
             self.unreached.clear();
         }
-        // An earlier term at this address has ended, but it may have extended any agent's lease
-        // until now.
+        // The earlier term at this address has ended, but its coordinator may have extended any
+        // agent's lease until now.
         if self.silent.remove(&own).is_some() {
             self.unreached.clear();
         }
         self
     }
 
-    /// Returns the leases as they are `ms` milliseconds later; expired ones of silent coordinators
-    /// are left out.
+    /// Returns the leases as of `ms` milliseconds later, without silent coordinators whose leases
+    /// have all expired.
     #[must_use]
     pub fn aged_by(mut self, ms: u64) -> Self {
         self.silent.retain(|_, silent| silent.remaining_ms > ms);
--- a/crates/geraniumpost-batch/src/quorum/mod.rs
+++ b/crates/geraniumpost-batch/src/quorum/mod.rs
@@ -1,9 +1,9 @@
 //! Quorum of entries whose support permits a coordinator to extend leases while the store does not
-//! answer.
+//! respond.
 //!
 //! Without the store, a coordinator may continue only while a majority of entries, including
 //! itself, has promised to follow no successor. Its successor asks the same entries to release
-//! these promises. Any two majorities share an entry, so that the successor then knows after which
+//! these promises. Any two majorities share an entry. The successor therefore learns after which
 //! time no leases are extended. See docs/design/0601-jobs-on-a-shared-store.md.
 
 mod promises;
--- a/crates/geraniumpost-batch/src/quorum/promises.rs
+++ b/crates/geraniumpost-batch/src/quorum/promises.rs
@@ -4,12 +4,12 @@
 
 /// Promises of one entry to support coordinators.
 ///
-/// For the entry a promise begins when it receives the coordinator's pong, regardless of when it
-/// sends the promise or the coordinator reads it. For the coordinator it begins when it sent that
-/// pong, which was earlier.
+/// For the entry, a promise begins when the entry receives the coordinator's pong, regardless of
+/// when the entry sends the promise or the coordinator reads it. For the coordinator, the promise
+/// begins when the coordinator sent that pong, which was earlier.
 #[derive(Debug, Default)]
 pub struct Promises {
-    /// Lowest term that may still get a promise; the promises to earlier terms are released.
+    /// Lowest term that may still get a promise; promises to earlier terms are not renewed.
     lowest_term: u64,
     /// End of the promise to each term, on the entry's monotonic clock.
     until_ms: BTreeMap<u64, u64>,
@@ -18,7 +18,7 @@
 impl Promises {
     /// Promises support to the coordinator of a term whose pong was received at `heard_ms` on the
     /// monotonic clock. Returns `false` without a promise if the support for this term was
-    /// released.
+    /// withdrawn.
     pub fn promise(&mut self, term: u64, heard_ms: u64) -> bool {
         if term < self.lowest_term {
             return false;
@@ -29,8 +29,8 @@
     }
 
     /// Withdraws support permanently from the coordinators of all terms before `term`, at the
-    /// request of the coordinator of `term`. Returns for how many more milliseconds they may rely
-    /// on earlier promises.
+    /// request of the coordinator of `term`. Returns for how many more milliseconds these
+    /// coordinators may rely on earlier promises.
     pub fn release(&mut self, term: u64, now_ms: u64) -> u64 {
         self.lowest_term = self.lowest_term.max(term);
         self.until_ms.retain(|_, until_ms| *until_ms > now_ms);
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -5,8 +5,8 @@
 use super::Voters;
 use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
 
-/// Which voters of a silent coordinator have released their promises, as far as its successor
-/// knows.
+/// Voters of a silent coordinator and, for those that have responded to a release request, the end
+/// of their last promise.
 #[derive(Debug)]
 pub struct Releases {
     voters: Voters,
@@ -15,18 +15,18 @@
 }
 
 impl Releases {
-    /// Returns the state in which none of these voters has responded.
+    /// Returns the state before any of these voters has responded.
     pub const fn new(voters: Voters) -> Self {
         Self { voters, until_ms: BTreeMap::new() }
     }
 
     /// Records the response of an entry's incarnation, read at `now_ms` on the monotonic clock: the
-    /// entry gives no new promises to earlier coordinators, and its existing ones end within
+    /// entry gives no new promises to earlier coordinators, and its existing promises end within
     /// `remaining_ms`.
     ///
     /// An incarnation other than the voter's does not know the voter's promises. The voter has
-    /// terminated and may have given its last promise just before, so that this promise is assumed
-    /// to last for its full duration.
+    /// terminated and may have given its last promise just before; that promise is assumed to last
+    /// for its full duration.
     pub fn record(&mut self, entry: &Name, incarnation: u64, remaining_ms: u64, now_ms: u64) {
         let Some(voter) = self.voters.incarnation(entry) else { return };
         let same = voter == incarnation;
@@ -40,7 +40,7 @@
         self.voters.names().filter(|entry| !self.until_ms.contains_key(*entry))
     }
 
-    /// Returns the number of voters that have responded, or whose later incarnation has.
+    /// Returns the number of voters that have responded, or whose later incarnation has responded.
     pub fn response_count(&self) -> usize {
         self.until_ms.len()
     }
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -20,8 +20,8 @@
 #[derive(Debug)]
 pub struct Support {
     voters: Voters,
-    /// The voters that are being written in place of the current ones. Until the write is complete,
-    /// the key may hold either set, and the coordinator needs a majority of each.
+    /// The voters that are being written in place of the current voters. Until the write is
+    /// complete, the key may hold either set, and the coordinator needs a majority of each.
     next: Option<Voters>,
     /// Start of the last change of the voters, on the coordinator's monotonic clock.
     changed_ms: u64,
@@ -29,14 +29,14 @@
 }
 
 impl Support {
-    /// Returns the support at the beginning of a term, at `now_ms` on the monotonic clock; the
-    /// coordinator's key holds these voters.
+    /// Returns the support at the beginning of a term, at `now_ms` on the monotonic clock; `voters`
+    /// are those that the coordinator's key holds.
     pub const fn new(voters: Voters, now_ms: u64) -> Self {
         Self { voters, next: None, changed_ms: now_ms, promises: BTreeMap::new() }
     }
 
     /// Records an entry's promise in response to a pong that was sent at `sent_at_ms` on the
-    /// monotonic clock. A promise for an earlier pong than the last recorded one is ignored.
+    /// monotonic clock. A promise in response to an earlier pong is ignored.
     pub fn record_promise(&mut self, entry: &Name, incarnation: u64, sent_at_ms: u64) {
         let promise = Promise { incarnation, sent_at_ms, stopping: false };
         match self.promises.get_mut(entry) {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Records that an entry is about to stop. Its promises remain valid, but it should no longer
-    /// be a voter.
+    /// Records that an entry is about to stop. The entry's promises remain valid, but the next set
+    /// of voters leaves the entry out.
     pub fn mark_stopping(&mut self, entry: &Name) {
         if let Some(promise) = self.promises.get_mut(entry) {
             promise.stopping = true;
@@ -61,8 +61,8 @@
     }
 
     /// Returns the time until which a majority supports the coordinator, on the monotonic clock. A
-    /// coordinator without voters always has a majority. No entry can release a promise to it, so
-    /// that its successor waits until it may no longer extend leases without the store.
+    /// coordinator without voters always has a majority, and no entry can release a promise to it.
+    /// Its successor waits until the coordinator may no longer extend leases without the store.
     pub fn supported_until_ms(&self) -> u64 {
         let sets = std::iter::once(&self.voters).chain(&self.next);
         sets.map(|voters| self.majority_end_ms(voters)).min().unwrap_or(0)
@@ -97,11 +97,11 @@
         &self.voters
     }
 
-    /// Returns the voters that should be written into the coordinator's key, or `None` if it needs
-    /// no change at `now_ms`. The voters are the entries that respond to pongs. They do not change
-    /// within [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term: a
-    /// coordinator that has just taken over has not heard from any entry, and would write an empty
-    /// set.
+    /// Returns the voters that should be written into the coordinator's key, or `None` if the key
+    /// needs no change at `now_ms`. The voters are the entries that respond to pongs. They do not
+    /// change within [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term:
+    /// a coordinator that has just taken over has not heard from any entry, and would write an
+    /// empty set.
     pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
         if now_ms < self.changed_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
--- a/crates/geraniumpost-batch/src/quorum/voters.rs
+++ b/crates/geraniumpost-batch/src/quorum/voters.rs
@@ -3,11 +3,11 @@
 use geraniumpost_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// The entries, other than the coordinator, whose promises count in one of its terms.
+/// The entries, other than the coordinator, whose promises count in one term of the coordinator.
 ///
 /// Each entry is listed with its incarnation, because a restarted process does not know the
-/// promises of its predecessor. The coordinator writes the voters into its key, so that a successor
-/// counts the same entries, whichever entries have joined or left since.
+/// promises of the process before it. The coordinator writes the voters into its key, and a
+/// successor counts the same entries even if entries have joined or left since.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voters(BTreeMap<Name, u64>);
 
@@ -17,7 +17,7 @@
         self.0.get(entry) == Some(&incarnation)
     }
 
-    /// Returns the incarnation of an entry that is a voter, or `None` if the entry is not listed.
+    /// Returns the incarnation of a voter, or `None` if the entry is not a voter.
     pub fn incarnation(&self, entry: &Name) -> Option<u64> {
         self.0.get(entry).copied()
     }
@@ -39,7 +39,7 @@
         self.0.len()
     }
 
-    /// Returns whether there are no voters, so that the coordinator is the only entry.
+    /// Returns whether there are no voters. The coordinator then needs no support by other entries.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -49,8 +49,8 @@
         self.0.len().div_ceil(2)
     }
 
-    /// Returns the number of voters whose releases prevent such a majority. Without voters it is 1,
-    /// which can never be reached.
+    /// Returns the number of voters whose releases prevent a majority with the coordinator. Without
+    /// voters the number is 1, which can never be reached.
     pub fn needed_to_release(&self) -> usize {
         self.0.len() + 1 - self.needed_to_support()
     }
--- a/crates/geraniumpost-batch/src/step_spec.rs
+++ b/crates/geraniumpost-batch/src/step_spec.rs
@@ -11,13 +11,14 @@
     pub count: u32,
     /// Resources that one task occupies.
     pub demand: Demand,
-    /// Estimated duration of one task in milliseconds, as declared; it may be far off.
+    /// Estimated duration of one task in milliseconds, declared by the submitter; may be far off.
     pub estimate_ms: u32,
     /// Numbers of the steps whose tasks must all be done before this step starts.
     pub after: Vec<u16>,
     /// Whether a stopped task can resume from its last checkpoint.
     pub checkpoints: bool,
-    /// Whether the tasks form a gang: they only run together, and if one ends, all end.
+    /// Whether the tasks form a gang: its members only run together, and all end when any of them
+    /// ends.
     pub gang: bool,
     /// Whether the tasks run more slowly if they are spread over several racks.
     pub same_rack: bool,
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -1,20 +1,20 @@
 //! Timeouts, limits and weights of the coordinator.
 
 /// How long a finished job's state can be read, in milliseconds: the two minutes that callers are
-/// promised, and a tenth more.
+/// promised, plus 10%.
 pub const FINISHED_JOB_RETENTION_MS: u64 = 132_000;
-/// Limit on the job records in one write. The store takes 32 entries in a transaction, of which one
-/// is the coordinator's key and one may be the interference snapshot.
+/// Maximum number of job records in one write. The store takes 32 entries in a transaction, of
+/// which one is the coordinator's key and one may be the interference snapshot.
 pub const MAX_RECORDS_PER_WRITE: usize = 30;
-/// Limit on the bytes of job records in one write. It keeps the body of a transaction well below
-/// the store's largest value.
+/// Size of the job records in a write, in bytes, from which no further record is added. This keeps
+/// the body of a transaction well below the store's largest value.
 pub const MAX_BYTES_PER_WRITE: usize = 400_000;
-/// Limit on concurrent writes. One suffices at the store's usual response time of 4 ms; if the
-/// store needs a quarter of a second, four still carry 120 records per round trip.
+/// Maximum number of concurrent writes. One write at a time suffices at the store's usual response
+/// time of 4 ms; at 250 ms, four writes still carry 120 records per round trip.
 pub const MAX_CONCURRENT_WRITES: usize = 4;
 /// Delay before a start order whose outcome is unknown is sent again, in milliseconds. For an order
-/// without a response the agent's own timeout has passed already, so that the delay only has to
-/// exceed a round trip.
+/// without a response the agent's own timeout has passed already, and the delay only has to exceed
+/// a round trip.
 pub const ORDER_RETRY_DELAY_MS: u64 = 300;
 /// Time after which a start order is sent again if its agent has reported no result, in
 /// milliseconds: the agent's timeout for a call, and a margin for a slow agent.
@@ -31,62 +31,65 @@
 /// extended the lease.
 pub const LEASE_EXPIRY_MARGIN_MS: u64 = 250;
 /// Consecutive failed runs of different jobs after which a minion is quarantined. About one run in
-/// a hundred fails through a fault of its own, so that two in a row are one case in ten thousand.
+/// a hundred fails through a fault of its own task; two such failures in a row occur in one case in
+/// ten thousand.
 pub const QUARANTINE_FAILURES: u32 = 2;
 /// Time for which a quarantined minion gets no tasks, in milliseconds. Afterwards it gets one task
 /// as a trial.
 pub const QUARANTINE_DURATION_MS: u64 = 2_500;
 /// Time without progress after which a run counts as stalled, in milliseconds.
 pub const STALLED_RUN_TIMEOUT_MS: u64 = 1_800;
-/// Limit on the share of a minion's memory that best-effort tasks may use, in percent. The rest
-/// stays free for small urgent tasks and serving tasks.
+/// Maximum share of a minion's memory that may be reserved once a best-effort task is placed, in
+/// percent. The rest stays free for small urgent tasks and serving tasks.
 pub const MAX_BEST_EFFORT_MEMORY_PERCENT: i64 = 85;
-/// Limit on the share of a minion's processors that persistent tasks may reserve, in percent. They
-/// never release them, so that without this limit short urgent tasks would wait indefinitely. Short
-/// urgent tasks usually need about a twentieth of the fleet.
+/// Maximum share of a minion's processors that may be reserved once a new persistent task is
+/// placed, in percent. Persistent tasks never release their processors; without this limit, short
+/// urgent tasks would wait indefinitely. Short urgent tasks usually need about a twentieth of the
+/// fleet.
 pub const MAX_PERSISTENT_CPU_PERCENT: i64 = 97;
-/// Share of its reserved processors that a serving task leaves idle, in percent: submitters declare
-/// the demand of their load peaks.
+/// Share of its reserved processors that a serving task is assumed to leave idle, in percent:
+/// submitters declare the demand at peak load.
 pub const SERVING_UNUSED_CPU_PERCENT: i64 = 50;
 /// Tail latency of serving tasks, as a multiple of its bound, up to which best-effort tasks are
-/// placed on the same minion. The rest absorbs a rise of the user load between two polls.
+/// placed on the same minion. The remainder up to the bound absorbs a rise of the user load between
+/// two polls.
 pub const MAX_SERVING_TAIL_LATENCY_RATIO: f64 = 0.90;
-/// Least time between two writes of the interference snapshot, in milliseconds. It is written along
-/// with job records, and slopes hardly change.
+/// Minimum interval between two writes of the interference snapshot, in milliseconds. The snapshot
+/// is written along with job records, and slopes hardly change.
 pub const INTERFERENCE_WRITE_INTERVAL_MS: u64 = 3_000;
 /// Time after which a stop order is sent again if the run has not ended, in milliseconds.
 pub const STOP_RETRY_DELAY_MS: u64 = 1_500;
-/// Limit on open jobs. Each takes some kilobytes in this process and in the store, and is examined
-/// in each placement round; deployments have some hundreds at their peak.
+/// Default maximum number of open jobs. Each job takes some kilobytes in this process and in the
+/// store, and is examined in each placement round; deployments have some hundreds at their peak.
 pub const MAX_OPEN_JOBS: usize = 3_000;
 /// Time after which a refused caller is told to retry, in milliseconds: with [`MAX_OPEN_JOBS`] jobs
 /// open, some end each second.
 pub const RETRY_AFTER_MS: u64 = 1_000;
-/// How long a coordinator extends leases without a confirmation from the store, in milliseconds. It
-/// covers the store outages that operators report, so that running tasks outlive them. A successor
-/// waits for this time before it considers runs on unreachable minions ended.
+/// How long a coordinator extends leases without a confirmation from the store, in milliseconds.
+/// This covers the store outages that operators report; running tasks survive such outages. A
+/// successor waits for this time before it considers runs on unreachable minions ended.
 pub const STORE_OUTAGE_TOLERANCE_MS: u64 = 8_000;
 /// Time for which a confirmation by the store alone permits a coordinator to extend leases, in
-/// milliseconds, counted from the request. It may be shorter than the interval between two
+/// milliseconds, counted from the request. This time may be shorter than the interval between two
 /// requests, because one lease extension in several heartbeats keeps tasks running. A successor
-/// waits until it has passed.
+/// waits until this time has passed.
 pub const STORE_CONFIRMATION_VALIDITY_MS: u64 = 500;
 /// Duration of an entry's promise to support a coordinator, in milliseconds, counted from when the
-/// coordinator sent the pong that the entry responds to. It covers three pings, and has passed
-/// before an entry considers a silent coordinator lost.
+/// coordinator sent the pong that the entry responds to. This covers three pings, and ends before
+/// an entry considers a silent coordinator lost.
 pub const PROMISE_DURATION_MS: u64 = 900;
-/// Time for which an entry keeps its promise, in percent of [`PROMISE_DURATION_MS`], for which the
-/// coordinator relies on it: clocks may be 2% apart.
+/// Time for which an entry keeps a promise, in percent of [`PROMISE_DURATION_MS`], for which the
+/// coordinator relies on the promise: clocks may be 2% apart.
 pub const KEPT_PROMISE_PERCENT: u64 = 104;
-/// Age of an entry's last promise from which on the entry is no longer a voter, in milliseconds.
+/// Age of an entry's last promise at which the entry stops being a voter, in milliseconds.
 pub const VOTER_TIMEOUT_MS: u64 = 3_000;
 /// Time without a response from an entry after which the coordinator removes it from the store's
 /// list of entries, in milliseconds. An entry that is alive adds itself again.
 pub const ENTRY_EXPIRY_MS: u64 = 15_000;
-/// Least time between two changes of the voters in the coordinator's key, in milliseconds. Entries
-/// that start together are thus added in one change, and a new coordinator has received pings from
-/// all entries before its first change.
+/// Minimum interval between two changes of the voters in the coordinator's key, in milliseconds.
+/// Entries that start together are thus added in one change, and a new coordinator has received
+/// pings from all entries before its first change.
 pub const VOTER_CHANGE_INTERVAL_MS: u64 = 2_000;
-/// Age of the store's last confirmation from which on a coordinator reports to its peers that it
-/// does not reach the store, in milliseconds.
+/// Age of the store's last confirmation at which a coordinator starts to report to its peers that
+/// it does not reach the store, in milliseconds.
 pub const MAX_CONFIRMATION_AGE_MS: u64 = 900;
