--- a/crates/geraniumpost-batch/src/agent_message.rs
+++ b/crates/geraniumpost-batch/src/agent_message.rs
@@ -42,8 +42,8 @@
         sent_at_ms: u64,
         /// Duration of the lease from that time, in milliseconds; 0 if it is not extended.
         lease_ms: u64,
-        /// Fencing token of the coordinator. An agent that knows a higher token does not extend its
-        /// lease.
+        /// Fencing token of the coordinator: the number of its term. An agent that knows a higher
+        /// token does not extend its lease.
         fence: u64,
         /// Whether the coordinator reaches the store. If not, a successor may exist.
         store_ok: bool,
--- a/crates/geraniumpost-batch/src/coordinator/agents.rs
+++ b/crates/geraniumpost-batch/src/coordinator/agents.rs
@@ -15,13 +15,13 @@
     pub(super) linked: bool,
     /// Time at which the agent first linked to this coordinator, on the monotonic clock.
     pub(super) first_linked_ms: Option<u64>,
-    /// Time at which its current link opened, on the monotonic clock.
+    /// Time at which the agent's current link opened, on the monotonic clock.
     pub(super) link_opened_ms: u64,
     /// The incarnation of the minion on the agent's VM.
     pub(super) minion: Option<Name>,
     /// Time by which the last lease that this coordinator granted has certainly expired, on the
-    /// monotonic clock. The lease belongs to the agent, so that it also covers a new incarnation of
-    /// its minion.
+    /// monotonic clock. The lease belongs to the agent and therefore also covers a new incarnation
+    /// of its minion.
     pub(super) lease_expiry_ms: u64,
     /// Time at which the last heartbeat arrived, on the monotonic clock.
     pub(super) last_heard_ms: u64,
@@ -58,13 +58,13 @@
         self.log(format!("agent={agent} event=lost"));
     }
 
-    /// Stops placing tasks on minions whose agents missed their heartbeats, until the next one
-    /// arrives.
+    /// Stops placing tasks on minions whose agents missed their heartbeats, until the next
+    /// heartbeat arrives.
     ///
-    /// A machine that fails closes no link, and its minion looks like the best place once the
-    /// leases of its runs have expired. Tasks would be placed there again each time their lease
-    /// expires, or alternate between failed machines if there are two, while healthy minions have
-    /// free resources.
+    /// A failed machine closes no link, and its minion appears to be the best place once the leases
+    /// of its runs have expired. Tasks would be placed on that minion again each time their lease
+    /// expires, or would alternate between two failed machines, while healthy minions have free
+    /// resources.
     pub(super) fn mark_unresponsive_minions(&mut self, now: Now) {
         for minion in self.minions.values_mut().filter(|minion| minion.responsive) {
             let last_heard_ms =
--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -1,7 +1,7 @@
 //! Approval of steps by an admission service, for each minion.
 //!
-//! An approval holds for all tasks of a step for some time, so that one request covers them all. A
-//! request takes longer with each minion that it names, and the service handles one request at a
+//! An approval is valid for all tasks of a step for some time; one request covers them all. A
+//! request takes longer with each minion that it lists, and the service handles one request at a
 //! time.
 
 use std::collections::{BTreeMap, HashMap};
@@ -11,12 +11,12 @@
 use super::{Coordinator, Effect};
 use crate::{JobId, Now, StepSpec, TaskId};
 
-/// Most minions that one request names: a step seldom needs more, and each one takes time.
+/// Maximum number of minions in a request: a step seldom needs more, and each minion takes time.
 const MAX_MINIONS_PER_REQUEST: usize = 30;
 /// Time after which a request without a response is repeated, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Remaining validity that a ticket needs to be used, in milliseconds, as the start order takes
-/// time to arrive.
+/// Minimum remaining validity of a ticket that is used, in milliseconds, because the start order
+/// takes time to arrive.
 const MIN_TICKET_VALIDITY_MS: u64 = 250;
 
 /// Identifies a step of one occurrence: job, number of the occurrence, number of the step.
@@ -25,13 +25,14 @@
 /// Tickets and refusals of one step.
 #[derive(Debug, Default)]
 struct StepApprovals {
-    /// Time at which the last request was sent, on the monotonic clock, if it has no response yet.
+    /// Time at which the last request was sent, on the monotonic clock, if that request has no
+    /// response yet.
     requested_ms: Option<u64>,
     /// Ticket and its expiry, on the monotonic clock, by approved minion.
     tickets: BTreeMap<Name, (Name, u64)>,
     /// Minions that the service did not approve; a refusal is final.
     refused: Vec<Name>,
-    /// Minions that the last request named.
+    /// Minions that the last request listed.
     requested: Vec<Name>,
 }
 
@@ -40,7 +41,7 @@
 pub(super) struct Approvals(HashMap<StepKey, StepApprovals>);
 
 impl Approvals {
-    /// Returns the ticket for a task on a minion, if it is valid for long enough.
+    /// Returns the ticket for a task on a minion, if the ticket is valid for long enough.
     pub(super) fn ticket(&self, task: TaskId, minion: &Name, now: Now) -> Option<&Name> {
         let (ticket, expiry_ms) = self.0.get(&step_key(task))?.tickets.get(minion)?;
         (now.steady_ms + MIN_TICKET_VALIDITY_MS < *expiry_ms).then_some(ticket)
@@ -60,14 +61,14 @@
 }
 
 impl Coordinator {
-    /// Handles the response to an [`Effect::RequestApproval`] that named the minions `requested`:
+    /// Handles the response to an [`Effect::RequestApproval`] that listed the minions `requested`:
     /// the approved minions with their tickets, and the tickets' validity in milliseconds. `None`
     /// means that the request got no response.
     ///
-    /// A request without a response is repeated, perhaps with other minions, and the first response
-    /// may arrive after that. A response therefore applies only to the minions that its own request
-    /// named: a minion that is wrongly considered refused is never requested again, and a step
-    /// without any other minion would wait forever.
+    /// A request without a response is repeated, perhaps with other minions, and the response to
+    /// the first request may arrive after the repetition. A response therefore applies only to the
+    /// minions that its own request listed: a minion that is wrongly considered refused is never
+    /// requested again, and a step without any other minion would wait forever.
     pub fn handle_approval(
         &mut self,
         step: TaskId,
--- a/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
@@ -5,16 +5,18 @@
 use super::headroom::BestEffortSpeed;
 use crate::{Demand, JobId, Now, StepSpec, TaskId};
 
-/// Minimum fraction of a best-effort task's speed that unused processors must allow; below it the
-/// task waits. A job is as slow as its slowest task, so one task on a crowded minion delays all
-/// others; with a higher bound, sufficient processors stay idle in a full fleet.
+/// Minimum fraction of a best-effort task's full speed that a minion's unused processors must
+/// allow; the task waits if no minion offers that. A job is as slow as its slowest task, so one
+/// task on a crowded minion delays all others; with a higher bound, processors on which the task
+/// would be fast enough stay idle in a full fleet.
 const MIN_SPEED_ON_UNUSED_CPUS: f64 = 0.7;
-/// Minimum fraction of its speed that serving tasks must tolerate. It is higher, as their headroom
-/// shrinks when their load rises, and the task would be throttled or moved before it is done.
+/// Minimum fraction of a best-effort task's full speed that serving tasks must tolerate. The bound
+/// is higher than [`MIN_SPEED_ON_UNUSED_CPUS`] because headroom shrinks when the user load rises,
+/// and the task would then be throttled or moved before it is done.
 const MIN_TOLERATED_SPEED: f64 = 0.9;
 /// How long a job may have no runs before its next best-effort task accepts any speed, in
-/// milliseconds. Otherwise the job would wait although processors are unused, if no minion has
-/// headroom for it.
+/// milliseconds. Without this limit, a job would wait although processors are unused if no minion
+/// has headroom for its tasks.
 const IDLE_JOB_TIMEOUT_MS: u64 = 1_800;
 
 impl Coordinator {
@@ -39,8 +41,8 @@
             && self.runs_of_job(task.job).is_empty()
     }
 
-    /// Returns whether no minion accepts a best-effort step, as a similar step was rejected by all
-    /// in this round.
+    /// Returns whether no minion accepts a best-effort step, because all minions rejected a similar
+    /// step in this round.
     ///
     /// Under overload hundreds of steps wait for the same few kinds of minions, and checking every
     /// minion for each of them would take most of a small VM's processor.
--- a/crates/geraniumpost-batch/src/coordinator/best_effort_tasks.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_tasks.rs
@@ -2,7 +2,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct BestEffortTasks {
     pub(super) runs: i32,
-    /// Processors that all runs together could use at full speed, in thousandths.
+    /// Processors that all runs together could use at full speed, in thousandths of a processor.
     pub(super) milli_cpus: i64,
     /// Pace last set for all runs, in percent of full speed.
     pub(super) pace_percent: u8,
@@ -15,7 +15,7 @@
 }
 
 impl BestEffortTasks {
-    /// Returns the processors that all runs together use at a pace, in thousandths.
+    /// Returns the processors that all runs together use at a pace, in thousandths of a processor.
     pub(super) fn milli_cpus_at(&self, pace_percent: u8) -> f64 {
         self.milli_cpus as f64 * f64::from(pace_percent) / 100.0
     }
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -1,8 +1,8 @@
-//! Handling of callers' requests.
+//! Accepts, cancels and reports on jobs at the request of callers.
 
 use geraniumpost_schema::Name;
 
-use super::commits::Deferred;
+use super::commits::DeferredAction;
 use super::job::Job;
 use super::{Coordinator, Effect};
 use crate::tuning::RETRY_AFTER_MS;
@@ -34,12 +34,13 @@
 
     fn submit(&mut self, request_id: u64, id: JobId, spec: JobSpec, terms: QueueTerms, now: Now) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            // A retry or a late copy of a submission is accepted once the record of the first one
-            // is committed, and creates no second job.
+            // A retry or a late copy of a submission is accepted once the record of the first
+            // submission is committed, and creates no second job.
             if job.is_durable() {
                 self.respond(request_id, CallerResponse::Accepted);
             } else {
-                job.after_commit.push(Deferred::Respond(request_id, CallerResponse::Accepted));
+                job.after_commit
+                    .push(DeferredAction::Respond(request_id, CallerResponse::Accepted));
             }
             return;
         }
@@ -61,7 +62,7 @@
             spec.steps.iter().map(|step| step.count).sum::<u32>(),
         ));
         let mut job = Job::new(JobRecord::new(spec, terms, now.wall_ms));
-        job.after_commit.push(Deferred::Respond(request_id, CallerResponse::Accepted));
+        job.after_commit.push(DeferredAction::Respond(request_id, CallerResponse::Accepted));
         self.jobs.insert(id, job);
         self.open_jobs.insert(id);
         self.dirty.insert(id);
@@ -79,7 +80,7 @@
             self.respond(request_id, CallerResponse::Cancelled);
             return;
         }
-        job.after_commit.push(Deferred::Respond(request_id, CallerResponse::Cancelled));
+        job.after_commit.push(DeferredAction::Respond(request_id, CallerResponse::Cancelled));
         if !finished {
             self.finish_job(id, JobState::Cancelled, now);
         }
--- a/crates/geraniumpost-batch/src/coordinator/commits.rs
+++ b/crates/geraniumpost-batch/src/coordinator/commits.rs
@@ -1,11 +1,11 @@
-//! Writes of records, and actions that wait for them.
+//! Writes of records, and actions that wait for these writes.
 
 use super::{Coordinator, Effect, WriteBatch};
 use crate::tuning::{MAX_BYTES_PER_WRITE, MAX_CONCURRENT_WRITES, MAX_RECORDS_PER_WRITE};
 use crate::{CallerResponse, JobId, JobState, Now, TaskId, ToAgent};
 
-/// A batch whose write is not complete: the records that it writes, and the jobs whose records it
-/// removes.
+/// A batch whose write is not complete: the records to write, and the jobs whose records are
+/// removed.
 #[derive(Debug)]
 pub(super) struct PendingBatch {
     jobs: Vec<PendingRecord>,
@@ -18,15 +18,15 @@
     job: JobId,
     version: u64,
     state: JobState,
-    actions: Vec<Deferred>,
+    actions: Vec<DeferredAction>,
 }
 
 /// An action that waits until a version of a record is committed.
 #[derive(Debug, Clone)]
-pub(super) enum Deferred {
+pub(super) enum DeferredAction {
     /// Respond to a caller's request: request id and response.
     Respond(u64, CallerResponse),
-    /// Send the start order of a run, given by its number.
+    /// Send the start order of a run, given by its task and number.
     Start(TaskId, u32),
 }
 
@@ -41,8 +41,8 @@
 
     /// Handles the completion of a batch.
     ///
-    /// The driver must report a batch only once no earlier attempt at it or at an earlier batch can
-    /// still change the store; otherwise an older record could replace a newer one.
+    /// The driver must report a batch only once no earlier attempt at this batch or at an earlier
+    /// batch can still change the store; otherwise an older record could replace a newer one.
     pub fn handle_batch_written(&mut self, number: u64, now: Now) {
         let Some(batch) = self.batches.remove(&number) else { return };
         for written in batch.jobs {
@@ -62,12 +62,12 @@
         self.report_recorded_departures();
     }
 
-    fn run_deferred_action(&mut self, deferred: Deferred, now: Now) {
+    fn run_deferred_action(&mut self, deferred: DeferredAction, now: Now) {
         match deferred {
-            Deferred::Respond(request_id, response) => {
+            DeferredAction::Respond(request_id, response) => {
                 self.effects.push(Effect::Respond { request_id, response });
             }
-            Deferred::Start(task, run) => self.send_committed_start(task, run, now),
+            DeferredAction::Start(task, run) => self.send_committed_start(task, run, now),
         }
     }
 
@@ -108,7 +108,7 @@
     }
 
     fn gather_batch(&mut self) -> Option<WriteBatch> {
-        let number = self.next_batch;
+        let number = self.next_batch_number;
         let mut write =
             WriteBatch { number, put: Vec::new(), remove: Vec::new(), interference: None };
         let mut written = Vec::new();
@@ -140,7 +140,7 @@
         if written.is_empty() && removed.is_empty() {
             return None;
         }
-        self.next_batch += 1;
+        self.next_batch_number += 1;
         self.batches.insert(number, PendingBatch { jobs: written, removed });
         Some(write)
     }
--- a/crates/geraniumpost-batch/src/coordinator/departures.rs
+++ b/crates/geraniumpost-batch/src/coordinator/departures.rs
@@ -10,30 +10,31 @@
 pub(super) struct Departure {
     /// Agent that reported the termination and is notified once the records contain it.
     agent: Name,
-    /// Records that were not written yet at the time of the report, and the versions that contain
-    /// everything known by then.
+    /// Records that were not written yet at the time of the report, with their versions at that
+    /// time.
     unwritten_jobs: Vec<(JobId, u64)>,
 }
 
 impl Coordinator {
     /// Handles an agent's report that a minion has terminated with all its runs.
     ///
-    /// The agent may be the only process that knows, and it repeats the report on every link until
-    /// it is notified that the records contain it. Otherwise a coordinator that fails before it has
-    /// written them would lose that knowledge: its successor would wait for the lease of a
-    /// terminated minion, and persistent tasks would be down meanwhile.
+    /// The agent may be the only process that knows of the termination. It repeats the report on
+    /// every link until it is notified that the records contain the termination. Otherwise a
+    /// coordinator that fails before it has written the records would lose the report: its
+    /// successor would wait until the lease of the terminated minion expires, and persistent tasks
+    /// would be down meanwhile.
     pub(super) fn handle_minion_terminated(&mut self, agent: &Name, id: &Name, now: Now) {
         self.remove_minion(id, now);
-        // Runs there may have ended earlier, by a stop or an expired lease that is not written
-        // either.
+        // Runs on the minion may have ended earlier, by a stop or an expired lease, and these ends
+        // may not be written either.
         let unwritten_jobs = self.jobs.iter().filter(|(_, job)| job.durable_version < job.version);
         let unwritten_jobs = unwritten_jobs.map(|(id, job)| (*id, job.version)).collect();
         self.departures.insert(id.clone(), Departure { agent: agent.clone(), unwritten_jobs });
         self.report_recorded_departures();
     }
 
-    /// Notifies agents of terminations that the records contain, so that they do not report them
-    /// again.
+    /// Notifies agents of terminations that the records contain, so that the agents stop reporting
+    /// them.
     pub(super) fn report_recorded_departures(&mut self) {
         let jobs = &self.jobs;
         let is_durable = |(id, version): &(JobId, u64)| {
--- a/crates/geraniumpost-batch/src/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/src/coordinator/draining.rs
@@ -7,7 +7,7 @@
 
 /// Remaining time assumed for a draining minion that reports none, in milliseconds.
 pub(super) const DEFAULT_DRAIN_DURATION_MS: u64 = 2_000;
-/// Time that moving a task takes in any case, in milliseconds: a stop, a commit and a start.
+/// Minimum time that moving a task takes, in milliseconds: a stop, a commit and a start.
 const MIN_MOVE_DURATION_MS: u64 = 400;
 /// Interval between two evacuations of a minion, in milliseconds. Minions terminate seconds after
 /// they begin to drain, and each evacuation checks every minion for each remaining task.
@@ -18,8 +18,8 @@
     ///
     /// When a minion begins to drain, no other minion may accept its tasks: the fleet is full, or
     /// this coordinator has just taken over and has polled no other minion yet. A task that is not
-    /// moved before the minion terminates ends with it, and is down until the coordinator learns of
-    /// that end.
+    /// moved before the minion terminates ends with the minion, and is down until the coordinator
+    /// learns of that end.
     pub(super) fn evacuate_draining_minions(&mut self, now: Now) {
         let due: Vec<Name> = self
             .minions
@@ -62,7 +62,8 @@
         self.log_evacuation(id, remaining_ms, stopped, tasks_without_place);
     }
 
-    /// Logs an evacuation, unless it stopped nothing and as many tasks as before remain.
+    /// Logs an evacuation, unless no run was stopped and as many tasks as before have no other
+    /// place.
     fn log_evacuation(
         &mut self,
         id: &Name,
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Returns the estimated remaining time of a run in milliseconds; `None` for a persistent task.
+    /// Returns the estimated remaining time of a run in milliseconds; `None` for a persistent task
+    /// or an unknown run.
     fn remaining_run_ms(&self, task: TaskId, now: Now) -> Option<u64> {
         let step = self.step_spec(task).filter(|step| !step.persistent)?;
         let run = self.runs.get(&task)?;
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -31,8 +31,8 @@
         /// Minions on which the step may run if the service approves.
         minions: Vec<Name>,
     },
-    /// A minion has accepted orders of a newer coordinator, so that the driver has to check which
-    /// one is current.
+    /// A minion has accepted orders of a newer coordinator. The driver has to check which
+    /// coordinator is current.
     Superseded,
     /// Write a log line that consists of `key=value` fields.
     Log(String),
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -1,7 +1,8 @@
 //! Checks of whether a minion can take a task.
 //!
-//! Placement and the log lines on waiting tasks both use these checks, so that they cannot differ.
-//! Every minion is checked for each waiting task, so that the checks are inlined across modules.
+//! Placement and the log lines on waiting tasks share these checks, and their results cannot
+//! differ. The checks are inlined across modules, because every minion is checked for each waiting
+//! task.
 
 use geraniumpost_schema::Name;
 
@@ -61,7 +62,7 @@
 /// Returns why a minion cannot take any task of a step, or `None` if it can.
 ///
 /// Checks the service and the label before the minion's condition, so that a reported minion of
-/// another service is always counted under that reason.
+/// another service is always counted as [`Rejection::OtherService`].
 #[inline]
 pub(super) fn step_rejection(
     minion: &Minion,
@@ -99,7 +100,7 @@
     minion.info.draining.then_some(Rejection::Draining)
 }
 
-/// Returns why a minion has no capacity for a task of a step, or `None` if it has.
+/// Returns why a minion has no capacity for a task of a step, or `None` if it has capacity.
 #[inline]
 fn capacity_rejection(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
     if spec.best_effort && minion.over_bound_ms > 0 {
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -9,7 +9,7 @@
 use crate::tuning::MAX_SERVING_TAIL_LATENCY_RATIO;
 use crate::{StepSpec, TaskId};
 
-/// Lower bound of a headroom that is used as a divisor, as a utilization.
+/// Minimum headroom that is used as a divisor, as a utilization.
 const MIN_HEADROOM_DIVISOR: f64 = 0.01;
 
 /// Additional utilization that one group of serving tasks tolerates.
@@ -34,7 +34,8 @@
 }
 
 impl Coordinator {
-    /// Lists the headroom of each group of serving tasks on a minion without any best-effort tasks.
+    /// Returns the headroom that each group of serving tasks on a minion would have without any
+    /// best-effort tasks.
     fn base_headroom(&self, minion: &Minion) -> Vec<Headroom> {
         let mut last = None;
         let mut headroom = Vec::new();
@@ -56,8 +57,8 @@
         headroom
     }
 
-    /// Updates the headroom that a minion's best-effort tasks leave at their current paces. It is
-    /// cached, as placements read it many times.
+    /// Updates the headroom that a minion's best-effort tasks leave at their current paces. The
+    /// headroom is cached because placements read it many times.
     pub(super) fn refresh_headroom(&mut self, id: &Name) {
         let Some(minion) = self.minions.get(id) else { return };
         let mut headroom = self.base_headroom(minion);
@@ -115,8 +116,8 @@
         minion.best_effort_images.keys().cloned().zip(paces).collect()
     }
 
-    /// Counts a run among its minion's serving or best-effort runs by image, or removes it from
-    /// these.
+    /// Adds a run to its minion's counts of serving or best-effort runs by image, or removes the
+    /// run from these counts.
     pub(super) fn update_run_counts(&mut self, task: TaskId, id: &Name, added: bool) {
         let Some(step) = self.step_spec(task).cloned() else { return };
         let Some(minion) = self.minions.get_mut(id) else { return };
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::Name;
 
-use super::commits::Deferred;
+use super::commits::DeferredAction;
 use crate::{JobRecord, JobState, TaskId};
 
 /// A job's record, and state that is not persisted.
@@ -20,10 +20,11 @@
     /// Whether any task has started, so that callers see the job as running.
     pub(super) started: bool,
     /// Actions to run once the current version is committed.
-    pub(super) after_commit: Vec<Deferred>,
+    pub(super) after_commit: Vec<DeferredAction>,
     /// Per-task state for the next placement.
-    pub(super) hints: HashMap<TaskId, PlacementHint>,
-    /// Start of the time without any run, on the monotonic clock; `None` while the job has runs.
+    pub(super) placement_hints: HashMap<TaskId, PlacementHint>,
+    /// Start of the time without any run, as seen by placement rounds, on the monotonic clock;
+    /// `None` while the job has runs.
     pub(super) idle_since_ms: Option<u64>,
     /// Estimated duration of the longest chain of steps, in milliseconds.
     pub(super) critical_path_ms: u64,
@@ -36,7 +37,7 @@
     pub(super) checkpoint: Name,
     /// Earliest time of the next placement, on the monotonic clock.
     pub(super) not_before_ms: u64,
-    /// The minion on which the last run failed or was refused; it is chosen last.
+    /// The minion on which the last run failed or was refused; this minion is chosen last.
     pub(super) avoided_minion: Option<Name>,
 }
 
@@ -51,7 +52,7 @@
             write_in_flight: false,
             started: false,
             after_commit: Vec::new(),
-            hints: HashMap::new(),
+            placement_hints: HashMap::new(),
             idle_since_ms: None,
             critical_path_ms,
         }
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -10,7 +10,7 @@
 /// Minimum interval between two log lines on the lease basis, in milliseconds.
 const BASIS_LOG_INTERVAL_MS: u64 = 1_000;
 
-/// The support of other entries, as last set.
+/// The support of other entries for this coordinator, as last set by the driver.
 #[derive(Debug, Default)]
 pub(super) struct EntrySupport {
     /// End of the majority's promise to follow no successor, on the monotonic clock.
@@ -24,7 +24,7 @@
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 #[display(rename_all = "lowercase")]
 pub(super) enum LeaseBasis {
-    /// A majority of entries does not follow a successor.
+    /// A majority of entries has promised to follow no successor.
     Entries,
     /// The store has confirmed the term within [`STORE_CONFIRMATION_VALIDITY_MS`].
     Store,
@@ -38,7 +38,7 @@
         self.support.supporters = supporters;
     }
 
-    /// Returns what allows this coordinator to extend leases, if anything does.
+    /// Returns what allows this coordinator to extend leases, or `None` if nothing does.
     ///
     /// Returns `None` once [`STORE_OUTAGE_TOLERANCE_MS`] have passed since the last confirmed
     /// request to the store: a successor that hears from too few entries then assumes that the runs
@@ -56,7 +56,7 @@
         None
     }
 
-    /// Logs the lease basis when it has changed.
+    /// Logs the lease basis if it has changed, at most once per [`BASIS_LOG_INTERVAL_MS`].
     pub(super) fn log_lease_basis(&mut self, now: Now) {
         let basis = self.lease_basis(now);
         let due = match self.support.last_logged {
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -8,7 +8,7 @@
 use crate::{EndKind, Now, ToAgent};
 
 /// Time that an agent has after its link opened to report its minion's lists, in milliseconds; most
-/// need less than half of it.
+/// agents need less than half of this time.
 const POLL_GRACE_MS: u64 = 1_000;
 
 /// Returns the time in milliseconds after which a lease of `lease_ms` has expired even on the
@@ -18,7 +18,8 @@
 }
 
 impl Coordinator {
-    /// Responds to an agent's heartbeat, and extends the lease on its minion's tasks.
+    /// Responds to an agent's heartbeat. Extends the lease on its minion's tasks if the minion
+    /// responds to the agent and this coordinator may extend leases.
     pub(super) fn handle_heartbeat(
         &mut self,
         agent: &Name,
@@ -31,7 +32,8 @@
         let lease_ms = if extend { self.lease_ms } else { 0 };
         if extend {
             self.record_agent_reached(agent);
-            // The agent counts from when it sent the heartbeat, which was earlier.
+            // The agent's lease begins when it sent the heartbeat, and so expires before this
+            // bound.
             let lease_expiry_ms = now.steady_ms + lease_expiry_bound_ms(lease_ms);
             let state = self.agents.entry(agent.clone()).or_default();
             state.lease_expiry_ms = state.lease_expiry_ms.max(lease_expiry_ms);
@@ -50,12 +52,12 @@
     /// lease is extended again, on the monotonic clock, and whether leases of earlier coordinators
     /// determine that time.
     pub(super) fn lease_expiry_ms_and_origin(&self, agent: &Name) -> (u64, bool) {
-        let predecessor_ms = self.predecessor_expiry.lease_end_ms(agent);
+        let predecessor_ms = self.predecessor_expiry.lease_expiry_ms(agent);
         let Some(agent) = self.agents.get(agent) else { return (predecessor_ms, true) };
         // An agent that has linked to this coordinator accepts no lease from an earlier one.
-        let expired_ms =
+        let link_expiry_ms =
             agent.first_linked_ms.map(|linked_ms| linked_ms + lease_expiry_bound_ms(self.lease_ms));
-        let predecessor_ms = expired_ms.unwrap_or(predecessor_ms).min(predecessor_ms);
+        let predecessor_ms = link_expiry_ms.unwrap_or(predecessor_ms).min(predecessor_ms);
         (agent.lease_expiry_ms.max(predecessor_ms), predecessor_ms > agent.lease_expiry_ms)
     }
 
@@ -63,8 +65,8 @@
         now.steady_ms >= self.lease_expiry_ms_and_origin(agent).0
     }
 
-    /// Returns whether a minion is about to be polled, as its agent has just linked. Its lists show
-    /// which runs ended before the lease expired, so that these are not repeated.
+    /// Returns whether a minion is about to be polled, because its agent has just linked. The
+    /// minion's lists show which runs ended before the lease expired; these need not be repeated.
     fn is_awaiting_poll(&self, minion: &Minion, now: Now) -> bool {
         let opened_ms = self.agents.get(&minion.agent).map_or(0, |agent| agent.link_opened_ms);
         minion.linked && !minion.polled && now.steady_ms < opened_ms + POLL_GRACE_MS
--- a/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
@@ -16,7 +16,8 @@
     /// Returns the longest waits, as of the last check of waiting tasks.
     ///
     /// The wait of a persistent task begins with the end of its last run or when its minion became
-    /// unreachable, as far as this coordinator knows: after a takeover, with its first check.
+    /// unreachable, as far as this coordinator knows: after a takeover, the wait begins with the
+    /// first check.
     pub fn longest_wait(&self, now: Now) -> LongestWait {
         let down = self
             .wait_state
--- a/crates/geraniumpost-batch/src/coordinator/measurements.rs
+++ b/crates/geraniumpost-batch/src/coordinator/measurements.rs
@@ -94,7 +94,8 @@
         measurements
     }
 
-    /// Records which serving tasks are over their latency bounds, and since when.
+    /// Updates the time at which each serving run began to exceed its latency bound, and the
+    /// longest such excess on the minion.
     fn update_over_bound_times(&mut self, id: &Name, over_bound: Vec<(TaskId, bool)>, now: Now) {
         let mut longest_ms = 0;
         for (task, is_over) in over_bound {
@@ -113,7 +114,7 @@
 /// Returns the lower median of the tail latencies of a group's tasks.
 ///
 /// Occasionally a single task shows several times the tail latency of the others for a second,
-/// without any cause on its minion. Using the maximum would attribute that to best-effort tasks on
+/// without any cause on its minion. The maximum would attribute such a peak to best-effort tasks on
 /// the same minion and throttle them needlessly.
 fn lower_median(mut tail_latency_ratios: Vec<f64>) -> f64 {
     tail_latency_ratios.sort_unstable_by(f64::total_cmp);
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -15,17 +15,18 @@
     pub(super) agent: Name,
     /// Whether the link from its agent is open.
     pub(super) linked: bool,
-    /// Whether the minion has been reported to this coordinator; otherwise only records name it.
+    /// Whether the minion has been reported to this coordinator; otherwise it is known only from
+    /// job records.
     pub(super) reported: bool,
     /// Whether the minion was polled over the current link.
     pub(super) polled: bool,
     /// Whether heartbeats arrive and report that the minion responds to its agent.
     pub(super) responsive: bool,
-    /// Resources reserved by the runs placed there; best-effort runs reserve no processors.
-    pub(super) used: Demand,
-    /// Processors that its best-effort runs could use, in thousandths.
+    /// Resources reserved by the runs on the minion; best-effort runs reserve no processors.
+    pub(super) reserved: Demand,
+    /// Processors that its best-effort runs could use, in thousandths of a processor.
     pub(super) best_effort_milli_cpus: i64,
-    /// Processors that its serving runs reserve, in thousandths.
+    /// Processors that its serving runs reserve, in thousandths of a processor.
     pub(super) serving_milli_cpus: i64,
     /// Number of runs that serve users within a latency bound.
     pub(super) serving_runs: u32,
@@ -43,7 +44,7 @@
     pub(super) consecutive_failures: u32,
     /// The job of the last failed run.
     pub(super) last_failed_job: Option<JobId>,
-    /// No task is placed there before this time on the monotonic clock.
+    /// Time before which no task is placed on the minion, on the monotonic clock.
     pub(super) quarantined_until_ms: u64,
     /// Earliest time at which a draining minion terminates, on the monotonic clock.
     pub(super) drain_deadline_ms: u64,
@@ -71,7 +72,7 @@
             reported: false,
             polled: false,
             responsive: false,
-            used: Demand::default(),
+            reserved: Demand::default(),
             best_effort_milli_cpus: 0,
             serving_milli_cpus: 0,
             serving_runs: 0,
@@ -95,15 +96,16 @@
 
     /// Returns the minion's capacity without the resources that runs reserve.
     pub(super) fn unreserved(&self) -> Demand {
-        self.info.capacity - self.used
+        self.info.capacity - self.reserved
     }
 
-    /// Returns the processors, in thousandths, that best-effort runs could use together.
+    /// Returns the processors that best-effort runs could use together, in thousandths of a
+    /// processor.
     pub(super) fn unused_milli_cpus(&self) -> i64 {
         self.unreserved().milli_cpus + self.serving_milli_cpus * SERVING_UNUSED_CPU_PERCENT / 100
     }
 
-    /// Returns an amount of processors, in thousandths, as a fraction of the minion's capacity.
+    /// Converts thousandths of a processor to a fraction of the minion's capacity.
     pub(super) fn cpu_share(&self, milli_cpus: f64) -> f64 {
         milli_cpus / self.info.capacity.milli_cpus.max(1) as f64
     }
--- a/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
@@ -7,7 +7,8 @@
 use super::minion::Minion;
 use crate::{EndKind, MinionInfo, Now};
 
-/// A lease that expires sooner than this, in milliseconds, may end before an order arrives.
+/// Minimum remaining time of a lease, in milliseconds; with less, the lease may expire before an
+/// order arrives.
 const MIN_REMAINING_LEASE_MS: u64 = 1_000;
 
 impl Coordinator {
@@ -19,7 +20,7 @@
         if let Some(previous) = previous.filter(|previous| *previous != id) {
             self.remove_minion(&previous, now);
         }
-        // Records may name earlier incarnations of this agent's minion, which no longer exist.
+        // Records may refer to earlier incarnations of this agent's minion, which no longer exist.
         let terminated: Vec<Name> = self
             .minions
             .iter()
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -68,7 +68,7 @@
     lease_ms: u64,
     max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that are in no final state and may have waiting tasks.
+    /// Jobs that have not reached a final state and may have waiting tasks.
     open_jobs: BTreeSet<JobId>,
     /// Jobs whose record differs from the store's.
     dirty: BTreeSet<JobId>,
@@ -80,7 +80,7 @@
     /// Terminated minions whose termination the stored records do not contain yet.
     departures: BTreeMap<Name, Departure>,
     batches: HashMap<u64, PendingBatch>,
-    next_batch: u64,
+    next_batch_number: u64,
     /// Time at which the store's last confirmation of this coordinator was received, on the
     /// monotonic clock.
     confirmed_ms: u64,
@@ -95,14 +95,15 @@
     approvals: Approvals,
     /// Learned slowdown of serving images by best-effort images.
     interference: InterferenceModel,
-    /// Whether a change may allow a waiting task to be placed.
+    /// Whether something has changed since the last placement round that may allow a waiting task
+    /// to be placed.
     placement_due: bool,
     /// Time at which learned interference was last included in a write, on the monotonic clock.
     interference_written_ms: u64,
     /// Demand of a best-effort step that no minion accepted in the current placement round, by
     /// service and image.
     unplaceable: BTreeMap<(Name, Name), crate::Demand>,
-    /// Waiting tasks, for log lines and metrics only; no decision depends on it.
+    /// Waiting tasks, for log lines and metrics only; no decision depends on this state.
     wait_state: WaitState,
     effects: Vec<Effect>,
 }
@@ -123,7 +124,7 @@
             agents: HashMap::new(),
             departures: BTreeMap::new(),
             batches: HashMap::new(),
-            next_batch: 1,
+            next_batch_number: 1,
             confirmed_ms: now.steady_ms,
             confirmation_requested_ms: now.steady_ms,
             support: EntrySupport::default(),
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Places waiting tasks if a change may allow it, gathers records to write, and returns
-    /// everything that the driver has to do.
+    /// Places waiting tasks if something has changed that may allow a placement, gathers records to
+    /// write, and returns everything that the driver has to do.
     pub fn take_effects(&mut self, now: Now) -> Vec<Effect> {
         if self.placement_due {
             self.place_waiting_tasks(now);
@@ -210,9 +211,9 @@
     /// Records that the store confirmed this coordinator. The confirmation was requested at
     /// `requested_ms`, and its response was read at `steady_ms`, both on the monotonic clock.
     ///
-    /// The confirmation holds for the time of the request only. The response may take seconds to
+    /// The confirmation is valid only for the time of the request. The response may take seconds to
     /// arrive, and another entry may take over meanwhile; that successor then waits for as long as
-    /// leases are extended without the store, counted from its takeover.
+    /// leases may be extended without the store, counted from its takeover.
     pub fn record_store_confirmation(&mut self, requested_ms: u64, steady_ms: u64) {
         self.confirmation_requested_ms = self.confirmation_requested_ms.max(requested_ms);
         self.confirmed_ms = self.confirmed_ms.max(steady_ms);
@@ -239,8 +240,8 @@
             };
             let spec = self.step_spec(task).cloned().unwrap_or_default();
             let mut run = Run::new(place, number, order, &spec, now.steady_ms);
-            // An order of the predecessor may still be in flight and carried out after this
-            // coordinator's.
+            // The predecessor may have sent a start order that is still in flight, and the minion
+            // may carry it out after an order of this coordinator.
             run.start_unresolved = true;
             run.pace_confirmed = false;
             self.insert_run(task, run);
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -5,7 +5,7 @@
 use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_DURATION_MS};
 use crate::{Now, OrderKindTag, OrderOutcome, OrderResult, TaskId};
 
-/// Number of start orders after which a run is stopped on its minion if the last one had no
+/// Number of start orders after which a run is stopped on its minion if the last order had no
 /// response.
 const MAX_START_ORDERS: u32 = 4;
 
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Gives up a run that its minion refused, so that the task is placed elsewhere.
+    /// Gives up a run that its minion refused, so that its task can be placed elsewhere.
     ///
     /// A refusal covers only one copy of the start order. Another copy that is in flight or had no
     /// response may still be carried out once the minion has free resources or a lease again, and
-    /// the task would run twice. A stop prevents that, as the minion refuses this run from then on.
-    /// If the refused copy was the only one, the task is requeued at once.
+    /// the task would run twice. A stop prevents that, because the minion refuses this run from
+    /// then on. If the refused copy was the only one, the task is requeued at once.
     fn abandon_run(&mut self, task: TaskId, now: Now) {
         if self.runs.get(&task).is_some_and(Run::may_still_start) {
             self.send_stop(task, now);
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Records that a run has started, and sends it the current pace of its image on the minion if
-    /// it has another one.
+    /// Records that a run has started. Sends the current pace of its image on the minion if the run
+    /// has another pace or has not confirmed its pace.
     pub(super) fn record_started(&mut self, task: TaskId, now: Now) {
         let Some(run) = self.runs.get_mut(&task) else { return };
         if run.started_ms.is_none() {
--- a/crates/geraniumpost-batch/src/coordinator/orders.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Sends a start order. It may be sent repeatedly, as a minion starts a run at most once.
+    /// Sends a start order. The order may be sent repeatedly, because a minion starts a run at most
+    /// once.
     pub(super) fn send_start(&mut self, task: TaskId, now: Now) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let minion = self.runs.get(&task).map(|run| run.place.minion.clone()).unwrap_or_default();
@@ -30,7 +31,7 @@
         let kind = OrderKind::Start {
             payload: job.record.spec.payload.clone(),
             checkpoint: job
-                .hints
+                .placement_hints
                 .get(&task)
                 .map_or_else(Name::default, |hint| hint.checkpoint.clone()),
             ticket,
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -1,4 +1,4 @@
-//! Pacing of best-effort tasks, so that they do not slow serving tasks.
+//! Pacing of best-effort tasks, to keep the tail latency of serving tasks within its bound.
 
 use geraniumpost_schema::Name;
 
@@ -11,16 +11,17 @@
 /// Smallest change of pace for which an order is sent, in percent.
 const MIN_PACE_CHANGE_PERCENT: u8 = 10;
 /// How long a task is throttled before it is moved, in milliseconds: longer than it takes to revert
-/// most changes of pace, but short, as each second of delay makes a whole job late.
+/// most changes of pace, but short, because each second of delay makes a whole job late.
 const MAX_THROTTLED_MS: u64 = 300;
 /// Progress in percent below which a throttled task without checkpoints is moved although it loses
 /// that progress.
 const MAX_RESTART_PROGRESS_PERCENT: u8 = 15;
-/// Most tasks moved in one tick, so that a full fleet does not spend all writes to the store on
-/// moves.
+/// Maximum number of tasks moved in one tick. Without this limit, a full fleet would spend all
+/// writes to the store on moves.
 const MAX_MOVES_PER_TICK: u32 = 30;
-/// How long a serving task may stay over its bound before all best-effort tasks on its minion are
-/// suspended, in milliseconds: four polls in which paces by learned interference did not help.
+/// How long the tail latency of a serving task may exceed its bound before all best-effort tasks on
+/// its minion are suspended, in milliseconds: four polls, in which pacing by learned interference
+/// has not helped.
 const MAX_OVER_BOUND_MS: u64 = 1_600;
 
 impl Coordinator {
@@ -37,6 +38,8 @@
         self.refresh_headroom(id);
     }
 
+    /// Orders the paces that serving tasks tolerate, for images whose current pace differs enough.
+    /// Suspends all best-effort tasks if a tail latency exceeded its bound for too long.
     fn order_due_pace_changes(&mut self, id: &Name, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
         if minion.best_effort_images.is_empty() {
@@ -62,6 +65,7 @@
         }
     }
 
+    /// Sets the pace of one image on a minion, and sends it to each of the image's runs there.
     fn set_image_pace(
         &mut self,
         id: &Name,
@@ -98,7 +102,7 @@
     /// Stops throttled tasks that another minion accepts, so that they continue there.
     ///
     /// A task is throttled when the user load of serving tasks on its minion rises after its
-    /// placement. Its job would be delayed while that lasts, although other minions have free
+    /// placement. Its job would be delayed while the load is high, although other minions have free
     /// resources.
     pub(super) fn move_throttled_tasks(&mut self, now: Now) {
         let throttled: Vec<TaskId> = self
@@ -131,8 +135,8 @@
 }
 
 /// Returns whether an order is sent for a change of pace: a large change, or one to or from
-/// suspension or full speed.
+/// suspension or full speed. Both paces are in percent.
 const fn is_pace_order_due(current: u8, wanted: u8) -> bool {
-    let ends = (wanted == 0) != (current == 0) || (wanted == 100) != (current == 100);
-    wanted.abs_diff(current) >= MIN_PACE_CHANGE_PERCENT || ends
+    let crosses_limit = (wanted == 0) != (current == 0) || (wanted == 100) != (current == 100);
+    wanted.abs_diff(current) >= MIN_PACE_CHANGE_PERCENT || crosses_limit
 }
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Coordinator;
-use super::commits::Deferred;
+use super::commits::DeferredAction;
 use super::eligibility::step_rejection;
 use super::headroom::BestEffortSpeed;
 use super::job::Job;
@@ -39,10 +39,10 @@
     objective_ends_ms: u64,
 }
 
-/// How well a minion suits a task; compared field by field, smaller is better.
+/// Reasons against placing a task on a minion; compared field by field, smaller is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PlacementPenalty {
-    /// Whether the task's last run failed or was refused there.
+    /// Whether the task's last run failed or was refused on the minion.
     avoided: bool,
     /// Whether the minion is not on the preferred rack.
     off_rack: bool,
@@ -52,7 +52,7 @@
 }
 
 impl Coordinator {
-    /// Places all waiting tasks for which there is a minion, in the order of their jobs' ranks.
+    /// Places all waiting tasks that a minion accepts, in the order of their jobs' ranks.
     pub(super) fn place_waiting_tasks(&mut self, now: Now) {
         self.placement_due = false;
         let mut order: Vec<(Rank, JobId)> = self
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Places the waiting tasks of one step, and returns how many.
+    /// Places the waiting tasks of one step, and returns how many were placed.
     fn place_step(&mut self, id: JobId, occurrence: u32, step: u16, now: Now) -> u32 {
         let first = TaskId { job: id, occurrence, step, index: 0 };
         let Some(spec) = self.step_spec(first).cloned() else { return 0 };
@@ -99,7 +99,7 @@
                 break;
             }
             let Some(minion) = self.choose_minion(task, &spec, rack.as_ref(), now) else {
-                // Tasks of a step have the same requirements, so that no minion accepts the others
+                // Tasks of a step have the same requirements, and no minion accepts the others
                 // either.
                 self.record_unplaceable(id, &spec);
                 break;
@@ -126,7 +126,7 @@
         placed.len() as u32
     }
 
-    /// Reverts placements of this round, as the rest of their gang was not placed.
+    /// Reverts placements of this round, because the rest of their gang was not placed.
     fn roll_back_placements(&mut self, placed: &[TaskId]) {
         for task in placed {
             self.remove_run(*task);
@@ -135,8 +135,7 @@
                 record.phase = TaskPhase::Waiting;
             });
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                let is_start =
-                    |action: &Deferred| matches!(action, Deferred::Start(t, _) if t == task);
+                let is_start = |action: &DeferredAction| matches!(action, DeferredAction::Start(t, _) if t == task);
                 job.after_commit.retain(|action| !is_start(action));
             }
         }
@@ -145,7 +144,7 @@
     fn tasks_to_place(&self, first: TaskId, spec: &StepSpec, now: Now) -> Vec<TaskId> {
         let Some(job) = self.jobs.get(&first.job) else { return Vec::new() };
         let is_ready = |task: &TaskId| {
-            job.hints.get(task).is_none_or(|hint| hint.not_before_ms <= now.steady_ms)
+            job.placement_hints.get(task).is_none_or(|hint| hint.not_before_ms <= now.steady_ms)
         };
         let waits = |task: &TaskId| {
             !self.runs.contains_key(task)
@@ -177,7 +176,7 @@
         let run = Run::new(place, number, OrderState::Committing, &spec, now.steady_ms);
         self.insert_run(task, run);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.after_commit.push(Deferred::Start(task, number));
+            job.after_commit.push(DeferredAction::Start(task, number));
         }
     }
 
@@ -197,7 +196,8 @@
     ) -> Option<Name> {
         let job = self.jobs.get(&task.job)?;
         let requirements = self.requirements(task, spec)?;
-        let avoided_minion = job.hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
+        let avoided_minion =
+            job.placement_hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
         let is_eligible =
             |minion: &&Minion| self.task_rejection(&requirements, minion, now).is_none();
         let penalty = |minion: &&Minion| -> PlacementPenalty {
@@ -217,9 +217,9 @@
     /// Returns the cost of placing a task on a minion that accepts it; smaller is better.
     ///
     /// A best-effort task goes where it works fastest without slowing serving tasks, preferably
-    /// where it uses little of their headroom, as other images may have no other minion. A serving
-    /// task goes where it leaves the most headroom for best-effort tasks, and any other task where
-    /// the most processors are free.
+    /// where it uses little of their headroom, because other images may fit on no other minion. A
+    /// serving task goes where it leaves the most headroom for best-effort tasks, and any other
+    /// task where the most processors are free.
     fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
         /// Weight of one level of [`mixing_cost`], in thousandths of a processor.
         const MIXING_WEIGHT: i64 = 1_000_000;
@@ -227,8 +227,8 @@
         if spec.best_effort {
             let BestEffortSpeed { speed_on_unused_cpus, tolerated_speed, headroom_share } =
                 self.best_effort_speed(minion, spec);
-            // Among minions at full speed, the one with the most unused processors keeps it
-            // longest.
+            // Among minions at full speed, the minion with the most unused processors can sustain
+            // full speed longest.
             let unused_milli_cpus = minion.unused_milli_cpus() - minion.best_effort_milli_cpus;
             let cost = HEADROOM_WEIGHT * headroom_share
                 - speed_on_unused_cpus * tolerated_speed.max(MIN_ASSUMED_SPEED);
@@ -240,8 +240,8 @@
         -free_milli_cpus + minion.best_effort_milli_cpus
     }
 
-    /// Returns the rack on which a step's tasks should run: the one that holds its data, the one of
-    /// its other tasks, or the one with capacity for most of them.
+    /// Returns the rack on which a step's tasks should run: the rack that stores its data, the rack
+    /// of its running tasks, or the rack with capacity for most of its tasks.
     pub(super) fn preferred_rack(
         &self,
         first: TaskId,
@@ -314,7 +314,8 @@
 /// Returns whether a persistent task leaves a reserve of processors for short tasks; true for all
 /// other tasks.
 ///
-/// The reserve does not apply to a task that ran before: users notice its absence.
+/// [`Coordinator::task_rejection`] exempts tasks that ran before, because users notice their
+/// absence.
 #[inline]
 pub(super) fn leaves_short_task_reserve(minion: &Minion, spec: &StepSpec) -> bool {
     let reserve = minion.info.capacity.milli_cpus * (100 - MAX_PERSISTENT_CPU_PERCENT) / 100;
--- a/crates/geraniumpost-batch/src/coordinator/poll_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/poll_results.rs
@@ -8,7 +8,8 @@
 
 /// What to do about a run that its minion does not list.
 enum MissingRunAction {
-    /// Nothing: its order may still be on its way.
+    /// Do nothing: the last order for the run may not have been carried out yet, or the poll began
+    /// before that order's result was reported.
     Wait,
     /// Send the start order again.
     Start,
@@ -76,7 +77,7 @@
         if !row.checkpoint.is_empty()
             && let Some(job) = self.jobs.get_mut(&row.task.job)
         {
-            let hint = job.hints.entry(row.task).or_default();
+            let hint = job.placement_hints.entry(row.task).or_default();
             if hint.checkpoint != row.checkpoint {
                 hint.checkpoint = row.checkpoint;
             }
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -9,12 +9,13 @@
 use super::{Coordinator, lease_expiry_bound_ms};
 use crate::{Now, PredecessorLeases, SilentCoordinator};
 
-/// Age of an agent's last lease extension from which the agent is reported to a successor, in
-/// milliseconds: three heartbeats. Other agents usually link to the successor at once.
+/// Age of an agent's last lease extension at which the agent is reported to a successor as
+/// unreached, in milliseconds: three heartbeats. Other agents usually link to the successor at
+/// once.
 const UNREACHED_TIMEOUT_MS: u64 = 1_500;
 
-/// Term of a silent coordinator, and the time on the monotonic clock by which the leases that it
-/// may extend have expired.
+/// Term of a silent coordinator, and the time on the monotonic clock by which the leases that this
+/// coordinator may extend have expired.
 #[derive(Debug, Clone, Copy)]
 struct SilentLeaseExpiry {
     term: u64,
@@ -57,29 +58,29 @@
     }
 
     /// Returns the time by which an agent's leases from earlier coordinators have expired.
-    pub(super) fn lease_end_ms(&self, agent: &Name) -> u64 {
+    pub(super) fn lease_expiry_ms(&self, agent: &Name) -> u64 {
         self.silent
             .values()
             .map(|expiry| expiry.until_ms)
-            .fold(self.lease_end_without_silent_ms(agent), u64::max)
+            .fold(self.lease_expiry_without_silent_ms(agent), u64::max)
     }
 
     /// Returns the time by which leases from earlier coordinators have expired for an agent that
     /// the direct predecessor did not report as unreached.
-    pub(super) fn lease_end_of_reached_agents_ms(&self) -> u64 {
+    pub(super) fn lease_expiry_of_reached_agents_ms(&self) -> u64 {
         self.silent.values().map(|expiry| expiry.until_ms).fold(self.predecessor_ms, u64::max)
     }
 
     /// Returns the time by which an agent's leases have expired if no silent coordinator extends
     /// them.
-    fn lease_end_without_silent_ms(&self, agent: &Name) -> u64 {
+    fn lease_expiry_without_silent_ms(&self, agent: &Name) -> u64 {
         self.unreached.get(agent).copied().unwrap_or(self.predecessor_ms)
     }
 }
 
 impl Coordinator {
     /// Sets the leases that predecessors may have extended. Must be called after
-    /// [`Self::with_lease_ms`], as their expiry depends on that duration.
+    /// [`Self::with_lease_ms`], because the expiry of the leases depends on that duration.
     #[must_use]
     pub fn with_predecessor_leases(mut self, leases: &PredecessorLeases, now: Now) -> Self {
         self.predecessor_expiry = PredecessorExpiry::new(leases, self.lease_ms, now);
@@ -91,15 +92,15 @@
     ///
     /// Without this report, a successor waits for as long as a silent coordinator may extend leases
     /// without the store, and persistent tasks whose agents departed meanwhile stay down all that
-    /// time. With it, only the leases that the silent coordinator has extended so far remain.
-    /// Leases of other silent coordinators are not affected.
+    /// time. With the report, only the leases that the silent coordinator has extended so far
+    /// remain. Leases of other silent coordinators are not affected.
     pub fn record_predecessor_term_end(&mut self, address: SocketAddr, now: Now) {
         self.limit_predecessor_leases(address, now.steady_ms);
     }
 
     /// Records that the silent coordinator at an address extends no leases after a time on the
-    /// monotonic clock, as the store names another coordinator and too few entries support the
-    /// silent one.
+    /// monotonic clock, because the store's key belongs to another coordinator and too few entries
+    /// support the silent coordinator.
     pub fn limit_predecessor_leases(&mut self, address: SocketAddr, steady_ms: u64) {
         let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let Some(expiry) = self.predecessor_expiry.silent.get_mut(&address) else { return };
@@ -140,7 +141,7 @@
         self.leases_for_successor_changed |= self.unreached_agents.remove(agent).is_some();
     }
 
-    /// Updates the agents that are not reached although their minions have runs.
+    /// Updates the set of agents that are not reached although their minions have runs.
     pub(super) fn update_unreached_agents(&mut self, now: Now) {
         let current_expiry_ms = now.steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let lease_expiry_ms =
@@ -154,7 +155,8 @@
             .map(|(agent, lease_expiry_ms)| {
                 (
                     agent.clone(),
-                    lease_expiry_ms.max(self.predecessor_expiry.lease_end_without_silent_ms(agent)),
+                    lease_expiry_ms
+                        .max(self.predecessor_expiry.lease_expiry_without_silent_ms(agent)),
                 )
             })
             .collect();
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -9,7 +9,7 @@
     /// The link from the minion's agent is not open.
     #[display("not_linked")]
     NotLinked,
-    /// Only records name the minion; it has not been reported to this coordinator.
+    /// The minion is known only from job records: its agent is linked but has not reported it.
     #[display("not_reported")]
     NotReported,
     /// The minion runs tasks of another service.
@@ -32,8 +32,8 @@
     /// The minion is draining and will terminate.
     #[display("draining")]
     Draining,
-    /// A serving task on the minion is over its latency bound, so that it gets no further
-    /// best-effort tasks.
+    /// A serving task on the minion is over its latency bound; the minion gets no further
+    /// best-effort tasks meanwhile.
     #[display("over_bound")]
     OverBound,
     /// The minion's free resources are less than the task reserves.
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -8,22 +8,24 @@
     pub(super) order: OrderState,
     /// Resources that the run reserves on the minion.
     pub(super) reserved: Demand,
-    /// Processors that the run could use as a best-effort run, in thousandths; 0 for other runs.
+    /// Processors that the run could use as a best-effort run, in thousandths of a processor; 0 for
+    /// other runs.
     pub(super) best_effort_milli_cpus: i64,
-    /// Processors reserved to serve users within a latency bound, in thousandths; `None` for a run
-    /// that serves no users.
+    /// Processors reserved to serve users within a latency bound, in thousandths of a processor;
+    /// `None` for a run that serves no users.
     pub(super) serving_milli_cpus: Option<i64>,
     /// Time at which the run was first known to have started, on the monotonic clock.
     pub(super) started_ms: Option<u64>,
-    /// Last reported progress, and the time of its last change on the monotonic clock.
+    /// Last reported progress; [`Self::last_progress_ms`] is the time of its last change on the
+    /// monotonic clock.
     pub(super) progress_percent: u8,
     pub(super) last_progress_ms: u64,
     /// Time at which a poll last listed the run, on the monotonic clock.
     pub(super) last_seen_ms: u64,
     /// Pace of the last pace order, in percent of full speed.
     pub(super) pace_percent: u8,
-    /// Whether the minion has confirmed that pace: not if the order had no response, nor after a
-    /// takeover.
+    /// Whether the minion has confirmed that pace. False if the order failed or had no response,
+    /// and after a takeover.
     pub(super) pace_confirmed: bool,
     /// Start of the current suspension or throttling, on the monotonic clock.
     pub(super) throttled_since_ms: Option<u64>,
@@ -34,10 +36,11 @@
     pub(super) over_bound_since_ms: Option<u64>,
     /// Number of start orders sent.
     pub(super) start_count: u32,
-    /// Copies of the start order sent over the current link that have no result yet.
+    /// Number of copies of the start order that were sent over the current link and have no result
+    /// yet.
     pub(super) starts_in_flight: u32,
-    /// Whether a copy of the start order had no response or was lost with its link, so that it may
-    /// be carried out at any later time.
+    /// Whether a copy of the start order had no response or was lost with its link, and may be
+    /// carried out at any later time.
     pub(super) start_unresolved: bool,
 }
 
@@ -103,7 +106,7 @@
     /// Counts one copy of the start order as no longer in flight, whatever its result.
     ///
     /// A result of a copy that was sent over an earlier link is counted for the current link. That
-    /// does no harm, because [`Run::record_link_loss`] has marked the run as unresolved by then.
+    /// does no harm, because [`Run::record_link_loss`] has already marked the run as unresolved.
     pub(super) const fn record_start_result(&mut self) {
         self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
     }
@@ -112,8 +115,8 @@
     /// their way to the minion.
     ///
     /// A run that was reported as ended becomes unknown again: the next link may come from another
-    /// agent process, which counts order results from 0, so that none of its polls would appear
-    /// newer than that report.
+    /// agent process, which counts order results from 0, and none of its polls would appear newer
+    /// than that report.
     pub(super) const fn record_link_loss(&mut self, now_ms: u64) {
         self.start_unresolved |= self.starts_in_flight > 0;
         self.starts_in_flight = 0;
@@ -122,14 +125,15 @@
         }
     }
 
-    /// Returns whether the run may start although no copy of its start order is known to be carried
-    /// out.
+    /// Returns whether the run may start although no copy of its start order is known to have been
+    /// carried out.
     pub(super) const fn may_still_start(&self) -> bool {
         self.start_unresolved || self.starts_in_flight > 0
     }
 
     /// Returns whether the minion has started the run or reports that it has ended. Results of
-    /// other copies of the start order do not change that, as a minion starts a run at most once.
+    /// other copies of the start order do not change that, because a minion starts a run at most
+    /// once.
     pub(super) const fn has_started(&self) -> bool {
         matches!(self.order, OrderState::Started { .. } | OrderState::Ended { .. })
     }
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -61,7 +61,7 @@
         let failed = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
         let avoided = run.filter(|_| failed).map(|run| run.place.minion);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            let hint = job.hints.entry(task).or_default();
+            let hint = job.placement_hints.entry(task).or_default();
             hint.not_before_ms = now.steady_ms + if failed { FAILURE_BACKOFF_MS } else { 0 };
             hint.avoided_minion = avoided;
         }
@@ -77,7 +77,7 @@
         let all = spec.gang;
         self.update_tasks(task, all, |record| record.phase = TaskPhase::Done);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        job.hints.remove(&task);
+        job.placement_hints.remove(&task);
         job.record.occurrences.retain(|occurrence| !occurrence.is_done());
         let finished = job.record.occurrences.is_empty()
             && job.record.next_occurrence >= job.record.occurrence_count();
@@ -118,7 +118,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.record.state = state;
         job.record.finished_ms = now.wall_ms;
-        job.hints.clear();
+        job.placement_hints.clear();
         self.approvals.remove_job(id);
         self.open_jobs.remove(&id);
         self.log(format!("decision=finish job={id} state={state}"));
@@ -128,8 +128,8 @@
         self.mark_finished_record_dirty(id);
     }
 
-    /// Marks the record of a finished job for another write, compacted once the job has no runs
-    /// left.
+    /// Compacts the record of a finished job if the job has no runs left, and marks it as changed.
+    /// Returns the record's new version.
     fn mark_finished_record_dirty(&mut self, id: JobId) -> u64 {
         let has_runs = !self.runs_of_job(id).is_empty();
         if let Some(job) = self.jobs.get_mut(&id)
@@ -140,19 +140,20 @@
         self.mark_dirty(id)
     }
 
-    /// Marks a task as waiting, so that its record names no minion.
+    /// Marks a task as waiting, which removes the minion from its record.
     pub(super) fn clear_placement(&mut self, task: TaskId) {
         self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
     }
 
-    /// Ends a run that does not exist on its minion, and lets its task wait for another run.
+    /// Ends a run that does not exist on its minion, and lets its task wait for another run. With
+    /// `avoid`, the run's minion is chosen last for that run.
     pub(super) fn requeue(&mut self, task: TaskId, delay_ms: u64, avoid: bool, now: Now) {
         let minion = self.runs.get(&task).map(|run| run.place.minion.clone());
         self.end_run(task, EndKind::Stopped, &Name::default(), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && !job.record.state.is_final()
         {
-            let hint = job.hints.entry(task).or_default();
+            let hint = job.placement_hints.entry(task).or_default();
             hint.not_before_ms = now.steady_ms + delay_ms;
             hint.avoided_minion = minion.filter(|_| avoid);
         }
@@ -161,18 +162,19 @@
     fn record_checkpoint(&mut self, task: TaskId, spec: &StepSpec, checkpoint: &Name) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         // A checkpoint of any member applies to the whole gang, whose members must all resume from
-        // the same one.
+        // the same checkpoint.
         let indices = if spec.gang { 0..spec.count } else { task.index..task.index + 1 };
         for index in indices {
-            job.hints.entry(TaskId { index, ..task }).or_default().checkpoint = checkpoint.clone();
+            job.placement_hints.entry(TaskId { index, ..task }).or_default().checkpoint =
+                checkpoint.clone();
         }
     }
 
-    /// Counts consecutive failures on a minion, and quarantines it if there are too many.
+    /// Counts consecutive failures on a minion, and quarantines the minion if there are too many.
     ///
     /// A minion that fails every run frees up faster than others, so it would attract ever more
-    /// tasks and use up their attempts. A single run does not distinguish it from a job that always
-    /// fails, but consecutive failures of different jobs do.
+    /// tasks and use up their attempts. A single failed run does not show whether the minion or the
+    /// job is at fault, but consecutive failures of different jobs point to the minion.
     fn track_failures(&mut self, minion: &Name, end: &EndedTask, now: Now) {
         let Some(state) = self.minions.get_mut(minion) else { return };
         match end.kind {
@@ -230,7 +232,7 @@
         self.runs.range(first..=last).map(|(task, _)| *task).collect()
     }
 
-    /// Stops all runs of a gang, as its members cannot work without each other.
+    /// Stops all runs of a gang, because its members cannot work without each other.
     fn stop_gang(&mut self, task: TaskId, now: Now) {
         let Some(count) = self.step_spec(task).map(|step| step.count) else { return };
         for index in 0..count {
@@ -245,7 +247,7 @@
             super::Minion::new(info, run.place.agent.clone())
         });
         minion.runs.insert(task);
-        minion.used += run.reserved;
+        minion.reserved += run.reserved;
         minion.best_effort_milli_cpus += run.best_effort_milli_cpus;
         minion.serving_runs += u32::from(run.serving_milli_cpus.is_some());
         minion.serving_milli_cpus += run.serving_milli_cpus.unwrap_or(0);
@@ -260,7 +262,7 @@
         self.update_run_counts(task, &run.place.minion, false);
         if let Some(minion) = self.minions.get_mut(&run.place.minion) {
             minion.runs.remove(&task);
-            minion.used -= run.reserved;
+            minion.reserved -= run.reserved;
             minion.best_effort_milli_cpus -= run.best_effort_milli_cpus;
             minion.serving_runs -= u32::from(run.serving_milli_cpus.is_some());
             minion.serving_milli_cpus -= run.serving_milli_cpus.unwrap_or(0);
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -11,7 +11,7 @@
 use crate::{JobId, Now, TaskId};
 
 impl Coordinator {
-    /// Performs all work that is due. The driver calls it about ten times a second.
+    /// Performs all work that is due. The driver calls this method about ten times a second.
     pub fn tick(&mut self, now: Now) {
         self.mark_unresponsive_minions(now);
         self.expire_leases(now);
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Begins every occurrence of a job whose due time has passed; there are several if the
-    /// coordinator was absent.
+    /// Begins every occurrence of a job whose due time has passed; several may be due after a time
+    /// without a coordinator.
     pub(super) fn begin_due_occurrences_of_job(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let mut started = false;
@@ -76,9 +76,9 @@
 
     /// Stops runs that make no progress, so that they continue elsewhere.
     ///
-    /// Tasks may stall on a minion that appears healthy otherwise. As nothing ends, their callers
-    /// would wait forever. A run counts as stalled if its progress did not change from poll to poll
-    /// for [`STALLED_RUN_TIMEOUT_MS`]; a minion that is not polled gives no evidence.
+    /// Tasks may stall on a minion that appears healthy otherwise. Their runs never end, and
+    /// callers would wait forever. A run counts as stalled if its progress did not change from poll
+    /// to poll for [`STALLED_RUN_TIMEOUT_MS`]; a minion that is not polled gives no evidence.
     fn stop_stalled_runs(&mut self, now: Now) {
         let stalled: Vec<TaskId> = self
             .runs
@@ -90,7 +90,7 @@
             .collect();
         for task in stalled {
             let Some(step) = self.step_spec(task) else { continue };
-            // A long task takes long for each percent of its progress.
+            // A long task needs more time for each percent of its progress.
             let allowed_ms = u64::from(step.estimate_ms) / 10 + STALLED_RUN_TIMEOUT_MS;
             let Some(run) = self.runs.get(&task) else { continue };
             let minion: Name = run.place.minion.clone();
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -10,11 +10,11 @@
 use super::wait_monitor::{MAX_LINES_PER_CHECK, field_unless_zero};
 use crate::Now;
 
-/// Time that a new coordinator gives agents to link before it logs which are missing, in
-/// milliseconds; most link within half a second.
+/// Time that a new coordinator gives agents to link before it logs unreachable minions, in
+/// milliseconds; most agents link within half a second.
 const LINK_GRACE_MS: u64 = 1_000;
 /// Times at which a new coordinator logs how long it waits for a predecessor's leases, in
-/// milliseconds after its start: at once, as its term may be short, and when most agents have
+/// milliseconds after its start: at once, because its term may be short, and when most agents have
 /// linked.
 const PREDECESSOR_WAIT_LOG_DELAYS_MS: [u64; 2] = [0, LINK_GRACE_MS];
 
@@ -27,15 +27,17 @@
 
 impl Coordinator {
     /// Logs how long this coordinator waits for a predecessor's leases, and how many minions with
-    /// runs that may affect.
+    /// runs that wait may affect.
     pub(super) fn log_predecessor_wait(&mut self, now: Now) {
         let Some(after_ms) =
             PREDECESSOR_WAIT_LOG_DELAYS_MS.get(self.wait_state.predecessor_wait_lines)
         else {
             return;
         };
-        let wait_ms =
-            self.predecessor_expiry.lease_end_of_reached_agents_ms().saturating_sub(now.steady_ms);
+        let wait_ms = self
+            .predecessor_expiry
+            .lease_expiry_of_reached_agents_ms()
+            .saturating_sub(now.steady_ms);
         if wait_ms == 0 || now.steady_ms < self.wait_state.started_ms + after_ms {
             return;
         }
@@ -50,7 +52,7 @@
         ));
     }
 
-    /// Logs each unreachable minion with runs, once until it is reachable again.
+    /// Logs each unreachable minion with runs, and logs it again only after it has been reachable.
     pub(super) fn log_unreachable(&mut self, now: Now) {
         if now.steady_ms < self.wait_state.started_ms + LINK_GRACE_MS {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
@@ -1,7 +1,7 @@
 //! Tracking of waiting tasks, and log lines on why they are not placed.
 //!
 //! Nothing here affects a decision. Reasons are determined only for the few lines that are written,
-//! as hundreds of steps may wait at once.
+//! because hundreds of steps may wait at once.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 /// resolution of seconds.
 const CHECK_INTERVAL_MS: u64 = 500;
 /// Wait of a persistent task after which it is logged, in milliseconds. Users of the task notice
-/// its absence at once, and after an ordinary end it has a new run in less time.
+/// its absence at once, and after an ordinary end the task has a new run in less time.
 const PERSISTENT_LOG_DELAY_MS: u64 = 2_000;
 /// Wait of any other task after which it is logged, in milliseconds; these tasks ordinarily wait
 /// for free resources.
 const OTHER_LOG_DELAY_MS: u64 = 5_000;
 /// Interval between two lines on the same step, in milliseconds.
 const STEP_LOG_INTERVAL_MS: u64 = 5_000;
-/// Most lines of one kind that one check may write: with two checks a second, four lines a second.
+/// Maximum number of lines of one kind in one check: with two checks a second, four lines a second.
 pub(super) const MAX_LINES_PER_CHECK: usize = 2;
 
 impl Coordinator {
@@ -107,7 +107,7 @@
         let last_logged_ms = previous.and_then(|previous| previous.last_logged_ms);
         let persistent = self.step_spec(*first)?.persistent;
         if !persistent {
-            // Tasks are placed in order, so that a later first waiting task means progress.
+            // Tasks are placed in order; a later first waiting task therefore means progress.
             let since_ms = previous.filter(|previous| first.index <= previous.first_index);
             let since_ms = since_ms.map_or(now.steady_ms, |previous| previous.since_ms);
             return Some(WaitingStep {
@@ -139,8 +139,8 @@
             .collect()
     }
 
-    /// Logs why tasks are not placed, for the steps that are due: persistent ones first, then those
-    /// that were logged least recently.
+    /// Logs why tasks are not placed, for the steps that are due: persistent steps first, then the
+    /// steps that were logged least recently.
     fn log_not_placed(&mut self, now: Now) {
         let is_due = |wait: &WaitingStep| {
             let delay_ms =
@@ -198,7 +198,7 @@
 
     /// Returns the remaining backoff of a task before it may be placed, in milliseconds.
     fn remaining_backoff_ms(&self, task: TaskId, now: Now) -> u64 {
-        let hint = self.jobs.get(&task.job).and_then(|job| job.hints.get(&task));
+        let hint = self.jobs.get(&task.job).and_then(|job| job.placement_hints.get(&task));
         hint.map_or(0, |hint| hint.not_before_ms.saturating_sub(now.steady_ms))
     }
 
@@ -225,7 +225,7 @@
     }
 }
 
-/// Returns a field of a log line, or nothing for 0.
+/// Returns a field of a log line with a leading space, or an empty string for 0.
 pub(super) fn field_unless_zero(name: &str, value: u64) -> String {
     if value == 0 { String::new() } else { format!(" {name}={value}") }
 }
--- a/crates/geraniumpost-batch/src/poll_result.rs
+++ b/crates/geraniumpost-batch/src/poll_result.rs
@@ -29,7 +29,7 @@
     /// Id of the task's last checkpoint; empty for none.
     pub checkpoint: Name,
     /// Reported by the task, from 0 to 100. A run whose progress does not change is stopped as
-    /// stalled, unless it has reached 100.
+    /// stalled, unless it has reached 100 or is suspended.
     pub progress_percent: u8,
     /// For a serving task its tail latency in milliseconds, for any other task its processor use in
     /// thousandths of a processor.
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -11,13 +11,13 @@
 pub struct Releases {
     voters: Voters,
     /// End of the promise of each voter that has responded, on the successor's monotonic clock.
-    until_ms: BTreeMap<Name, u64>,
+    promise_ends_ms: BTreeMap<Name, u64>,
 }
 
 impl Releases {
     /// Returns the state before any of these voters has responded.
     pub const fn new(voters: Voters) -> Self {
-        Self { voters, until_ms: BTreeMap::new() }
+        Self { voters, promise_ends_ms: BTreeMap::new() }
     }
 
     /// Records the response of an entry's incarnation, read at `now_ms` on the monotonic clock: the
@@ -32,24 +32,24 @@
         let same = voter == incarnation;
         let remaining_ms =
             if same { remaining_ms } else { PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100 };
-        self.until_ms.entry(entry.clone()).or_insert(now_ms + remaining_ms);
+        self.promise_ends_ms.entry(entry.clone()).or_insert(now_ms + remaining_ms);
     }
 
     /// Returns the voters that have not responded to a release request.
     pub fn voters_without_response(&self) -> impl Iterator<Item = &Name> {
-        self.voters.names().filter(|entry| !self.until_ms.contains_key(*entry))
+        self.voters.names().filter(|entry| !self.promise_ends_ms.contains_key(*entry))
     }
 
     /// Returns the number of voters that have responded, or whose later incarnation has responded.
     pub fn response_count(&self) -> usize {
-        self.until_ms.len()
+        self.promise_ends_ms.len()
     }
 
     /// Returns the time on the monotonic clock after which no majority supports the silent
     /// coordinator, or `None` if too few voters have responded.
     pub fn support_end_ms(&self) -> Option<u64> {
-        let mut until_ms: Vec<u64> = self.until_ms.values().copied().collect();
-        until_ms.sort_unstable();
-        until_ms.get(self.voters.needed_to_release() - 1).copied()
+        let mut promise_ends_ms: Vec<u64> = self.promise_ends_ms.values().copied().collect();
+        promise_ends_ms.sort_unstable();
+        promise_ends_ms.get(self.voters.needed_to_release() - 1).copied()
     }
 }
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -22,9 +22,9 @@
     voters: Voters,
     /// The voters that are being written in place of the current voters. Until the write is
     /// complete, the key may hold either set, and the coordinator needs a majority of each.
-    next: Option<Voters>,
+    next_voters: Option<Voters>,
     /// Start of the last change of the voters, on the coordinator's monotonic clock.
-    changed_ms: u64,
+    last_change_ms: u64,
     promises: BTreeMap<Name, Promise>,
 }
 
@@ -32,7 +32,7 @@
     /// Returns the support at the beginning of a term, at `now_ms` on the monotonic clock; `voters`
     /// are those that the coordinator's key holds.
     pub const fn new(voters: Voters, now_ms: u64) -> Self {
-        Self { voters, next: None, changed_ms: now_ms, promises: BTreeMap::new() }
+        Self { voters, next_voters: None, last_change_ms: now_ms, promises: BTreeMap::new() }
     }
 
     /// Records an entry's promise in response to a pong that was sent at `sent_at_ms` on the
@@ -64,7 +64,7 @@
     /// coordinator without voters always has a majority, and no entry can release a promise to it.
     /// Its successor waits until the coordinator may no longer extend leases without the store.
     pub fn supported_until_ms(&self) -> u64 {
-        let sets = std::iter::once(&self.voters).chain(&self.next);
+        let sets = std::iter::once(&self.voters).chain(&self.next_voters);
         sets.map(|voters| self.majority_end_ms(voters)).min().unwrap_or(0)
     }
 
@@ -103,7 +103,7 @@
     /// a coordinator that has just taken over has not heard from any entry, and would write an
     /// empty set.
     pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
-        if now_ms < self.changed_ms + VOTER_CHANGE_INTERVAL_MS {
+        if now_ms < self.last_change_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
         }
         let responsive = self.responsive_entries(now_ms);
@@ -120,13 +120,13 @@
 
     /// Records that a write of other voters into the key began at `now_ms`.
     pub fn begin_voter_change(&mut self, voters: Voters, now_ms: u64) {
-        self.next = Some(voters);
-        self.changed_ms = now_ms;
+        self.next_voters = Some(voters);
+        self.last_change_ms = now_ms;
     }
 
     /// Records that the key holds the voters of the last [`Self::begin_voter_change`].
     pub fn complete_voter_change(&mut self) {
-        if let Some(voters) = self.next.take() {
+        if let Some(voters) = self.next_voters.take() {
             self.voters = voters;
         }
     }
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -12,7 +12,7 @@
 }
 
 /// A minion terminates while there is no coordinator that could be notified. The termination must
-/// be kept for each later coordinator until one has recorded it.
+/// be reported to each later coordinator until a coordinator has recorded it.
 #[test]
 fn termination_is_kept_until_it_is_recorded() {
     let mut departures = Departures::default();
@@ -26,7 +26,7 @@
 }
 
 /// A termination is detected twice: by the minion's own notice, and when another incarnation
-/// responds. It must be reported once.
+/// responds. The agent must report the termination once.
 #[test]
 fn termination_is_kept_once() {
     let mut departures = Departures::default();
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -1,5 +1,5 @@
-//! Learning of interference between images from measurements, and the speed limits that follow from
-//! it.
+//! Learning of interference between images from measurements, and speed limits derived from learned
+//! interference.
 
 use std::collections::BTreeMap;
 use std::f64::consts::TAU;
@@ -22,12 +22,12 @@
 const BEST_EFFORT_SHARE: f64 = 0.2;
 
 /// Simulated minions that run one serving step, with a best-effort image that starts and stops on
-/// each.
+/// each minion.
 struct Simulation {
     minions: u32,
     /// Phase lag of each minion's user load behind the previous minion's, in radians.
     lag: f64,
-    /// Utilization that the best-effort image adds if it uses all processors of a minion.
+    /// Utilization that the best-effort image would add by using all processors of a minion.
     slope: f64,
     /// Amplitude of the noise of the measured utilization.
     noise: f64,
@@ -52,7 +52,8 @@
         0.45 + 0.2 * phase.sin()
     }
 
-    /// Feeds the measurements of all minions over `ms` milliseconds into a model, and returns it.
+    /// Feeds the measurements of all minions over `ms` milliseconds into a new model, and returns
+    /// the model.
     fn run(&self, ms: u64) -> InterferenceModel {
         let mut model = InterferenceModel::default();
         // A measurement of an idle task of another step shows the image's lowest tail latency.
@@ -112,8 +113,8 @@
         prop_assert!((known - slope).abs() < 0.25, "estimated slope {known}, true slope {slope}");
     }
 
-    /// The load by a group's users must be separated from that of best-effort tasks, also if the
-    /// load has a different phase on each minion.
+    /// The load by a group's users must be separated from the effect of best-effort tasks, even if
+    /// the load has a different phase on each minion.
     #[test]
     fn user_loads_are_separated(
         slope in 0.0_f64..1.2,
@@ -171,8 +172,8 @@
 }
 
 /// A best-effort task that runs rarely shows its effect mainly by the fall of the tail latency when
-/// it ends. If this were not enough to learn the slope, an image that interferes strongly would
-/// count as harmless.
+/// the task ends. If the slope were not learned from that fall, an image that interferes strongly
+/// would count as harmless.
 #[test]
 fn slope_is_learned_from_ends_alone() {
     let mut model = InterferenceModel::default();
@@ -194,8 +195,8 @@
     assert!((slope - 0.8).abs() < 0.08, "{slope}");
 }
 
-/// Of two best-effort images one slows down the serving tasks and the other does not. Limiting the
-/// second one as well would delay its tasks without any benefit.
+/// Of two best-effort images, only the first slows down the serving tasks. Limiting the second as
+/// well would delay the tasks of that image without any benefit.
 #[test]
 fn harmless_image_is_not_limited() {
     let harmful = FullSpeedLoad { milli_cpus: 4_000.0, added_utilization: vec![0.3] };
--- a/crates/geraniumpost-batch/tests/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/tests/predecessor_leases.rs
@@ -6,8 +6,8 @@
 use geraniumpost_batch::{PredecessorLeases, SilentCoordinator, lease_expiry_bound_ms};
 
 const LEASE_MS: u64 = 5_000;
-/// Time until all leases have expired that a coordinator may extend after it has just stopped
-/// responding, in milliseconds.
+/// Time from a coordinator's last response until all leases that it may still extend have expired,
+/// in milliseconds.
 const SILENT_LEASE_EXPIRY_MS: u64 = STORE_OUTAGE_TOLERANCE_MS + lease_expiry_bound_ms(LEASE_MS);
 
 fn address(port: u16) -> SocketAddr {
@@ -15,7 +15,7 @@
 }
 
 /// Three coordinators stop responding one after the other. The fourth must wait for the leases of
-/// each of them, because the first may still extend the lease of an agent that no other process
+/// all three, because the first may still extend the lease of an agent that no other process
 /// reaches.
 #[test]
 fn leases_of_every_silent_coordinator_are_awaited() {
@@ -45,8 +45,8 @@
     assert!(third.aged_by(SILENT_LEASE_EXPIRY_MS).silent.is_empty());
 }
 
-/// A coordinator stops responding, recovers and takes over again. Its earlier term has ended, so
-/// that it must not wait for the leases of that term.
+/// A coordinator stops responding, recovers and takes over again. Its earlier term has ended, and
+/// it must not wait for the leases of that term.
 #[test]
 fn coordinator_does_not_wait_for_itself() {
     let second =
@@ -55,9 +55,9 @@
     assert_eq!(third.silent.into_keys().collect::<Vec<_>>(), [address(2)]);
 }
 
-/// A coordinator steps down and reports the agents that it did not reach. If another coordinator is
-/// lost before the next takeover, it may have reached these agents and extended their leases, so
-/// that the report no longer holds.
+/// A coordinator steps down and reports the agents that it did not reach. A coordinator that stops
+/// responding after that handover may have reached these agents and extended their leases; the
+/// report is then no longer valid.
 #[test]
 fn unreached_agents_are_kept_only_by_a_planned_handover() {
     let mut reported = PredecessorLeases::default();
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -1,5 +1,5 @@
-//! The support of entries for a coordinator, and how its successor finds out when that support has
-//! ended.
+//! The support of entries for a coordinator, and how a successor determines the end of that
+//! support.
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
@@ -38,8 +38,8 @@
     half_of_many_others_is_needed: 34 others => 17 support, 18 release;
 }
 
-/// For the coordinator a promise begins when it sent the pong that the entry responds to: the
-/// response may be delayed, so that the promise has expired when it arrives.
+/// For the coordinator a promise begins when it sent the pong that the entry responds to: a delayed
+/// response may arrive after the promise has expired.
 #[test]
 fn promise_counts_from_the_sending_of_the_pong() {
     let mut support = Support::new(voters(2), 0);
@@ -50,7 +50,8 @@
     assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
-/// A majority lasts until the first of its promises expires.
+/// A majority of the voters supports the coordinator until the first of the promises that are
+/// needed expires.
 #[test]
 fn majority_ends_with_its_first_expired_promise() {
     let mut support = Support::new(voters(4), 0);
@@ -61,8 +62,8 @@
     assert_eq!(support.supporter_count(500 + PROMISE_DURATION_MS), 2);
 }
 
-/// A restarted entry gives promises like any other, but the coordinator must not count them: the
-/// key names its earlier incarnation, which may have released its promise to the successor.
+/// A restarted entry gives promises like any other entry, but the coordinator must not count them:
+/// the key lists its earlier incarnation, which may have released its promise to the successor.
 #[test]
 fn promise_of_another_incarnation_does_not_count() {
     let mut support = Support::new(voters(1), 0);
@@ -72,8 +73,8 @@
 }
 
 /// While other voters are being written, the key may hold either set, and the successor sends
-/// release requests to the voters of the set that it reads. A coordinator that counted only one set
-/// might extend leases for too long.
+/// release requests to the voters of the set that the successor reads. A coordinator that counted
+/// only one set might extend leases for too long.
 #[test]
 fn both_sets_count_while_voters_change() {
     let mut support = Support::new(voters(1), 0);
@@ -87,7 +88,7 @@
 }
 
 /// Entries that stop responding must be left out of the next set of voters. Otherwise two lost
-/// entries of five would permanently leave no margin for the loss of a third.
+/// entries of five would permanently leave no margin for the loss of a third entry.
 #[test]
 fn silent_entries_are_removed_from_the_voters() {
     let mut support = Support::new(voters(2), 0);
@@ -110,9 +111,10 @@
     assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
-/// A new coordinator rewrites its key before it has heard from any entry. If it wrote an empty set
-/// of voters, its successor could send release requests to no entry and would wait until the
-/// coordinator may no longer extend leases without the store.
+/// A new coordinator rewrites its key before it has heard from any entry. With an empty set of
+/// voters in the key, its own successor would have no entry to ask for a release, and would have to
+/// wait for the full
+/// [`STORE_OUTAGE_TOLERANCE_MS`](geraniumpost_batch::tuning::STORE_OUTAGE_TOLERANCE_MS).
 #[test]
 fn new_coordinator_keeps_the_voters_at_first() {
     let support = Support::new(voters(2), 1_000);
@@ -120,8 +122,8 @@
     assert_eq!(support.voters_to_write(1_000 + VOTER_CHANGE_INTERVAL_MS), Some(Voters::default()));
 }
 
-/// An entry must give no promise to a coordinator that has a successor, even if it knows the
-/// successor only from its request for release.
+/// An entry must give no promise to a coordinator that has a successor, even if the entry knows the
+/// successor only from a release request.
 #[test]
 fn released_promise_is_not_renewed() {
     let mut promises = Promises::default();
@@ -133,8 +135,8 @@
     assert_eq!(promises.release(9, 1_000 + KEPT_PROMISE_MS), 200);
 }
 
-/// A successor knows when its predecessor loses its support as soon as the voters that have not
-/// responded are no longer a majority.
+/// A successor knows when its predecessor loses support as soon as the voters that have not
+/// responded can no longer form a majority with the predecessor.
 #[test]
 fn end_of_support_is_known_once_no_majority_is_left() {
     let mut releases = Releases::new(voters(3));
@@ -146,8 +148,8 @@
     assert_eq!(releases.support_end_ms(), Some(1_400));
 }
 
-/// A restarted voter does not know the promises of its earlier process, which may have given one
-/// just before it ended.
+/// A restarted voter does not know the promises of its earlier process. The earlier process may
+/// have given a promise just before it ended.
 #[test]
 fn restarted_voter_counts_as_a_promise_of_full_duration() {
     let mut releases = Releases::new(voters(1));
@@ -156,7 +158,7 @@
 }
 
 /// A coordinator without voters may extend leases without the store, and no entry can report when
-/// it stops.
+/// the coordinator stops doing so.
 #[test]
 fn end_of_support_of_a_lone_coordinator_is_unknown() {
     assert_eq!(Releases::new(Voters::default()).support_end_ms(), None);
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -20,7 +20,7 @@
 const RELEASE_REQUEST_INTERVAL_MS: u64 = 300;
 /// Interval between two attempts to write the voters, in milliseconds.
 const VOTER_WRITE_INTERVAL_MS: u64 = 500;
-/// One message in this number is lost, on average.
+/// Average number of messages of which one is lost.
 const MESSAGES_PER_LOSS: u32 = 12;
 
 /// A fault to inject.
@@ -28,7 +28,7 @@
 pub enum Fault {
     /// An entry considers the coordinator lost and tries to take over.
     TakeOver(usize),
-    /// An entry is suspended, for a time in milliseconds.
+    /// The process of an entry is frozen, for a time in milliseconds.
     Freeze(usize, u64),
     /// An entry is replaced by a new process.
     Restart(usize),
@@ -38,13 +38,14 @@
     StoreCut(usize, u64),
 }
 
-/// The result of a simulation.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Description of the first case in which a coordinator extended leases after the time at which
-    /// its successor assumes that it has stopped.
+    /// a successor assumes that the coordinator has stopped extending them.
     pub overlap: Option<String>,
-    /// Number of silent coordinators for which a successor determined the end of their leases.
+    /// Number of silent coordinators for which a successor determined when they stop extending
+    /// leases.
     pub extension_ends_determined: usize,
     /// Number of ticks in which a coordinator extended leases without the store, on the support of
     /// entries.
@@ -64,7 +65,7 @@
         from: usize,
         term: u64,
     },
-    /// Response to `Release`; it repeats the term of the request.
+    /// Response to `Release`, with the term of the request.
     Released {
         from: usize,
         incarnation: u64,
@@ -151,7 +152,7 @@
         fleet
     }
 
-    /// Injects faults, each the given number of milliseconds after the one before.
+    /// Injects faults, each the given number of milliseconds after the previous fault.
     pub fn run(mut self, faults: &[(u64, Fault)]) -> Outcome {
         for (gap_ms, fault) in faults {
             self.advance(*gap_ms);
@@ -249,7 +250,7 @@
         {
             match to {
                 None => self.execute_in_store(incarnation, message),
-                // Messages to an earlier process are lost with its connections.
+                // Messages to an earlier process are lost with the connections of that process.
                 Some(to) if self.processes[to].incarnation == incarnation => {
                     self.receive(to, message);
                 }
@@ -409,7 +410,7 @@
         };
         let supports = process.last_pong.and_then(promise);
         for to in (0..self.processes.len()).filter(|to| *to != entry) {
-            // Entries that do not know the successor still ping a disconnected coordinator.
+            // Entries that do not know of a successor still ping the earlier coordinator.
             if to == holder || self.processes[to].term.is_some() {
                 self.send(entry, to, Message::Ping { from: entry, incarnation, supports });
             }
@@ -417,7 +418,7 @@
     }
 
     /// Checks that no coordinator extends leases after the time at which a successor assumes that
-    /// it has stopped.
+    /// the coordinator has stopped extending them.
     fn check_lease_overlap(&mut self) {
         let now_ms = self.now_ms;
         for process in &self.processes {
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -1,5 +1,5 @@
 //! Simulates entries that take over from each other. No coordinator may extend leases after the
-//! time at which its successor assumes that it has stopped.
+//! time at which its successor assumes that the coordinator has stopped extending them.
 //!
 //! The rules are those of [`quorum`](geraniumpost_batch::quorum). Entries freeze and restart,
 //! messages are delayed, reordered and lost, the store responds late, and clocks run 2% apart.
@@ -43,7 +43,7 @@
     #![proptest_config(proptest_config())]
 
     /// A disconnected or frozen coordinator that extends leases for too long keeps tasks running
-    /// that its successor starts elsewhere, so that a caller gets two results.
+    /// that its successor starts elsewhere, and a caller gets two results.
     #[test]
     fn no_lease_is_extended_after_its_end(seed in any::<u64>(), faults in faults()) {
         let outcome = Fleet::new(5, seed).run(&faults);
@@ -51,9 +51,9 @@
     }
 }
 
-/// The simulation must cover the relevant cases: successors that determine the end of a
-/// predecessor's leases, and coordinators that extend leases without the store. Otherwise it would
-/// pass whatever the rules are.
+/// The simulation must cover the relevant cases: successors that determine when a predecessor stops
+/// extending leases, and coordinators that extend leases without the store. Otherwise the
+/// simulation would pass with wrong rules.
 #[test]
 fn simulation_covers_ends_and_extensions() {
     let outcomes = (0..40).map(|seed| {
--- a/crates/geraniumpost-batch/tests/succession/process.rs
+++ b/crates/geraniumpost-batch/tests/succession/process.rs
@@ -20,8 +20,8 @@
     pub voter_writes: u64,
     /// The releases of promises to the silent predecessors, by their terms.
     pub releases: BTreeMap<u64, Releases>,
-    /// Time after which each silent predecessor extends no leases, by its term, on the process's
-    /// clock.
+    /// Time after which each silent predecessor extends no leases, by the predecessor's term, on
+    /// this process's clock.
     pub extension_ends_ms: BTreeMap<u64, u64>,
 }
 
@@ -62,7 +62,8 @@
         self.is_supported(now_ms) || now_ms < self.requested_ms + STORE_CONFIRMATION_VALIDITY_MS
     }
 
-    /// Records for each silent predecessor when it stops extending leases, once that is known.
+    /// Records the time at which each silent predecessor stops extending leases, once that time is
+    /// known.
     pub fn record_extension_ends(&mut self) {
         for (term, releases) in &self.releases {
             if let Some(until_ms) = releases.support_end_ms() {
@@ -77,11 +78,11 @@
 #[derive(Debug)]
 pub struct Process {
     pub incarnation: u64,
-    /// How far its clock is fast, in thousandths; negative if it is slow.
+    /// Drift of the process's clock in thousandths; negative if the clock is slow.
     pub clock_drift: i64,
-    /// End of its suspension, in real time.
+    /// Time until which the process is frozen, in milliseconds of real time.
     pub frozen_until_ms: u64,
-    /// End of its disconnection from the store, in real time.
+    /// Time until which the process does not reach the store, in milliseconds of real time.
     pub store_cut_until_ms: u64,
     pub promises: Promises,
     /// The last pong that the process received: when the coordinator sent it, and when it arrived
@@ -103,12 +104,13 @@
         }
     }
 
-    /// Returns the time on the process's clock.
+    /// Converts a real time to a time on the process's clock.
     pub const fn clock_ms(&self, real_ms: u64) -> u64 {
         real_ms * 1_000_u64.saturating_add_signed(self.clock_drift) / 1_000
     }
 
-    /// Replaces the process by a new one, which knows no promises of the earlier one.
+    /// Replaces the process by a new process, which does not know the promises of the earlier
+    /// process.
     pub fn restart(&mut self) {
         let (incarnation, clock_drift) = (self.incarnation + 1, self.clock_drift);
         *self = Self {
