--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -22,7 +22,8 @@
     utilization: f64,
 }
 
-/// Expected speed of a best-effort task on a minion, and its effect there.
+/// Expected speed of a best-effort task on a minion, and its effect on the headroom of serving
+/// tasks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BestEffortSpeed {
     /// Fraction of full speed, from 0 to 1, that unused processors allow.
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -17,7 +17,7 @@
     pub(super) write_in_flight: bool,
     /// State in the last committed record.
     pub(super) committed_state: JobState,
-    /// Whether any task has started, so that callers see the job as running.
+    /// Whether any task has started; callers then see the job as running.
     pub(super) started: bool,
     /// Actions to run once the current version is committed.
     pub(super) after_commit: Vec<DeferredAction>,
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -54,7 +54,8 @@
     pub(super) fn lease_expiry_ms_and_origin(&self, agent: &Name) -> (u64, bool) {
         let predecessor_ms = self.predecessor_expiry.lease_expiry_ms(agent);
         let Some(agent) = self.agents.get(agent) else { return (predecessor_ms, true) };
-        // An agent that has linked to this coordinator accepts no lease from an earlier one.
+        // An agent that has linked to this coordinator accepts no lease from an earlier
+        // coordinator.
         let link_expiry_ms =
             agent.first_linked_ms.map(|linked_ms| linked_ms + lease_expiry_bound_ms(self.lease_ms));
         let predecessor_ms = link_expiry_ms.unwrap_or(predecessor_ms).min(predecessor_ms);
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -2,7 +2,7 @@
 
 use super::run::{OrderState, Run};
 use super::{Coordinator, Effect};
-use crate::tuning::{NO_CAPACITY_BACKOFF_MS, QUARANTINE_DURATION_MS};
+use crate::tuning::{QUARANTINE_DURATION_MS, REFUSAL_BACKOFF_MS};
 use crate::{Now, OrderKindTag, OrderOutcome, OrderResult, TaskId};
 
 /// Number of start orders after which a run is stopped on its minion if the last order had no
@@ -94,7 +94,7 @@
         if self.runs.get(&task).is_some_and(Run::may_still_start) {
             self.send_stop(task, now);
         } else {
-            self.requeue(task, NO_CAPACITY_BACKOFF_MS, true, now);
+            self.requeue(task, REFUSAL_BACKOFF_MS, true, now);
         }
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -29,7 +29,7 @@
     lateness: u8,
     /// The queue's priority; 0 is the most urgent.
     priority: u32,
-    /// Whether the job never ends, and so never releases resources for the next one.
+    /// Whether the job never ends, and so never releases resources for the next job.
     persistent: bool,
     /// Remaining work, in processor milliseconds. Under overload, placing the job with the least
     /// work first completes the most jobs in time; ordered by the end of their objectives, all jobs
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -78,7 +78,8 @@
     ///
     /// Tasks may stall on a minion that appears healthy otherwise. Their runs never end, and
     /// callers would wait forever. A run counts as stalled if its progress did not change from poll
-    /// to poll for [`STALLED_RUN_TIMEOUT_MS`]; a minion that is not polled gives no evidence.
+    /// to poll for [`STALLED_RUN_TIMEOUT_MS`] plus a tenth of the task's estimated duration; a
+    /// minion that is not polled gives no evidence.
     fn stop_stalled_runs(&mut self, now: Now) {
         let stalled: Vec<TaskId> = self
             .runs
--- a/crates/geraniumpost-batch/src/interference/mod.rs
+++ b/crates/geraniumpost-batch/src/interference/mod.rs
@@ -2,8 +2,8 @@
 //! measurements of tail latency and processor use.
 //!
 //! Submitters cannot declare how much tasks on a shared minion interfere; only the tail latencies
-//! of serving tasks show it. A tail latency grows like that of a queue: a task that is busy for a
-//! share `u` of the time has a tail latency of `idle / (1 - u)`. In terms of this
+//! of serving tasks show it. A tail latency grows as in a queue: a task that is busy for a share
+//! `u` of the time has a tail latency of `idle / (1 - u)`. In terms of this
 //! [utilization](ServingImage::utilization) `u` the causes are additive: the load of the task's
 //! users, and for each best-effort image a [slope](Slope) times the share of the minion's
 //! processors that the image uses. The tail latency itself is not additive; close to its bound, it
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -29,8 +29,8 @@
 /// at any time. If so, the groups together show the user load sooner and more reliably than each
 /// group alone, and a difference between two minions immediately shows which image interferes. If
 /// not, a common baseline would attribute differences in user load to best-effort tasks. Therefore
-/// both the step's and the group's baseline predict each measurement, and the one with the smaller
-/// mean squared residual is used.
+/// both the step's and the group's baseline predict each measurement, and the baseline with the
+/// smaller mean squared residual is used.
 #[derive(Debug, Default)]
 struct ServingStep {
     baseline: Baseline,
--- a/crates/geraniumpost-batch/src/interference/slope.rs
+++ b/crates/geraniumpost-batch/src/interference/slope.rs
@@ -1,4 +1,4 @@
-/// The utilization that a best-effort image adds to a serving image if it uses all processors of a
+/// The utilization that a best-effort image adds to a serving image when using all processors of a
 /// minion.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Slope {
--- a/crates/geraniumpost-batch/src/interference_pair.rs
+++ b/crates/geraniumpost-batch/src/interference_pair.rs
@@ -8,8 +8,8 @@
     pub serving: Name,
     /// Image of the best-effort tasks that cause the slowdown.
     pub best_effort: Name,
-    /// Utilization that the best-effort image adds to the serving one if it uses all processors of
-    /// a minion.
+    /// Utilization that the best-effort image adds to the serving image when using all processors
+    /// of a minion.
     pub slope: f64,
     /// Standard deviation of the slope's estimate.
     pub deviation: f64,
--- a/crates/geraniumpost-batch/src/minion_info.rs
+++ b/crates/geraniumpost-batch/src/minion_info.rs
@@ -14,7 +14,7 @@
     pub domain: Name,
     /// Total resources, including those in use.
     pub capacity: Demand,
-    /// Labels of the minion, among them its machine type; the last one is its rack.
+    /// Labels of the minion, among them its machine type; the last label is the minion's rack.
     pub labels: Vec<Name>,
     /// Whether the minion is draining and will terminate.
     pub draining: bool,
--- a/crates/geraniumpost-batch/src/step_spec.rs
+++ b/crates/geraniumpost-batch/src/step_spec.rs
@@ -26,7 +26,7 @@
     pub required_label: Name,
     /// Rack that stores the step's data; empty for none.
     pub data_rack: Name,
-    /// Limit on the tasks of the step on one minion; 0 for no limit.
+    /// Maximum number of tasks of the step on one minion; 0 for no limit.
     pub max_per_minion: u32,
     /// Whether several runs of a task may exist at the same time.
     pub copies_allowed: bool,
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -3,8 +3,8 @@
 /// How long a finished job's state can be read, in milliseconds: the two minutes that callers are
 /// promised, plus 10%.
 pub const FINISHED_JOB_RETENTION_MS: u64 = 132_000;
-/// Maximum number of job records in one write. The store takes 32 entries in a transaction, of
-/// which one is the coordinator's key and one may be the interference snapshot.
+/// Maximum number of job records in one write. The store takes 32 entries in a transaction; one
+/// entry is the coordinator's key, and another may be the interference snapshot.
 pub const MAX_RECORDS_PER_WRITE: usize = 30;
 /// Size of the job records in a write, in bytes, from which no further record is added. This keeps
 /// the body of a transaction well below the store's largest value.
@@ -21,9 +21,8 @@
 pub const ORDER_RESULT_TIMEOUT_MS: u64 = 2_500;
 /// Delay before a failed task is placed again, in milliseconds.
 pub const FAILURE_BACKOFF_MS: u64 = 50;
-/// Delay before a task that a minion refused for lack of resources is placed again, in
-/// milliseconds.
-pub const NO_CAPACITY_BACKOFF_MS: u64 = 150;
+/// Delay before a task that a minion refused is placed again, in milliseconds.
+pub const REFUSAL_BACKOFF_MS: u64 = 150;
 /// Time until a lease has expired on any minion's clock, in percent of its duration: clocks may be
 /// 2% slow.
 pub const LEASE_EXPIRY_PERCENT: u64 = 103;
@@ -34,10 +33,12 @@
 /// a hundred fails through a fault of its own task; two such failures in a row occur in one case in
 /// ten thousand.
 pub const QUARANTINE_FAILURES: u32 = 2;
-/// Time for which a quarantined minion gets no tasks, in milliseconds. Afterwards it gets one task
-/// as a trial.
+/// Time for which a quarantined minion gets no tasks, in milliseconds. After a quarantine for
+/// failures, the next failed run of another job starts a new quarantine, unless a run has succeeded
+/// first.
 pub const QUARANTINE_DURATION_MS: u64 = 2_500;
-/// Time without progress after which a run counts as stalled, in milliseconds.
+/// Time without progress after which a run counts as stalled, in milliseconds; a tenth of the
+/// task's estimated duration is added.
 pub const STALLED_RUN_TIMEOUT_MS: u64 = 1_800;
 /// Maximum share of a minion's memory that may be reserved once a best-effort task is placed, in
 /// percent. The rest stays free for small urgent tasks and serving tasks.
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -17,7 +17,7 @@
 fn termination_is_kept_until_it_is_recorded() {
     let mut departures = Departures::default();
     departures.record_termination_notice(&name("m1"));
-    assert!(unrecorded_names(&departures).is_empty(), "it may still be running");
+    assert!(unrecorded_names(&departures).is_empty(), "m1 may still be running");
     assert!(!departures.is_empty());
     departures.record_terminated(&name("m1"));
     assert_eq!(unrecorded_names(&departures), ["m1"]);
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -18,7 +18,7 @@
 const MEASUREMENT_INTERVAL_MS: u64 = 400;
 /// Period of the load by each minion's users, in milliseconds.
 const LOAD_PERIOD_MS: f64 = 14_000.0;
-/// Share of a minion's processors that the best-effort image uses while it runs.
+/// Share of a minion's processors that a running best-effort image uses.
 const BEST_EFFORT_SHARE: f64 = 0.2;
 
 /// Simulated minions that run one serving step, with a best-effort image that starts and stops on
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -96,7 +96,7 @@
     support.record_promise(&entry(3), INCARNATION, 9_000);
     let next = support
         .voters_to_write(5_000 + VOTER_TIMEOUT_MS)
-        .expect("the voters should change, as two entries do not answer");
+        .expect("the voters should change, because two entries do not respond");
     assert_eq!(next.names().collect::<Vec<_>>(), [&entry(3)]);
 }
 
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -72,35 +72,40 @@
         term: u64,
         remaining_ms: u64,
     },
-    /// Requests to the store.
+    /// Request to the store to confirm that the sender holds the key.
     Confirm {
         from: usize,
         requested_ms: u64,
     },
+    /// Request to the store to take over the key, if the key still has this revision.
     TakeOver {
         from: usize,
         revision: u64,
         requested_ms: u64,
     },
+    /// Request to the store to replace the voters of the sender's term.
     WriteVoters {
         from: usize,
         write: u64,
         voters: Voters,
     },
-    /// Responses of the store.
+    /// Response of the store to `Confirm`.
     Confirmed {
         term: u64,
         requested_ms: u64,
     },
+    /// Response of the store to `TakeOver`, with the voters of all terms in the key.
     TookOver {
         term: u64,
         requested_ms: u64,
         voters: BTreeMap<u64, Voters>,
     },
+    /// Response of the store to `WriteVoters`.
     VotersWritten {
         term: u64,
         write: u64,
     },
+    /// Response of the store to a sender that does not hold the key or knows an old revision.
     Superseded,
 }
 
@@ -439,7 +444,7 @@
             if let Some(other) = self.processes.iter().find(ended) {
                 let successor = other.term.as_ref().map(|term| term.number);
                 self.outcome.overlap.get_or_insert(format!(
-                    "term {} extends leases at {now_ms} ms beside its successor {successor:?}",
+                    "term {} extends leases at {now_ms} ms, later than its successor {successor:?} assumes",
                     term.number
                 ));
             }
