--- a/crates/geraniumpost-batch/src/coordinator/best_effort_tasks.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_tasks.rs
@@ -1,7 +1,7 @@
 /// The best-effort runs of one image on a minion.
 #[derive(Debug, Clone)]
 pub(super) struct BestEffortTasks {
-    pub(super) runs: i32,
+    pub(super) run_count: i32,
     /// Processors that all runs together could use at full speed, in thousandths of a processor.
     pub(super) milli_cpus: i64,
     /// Pace last set for all runs, in percent of full speed.
@@ -10,7 +10,7 @@
 
 impl Default for BestEffortTasks {
     fn default() -> Self {
-        Self { runs: 0, milli_cpus: 0, pace_percent: 100 }
+        Self { run_count: 0, milli_cpus: 0, pace_percent: 100 }
     }
 }
 
--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -13,7 +13,7 @@
         /// Id that was passed to
         /// [`Coordinator::handle_request`](super::Coordinator::handle_request).
         request_id: u64,
-        /// What the caller gets.
+        /// Response that is passed on to the caller.
         response: CallerResponse,
     },
     /// Send a message to an agent.
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -20,7 +20,7 @@
     spec: &'a StepSpec,
     terms: &'a QueueTerms,
     /// Whether the task ran before, in which case it may use the reserve for short tasks.
-    ran: bool,
+    ran_before: bool,
 }
 
 impl Coordinator {
@@ -31,8 +31,8 @@
         spec: &'a StepSpec,
     ) -> Option<TaskRequirements<'a>> {
         let terms = &self.jobs.get(&task.job)?.record.terms;
-        let ran = self.task_record(task).is_some_and(|record| record.run > 0);
-        Some(TaskRequirements { task, spec, terms, ran })
+        let ran_before = self.task_record(task).is_some_and(|record| record.run > 0);
+        Some(TaskRequirements { task, spec, terms, ran_before })
     }
 
     /// Returns why a minion cannot take a task, or `None` if it can.
@@ -43,18 +43,18 @@
         minion: &Minion,
         now: Now,
     ) -> Option<Rejection> {
-        let TaskRequirements { task, spec, terms, ran } = *requirements;
+        let TaskRequirements { task, spec, terms, ran_before } = *requirements;
         let rejection = step_rejection(minion, &terms.service, spec, now);
         if rejection.is_some() {
             return rejection;
         }
         if !is_below_limit_per_minion(task, spec, minion) {
-            return Some(Rejection::Spread);
+            return Some(Rejection::PerMinionLimit);
         }
         if terms.needs_approval && self.approvals.ticket(task, &minion.info.id, now).is_none() {
             return Some(Rejection::NoApproval);
         }
-        let is_reserved = !ran && !leaves_short_task_reserve(minion, spec);
+        let is_reserved = !ran_before && !leaves_short_task_reserve(minion, spec);
         is_reserved.then_some(Rejection::ReservedForShort)
     }
 }
@@ -77,7 +77,7 @@
         return Some(Rejection::OtherService);
     }
     if !spec.required_label.is_empty() && !minion.has_label(&spec.required_label) {
-        return Some(Rejection::Label);
+        return Some(Rejection::MissingLabel);
     }
     minion_rejection(minion, now).or_else(|| capacity_rejection(minion, spec))
 }
@@ -104,7 +104,7 @@
 #[inline]
 fn capacity_rejection(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
     if spec.best_effort && minion.over_bound_ms > 0 {
-        return Some(Rejection::OverBound);
+        return Some(Rejection::LatencyOverBound);
     }
     let fits = reserved_resources(spec).fits(available_resources(minion, spec));
     (!fits).then_some(Rejection::NoCapacity)
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -125,15 +125,15 @@
         let change = if added { 1 } else { -1 };
         if step.best_effort {
             let tasks = minion.best_effort_images.entry(step.image.clone()).or_default();
-            tasks.runs += change;
+            tasks.run_count += change;
             tasks.milli_cpus += i64::from(change) * step.demand.milli_cpus;
-            if tasks.runs <= 0 {
+            if tasks.run_count <= 0 {
                 minion.best_effort_images.remove(&step.image);
             }
         } else if step.is_serving() {
             let serving = minion.serving_images.entry(step.image.clone()).or_default();
-            serving.runs = serving.runs.saturating_add_signed(change);
-            if serving.runs == 0 {
+            serving.run_count = serving.run_count.saturating_add_signed(change);
+            if serving.run_count == 0 {
                 minion.serving_images.remove(&step.image);
             }
         } else {
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -13,9 +13,9 @@
     pub(super) version: u64,
     /// Latest version of the record that the store is known to hold; 0 for none.
     pub(super) durable_version: u64,
-    /// Whether a write of this record is in flight.
+    /// Whether a write of this record is in flight; a record is in at most one batch at a time.
     pub(super) write_in_flight: bool,
-    /// State in the last committed record.
+    /// State in the last committed record; before the first commit, the initial state.
     pub(super) committed_state: JobState,
     /// Whether any task has started; callers then see the job as running.
     pub(super) started: bool,
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct EntrySupport {
     /// End of the majority's promise to follow no successor, on the monotonic clock.
-    until_ms: u64,
+    supported_until_ms: u64,
     supporters: usize,
     /// The basis that was last logged, and the time of that line on the monotonic clock.
     last_logged: Option<(Option<LeaseBasis>, u64)>,
@@ -34,7 +34,7 @@
     /// Sets the time until which a majority of entries supports this coordinator, on the monotonic
     /// clock, and the number of other entries that support it now.
     pub const fn set_supported_until(&mut self, steady_ms: u64, supporters: usize) {
-        self.support.until_ms = steady_ms;
+        self.support.supported_until_ms = steady_ms;
         self.support.supporters = supporters;
     }
 
@@ -47,7 +47,7 @@
         if now.steady_ms >= self.confirmation_requested_ms + STORE_OUTAGE_TOLERANCE_MS {
             return None;
         }
-        if now.steady_ms < self.support.until_ms {
+        if now.steady_ms < self.support.supported_until_ms {
             return Some(LeaseBasis::Entries);
         }
         if now.steady_ms < self.confirmation_requested_ms + STORE_CONFIRMATION_VALIDITY_MS {
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -29,7 +29,7 @@
     /// Processors that its serving runs reserve, in thousandths of a processor.
     pub(super) serving_milli_cpus: i64,
     /// Number of runs that serve users within a latency bound.
-    pub(super) serving_runs: u32,
+    pub(super) serving_run_count: u32,
     pub(super) runs: BTreeSet<TaskId>,
     /// Sequence number of the last handled end of a run.
     pub(super) last_end_sequence: u64,
@@ -42,7 +42,8 @@
     pub(super) resend_acknowledgement: bool,
     /// Failures since the last successful run; consecutive failures of one job count once.
     pub(super) consecutive_failures: u32,
-    /// The job of the last failed run.
+    /// Job of the last failed run; its further failures are not counted until another job fails or
+    /// a run succeeds.
     pub(super) last_failed_job: Option<JobId>,
     /// Time before which no task is placed on the minion, on the monotonic clock.
     pub(super) quarantined_until_ms: u64,
@@ -55,11 +56,11 @@
     /// Longest time for which any serving run has been over its latency bound, in milliseconds; 0
     /// if none is.
     pub(super) over_bound_ms: u64,
-    /// Serving runs by image.
+    /// Number and tail latency of the serving runs, by image.
     pub(super) serving_images: BTreeMap<Name, ServingTasks>,
     /// Headroom of each group of serving runs at the current paces of the best-effort runs.
     pub(super) headroom: Vec<Headroom>,
-    /// Best-effort runs by image.
+    /// Number, processors and pace of the best-effort runs, by image.
     pub(super) best_effort_images: BTreeMap<Name, BestEffortTasks>,
 }
 
@@ -75,7 +76,7 @@
             reserved: Demand::default(),
             best_effort_milli_cpus: 0,
             serving_milli_cpus: 0,
-            serving_runs: 0,
+            serving_run_count: 0,
             runs: BTreeSet::new(),
             last_end_sequence: 0,
             unacknowledged: VecDeque::new(),
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -39,7 +39,8 @@
     }
 
     /// Orders the paces that serving tasks tolerate, for images whose current pace differs enough.
-    /// Suspends all best-effort tasks if a tail latency exceeded its bound for too long.
+    /// Suspends all best-effort tasks if a tail latency has exceeded its bound for
+    /// [`MAX_OVER_BOUND_MS`].
     fn order_due_pace_changes(&mut self, id: &Name, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
         if minion.best_effort_images.is_empty() {
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -241,7 +241,7 @@
     }
 
     /// Returns the rack on which a step's tasks should run: the rack that stores its data, the rack
-    /// of its running tasks, or the rack with capacity for most of its tasks.
+    /// of a task that is already placed, or the rack with capacity for most of its tasks.
     pub(super) fn preferred_rack(
         &self,
         first: TaskId,
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -19,14 +19,14 @@
 #[derive(Debug, Clone, Copy)]
 struct SilentLeaseExpiry {
     term: u64,
-    until_ms: u64,
+    expiry_ms: u64,
 }
 
 /// Expiry times, on the monotonic clock, of the leases that earlier coordinators may have extended.
 #[derive(Debug, Default)]
 pub(super) struct PredecessorExpiry {
     /// Expiry of the leases that the direct predecessor extended.
-    pub(super) predecessor_ms: u64,
+    pub(super) direct_predecessor_expiry_ms: u64,
     /// Expiry of the leases that silent coordinators may still extend, by the coordinator's
     /// address.
     silent: BTreeMap<SocketAddr, SilentLeaseExpiry>,
@@ -40,10 +40,10 @@
         let from_now = |ms: &u64| now.steady_ms + ms;
         let expiry = |silent: &SilentCoordinator| SilentLeaseExpiry {
             term: silent.term,
-            until_ms: from_now(&silent.remaining_ms),
+            expiry_ms: from_now(&silent.remaining_ms),
         };
         Self {
-            predecessor_ms: now.steady_ms + lease_expiry_bound_ms(lease_ms),
+            direct_predecessor_expiry_ms: now.steady_ms + lease_expiry_bound_ms(lease_ms),
             silent: leases
                 .silent
                 .iter()
@@ -61,20 +61,23 @@
     pub(super) fn lease_expiry_ms(&self, agent: &Name) -> u64 {
         self.silent
             .values()
-            .map(|expiry| expiry.until_ms)
+            .map(|expiry| expiry.expiry_ms)
             .fold(self.lease_expiry_without_silent_ms(agent), u64::max)
     }
 
     /// Returns the time by which leases from earlier coordinators have expired for an agent that
     /// the direct predecessor did not report as unreached.
     pub(super) fn lease_expiry_of_reached_agents_ms(&self) -> u64 {
-        self.silent.values().map(|expiry| expiry.until_ms).fold(self.predecessor_ms, u64::max)
+        self.silent
+            .values()
+            .map(|expiry| expiry.expiry_ms)
+            .fold(self.direct_predecessor_expiry_ms, u64::max)
     }
 
     /// Returns the time by which an agent's leases have expired if no silent coordinator extends
     /// them.
     fn lease_expiry_without_silent_ms(&self, agent: &Name) -> u64 {
-        self.unreached.get(agent).copied().unwrap_or(self.predecessor_ms)
+        self.unreached.get(agent).copied().unwrap_or(self.direct_predecessor_expiry_ms)
     }
 }
 
@@ -104,8 +107,8 @@
     pub fn limit_predecessor_leases(&mut self, address: SocketAddr, steady_ms: u64) {
         let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let Some(expiry) = self.predecessor_expiry.silent.get_mut(&address) else { return };
-        let earlier_by_ms = expiry.until_ms.saturating_sub(until_ms);
-        expiry.until_ms = until_ms.min(expiry.until_ms);
+        let earlier_by_ms = expiry.expiry_ms.saturating_sub(until_ms);
+        expiry.expiry_ms = until_ms.min(expiry.expiry_ms);
         self.log(format!("event=predecessor_ended at={address} earlier_by_ms={earlier_by_ms}"));
         self.leases_for_successor_changed = true;
     }
@@ -116,7 +119,7 @@
         let silent = self.predecessor_expiry.silent.iter().map(|(address, expiry)| {
             (
                 *address,
-                SilentCoordinator { term: expiry.term, remaining_ms: left(&expiry.until_ms) },
+                SilentCoordinator { term: expiry.term, remaining_ms: left(&expiry.expiry_ms) },
             )
         });
         let unreached =
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -17,7 +17,7 @@
     OtherService,
     /// The minion lacks the label that the step requires.
     #[display("label")]
-    Label,
+    MissingLabel,
     /// The minion was not polled over the current link.
     #[display("not_polled")]
     NotPolled,
@@ -35,13 +35,13 @@
     /// A serving task on the minion is over its latency bound; the minion gets no further
     /// best-effort tasks meanwhile.
     #[display("over_bound")]
-    OverBound,
+    LatencyOverBound,
     /// The minion's free resources are less than the task reserves.
     #[display("no_capacity")]
     NoCapacity,
     /// The minion runs as many tasks of the step as the step allows on one minion.
     #[display("spread")]
-    Spread,
+    PerMinionLimit,
     /// The admission service has given no valid ticket.
     #[display("no_approval")]
     NoApproval,
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -6,7 +6,7 @@
     pub(super) place: Place,
     pub(super) number: u32,
     pub(super) order: OrderState,
-    /// Resources that the run reserves on the minion.
+    /// Resources that the run reserves on the minion; no processors for a best-effort run.
     pub(super) reserved: Demand,
     /// Processors that the run could use as a best-effort run, in thousandths of a processor; 0 for
     /// other runs.
@@ -34,7 +34,7 @@
     pub(super) measurement: u32,
     /// Start of the current excess of the tail latency over its bound, on the monotonic clock.
     pub(super) over_bound_since_ms: Option<u64>,
-    /// Number of start orders sent.
+    /// Number of copies of the start order that this coordinator has sent, over all links.
     pub(super) start_count: u32,
     /// Number of copies of the start order that were sent over the current link and have no result
     /// yet.
@@ -59,7 +59,7 @@
     /// The minion reports that the run has ended. A poll that began after the agent had reported
     /// `results_reported` order results lists its end.
     Ended { results_reported: u64 },
-    /// A stop was sent.
+    /// A stop was sent, and the minion has not accepted it yet.
     Stopping { at_ms: u64 },
     /// The minion has accepted the stop. A poll that began after the agent had reported
     /// `results_reported` order results does not list the run as running.
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -249,7 +249,7 @@
         minion.runs.insert(task);
         minion.reserved += run.reserved;
         minion.best_effort_milli_cpus += run.best_effort_milli_cpus;
-        minion.serving_runs += u32::from(run.serving_milli_cpus.is_some());
+        minion.serving_run_count += u32::from(run.serving_milli_cpus.is_some());
         minion.serving_milli_cpus += run.serving_milli_cpus.unwrap_or(0);
         let id = run.place.minion.clone();
         self.runs.insert(task, run);
@@ -264,7 +264,7 @@
             minion.runs.remove(&task);
             minion.reserved -= run.reserved;
             minion.best_effort_milli_cpus -= run.best_effort_milli_cpus;
-            minion.serving_runs -= u32::from(run.serving_milli_cpus.is_some());
+            minion.serving_run_count -= u32::from(run.serving_milli_cpus.is_some());
             minion.serving_milli_cpus -= run.serving_milli_cpus.unwrap_or(0);
         }
         Some(run)
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -52,7 +52,8 @@
         ));
     }
 
-    /// Logs each unreachable minion with runs, and logs it again only after it has been reachable.
+    /// Logs each unreachable minion with runs, and logs it again only after it has been reachable
+    /// or without runs.
     pub(super) fn log_unreachable(&mut self, now: Now) {
         if now.steady_ms < self.wait_state.started_ms + LINK_GRACE_MS {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/wait_state.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_state.rs
@@ -20,9 +20,10 @@
     /// Start of the current downtime of each persistent task that is down, on the monotonic clock:
     /// it has no started run, or the run's minion is unreachable.
     pub(super) down_since_ms: BTreeMap<TaskId, u64>,
-    /// Minions that were logged as unreachable.
+    /// Unreachable minions with runs that were logged, and are not logged again while they stay so.
     pub(super) logged_unreachable: BTreeSet<Name>,
-    /// Number of lines logged on the wait for a predecessor's leases.
+    /// Number of lines logged on the wait for a predecessor's leases; index of the next delay in
+    /// `PREDECESSOR_WAIT_LOG_DELAYS_MS`.
     pub(super) predecessor_wait_lines: usize,
 }
 
--- a/crates/geraniumpost-batch/src/interference/model.rs
+++ b/crates/geraniumpost-batch/src/interference/model.rs
@@ -24,19 +24,19 @@
 }
 
 impl InterferenceModel {
-    /// Learns from the tail latency of a serving group, as a multiple of its bound. `used` holds
-    /// the share of the minion's processors, from 0 to 1, that each best-effort image used at that
-    /// time.
+    /// Learns from the tail latency of a serving group, as a multiple of its bound. `cpu_shares`
+    /// holds the share of the minion's processors, from 0 to 1, that each best-effort image used at
+    /// that time.
     pub fn observe(
         &mut self,
         image: &Name,
         group: &ServingGroup,
         tail_latency_ratio: f64,
-        used: &BTreeMap<Name, f64>,
+        cpu_shares: &BTreeMap<Name, f64>,
         now_ms: u64,
     ) {
         let mut shares = Vec::new();
-        for (best_effort, share) in used {
+        for (best_effort, share) in cpu_shares {
             let index = self.best_effort_index(best_effort);
             shares.resize(shares.len().max(index + 1), 0.0);
             shares[index] += share;
--- a/crates/geraniumpost-batch/src/order.rs
+++ b/crates/geraniumpost-batch/src/order.rs
@@ -49,7 +49,7 @@
     pub task: TaskId,
     /// Number of the run that the order was for.
     pub run: u32,
-    /// What the order asked for.
+    /// Kind of the order that led to this result.
     pub kind_tag: OrderKindTag,
     /// The minion's response, or why there is none.
     pub outcome: OrderOutcome,
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -34,8 +34,8 @@
 /// ten thousand.
 pub const QUARANTINE_FAILURES: u32 = 2;
 /// Time for which a quarantined minion gets no tasks, in milliseconds. After a quarantine for
-/// failures, the next failed run of another job starts a new quarantine, unless a run has succeeded
-/// first.
+/// failures, the next failed run of another job starts a new quarantine, unless a run on the minion
+/// has succeeded first.
 pub const QUARANTINE_DURATION_MS: u64 = 2_500;
 /// Time without progress after which a run counts as stalled, in milliseconds; a tenth of the
 /// task's estimated duration is added.
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -23,7 +23,7 @@
 /// Average number of messages of which one is lost.
 const MESSAGES_PER_LOSS: u32 = 12;
 
-/// A fault to inject.
+/// Faults of processes, links and the connection to the store.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// An entry considers the coordinator lost and tries to take over.
@@ -109,7 +109,7 @@
     Superseded,
 }
 
-/// The coordinator's key in the store.
+/// Value of the coordinator's key in the store.
 #[derive(Debug, Default)]
 struct CoordinatorKey {
     revision: u64,
@@ -201,7 +201,7 @@
         self.rng.random_ratio(1, MESSAGES_PER_LOSS)
     }
 
-    /// Sends a message from one entry to another.
+    /// Sends a message from one entry to another, with a random delay. The message may be lost.
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.cuts.retain(|(.., until_ms)| *until_ms > self.now_ms);
         let cut = self.cuts.iter().any(|(a, b, _)| (*a, *b) == (from, to));
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Sends a response from the store to an entry.
+    /// Sends a response from the store to an entry, with a random delay. The response may be lost.
     fn respond(&mut self, to: usize, incarnation: u64, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
         if !self.is_lost() && self.processes[to].store_cut_until_ms <= self.now_ms {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Executes a request in the store.
+    /// Executes a request that has reached the store. Only the holder of the key may write voters.
     fn execute_in_store(&mut self, incarnation: u64, message: Message) {
         match message {
             Message::TakeOver { from, revision, requested_ms } => {
@@ -307,7 +307,8 @@
         }
     }
 
-    /// Handles a message at an entry.
+    /// Handles a message that has reached an entry; confirmations and releases for an earlier term
+    /// are ignored.
     fn receive(&mut self, entry: usize, message: Message) {
         let process = &mut self.processes[entry];
         let clock_ms = process.clock_ms(self.now_ms);
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -13,7 +13,7 @@
 
 use fleet::{Fault, Fleet};
 
-/// Number of random simulations.
+/// Number of simulations with random faults.
 const CASES: u32 = 600;
 
 fn faults() -> impl Strategy<Value = Vec<(u64, Fault)>> {
--- a/crates/geraniumpost-batch/tests/succession/process.rs
+++ b/crates/geraniumpost-batch/tests/succession/process.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// The process of an entry.
+/// The process of an entry; a restart replaces it by another incarnation.
 #[derive(Debug)]
 pub struct Process {
     pub incarnation: u64,
