--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -90,7 +90,7 @@
         self
     }
 
-    /// Records that the silent coordinator at an address has ended its term and extends no more
+    /// Records that the silent coordinator at an address has ended its term and no longer extends
     /// leases.
     ///
     /// Without this report, a successor waits for as long as a silent coordinator may extend leases
--- a/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
@@ -27,7 +27,8 @@
 pub(super) const MAX_LINES_PER_CHECK: usize = 2;
 
 impl Coordinator {
-    /// Checks waiting tasks every [`CHECK_INTERVAL_MS`], and logs which are not placed and why.
+    /// Checks waiting tasks every [`CHECK_INTERVAL_MS`], and logs which tasks are not placed and
+    /// why.
     pub(super) fn monitor_waits(&mut self, now: Now) {
         if self
             .wait_state
