--- a/crates/geraniumpost-core/src/placement/worker_view.rs
+++ b/crates/geraniumpost-core/src/placement/worker_view.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns the tasks on the worker.
-    pub fn running(&self) -> &[TaskView] {
+    pub fn all_tasks(&self) -> &[TaskView] {
         &self.tasks
     }
 
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -96,7 +96,7 @@
         for view in fleet.workers() {
             let state = states.get(view.name()).copied().unwrap_or_default();
             workers.insert(view.name().clone(), (view.allowance(), state));
-            for task in view.running() {
+            for task in view.all_tasks() {
                 let entry = (view.name().clone(), task.customer().clone(), task.allocated());
                 tasks.insert(task.job().clone(), entry);
             }
@@ -304,7 +304,7 @@
     }
 
     fn running(&self) -> Vec<Name> {
-        let tasks = self.fleet.workers().flat_map(|view| view.running().iter());
+        let tasks = self.fleet.workers().flat_map(|view| view.all_tasks().iter());
         let mut jobs: Vec<Name> = tasks.map(|task| task.job().clone()).collect();
         jobs.sort();
         jobs
