--- a/crates/geraniumpost-batch/src/coordinator/effect.rs
+++ b/crates/geraniumpost-batch/src/coordinator/effect.rs
@@ -9,11 +9,11 @@
     /// [`Coordinator::handle_batch_written`](super::Coordinator::handle_batch_written).
     Write(WriteBatch),
     /// Respond to a caller's request.
-    Reply {
+    Respond {
         /// Id that was passed to
         /// [`Coordinator::handle_request`](super::Coordinator::handle_request).
         request_id: u64,
-        /// What the caller gets.
+        /// Response that is passed on to the caller.
         response: CallerResponse,
     },
     /// Send a message to an agent.
@@ -31,8 +31,8 @@
         /// Minions on which the step may run if the service approves.
         minions: Vec<Name>,
     },
-    /// A minion has accepted orders of a newer coordinator, so that the driver has to check which
-    /// one is current.
+    /// A minion has accepted orders of a newer coordinator. The driver has to check which
+    /// coordinator is current.
     Superseded,
     /// Write a log line that consists of `key=value` fields.
     Log(String),
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -9,7 +9,7 @@
 use crate::tuning::MAX_SERVING_TAIL_LATENCY_RATIO;
 use crate::{StepSpec, TaskId};
 
-/// Lower bound of a headroom that is used as a divisor, as a utilization.
+/// Minimum headroom that is used as a divisor, as a utilization.
 const MIN_HEADROOM_DIVISOR: f64 = 0.01;
 
 /// Additional utilization that one group of serving tasks tolerates.
@@ -22,11 +22,12 @@
     utilization: f64,
 }
 
-/// Expected speed of a best-effort task on a minion, and its effect there.
+/// Expected speed of a best-effort task on a minion, and its effect on the headroom of serving
+/// tasks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BestEffortSpeed {
     /// Fraction of full speed, from 0 to 1, that unused processors allow.
-    pub(super) cpu_speed: f64,
+    pub(super) speed_on_unused_cpus: f64,
     /// Fraction of full speed, from 0 to 1, that serving tasks tolerate.
     pub(super) tolerated_speed: f64,
     /// Largest fraction, from 0 to 1, of any group's headroom that the task would use.
@@ -34,7 +35,8 @@
 }
 
 impl Coordinator {
-    /// Lists the headroom of each group of serving tasks on a minion without any best-effort tasks.
+    /// Returns the headroom that each group of serving tasks on a minion would have without any
+    /// best-effort tasks.
     fn base_headroom(&self, minion: &Minion) -> Vec<Headroom> {
         let mut last = None;
         let mut headroom = Vec::new();
@@ -56,8 +58,8 @@
         headroom
     }
 
-    /// Updates the headroom that a minion's best-effort tasks leave at their current paces. It is
-    /// cached, as placements read it many times.
+    /// Updates the headroom that a minion's best-effort tasks leave at their current paces. The
+    /// headroom is cached because placements read it many times.
     pub(super) fn refresh_headroom(&mut self, id: &Name) {
         let Some(minion) = self.minions.get(id) else { return };
         let mut headroom = self.base_headroom(minion);
@@ -78,10 +80,11 @@
     pub(super) fn best_effort_speed(&self, minion: &Minion, spec: &StepSpec) -> BestEffortSpeed {
         let milli_cpus = spec.demand.milli_cpus;
         let unused = minion.unused_milli_cpus().max(0) as f64;
-        let wanted = (minion.best_effort_cpus + milli_cpus).max(1) as f64;
+        let wanted = (minion.best_effort_milli_cpus + milli_cpus).max(1) as f64;
         let share = minion.cpu_share(milli_cpus as f64);
-        let cpu_speed = (unused / wanted).min(1.0);
-        let mut speed = BestEffortSpeed { cpu_speed, tolerated_speed: 1.0, headroom_share: 0.0 };
+        let speed_on_unused_cpus = (unused / wanted).min(1.0);
+        let mut speed =
+            BestEffortSpeed { speed_on_unused_cpus, tolerated_speed: 1.0, headroom_share: 0.0 };
         for group in &minion.headroom {
             let added = self.interference.added_utilization(&group.image, &spec.image, share);
             if added > group.utilization {
@@ -101,12 +104,12 @@
         let headroom = self.base_headroom(minion);
         let limits: Vec<f64> = headroom.iter().map(|group| group.utilization).collect();
         let load = |(image, tasks): (&Name, &super::best_effort_tasks::BestEffortTasks)| {
-            let processors = tasks.milli_cpus_at(100);
-            let share = minion.cpu_share(processors);
+            let milli_cpus = tasks.milli_cpus_at(100);
+            let share = minion.cpu_share(milli_cpus);
             let added = headroom
                 .iter()
                 .map(|group| self.interference.added_utilization(&group.image, image, share));
-            FullSpeedLoad { processors, added_utilization: added.collect() }
+            FullSpeedLoad { milli_cpus, added_utilization: added.collect() }
         };
         let loads: Vec<FullSpeedLoad> = minion.best_effort_images.iter().map(load).collect();
         let shares = speed_limits(&limits, &loads);
@@ -114,23 +117,23 @@
         minion.best_effort_images.keys().cloned().zip(paces).collect()
     }
 
-    /// Counts a run among its minion's serving or best-effort runs by image, or removes it from
-    /// these.
+    /// Adds a run to its minion's counts of serving or best-effort runs by image, or removes the
+    /// run from these counts.
     pub(super) fn update_run_counts(&mut self, task: TaskId, id: &Name, added: bool) {
         let Some(step) = self.step_spec(task).cloned() else { return };
         let Some(minion) = self.minions.get_mut(id) else { return };
         let change = if added { 1 } else { -1 };
         if step.best_effort {
             let tasks = minion.best_effort_images.entry(step.image.clone()).or_default();
-            tasks.runs += change;
+            tasks.run_count += change;
             tasks.milli_cpus += i64::from(change) * step.demand.milli_cpus;
-            if tasks.runs <= 0 {
+            if tasks.run_count <= 0 {
                 minion.best_effort_images.remove(&step.image);
             }
         } else if step.is_serving() {
             let serving = minion.serving_images.entry(step.image.clone()).or_default();
-            serving.runs = serving.runs.saturating_add_signed(change);
-            if serving.runs == 0 {
+            serving.run_count = serving.run_count.saturating_add_signed(change);
+            if serving.run_count == 0 {
                 minion.serving_images.remove(&step.image);
             }
         } else {
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -15,20 +15,21 @@
     pub(super) agent: Name,
     /// Whether the link from its agent is open.
     pub(super) linked: bool,
-    /// Whether the minion has been reported to this coordinator; otherwise only records name it.
+    /// Whether the minion has been reported to this coordinator; otherwise it is known only from
+    /// job records.
     pub(super) reported: bool,
     /// Whether the minion was polled over the current link.
     pub(super) polled: bool,
     /// Whether heartbeats arrive and report that the minion responds to its agent.
     pub(super) responsive: bool,
-    /// Resources reserved by the runs placed there; best-effort runs reserve no processors.
-    pub(super) used: Demand,
-    /// Processors that its best-effort runs could use, in thousandths.
-    pub(super) best_effort_cpus: i64,
-    /// Processors that its serving runs reserve, in thousandths.
-    pub(super) serving_cpus: i64,
+    /// Resources reserved by the runs on the minion; best-effort runs reserve no processors.
+    pub(super) reserved: Demand,
+    /// Processors that its best-effort runs could use, in thousandths of a processor.
+    pub(super) best_effort_milli_cpus: i64,
+    /// Processors that its serving runs reserve, in thousandths of a processor.
+    pub(super) serving_milli_cpus: i64,
     /// Number of runs that serve users within a latency bound.
-    pub(super) serving_runs: u32,
+    pub(super) serving_run_count: u32,
     pub(super) runs: BTreeSet<TaskId>,
     /// Sequence number of the last handled end of a run.
     pub(super) last_end_sequence: u64,
@@ -41,9 +42,10 @@
     pub(super) resend_acknowledgement: bool,
     /// Failures since the last successful run; consecutive failures of one job count once.
     pub(super) consecutive_failures: u32,
-    /// The job of the last failed run.
+    /// Job of the last failed run; its further failures are not counted until another job fails or
+    /// a run succeeds.
     pub(super) last_failed_job: Option<JobId>,
-    /// No task is placed there before this time on the monotonic clock.
+    /// Time before which no task is placed on the minion, on the monotonic clock.
     pub(super) quarantined_until_ms: u64,
     /// Earliest time at which a draining minion terminates, on the monotonic clock.
     pub(super) drain_deadline_ms: u64,
@@ -54,11 +56,11 @@
     /// Longest time for which any serving run has been over its latency bound, in milliseconds; 0
     /// if none is.
     pub(super) over_bound_ms: u64,
-    /// Serving runs by image.
+    /// Number and tail latency of the serving runs, by image.
     pub(super) serving_images: BTreeMap<Name, ServingTasks>,
     /// Headroom of each group of serving runs at the current paces of the best-effort runs.
     pub(super) headroom: Vec<Headroom>,
-    /// Best-effort runs by image.
+    /// Number, processors and pace of the best-effort runs, by image.
     pub(super) best_effort_images: BTreeMap<Name, BestEffortTasks>,
 }
 
@@ -71,10 +73,10 @@
             reported: false,
             polled: false,
             responsive: false,
-            used: Demand::default(),
-            best_effort_cpus: 0,
-            serving_cpus: 0,
-            serving_runs: 0,
+            reserved: Demand::default(),
+            best_effort_milli_cpus: 0,
+            serving_milli_cpus: 0,
+            serving_run_count: 0,
             runs: BTreeSet::new(),
             last_end_sequence: 0,
             unacknowledged: VecDeque::new(),
@@ -95,15 +97,16 @@
 
     /// Returns the minion's capacity without the resources that runs reserve.
     pub(super) fn unreserved(&self) -> Demand {
-        self.info.capacity - self.used
+        self.info.capacity - self.reserved
     }
 
-    /// Returns the processors, in thousandths, that best-effort runs could use together.
+    /// Returns the processors that best-effort runs could use together, in thousandths of a
+    /// processor.
     pub(super) fn unused_milli_cpus(&self) -> i64 {
-        self.unreserved().milli_cpus + self.serving_cpus * SERVING_UNUSED_CPU_PERCENT / 100
+        self.unreserved().milli_cpus + self.serving_milli_cpus * SERVING_UNUSED_CPU_PERCENT / 100
     }
 
-    /// Returns an amount of processors, in thousandths, as a fraction of the minion's capacity.
+    /// Converts thousandths of a processor to a fraction of the minion's capacity.
     pub(super) fn cpu_share(&self, milli_cpus: f64) -> f64 {
         milli_cpus / self.info.capacity.milli_cpus.max(1) as f64
     }
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -9,23 +9,24 @@
 use super::{Coordinator, lease_expiry_bound_ms};
 use crate::{Now, PredecessorLeases, SilentCoordinator};
 
-/// Age of an agent's last lease extension from which the agent is reported to a successor, in
-/// milliseconds: three heartbeats. Other agents usually link to the successor at once.
+/// Age of an agent's last lease extension at which the agent is reported to a successor as
+/// unreached, in milliseconds: three heartbeats. Other agents usually link to the successor at
+/// once.
 const UNREACHED_TIMEOUT_MS: u64 = 1_500;
 
-/// Term of a silent coordinator, and the time on the monotonic clock by which the leases that it
-/// may extend have expired.
+/// Term of a silent coordinator, and the time on the monotonic clock by which the leases that this
+/// coordinator may extend have expired.
 #[derive(Debug, Clone, Copy)]
 struct SilentLeaseExpiry {
     term: u64,
-    until_ms: u64,
+    expiry_ms: u64,
 }
 
 /// Expiry times, on the monotonic clock, of the leases that earlier coordinators may have extended.
 #[derive(Debug, Default)]
 pub(super) struct PredecessorExpiry {
     /// Expiry of the leases that the direct predecessor extended.
-    pub(super) predecessor_ms: u64,
+    pub(super) direct_predecessor_expiry_ms: u64,
     /// Expiry of the leases that silent coordinators may still extend, by the coordinator's
     /// address.
     silent: BTreeMap<SocketAddr, SilentLeaseExpiry>,
@@ -39,10 +40,10 @@
         let from_now = |ms: &u64| now.steady_ms + ms;
         let expiry = |silent: &SilentCoordinator| SilentLeaseExpiry {
             term: silent.term,
-            until_ms: from_now(&silent.remaining_ms),
+            expiry_ms: from_now(&silent.remaining_ms),
         };
         Self {
-            predecessor_ms: now.steady_ms + lease_expiry_bound_ms(lease_ms),
+            direct_predecessor_expiry_ms: now.steady_ms + lease_expiry_bound_ms(lease_ms),
             silent: leases
                 .silent
                 .iter()
@@ -57,54 +58,57 @@
     }
 
     /// Returns the time by which an agent's leases from earlier coordinators have expired.
-    pub(super) fn lease_end_ms(&self, agent: &Name) -> u64 {
+    pub(super) fn lease_expiry_ms(&self, agent: &Name) -> u64 {
         self.silent
             .values()
-            .map(|expiry| expiry.until_ms)
-            .fold(self.lease_end_without_silent_ms(agent), u64::max)
+            .map(|expiry| expiry.expiry_ms)
+            .fold(self.lease_expiry_without_silent_ms(agent), u64::max)
     }
 
     /// Returns the time by which leases from earlier coordinators have expired for an agent that
     /// the direct predecessor did not report as unreached.
-    pub(super) fn latest_lease_end_ms(&self) -> u64 {
-        self.silent.values().map(|expiry| expiry.until_ms).fold(self.predecessor_ms, u64::max)
+    pub(super) fn lease_expiry_of_reached_agents_ms(&self) -> u64 {
+        self.silent
+            .values()
+            .map(|expiry| expiry.expiry_ms)
+            .fold(self.direct_predecessor_expiry_ms, u64::max)
     }
 
     /// Returns the time by which an agent's leases have expired if no silent coordinator extends
     /// them.
-    fn lease_end_without_silent_ms(&self, agent: &Name) -> u64 {
-        self.unreached.get(agent).copied().unwrap_or(self.predecessor_ms)
+    fn lease_expiry_without_silent_ms(&self, agent: &Name) -> u64 {
+        self.unreached.get(agent).copied().unwrap_or(self.direct_predecessor_expiry_ms)
     }
 }
 
 impl Coordinator {
     /// Sets the leases that predecessors may have extended. Must be called after
-    /// [`Self::with_lease_ms`], as their expiry depends on that duration.
+    /// [`Self::with_lease_ms`], because the expiry of the leases depends on that duration.
     #[must_use]
     pub fn with_predecessor_leases(mut self, leases: &PredecessorLeases, now: Now) -> Self {
         self.predecessor_expiry = PredecessorExpiry::new(leases, self.lease_ms, now);
         self
     }
 
-    /// Records that the silent coordinator at an address has ended its term and extends no more
+    /// Records that the silent coordinator at an address has ended its term and no longer extends
     /// leases.
     ///
     /// Without this report, a successor waits for as long as a silent coordinator may extend leases
     /// without the store, and persistent tasks whose agents departed meanwhile stay down all that
-    /// time. With it, only the leases that the silent coordinator has extended so far remain.
-    /// Leases of other silent coordinators are not affected.
-    pub fn record_predecessor_end(&mut self, address: SocketAddr, now: Now) {
-        self.record_predecessor_extension_end(address, now.steady_ms);
+    /// time. With the report, only the leases that the silent coordinator has extended so far
+    /// remain. Leases of other silent coordinators are not affected.
+    pub fn record_predecessor_term_end(&mut self, address: SocketAddr, now: Now) {
+        self.limit_predecessor_leases(address, now.steady_ms);
     }
 
     /// Records that the silent coordinator at an address extends no leases after a time on the
-    /// monotonic clock, as the store names another coordinator and too few entries support the
-    /// silent one.
-    pub fn record_predecessor_extension_end(&mut self, address: SocketAddr, steady_ms: u64) {
+    /// monotonic clock, because the store's key belongs to another coordinator and too few entries
+    /// support the silent coordinator.
+    pub fn limit_predecessor_leases(&mut self, address: SocketAddr, steady_ms: u64) {
         let until_ms = steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let Some(expiry) = self.predecessor_expiry.silent.get_mut(&address) else { return };
-        let earlier_by_ms = expiry.until_ms.saturating_sub(until_ms);
-        expiry.until_ms = until_ms.min(expiry.until_ms);
+        let earlier_by_ms = expiry.expiry_ms.saturating_sub(until_ms);
+        expiry.expiry_ms = until_ms.min(expiry.expiry_ms);
         self.log(format!("event=predecessor_ended at={address} earlier_by_ms={earlier_by_ms}"));
         self.leases_for_successor_changed = true;
     }
@@ -115,7 +119,7 @@
         let silent = self.predecessor_expiry.silent.iter().map(|(address, expiry)| {
             (
                 *address,
-                SilentCoordinator { term: expiry.term, remaining_ms: left(&expiry.until_ms) },
+                SilentCoordinator { term: expiry.term, remaining_ms: left(&expiry.expiry_ms) },
             )
         });
         let unreached =
@@ -140,7 +144,7 @@
         self.leases_for_successor_changed |= self.unreached_agents.remove(agent).is_some();
     }
 
-    /// Updates the agents that are not reached although their minions have runs.
+    /// Updates the set of agents that are not reached although their minions have runs.
     pub(super) fn update_unreached_agents(&mut self, now: Now) {
         let current_expiry_ms = now.steady_ms + lease_expiry_bound_ms(self.lease_ms);
         let lease_expiry_ms =
@@ -154,7 +158,8 @@
             .map(|(agent, lease_expiry_ms)| {
                 (
                     agent.clone(),
-                    lease_expiry_ms.max(self.predecessor_expiry.lease_end_without_silent_ms(agent)),
+                    lease_expiry_ms
+                        .max(self.predecessor_expiry.lease_expiry_without_silent_ms(agent)),
                 )
             })
             .collect();
--- a/crates/geraniumpost-batch/src/coordinator/rejection.rs
+++ b/crates/geraniumpost-batch/src/coordinator/rejection.rs
@@ -9,7 +9,7 @@
     /// The link from the minion's agent is not open.
     #[display("not_linked")]
     NotLinked,
-    /// Only records name the minion; it has not been reported to this coordinator.
+    /// The minion is known only from job records: its agent is linked but has not reported it.
     #[display("not_reported")]
     NotReported,
     /// The minion runs tasks of another service.
@@ -17,7 +17,7 @@
     OtherService,
     /// The minion lacks the label that the step requires.
     #[display("label")]
-    Label,
+    MissingLabel,
     /// The minion was not polled over the current link.
     #[display("not_polled")]
     NotPolled,
@@ -32,16 +32,16 @@
     /// The minion is draining and will terminate.
     #[display("draining")]
     Draining,
-    /// A serving task on the minion is over its latency bound, so that it gets no further
-    /// best-effort tasks.
+    /// A serving task on the minion is over its latency bound; the minion gets no further
+    /// best-effort tasks meanwhile.
     #[display("over_bound")]
-    OverBound,
+    LatencyOverBound,
     /// The minion's free resources are less than the task reserves.
     #[display("no_capacity")]
     NoCapacity,
     /// The minion runs as many tasks of the step as the step allows on one minion.
     #[display("spread")]
-    Spread,
+    PerMinionLimit,
     /// The admission service has given no valid ticket.
     #[display("no_approval")]
     NoApproval,
--- a/crates/geraniumpost-batch/src/quorum/support.rs
+++ b/crates/geraniumpost-batch/src/quorum/support.rs
@@ -20,51 +20,51 @@
 #[derive(Debug)]
 pub struct Support {
     voters: Voters,
-    /// The voters that are being written in place of the current ones. Until the write is complete,
-    /// the key may hold either set, and the coordinator needs a majority of each.
-    next: Option<Voters>,
+    /// The voters that are being written in place of the current voters. Until the write is
+    /// complete, the key may hold either set, and the coordinator needs a majority of each.
+    next_voters: Option<Voters>,
     /// Start of the last change of the voters, on the coordinator's monotonic clock.
-    changed_ms: u64,
+    last_change_ms: u64,
     promises: BTreeMap<Name, Promise>,
 }
 
 impl Support {
-    /// Returns the support at the beginning of a term, at `now_ms` on the monotonic clock; the
-    /// coordinator's key holds these voters.
+    /// Returns the support at the beginning of a term, at `now_ms` on the monotonic clock; `voters`
+    /// are those that the coordinator's key holds.
     pub const fn new(voters: Voters, now_ms: u64) -> Self {
-        Self { voters, next: None, changed_ms: now_ms, promises: BTreeMap::new() }
+        Self { voters, next_voters: None, last_change_ms: now_ms, promises: BTreeMap::new() }
     }
 
     /// Records an entry's promise in response to a pong that was sent at `sent_at_ms` on the
-    /// monotonic clock. A promise for an earlier pong than the last recorded one is ignored.
-    pub fn record_promise(&mut self, node: &Name, incarnation: u64, sent_at_ms: u64) {
+    /// monotonic clock. A promise in response to an earlier pong is ignored.
+    pub fn record_promise(&mut self, entry: &Name, incarnation: u64, sent_at_ms: u64) {
         let promise = Promise { incarnation, sent_at_ms, stopping: false };
-        match self.promises.get_mut(node) {
+        match self.promises.get_mut(entry) {
             Some(known) if known.sent_at_ms > sent_at_ms => {}
             Some(known) => *known = promise,
-            None => drop(self.promises.insert(node.clone(), promise)),
+            None => drop(self.promises.insert(entry.clone(), promise)),
         }
     }
 
-    /// Records that an entry is about to stop. Its promises remain valid, but it should no longer
-    /// be a voter.
-    pub fn mark_stopping(&mut self, node: &Name) {
-        if let Some(promise) = self.promises.get_mut(node) {
+    /// Records that an entry is about to stop. The entry's promises remain valid, but the next set
+    /// of voters leaves the entry out.
+    pub fn mark_stopping(&mut self, entry: &Name) {
+        if let Some(promise) = self.promises.get_mut(entry) {
             promise.stopping = true;
         }
     }
 
     /// Returns the time since the coordinator sent the last pong that an entry has responded to, in
     /// milliseconds, or `None` if the entry never responded.
-    pub fn last_promise_age_ms(&self, node: &Name, now_ms: u64) -> Option<u64> {
-        self.promises.get(node).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
+    pub fn last_promise_age_ms(&self, entry: &Name, now_ms: u64) -> Option<u64> {
+        self.promises.get(entry).map(|promise| now_ms.saturating_sub(promise.sent_at_ms))
     }
 
     /// Returns the time until which a majority supports the coordinator, on the monotonic clock. A
-    /// coordinator without voters always has a majority. No entry can release a promise to it, so
-    /// that its successor waits until it may no longer extend leases without the store.
+    /// coordinator without voters always has a majority, and no entry can release a promise to it.
+    /// Its successor waits until the coordinator may no longer extend leases without the store.
     pub fn supported_until_ms(&self) -> u64 {
-        let sets = std::iter::once(&self.voters).chain(&self.next);
+        let sets = std::iter::once(&self.voters).chain(&self.next_voters);
         sets.map(|voters| self.majority_end_ms(voters)).min().unwrap_or(0)
     }
 
@@ -83,7 +83,7 @@
         let of_voters = self
             .promises
             .iter()
-            .filter(|(node, promise)| voters.contains(node, promise.incarnation));
+            .filter(|(entry, promise)| voters.contains(entry, promise.incarnation));
         of_voters.map(|(_, promise)| promise.sent_at_ms + PROMISE_DURATION_MS)
     }
 
@@ -97,13 +97,13 @@
         &self.voters
     }
 
-    /// Returns the voters that should be written into the coordinator's key, or `None` if it needs
-    /// no change at `now_ms`. The voters are the entries that respond to pongs. They do not change
-    /// within [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term: a
-    /// coordinator that has just taken over has not heard from any entry, and would write an empty
-    /// set.
+    /// Returns the voters that should be written into the coordinator's key, or `None` if the key
+    /// needs no change at `now_ms`. The voters are the entries that respond to pongs. They do not
+    /// change within [`VOTER_CHANGE_INTERVAL_MS`] of the last change or the beginning of the term:
+    /// a coordinator that has just taken over has not heard from any entry, and would write an
+    /// empty set.
     pub fn voters_to_write(&self, now_ms: u64) -> Option<Voters> {
-        if now_ms < self.changed_ms + VOTER_CHANGE_INTERVAL_MS {
+        if now_ms < self.last_change_ms + VOTER_CHANGE_INTERVAL_MS {
             return None;
         }
         let responsive = self.responsive_entries(now_ms);
@@ -115,18 +115,18 @@
         let recent =
             |promise: &Promise| !promise.stopping && promise.sent_at_ms + VOTER_TIMEOUT_MS > now_ms;
         let responsive = self.promises.iter().filter(|(_, promise)| recent(promise));
-        responsive.map(|(node, promise)| (node.clone(), promise.incarnation)).collect()
+        responsive.map(|(entry, promise)| (entry.clone(), promise.incarnation)).collect()
     }
 
     /// Records that a write of other voters into the key began at `now_ms`.
     pub fn begin_voter_change(&mut self, voters: Voters, now_ms: u64) {
-        self.next = Some(voters);
-        self.changed_ms = now_ms;
+        self.next_voters = Some(voters);
+        self.last_change_ms = now_ms;
     }
 
     /// Records that the key holds the voters of the last [`Self::begin_voter_change`].
     pub fn complete_voter_change(&mut self) {
-        if let Some(voters) = self.next.take() {
+        if let Some(voters) = self.next_voters.take() {
             self.voters = voters;
         }
     }
--- a/crates/geraniumpost-batch/tests/departures.rs
+++ b/crates/geraniumpost-batch/tests/departures.rs
@@ -12,12 +12,12 @@
 }
 
 /// A minion terminates while there is no coordinator that could be notified. The termination must
-/// be kept for each later coordinator until one has recorded it.
+/// be reported to each later coordinator until a coordinator has recorded it.
 #[test]
 fn termination_is_kept_until_it_is_recorded() {
     let mut departures = Departures::default();
-    departures.record_leaving(&name("m1"));
-    assert!(unrecorded_names(&departures).is_empty(), "it may still be running");
+    departures.record_termination_notice(&name("m1"));
+    assert!(unrecorded_names(&departures).is_empty(), "m1 may still be running");
     assert!(!departures.is_empty());
     departures.record_terminated(&name("m1"));
     assert_eq!(unrecorded_names(&departures), ["m1"]);
@@ -26,7 +26,7 @@
 }
 
 /// A termination is detected twice: by the minion's own notice, and when another incarnation
-/// responds. It must be reported once.
+/// responds. The agent must report the termination once.
 #[test]
 fn termination_is_kept_once() {
     let mut departures = Departures::default();
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -20,15 +20,15 @@
 const RELEASE_REQUEST_INTERVAL_MS: u64 = 300;
 /// Interval between two attempts to write the voters, in milliseconds.
 const VOTER_WRITE_INTERVAL_MS: u64 = 500;
-/// One message in this number is lost, on average.
+/// Average number of messages of which one is lost.
 const MESSAGES_PER_LOSS: u32 = 12;
 
-/// A fault to inject.
+/// Faults of processes, links and the connection to the store.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// An entry considers the coordinator lost and tries to take over.
     TakeOver(usize),
-    /// An entry is suspended, for a time in milliseconds.
+    /// The process of an entry is frozen, for a time in milliseconds.
     Freeze(usize, u64),
     /// An entry is replaced by a new process.
     Restart(usize),
@@ -38,14 +38,15 @@
     StoreCut(usize, u64),
 }
 
-/// The result of a simulation.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Description of the first case in which a coordinator extended leases after the time at which
-    /// its successor assumes that it has stopped.
+    /// a successor assumes that the coordinator has stopped extending them.
     pub overlap: Option<String>,
-    /// Number of silent coordinators for which a successor determined the end of their leases.
-    pub lease_ends_determined: usize,
+    /// Number of silent coordinators for which a successor determined when they stop extending
+    /// leases.
+    pub extension_ends_determined: usize,
     /// Number of ticks in which a coordinator extended leases without the store, on the support of
     /// entries.
     pub ticks_without_store: usize,
@@ -64,46 +65,51 @@
         from: usize,
         term: u64,
     },
-    /// Response to `Release`; it repeats the term of the request.
+    /// Response to `Release`, with the term of the request.
     Released {
         from: usize,
         incarnation: u64,
         term: u64,
         remaining_ms: u64,
     },
-    /// Requests to the store.
+    /// Request to the store to confirm that the sender holds the key.
     Confirm {
         from: usize,
         requested_ms: u64,
     },
+    /// Request to the store to take over the key, if the key still has this revision.
     TakeOver {
         from: usize,
         revision: u64,
         requested_ms: u64,
     },
+    /// Request to the store to replace the voters of the sender's term.
     WriteVoters {
         from: usize,
         write: u64,
         voters: Voters,
     },
-    /// Responses of the store.
+    /// Response of the store to `Confirm`.
     Confirmed {
         term: u64,
         requested_ms: u64,
     },
+    /// Response of the store to `TakeOver`, with the voters of all terms in the key.
     TookOver {
         term: u64,
         requested_ms: u64,
         voters: BTreeMap<u64, Voters>,
     },
+    /// Response of the store to `WriteVoters`.
     VotersWritten {
         term: u64,
         write: u64,
     },
+    /// Response of the store to a sender that does not hold the key or knows an old revision.
     Superseded,
 }
 
-/// The coordinator's key in the store.
+/// Value of the coordinator's key in the store.
 #[derive(Debug, Default)]
 struct CoordinatorKey {
     revision: u64,
@@ -151,7 +157,7 @@
         fleet
     }
 
-    /// Injects faults, each the given number of milliseconds after the one before.
+    /// Injects faults, each the given number of milliseconds after the previous fault.
     pub fn run(mut self, faults: &[(u64, Fault)]) -> Outcome {
         for (gap_ms, fault) in faults {
             self.advance(*gap_ms);
@@ -159,8 +165,8 @@
         }
         self.advance(SETTLE_DURATION_MS);
         let terms = self.processes.iter().filter_map(|process| process.term.as_ref());
-        self.outcome.lease_ends_determined +=
-            terms.map(|term| term.lease_ends_ms.len()).sum::<usize>();
+        self.outcome.extension_ends_determined +=
+            terms.map(|term| term.extension_ends_ms.len()).sum::<usize>();
         self.outcome
     }
 
@@ -195,7 +201,7 @@
         self.rng.random_ratio(1, MESSAGES_PER_LOSS)
     }
 
-    /// Sends a message from one entry to another.
+    /// Sends a message from one entry to another, with a random delay. The message may be lost.
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.cuts.retain(|(.., until_ms)| *until_ms > self.now_ms);
         let cut = self.cuts.iter().any(|(a, b, _)| (*a, *b) == (from, to));
@@ -216,7 +222,7 @@
         }
     }
 
-    /// Sends a response from the store to an entry.
+    /// Sends a response from the store to an entry, with a random delay. The response may be lost.
     fn respond(&mut self, to: usize, incarnation: u64, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
         if !self.is_lost() && self.processes[to].store_cut_until_ms <= self.now_ms {
@@ -249,7 +255,7 @@
         {
             match to {
                 None => self.execute_in_store(incarnation, message),
-                // Messages to an earlier process are lost with its connections.
+                // Messages to an earlier process are lost with the connections of that process.
                 Some(to) if self.processes[to].incarnation == incarnation => {
                     self.receive(to, message);
                 }
@@ -258,7 +264,7 @@
         }
     }
 
-    /// Executes a request in the store.
+    /// Executes a request that has reached the store. Only the holder of the key may write voters.
     fn execute_in_store(&mut self, incarnation: u64, message: Message) {
         match message {
             Message::TakeOver { from, revision, requested_ms } => {
@@ -301,7 +307,8 @@
         }
     }
 
-    /// Handles a message at an entry.
+    /// Handles a message that has reached an entry; confirmations and releases for an earlier term
+    /// are ignored.
     fn receive(&mut self, entry: usize, message: Message) {
         let process = &mut self.processes[entry];
         let clock_ms = process.clock_ms(self.now_ms);
@@ -375,7 +382,7 @@
         }
         let clock_ms = self.processes[entry].clock_ms(self.now_ms);
         let Some(term) = &mut self.processes[entry].term else { return };
-        term.record_lease_ends();
+        term.record_extension_ends();
         let number = term.number;
         if writes
             && term.pending_voters.is_none()
@@ -409,7 +416,7 @@
         };
         let supports = process.last_pong.and_then(promise);
         for to in (0..self.processes.len()).filter(|to| *to != entry) {
-            // Entries that do not know the successor still ping a disconnected coordinator.
+            // Entries that do not know of a successor still ping the earlier coordinator.
             if to == holder || self.processes[to].term.is_some() {
                 self.send(entry, to, Message::Ping { from: entry, incarnation, supports });
             }
@@ -417,7 +424,7 @@
     }
 
     /// Checks that no coordinator extends leases after the time at which a successor assumes that
-    /// it has stopped.
+    /// the coordinator has stopped extending them.
     fn check_lease_overlap(&mut self) {
         let now_ms = self.now_ms;
         for process in &self.processes {
@@ -432,13 +439,13 @@
             }
             let ended = |other: &&Process| {
                 let end_ms =
-                    other.term.as_ref().and_then(|other| other.lease_ends_ms.get(&term.number));
+                    other.term.as_ref().and_then(|other| other.extension_ends_ms.get(&term.number));
                 end_ms.is_some_and(|end_ms| other.clock_ms(now_ms) > *end_ms)
             };
             if let Some(other) = self.processes.iter().find(ended) {
                 let successor = other.term.as_ref().map(|term| term.number);
                 self.outcome.overlap.get_or_insert(format!(
-                    "term {} extends leases at {now_ms} ms beside its successor {successor:?}",
+                    "term {} extends leases at {now_ms} ms, later than its successor {successor:?} assumes",
                     term.number
                 ));
             }
