--- a/crates/geraniumpost-bench/src/placement_bench/naive.rs
+++ b/crates/geraniumpost-bench/src/placement_bench/naive.rs
@@ -183,7 +183,7 @@
         }
         self.checked = now;
         let waited: f64 = left.iter().map(|wish| now.since(wish.submitted_at()) as f64).sum();
-        let tasks = || fleet.workers().flat_map(|worker| worker.running().iter());
+        let tasks = || fleet.workers().flat_map(|worker| worker.all_tasks().iter());
         let ran: f64 = tasks().map(|task| now.since(task.started_at()) as f64).sum();
         if ran <= 0.0 || waited / ran <= SIDRF_ALPHA {
             return Vec::new();
@@ -192,7 +192,7 @@
         let bound_s = (mean_s / left.len().max(1) as f64).min(SIDRF_BETA_S);
         let mut out = Vec::new();
         for worker in fleet.workers() {
-            for task in worker.running() {
+            for task in worker.all_tasks() {
                 let recent = self.seen.get(task.job()).is_some_and(|at| now.since(*at) < 60_000);
                 if recent || held_seconds(now, task.customer(), fleet) <= bound_s {
                     continue;
@@ -214,7 +214,7 @@
 fn held_seconds(now: Millis, customer: &Name, fleet: &Fleet) -> f64 {
     fleet
         .workers()
-        .flat_map(|worker| worker.running().iter())
+        .flat_map(|worker| worker.all_tasks().iter())
         .filter(|task| task.customer() == customer)
         .map(|task| now.since(task.started_at()) as f64 / 1e3)
         .fold(0.0, f64::max)
--- a/crates/geraniumpost-core/src/placement/decide.rs
+++ b/crates/geraniumpost-core/src/placement/decide.rs
@@ -3,8 +3,8 @@
 
 use super::job_context::JobContext;
 use super::planned_fleet::PlannedFleet;
-use super::proximity::Proximity;
 use super::scan::{Scan, ScanResult, ScoredWorker};
+use super::weighted_location_counts::WeightedLocationCounts;
 use super::{Candidate, Decision, Fleet, PlacementRequest, Placer, Reason, WorkerKey, amounts};
 use crate::Millis;
 
@@ -13,9 +13,9 @@
 /// Predicted increase of the p99, as a multiple of the target, up to which a job starts without
 /// waiting for a better worker.
 const NEGLIGIBLE_INTERFERENCE: f64 = 0.02;
-/// Maximum time for which a normal job waits for a worker on which it interferes less.
+/// Maximum time for which a normal job waits for a worker with less predicted interference.
 const NORMAL_MAX_WAIT_MS: u64 = 600_000;
-/// Maximum time for which a scavenger job waits for a worker on which it interferes less.
+/// Maximum time for which a scavenger job waits for a worker with less predicted interference.
 const SCAVENGER_MAX_WAIT_MS: u64 = 900_000;
 /// On average one start in this many may use a candidate other than the best, so that the model also
 /// learns about pairs of class and service that placement would otherwise avoid.
@@ -25,8 +25,8 @@
 const EXPLORE_MAX_P99: f64 = 0.7;
 
 impl Placer {
-    /// Returns the decisions on one job. The last one is its start, wait or rejection, which
-    /// follows the evictions for the job.
+    /// Returns the decisions on one job: any evictions for the job, then its start, wait, rejection
+    /// or failure.
     pub(super) fn decide<R: Rng + ?Sized>(
         &mut self,
         now: Millis,
@@ -57,7 +57,8 @@
     }
 
     /// Returns the resources to reserve for a job: the estimate from measured usage, limited by the
-    /// quota and by the largest worker that fits the job, but at least the declared need.
+    /// quota and by the allowance with the most memory that fits the job, but at least the declared
+    /// need.
     fn reserved_need(&self, request: &PlacementRequest, fleet: &Fleet) -> Resources {
         let Some(largest) = fleet.largest_allowance_for(&request.need) else { return request.need };
         let quota =
@@ -80,16 +81,16 @@
         Some(Reason::QuotaReached { customer: customer.clone(), resource })
     }
 
-    /// Returns whether the scan can be skipped, as no worker had capacity for a need that was no
-    /// larger. Urgent jobs and jobs with a reservation are always scanned.
+    /// Returns whether the scan can be skipped, because no worker had capacity for a need that is
+    /// no larger in any resource. Urgent jobs and jobs with a reservation are always scanned.
     fn cannot_fit(&self, context: &JobContext<'_>, planned: &PlannedFleet) -> bool {
         context.request.priority != Priority::Urgent
             && self.reservations.get(&context.request.job).is_none()
             && planned.cannot_fit(&context.need)
     }
 
-    /// Scores the workers with capacity, without those on which the job failed unless there is no
-    /// other.
+    /// Scores the workers with capacity that the job should not avoid. If there are none, workers
+    /// on which the job failed are scored too.
     fn find_workers(&self, context: &JobContext<'_>, planned: &mut PlannedFleet) -> ScanResult {
         let (request, fleet) = (context.request, context.fleet);
         let compute = || {
@@ -103,9 +104,12 @@
             need: &context.need,
             slopes: &slopes,
             skipped: &avoided,
-            reserved: self.reservations.get(&request.job).map(|reservation| reservation.worker),
+            reserved_worker: self
+                .reservations
+                .get(&request.job)
+                .map(|reservation| reservation.worker),
             urgent: request.priority == Priority::Urgent,
-            proximity: &Proximity::new(fleet.location_count(), &groups),
+            location_counts: &WeightedLocationCounts::new(fleet.location_count(), &groups),
         };
         let result = scan.run(planned);
         if !result.best.is_empty() || self.failures.failed_on(&request.job).is_empty() {
@@ -127,8 +131,8 @@
         avoided
     }
 
-    /// Starts a job on the best worker of the scan, or on another good one to explore. The job
-    /// waits instead if its interference would be too high.
+    /// Starts a job on the best worker of the scan, or occasionally on another candidate so that
+    /// the model learns. The job waits instead if its predicted interference is too high.
     fn start_or_wait<R: Rng + ?Sized>(
         &mut self,
         context: &JobContext<'_>,
@@ -164,12 +168,13 @@
     }
 }
 
-/// Returns the workers that the job's request excludes, without those that are not in the fleet.
+/// Returns the workers of the fleet that the job's request excludes.
 fn excluded_workers(context: &JobContext<'_>) -> Vec<WorkerKey> {
     context.request.excluded.iter().filter_map(|name| context.fleet.key(name)).collect()
 }
 
-/// Returns whether a job should wait although a worker has capacity. Urgent jobs never do.
+/// Returns whether a job should wait although a worker has capacity. Urgent jobs never wait for a
+/// better worker.
 fn interferes_too_much(now: Millis, request: &PlacementRequest, best: &ScoredWorker) -> bool {
     let max_wait_ms = match request.priority {
         Priority::Urgent => return false,
@@ -183,7 +188,7 @@
 }
 
 /// Swaps a random candidate to the front in one of [`EXPLORE_ONE_IN`] calls, unless its predicted
-/// p99 is too high.
+/// p99 is [`EXPLORE_MAX_P99`] or more.
 fn explore<R: Rng + ?Sized>(ranked: &mut [ScoredWorker], rng: &mut R) {
     if ranked.len() < 2 || rng.random_range(0..EXPLORE_ONE_IN) != 0 {
         return;
--- a/crates/geraniumpost-core/src/placement/decision.rs
+++ b/crates/geraniumpost-core/src/placement/decision.rs
@@ -48,7 +48,7 @@
         /// Whether latency is high or low, or which resource is overused.
         reason: Reason,
     },
-    /// Keep a job in the queue; it is decided on again by the next call.
+    /// Keep a job in the queue. The next call decides on the job again.
     #[display("wait job={job} why={reason}")]
     Wait {
         /// Id of the job.
@@ -64,7 +64,7 @@
         job: Name,
         /// The resource of which the job needs too much.
         resource: Resource,
-        /// The worker that offers most of that resource, empty if the job exceeds the quota.
+        /// The worker that offers most of that resource. Empty if the job exceeds the quota.
         largest: Name,
         /// How much the job needs and how much is offered.
         reason: Reason,
@@ -77,7 +77,8 @@
         /// Number of failures, and the last worker.
         reason: Reason,
     },
-    /// Stop giving a worker new jobs, as several different jobs failed on it.
+    /// Stop giving a worker new jobs because several different jobs, or the job of a probe, failed
+    /// there.
     #[display("quarantine worker={worker} why={reason}")]
     Quarantine {
         /// Name of the worker.
--- a/crates/geraniumpost-core/src/placement/eviction_budget.rs
+++ b/crates/geraniumpost-core/src/placement/eviction_budget.rs
@@ -9,19 +9,19 @@
 #[derive(Debug, Clone, Default)]
 pub struct EvictionBudget {
     /// Times of the evictions in the last minute.
-    spent: VecDeque<Millis>,
+    eviction_times: VecDeque<Millis>,
 }
 
 impl EvictionBudget {
     /// Returns how many evictions may be ordered now: `per_minute` minus those of the last minute.
     pub fn remaining(&mut self, now: Millis, per_minute: u32) -> u32 {
-        while self.spent.front().is_some_and(|at| now.since(*at) >= MINUTE_MS) {
-            self.spent.pop_front();
+        while self.eviction_times.front().is_some_and(|at| now.since(*at) >= MINUTE_MS) {
+            self.eviction_times.pop_front();
         }
-        per_minute.saturating_sub(self.spent.len() as u32)
+        per_minute.saturating_sub(self.eviction_times.len() as u32)
     }
 
     pub fn spend(&mut self, now: Millis) {
-        self.spent.push_back(now);
+        self.eviction_times.push_back(now);
     }
 }
--- a/crates/geraniumpost-core/src/placement/explanations.rs
+++ b/crates/geraniumpost-core/src/placement/explanations.rs
@@ -7,14 +7,15 @@
 
 /// Age from which decisions on jobs that do not run may be dropped by [`Explanations::trim`].
 const RETENTION_MS: u64 = 600_000;
-/// Number of decisions up to which [`Explanations::trim`] drops none.
+/// Number of decisions up to which [`Explanations::trim`] keeps all of them.
 const MIN_TRIM_LEN: usize = 4096;
 
 /// The latest decision on each job, shown to operators by `explain`.
 #[derive(Debug, Clone, Default)]
 pub struct Explanations {
     by_job: BTreeMap<Name, (Millis, Decision)>,
-    /// Number of decisions above which old ones are dropped, if it exceeds [`MIN_TRIM_LEN`].
+    /// Number of decisions above which [`trim`](Self::trim) drops old decisions. If lower than
+    /// [`MIN_TRIM_LEN`], that number applies instead.
     trim_len: usize,
 }
 
@@ -30,15 +31,15 @@
         self.by_job.remove(job);
     }
 
-    /// Returns whether there are so many decisions that [`trim`](Self::trim) drops old ones.
-    pub fn is_large(&self) -> bool {
+    /// Returns whether there are so many decisions that [`trim`](Self::trim) drops old decisions.
+    pub fn needs_trim(&self) -> bool {
         self.by_job.len() > self.trim_len.max(MIN_TRIM_LEN)
     }
 
-    /// Drops decisions older than [`RETENTION_MS`], except those on running jobs, if
-    /// [`is_large`](Self::is_large) holds.
+    /// Drops decisions that are [`RETENTION_MS`] old or older, except decisions on running jobs, if
+    /// [`needs_trim`](Self::needs_trim) holds.
     pub fn trim(&mut self, now: Millis, is_running: impl Fn(&Name) -> bool) {
-        if !self.is_large() {
+        if !self.needs_trim() {
             return;
         }
         self.by_job.retain(|job, (at, _)| now.since(*at) < RETENTION_MS || is_running(job));
--- a/crates/geraniumpost-core/src/placement/failure_attribution.rs
+++ b/crates/geraniumpost-core/src/placement/failure_attribution.rs
@@ -6,22 +6,23 @@
 use super::{Decision, Reason, RunOutcome};
 use crate::Millis;
 
-/// Number of jobs with failures above which those that neither run nor wait are forgotten.
+/// Number of jobs with failures above which the failures of jobs that neither run nor wait are
+/// forgotten.
 const MAX_UNCHECKED_JOBS: usize = 64;
 
 /// Distinguishes a worker on which every job fails from a job that fails on every worker.
 ///
-/// A worker on which runs fail immediately always has free capacity, so it is given job after job,
-/// and healthy jobs use up their attempts. A worker on which several different jobs fail in a row
-/// is therefore quarantined, and its failures do not count against the jobs. After the quarantine
-/// it is probed with one job at a time.
+/// A worker on which runs fail immediately always has free capacity, so the placer starts job after
+/// job there, and healthy jobs use up their attempts. A worker on which several different jobs fail
+/// in a row is therefore quarantined, and its failures do not count against the jobs. After the
+/// quarantine the worker is probed with one job at a time.
 #[derive(Debug, Clone, Default)]
 pub struct FailureAttribution {
-    /// Workers with evidence against them, by name.
+    /// Workers with recent failures, in quarantine or being probed, by name.
     workers: BTreeMap<Name, WorkerRecord>,
     /// Runs that have not ended, by job.
     runs: BTreeMap<Name, OngoingRun>,
-    /// Workers on which each job failed, oldest failure first.
+    /// Workers of the failures that count against each job, oldest failure first.
     failed_on: BTreeMap<Name, Vec<Name>>,
 }
 
@@ -55,8 +56,8 @@
         self.failed_on.remove(job);
     }
 
-    /// Returns whether there are more than [`MAX_UNCHECKED_JOBS`] jobs with failures, so that
-    /// [`retain_jobs`](Self::retain_jobs) should be called.
+    /// Returns whether there are more than [`MAX_UNCHECKED_JOBS`] jobs with failures. If so, the
+    /// caller should call [`retain_jobs`](Self::retain_jobs).
     pub fn is_large(&self) -> bool {
         self.failed_on.len() > MAX_UNCHECKED_JOBS
     }
@@ -108,7 +109,7 @@
     /// Returns how many more jobs may be started on `worker` now, or `None` if there is no limit.
     pub fn job_limit(&self, worker: &Name) -> Option<u32> {
         let record = self.workers.get(worker)?;
-        let limit = record.concurrency_limit()?;
+        let limit = record.unproven_run_limit()?;
         let running = self
             .runs
             .values()
@@ -118,7 +119,7 @@
 
     /// Returns the workers for which [`job_limit`](Self::job_limit) returns a limit.
     pub fn limited_workers(&self) -> impl Iterator<Item = &Name> {
-        self.workers.iter().filter(|(_, r)| r.concurrency_limit().is_some()).map(|(name, _)| name)
+        self.workers.iter().filter(|(_, r)| r.unproven_run_limit().is_some()).map(|(name, _)| name)
     }
 
     /// Returns the workers on which failures of `job` count against the job, one entry for each
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Removes the failures of `job` from the records of all trusted workers on which it failed, as
-    /// the job has failed on several of them.
+    /// Removes the failures of `job` from the records of all trusted workers on which it failed,
+    /// because the job has failed on several workers.
     fn clear_failures_of_job(&mut self, job: &Name) {
         for worker in self.failed_on.get(job).into_iter().flatten() {
             if let Some(record) = self.workers.get_mut(worker).filter(|r| !r.is_untrusted()) {
--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -4,7 +4,7 @@
 use slotmap::{SecondaryMap, SlotMap, new_key_type};
 
 use super::interner::Interner;
-use super::task_group::TaskGroup;
+use super::location_counts::LocationCounts;
 use super::worker_row::{NO_SERVICE, WorkerRow};
 use super::{TaskView, WorkerState, WorkerView, amounts};
 
@@ -15,7 +15,8 @@
 
 /// The workers of a region with their tasks, indexed for placement.
 ///
-/// The planner applies every start, end and report to it; [`super::Placer`] only reads it.
+/// The planner applies every start, end and report to the fleet; [`super::Placer`] only reads the
+/// fleet.
 ///
 /// # Example
 ///
@@ -40,7 +41,7 @@
     /// Resources allocated to the tasks of each customer.
     allocations: HashMap<Name, Resources>,
     /// Task groups by customer and class.
-    groups: HashMap<(Name, Name), TaskGroup>,
+    groups: HashMap<(Name, Name), LocationCounts>,
     services: Interner,
     /// Names of racks and failure domains.
     locations: Interner,
@@ -56,13 +57,13 @@
 impl Fleet {
     /// Sets whether more workers are expected to announce themselves.
     ///
-    /// A planner that has just taken over knows no workers yet. Without this flag it would reject
-    /// every job as impossible during its first second.
+    /// A planner that has just taken over knows no workers yet. Without this flag the planner would
+    /// reject every job as impossible during its first second.
     pub const fn set_awaiting_workers(&mut self, awaiting_workers: bool) {
         self.awaiting_workers = awaiting_workers;
     }
 
-    /// Returns whether more workers are expected, so that no job is rejected as too large.
+    /// Returns whether more workers are expected. If so, no job is rejected as too large.
     pub const fn awaiting_workers(&self) -> bool {
         self.awaiting_workers
     }
@@ -200,7 +201,7 @@
         self.allocations.get(customer).copied().unwrap_or(amounts::NONE)
     }
 
-    /// Returns the sum of [`WorkerView::allowance`] over all workers, also of lost ones.
+    /// Returns the sum of [`WorkerView::allowance`] over all workers, including lost workers.
     pub const fn total(&self) -> &Resources {
         &self.total
     }
@@ -226,7 +227,7 @@
         self.locations.names().len()
     }
 
-    pub(super) fn group(&self, customer: &Name, class: &Name) -> Option<&TaskGroup> {
+    pub(super) fn group(&self, customer: &Name, class: &Name) -> Option<&LocationCounts> {
         self.groups.get(&(customer.clone(), class.clone()))
     }
 
@@ -236,7 +237,7 @@
     }
 
     /// Returns the allowance with most memory among workers on which `need` would fit if no tasks
-    /// ran there, or `None` if there are none.
+    /// ran there, or `None` if `need` fits on no worker.
     pub(super) fn largest_allowance_for(&self, need: &Resources) -> Option<Resources> {
         let candidates = self.allowances.iter().filter(|(known, _)| amounts::fits(need, known));
         candidates
--- a/crates/geraniumpost-core/src/placement/interference_model.rs
+++ b/crates/geraniumpost-core/src/placement/interference_model.rs
@@ -8,20 +8,21 @@
 /// Number of coefficients of the curve that gives the p99 without batch tasks: constant, load and
 /// load squared.
 const BASELINE_COEFFICIENTS: usize = 3;
-/// Processors, in thousandths, of the task size to which a slope refers.
-const UNIT_MILLI_CPUS: f64 = 16_000.0;
+/// Processors, in thousandths, of the reference task to which a slope refers.
+const REFERENCE_TASK_MILLI_CPUS: f64 = 16_000.0;
 /// Slope that is assumed before there are measurements, as a multiple of the target.
 const DEFAULT_SLOPE: f64 = 0.15;
-/// Evidence on a pair of service and class at which its measurements weigh as much as the mean of
-/// the class.
+/// [Evidence](RidgeRegression::evidence) on a pair of service and class at which measurements of
+/// the pair weigh as much as the mean of the class.
 const PAIR_PRIOR_STRENGTH: f64 = 4.0;
-/// Evidence on a class at which its measurements weigh as much as the mean of all classes.
+/// [Evidence](RidgeRegression::evidence) on a class at which measurements of the class weigh as
+/// much as the mean of all classes.
 const CLASS_PRIOR_STRENGTH: f64 = 20.0;
-/// Number of measurements of a service after which its regression is solved. This takes some
-/// microseconds; measurements have no effect until then.
+/// Number of measurements of a service after which its regression is solved. Solving takes some
+/// microseconds; a measurement has no effect until the next solution.
 const MEASUREMENTS_PER_SOLUTION: u32 = 4;
-/// Number of classes with their own coefficients. All further classes share one coefficient, which
-/// keeps the matrices small.
+/// Number of classes with their own coefficients. All further classes share one coefficient, to
+/// keep the matrices small.
 const MAX_CLASSES: u32 = 60;
 
 /// Predicts how much tasks of each batch class raise the latency of each service, from measurements
@@ -37,39 +38,42 @@
     services: BTreeMap<Name, ServiceModel>,
     /// Mean slope by class index.
     class_means: Vec<f64>,
-    /// Mean slope of all classes, if there are measurements.
+    /// Mean slope of all classes; `None` before the first solution.
     mean: Option<f64>,
 }
 
-/// The regression of one service.
+/// The regression of one service, with the number of measurements that it does not reflect yet.
 #[derive(Debug, Clone)]
 struct ServiceModel {
     ridge: RidgeRegression,
-    /// Number of measurements since the last solution.
+    /// Number of measurements since the last solution. A new model starts at
+    /// [`MEASUREMENTS_PER_SOLUTION`], so its first measurement is solved immediately.
     unsolved_measurements: u32,
 }
 
 /// Returns the factor by which interference grows with the load of the service, from 0.3 for an
 /// idle service to 1 for a fully loaded one.
 ///
-/// The function is linear, as there is too little data to fit a more complex one.
+/// The function is linear because there is too little data to fit a more complex function.
 pub fn load_factor(load: f64) -> f64 {
     0.3 + 0.7 * load
 }
 
 impl InterferenceModel {
-    /// Returns the index of `class`, and assigns the next index to a new class.
+    /// Returns the index of `class`, and assigns the next index to a new class. Classes after the
+    /// first `MAX_CLASSES` share the last index.
     pub fn intern_class(&mut self, class: &Name) -> usize {
         self.classes.intern(class).min(MAX_CLASSES) as usize
     }
 
-    /// Returns the index of `class`; unknown classes share the last index.
+    /// Returns the index of `class`. Unknown classes get the last index, which classes after the
+    /// first `MAX_CLASSES` share.
     pub fn class_index(&self, class: &Name) -> usize {
         self.classes.get(class).unwrap_or(MAX_CLASSES).min(MAX_CLASSES) as usize
     }
 
     /// Drops the models of services for which `is_retained` returns false, and returns whether any
-    /// was dropped.
+    /// model was dropped.
     pub fn retain_services(&mut self, mut is_retained: impl FnMut(&Name) -> bool) -> bool {
         let before = self.services.len();
         self.services.retain(|service, _| is_retained(service));
@@ -100,7 +104,7 @@
     }
 
     /// Returns the predicted p99 of a service without batch tasks at `load` (0 to 1), as a multiple
-    /// of its target.
+    /// of the service's target.
     pub fn baseline(&self, service: &Name, load: f64) -> f64 {
         let Some(model) = self.services.get(service) else { return 0.0 };
         let coefficient = |index| model.ridge.coefficient(index).unwrap_or(0.0);
@@ -120,11 +124,11 @@
     /// Returns the factor for a slope, given a task's processors in thousandths and the service's
     /// load.
     pub fn intensity(milli_cpus: f64, load: f64) -> f64 {
-        milli_cpus / UNIT_MILLI_CPUS * load_factor(load)
+        milli_cpus / REFERENCE_TASK_MILLI_CPUS * load_factor(load)
     }
 
-    /// Returns the predicted p99 of a service that shares its VM with `tasks`, as a multiple of its
-    /// target. Each task is given by its class index and its processors in thousandths.
+    /// Returns the predicted p99 of a service that shares its VM with `tasks`, as a multiple of the
+    /// service's target. Each task is given by its class index and its processors in thousandths.
     pub fn predict(&self, service: &Name, load: f64, tasks: &[(usize, f64)]) -> f64 {
         let interference: f64 = tasks
             .iter()
--- a/crates/geraniumpost-core/src/placement/latency_control.rs
+++ b/crates/geraniumpost-core/src/placement/latency_control.rs
@@ -14,7 +14,8 @@
 const EVICT_MIN_P99: f64 = 1.3;
 /// Time for which latency must be low before a task is sped up.
 const SPEED_UP_AFTER_MS: u64 = 8_000;
-/// Minimum time between two actions on a worker, as measurements show their effect with a delay.
+/// Minimum time between two actions on a worker, because measurements show the effect of an action
+/// with a delay.
 const ACTION_INTERVAL_MS: u64 = 6_000;
 /// Lowest speed of a throttled task, in thousandths of its full speed.
 const MIN_SPEED_PERMILLE: u32 = 250;
@@ -34,7 +35,8 @@
 }
 
 impl<'a> LatencyControl<'a> {
-    /// Throttles the task that interferes most, if latency has been high for [`THROTTLE_AFTER_MS`].
+    /// Throttles the task that interferes most, if latency has been high for [`THROTTLE_AFTER_MS`]
+    /// and the last action was at least [`ACTION_INTERVAL_MS`] ago.
     pub fn throttle_if_high(&self) -> Option<Decision> {
         if self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
             return None;
@@ -47,7 +49,8 @@
     }
 
     /// Doubles the speed of the throttled task that interferes least, if latency has been low for
-    /// [`SPEED_UP_AFTER_MS`] and the processors are free.
+    /// [`SPEED_UP_AFTER_MS`], the last action was at least [`ACTION_INTERVAL_MS`] ago, the
+    /// predicted p99 stays within [`SPEED_UP_MAX_P99`], and the additional processors are free.
     pub fn speed_up_if_low(&self) -> Option<Decision> {
         let low = self.latency.low_for(self.now)? >= SPEED_UP_AFTER_MS;
         if !low || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
@@ -65,11 +68,12 @@
             return None;
         }
         let reason = Reason::LatencyRecovered { p99_permille: to_permille(self.latency.smoothed) };
-        Some(self.throttle_decision(task, permille, reason))
+        Some(self.speed_decision(task, permille, reason))
     }
 
-    /// Evicts the task that interferes most among those at the lowest speed, if latency has been
-    /// high for [`EVICT_AFTER_MS`] despite the throttling.
+    /// Evicts the task that interferes most among evictable tasks at the lowest speed, if latency
+    /// has been high for [`EVICT_AFTER_MS`], is at least [`EVICT_MIN_P99`], and the last action was
+    /// at least [`ACTION_INTERVAL_MS`] ago.
     pub fn evict_if_high(&self) -> Option<Decision> {
         let high = self.latency.high_for(self.now)? >= EVICT_AFTER_MS;
         if !high
@@ -101,11 +105,11 @@
             task_permille: to_permille(interference),
         };
         let permille = (task.permille / 2).max(MIN_SPEED_PERMILLE);
-        Some(self.throttle_decision(task, permille, reason))
+        Some(self.speed_decision(task, permille, reason))
     }
 
     /// Returns the eligible task that is not urgent and interferes most, with its interference.
-    /// `None` if that is below [`MIN_INTERFERENCE`].
+    /// `None` if that interference is below [`MIN_INTERFERENCE`].
     fn most_interfering_task(
         &self,
         is_eligible: impl Fn(&TaskView) -> bool,
@@ -127,7 +131,7 @@
         self.model.slope(service, class) * intensity
     }
 
-    fn throttle_decision(&self, task: &TaskView, permille: u32, reason: Reason) -> Decision {
+    fn speed_decision(&self, task: &TaskView, permille: u32, reason: Reason) -> Decision {
         let (job, worker) = (task.job.clone(), self.view.name.clone());
         Decision::Throttle { job, worker, permille, reason }
     }
--- a/crates/geraniumpost-core/src/placement/latency_forecasts.rs
+++ b/crates/geraniumpost-core/src/placement/latency_forecasts.rs
@@ -15,14 +15,15 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Forecast {
-    /// Version of the worker's row for which it was computed.
+    /// Version of the worker's row for which the p99 was computed.
     version: u64,
     p99: f64,
 }
 
 impl LatencyForecasts {
     /// Returns the predicted p99, as a multiple of the target, of a worker's service with the
-    /// current tasks. It includes the recent excess of measurements over the prediction.
+    /// current tasks. The recent excess of measurements over the model's prediction is added if
+    /// positive.
     pub fn get(
         &mut self,
         key: WorkerKey,
--- a/crates/geraniumpost-core/src/placement/task_group.rs
+++ b/crates/geraniumpost-core/src/placement/location_counts.rs
@@ -1,15 +1,16 @@
 use std::collections::HashMap;
 
-/// Number of tasks of one customer and class at each location, by which they are spread.
+/// Number of tasks of one customer and class at each location, used to spread tasks over racks and
+/// failure domains.
 #[derive(Debug, Clone, Default)]
-pub struct TaskGroup {
+pub struct LocationCounts {
     /// Number of tasks by rack index.
     pub racks: HashMap<u32, u32>,
     /// Number of tasks by failure domain index.
     pub domains: HashMap<u32, u32>,
 }
 
-impl TaskGroup {
+impl LocationCounts {
     pub fn add(&mut self, rack: u32, domain: u32) {
         *self.racks.entry(rack).or_default() += 1;
         *self.domains.entry(domain).or_default() += 1;
--- a/crates/geraniumpost-core/src/placement/mitigation.rs
+++ b/crates/geraniumpost-core/src/placement/mitigation.rs
@@ -7,9 +7,9 @@
 use super::{Decision, Fleet, Placer, Reason, Resource, TaskView, WorkerView, amounts};
 use crate::Millis;
 
-/// Divisor of the eviction budget that gives the part for protecting services and VMs; the rest is
-/// reserved for urgent jobs.
-const SERVICE_BUDGET_DIVISOR: u32 = 2;
+/// The eviction budget divided by this number is the part for protecting services and VMs; the rest
+/// is reserved for urgent jobs.
+const PROTECTION_SHARE_DIVISOR: u32 = 2;
 
 impl Placer {
     /// Throttles, speeds up or evicts tasks on workers whose service latency was measured since the
@@ -59,7 +59,7 @@
     fn admit(&mut self, now: Millis, decision: &Decision) -> bool {
         let Decision::Evict { job, .. } = decision else { return true };
         let per_minute = self.policy.evictions_per_minute();
-        let reserved = per_minute - per_minute / SERVICE_BUDGET_DIVISOR;
+        let reserved = per_minute - per_minute / PROTECTION_SHARE_DIVISOR;
         if self.evicting.contains_key(job) || self.budget.remaining(now, per_minute) <= reserved {
             return false;
         }
@@ -73,8 +73,9 @@
     }
 }
 
-/// Throttles or evicts the task that most exceeds its declared need, if a VM's tasks together use
-/// more than their allowance.
+/// If a VM's tasks together use more than they may, throttles or evicts the task that most exceeds
+/// its declared need: a task at full speed is throttled if processors are overused, otherwise an
+/// evictable task is evicted. Urgent tasks are exempt.
 ///
 /// Memory use cannot be throttled. Without an eviction the kernel would kill a task, and its work
 /// since the latest checkpoint would be lost.
@@ -101,8 +102,8 @@
     Some(Decision::Evict { job: job(task), worker, for_job: Name::default(), reason })
 }
 
-/// Returns the resources that a VM's tasks may use now. They include processors that are reserved
-/// for the service but idle, as tasks can be throttled when the service needs them.
+/// Returns the resources that a VM's tasks may use now, including processors that are reserved for
+/// the service but idle: tasks can be throttled when the service needs these processors.
 fn current_allowance(view: &WorkerView) -> Resources {
     let used_by_service = view.reserve.milli_cpus * u64::from(view.load_permille.min(1000)) / 1000;
     let milli_cpus = view.capacity.milli_cpus.saturating_sub(used_by_service);
--- a/crates/geraniumpost-core/src/placement/no_capacity.rs
+++ b/crates/geraniumpost-core/src/placement/no_capacity.rs
@@ -7,15 +7,16 @@
 use super::reservations::Reservation;
 use super::{Decision, PlacementRequest, Placer, Reason, WorkerKey, amounts};
 
-/// Time for which a worker stays reserved for an urgent job while the evicted tasks stop. After it
-/// another worker may be used.
+/// Time for which resources stay reserved for an urgent job while the evicted tasks stop.
+/// Afterwards the job may use another worker.
 const URGENT_RESERVATION_MS: u64 = 5_000;
-/// Waiting time after which a worker is reserved for a job for which no worker has capacity.
+/// Waiting time after which resources are reserved for a job for which no worker has capacity.
 const RESERVE_AFTER_MS: u64 = 600_000;
-/// Time for which a worker stays reserved for a job that has waited long. After it another worker
-/// may be reserved.
+/// Time for which resources stay reserved for a job that has waited long. Afterwards resources on
+/// another worker may be reserved.
 const RESERVATION_MS: u64 = 900_000;
-/// Number of workers for each reservation without evictions; at least one reservation is allowed.
+/// Number of workers in the fleet per allowed reservation without evictions; at least one such
+/// reservation is allowed.
 const WORKERS_PER_RESERVATION: usize = 16;
 
 impl Placer {
@@ -37,8 +38,8 @@
         vec![self.wait_or_reserve(context, planned)]
     }
 
-    /// Evicts tasks for an urgent job and reserves their worker, unless one is reserved already or
-    /// the eviction budget is used up.
+    /// Evicts tasks for an urgent job and reserves resources on their worker, unless the job has a
+    /// reservation already or the eviction budget is used up.
     fn preempt(&mut self, context: &JobContext<'_>, planned: &mut PlannedFleet) -> Vec<Decision> {
         if let Some(reservation) = self.reservations.get(&context.request.job) {
             let worker = context.fleet.view(reservation.worker).name.clone();
@@ -67,8 +68,8 @@
         self.evict_for(context, preemption)
     }
 
-    /// Finds the cheapest preemption on a worker that the job need not avoid and that has neither a
-    /// reservation nor a reached job limit.
+    /// Finds the cheapest preemption among workers that the job may use, that have no reservation,
+    /// and on which further jobs may be started.
     fn find_preemption(
         &self,
         context: &JobContext<'_>,
@@ -108,8 +109,9 @@
         decisions
     }
 
-    /// Keeps a job waiting, and reserves a worker for it after [`RESERVE_AFTER_MS`]. Without the
-    /// reservation smaller jobs would take all capacity that becomes free.
+    /// Keeps a job waiting, and reserves resources on a worker for the job after
+    /// [`RESERVE_AFTER_MS`]. Without the reservation, smaller jobs would take all capacity that
+    /// becomes free.
     pub(super) fn wait_or_reserve(
         &mut self,
         context: &JobContext<'_>,
@@ -135,8 +137,8 @@
         )
     }
 
-    /// Returns the worker with the smallest shortfall in free resources for a job, among those on
-    /// which it would fit if no tasks ran there.
+    /// Returns the worker with the smallest shortfall in free resources for a job, among unreserved
+    /// workers on which the job would fit if no tasks ran there.
     fn closest_to_fitting(
         &self,
         context: &JobContext<'_>,
@@ -167,7 +169,7 @@
         self.reservations.insert(&context.request.job, reservation);
     }
 
-    /// Releases the worker reserved for a job, if there is one.
+    /// Releases the resources reserved for a job, if any.
     pub(super) fn release_reservation(
         &mut self,
         request: &PlacementRequest,
@@ -179,7 +181,7 @@
     }
 }
 
-/// Creates a reservation that expires immediately, unless the caller sets its end.
+/// Creates a reservation that ends now; the caller sets the actual end.
 fn new_reservation(context: &JobContext<'_>, worker: WorkerKey) -> Reservation {
     let customer = context.request.customer.clone();
     Reservation { worker, customer, need: context.need, until: context.now, awaits_eviction: false }
--- a/crates/geraniumpost-core/src/placement/observation.rs
+++ b/crates/geraniumpost-core/src/placement/observation.rs
@@ -10,13 +10,14 @@
     Started {
         /// Id of the job.
         job: Name,
-        /// The job's customer.
+        /// Name of the customer that owns the job.
         customer: Name,
-        /// The job's class.
+        /// Name of the job's class in the configuration document.
         class: Name,
-        /// The worker on which it runs.
+        /// The worker on which the run takes place.
         worker: Name,
-        /// Resources reserved for it, which is the `need` of the start decision.
+        /// Resources reserved for the run: the `need` of
+        /// [`Decision::Start`](super::Decision::Start).
         need: Resources,
         /// Start of the run.
         at: Millis,
@@ -25,9 +26,9 @@
     Ended {
         /// Id of the job.
         job: Name,
-        /// The worker on which it ran.
+        /// The worker on which the run took place.
         worker: Name,
-        /// Whether it succeeded, or why it ended otherwise.
+        /// Whether the run succeeded, or how it ended otherwise.
         outcome: RunOutcome,
         /// End of the run.
         at: Millis,
@@ -36,7 +37,7 @@
     Throttled {
         /// Id of the job.
         job: Name,
-        /// The worker on which it runs.
+        /// The worker on which the run takes place.
         worker: Name,
         /// Share of its processors that the task may use, in thousandths.
         permille: u32,
@@ -60,9 +61,9 @@
     Usage {
         /// Id of the job.
         job: Name,
-        /// The job's customer.
+        /// Name of the customer that owns the job.
         customer: Name,
-        /// The job's class.
+        /// Name of the job's class in the configuration document.
         class: Name,
         /// Resources that the job declared.
         need: Resources,
--- a/crates/geraniumpost-core/src/placement/observe.rs
+++ b/crates/geraniumpost-core/src/placement/observe.rs
@@ -24,7 +24,7 @@
             }
             Observation::Throttled { job, worker, permille, at } => {
                 let before = self.speeds.insert(job.clone(), *permille).unwrap_or(FULL_SPEED);
-                self.history.record_throttle(worker, job, before, *permille, *at);
+                self.history.record_speed_change(worker, job, before, *permille, *at);
             }
             Observation::Latency { worker, service, load_permille, p99_us, at } => {
                 self.observe_latency(worker, service, *load_permille, *p99_us, *at);
--- a/crates/geraniumpost-core/src/placement/placement_request.rs
+++ b/crates/geraniumpost-core/src/placement/placement_request.rs
@@ -54,8 +54,8 @@
         self
     }
 
-    /// Sets the time of submission. Older jobs of a customer come first, and waiting times count
-    /// from it.
+    /// Sets the time of submission, from which waiting times count. Older jobs of a customer come
+    /// first.
     #[must_use]
     pub const fn submitted(mut self, at: Millis) -> Self {
         self.submitted = at;
@@ -91,7 +91,7 @@
         &self.customer
     }
 
-    /// Returns the job class.
+    /// Returns the name of the job's class in the configuration document.
     pub const fn class(&self) -> &Name {
         &self.class
     }
@@ -101,7 +101,7 @@
         self.priority
     }
 
-    /// Returns the time of submission.
+    /// Returns the time of submission, from which waiting times count.
     pub const fn submitted_at(&self) -> Millis {
         self.submitted
     }
--- a/crates/geraniumpost-core/src/placement/placer.rs
+++ b/crates/geraniumpost-core/src/placement/placer.rs
@@ -72,7 +72,7 @@
 const CLEANUP_SURPLUS: usize = 64;
 
 impl Placer {
-    /// Creates a placer with the policy of `document` that has learned nothing yet.
+    /// Creates a placer with the policy of `document` and without any measurements.
     pub fn new(document: &Document) -> Self {
         Self {
             policy: document.into(),
@@ -113,9 +113,9 @@
     /// Decides on all waiting jobs, on running tasks that interfere with services, and on the
     /// quarantine of workers.
     ///
-    /// The decisions are consistent with each other. The caller applies each [`Decision::Start`] to
-    /// the fleet by [`Fleet::add_task`] before the next call; an evicted task stays in the fleet
-    /// until its agent reports the end.
+    /// Each decision takes the earlier decisions of the same call into account. The caller applies
+    /// each [`Decision::Start`] to the fleet by [`Fleet::add_task`] before the next call; an
+    /// evicted task stays in the fleet until its agent reports the end.
     pub fn place<R: Rng + ?Sized>(
         &mut self,
         now: Millis,
@@ -130,7 +130,7 @@
         planned.apply_speed_ups(&decisions, fleet);
         let reserved_workers = self.urgent_demand.workers_to_reserve(now, planned.rows.len());
         if reserved_workers > 0 {
-            planned.reserve_for_urgent(reserved_workers, self.urgent_demand.capacity());
+            planned.reserve_for_urgent(reserved_workers, self.urgent_demand.capacity_per_worker());
         }
         let mut queue = Queue::new(now, requests, fleet, &self.policy);
         while let Some(request) = queue.pop() {
@@ -146,8 +146,8 @@
         decisions
     }
 
-    /// Returns the text of the latest decision on `job` with its time, or a text that there is
-    /// none.
+    /// Returns the text of the latest decision on `job` with its time, or a text that says that
+    /// there is no decision.
     pub fn explain(&self, job: &Name) -> String {
         self.explanations.text(job)
     }
@@ -155,7 +155,7 @@
     /// Drops the state of departed workers and of jobs that neither wait nor run, and evictions and
     /// reservations that have expired.
     fn forget_departed(&mut self, now: Millis, requests: &[PlacementRequest], fleet: &Fleet) {
-        // VMs are replaced under new names, so the state of old ones would accumulate.
+        // VMs are replaced under new names, so the state of old VMs would accumulate.
         if self.latencies.len() > fleet.rows().len() * 2 + CLEANUP_SURPLUS {
             let is_present = |worker: &Name| fleet.worker(worker).is_some();
             self.latencies.retain(|worker, _| is_present(worker));
@@ -165,7 +165,7 @@
         self.evicting.retain(|_, at| now.since(*at) < EVICTION_TIMEOUT_MS);
         if self.reservations.is_empty()
             && !self.failures.is_large()
-            && !self.explanations.is_large()
+            && !self.explanations.needs_trim()
         {
             return;
         }
--- a/crates/geraniumpost-core/src/placement/planned_fleet.rs
+++ b/crates/geraniumpost-core/src/placement/planned_fleet.rs
@@ -2,8 +2,8 @@
 
 use geraniumpost_schema::{Name, Resources};
 
+use super::location_counts::LocationCounts;
 use super::reservations::Reservation;
-use super::task_group::TaskGroup;
 use super::{Decision, Fleet, PlacementRequest, WorkerKey, amounts};
 
 /// Free capacity and allocations as they will be after the decisions made so far by one call of
@@ -18,10 +18,10 @@
     /// Resources of planned starts and of reservations, by customer.
     allocations: HashMap<Name, Resources>,
     /// Planned starts by customer and class.
-    groups: HashMap<(Name, Name), TaskGroup>,
+    groups: HashMap<(Name, Name), LocationCounts>,
     /// Interference slopes by class, each vector by service index.
     slopes: HashMap<Name, Vec<f64>>,
-    /// Needs for which no worker has capacity; none of them is larger than another.
+    /// Needs for which no worker has capacity. None of them fits within another.
     unfit_needs: Vec<Resources>,
 }
 
@@ -31,21 +31,22 @@
     pub key: WorkerKey,
     /// Resources that are free for batch work after planned starts and speed-ups.
     pub free: Resources,
-    /// Index of its service, or `NO_SERVICE`.
+    /// Index of the worker's service, or `NO_SERVICE`.
     pub service: u32,
-    /// Index of its rack in [`Proximity`](super::proximity::Proximity).
+    /// Index of the worker's rack in
+    /// [`WeightedLocationCounts`](super::weighted_location_counts::WeightedLocationCounts).
     pub rack: u32,
-    /// Index of its failure domain, in the same range as racks.
+    /// Index of the worker's failure domain, in the same range as racks.
     pub domain: u32,
     /// Busy share of the minion's slots, from 0 to 1.
     pub load: f64,
-    /// Predicted p99 of its service with planned starts, as a multiple of the target.
+    /// Predicted p99 of the worker's service with planned starts, as a multiple of the target.
     pub forecast_p99: f64,
-    /// Maximum number of further jobs to start on it; `u32::MAX` if there is no limit.
+    /// Maximum number of further jobs to start on the worker; `u32::MAX` if there is no limit.
     pub job_limit: u32,
     /// Capacity that is reserved for one waiting job; 0 of each resource if there is none.
     pub reserved: Resources,
-    /// Whether it keeps [`PlannedFleet::urgent_capacity`] free.
+    /// Whether the worker keeps [`PlannedFleet::urgent_capacity`] free.
     pub keeps_urgent_capacity: bool,
 }
 
@@ -137,7 +138,7 @@
     }
 
     /// Returns the planned starts of the request's customer and class, counted by location.
-    pub fn group(&self, request: &PlacementRequest) -> Option<&TaskGroup> {
+    pub fn group(&self, request: &PlacementRequest) -> Option<&LocationCounts> {
         if self.groups.is_empty() {
             return None;
         }
@@ -150,8 +151,8 @@
         self.slopes.entry(class.clone()).or_insert_with(compute)
     }
 
-    /// Returns whether no worker has capacity for `need`, as none had for a need that was no
-    /// larger.
+    /// Returns whether no worker has capacity for `need` because no worker had capacity for a need
+    /// that is no larger in any resource.
     pub fn cannot_fit(&self, need: &Resources) -> bool {
         self.unfit_needs.iter().any(|smaller| amounts::fits(smaller, need))
     }
--- a/crates/geraniumpost-core/src/placement/policy.rs
+++ b/crates/geraniumpost-core/src/placement/policy.rs
@@ -14,7 +14,7 @@
     evictions_per_minute: u32,
 }
 
-/// Settings of one customer.
+/// Weight and quota of one customer, from the configuration document.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CustomerSettings {
     pub weight: u32,
@@ -51,13 +51,14 @@
     }
 
     /// Returns the number of failures, on workers that were not quarantined, after which a job of
-    /// `class` is given up. Unknown classes get the document's default.
+    /// `class` is given up. Unknown classes get the default of [`JobClass`].
     pub(super) fn max_attempts(&self, class: &Name) -> u32 {
         let default = || JobClass::default().max_attempts;
         self.classes.get(class).map_or_else(default, |class| class.max_attempts)
     }
 
-    /// Returns the target for the p99 of `service` in microseconds.
+    /// Returns the target for the p99 of `service` in microseconds, or [`DEFAULT_TARGET_US`] if the
+    /// service is unknown.
     pub(super) fn target_us(&self, service: &Name) -> u64 {
         self.targets_us.get(service).copied().unwrap_or(DEFAULT_TARGET_US)
     }
@@ -67,5 +68,5 @@
     }
 }
 
-/// Latency target of services that are not in the document, equal to the document's default.
+/// Latency target of services that are not in the document, equal to the schema's default.
 const DEFAULT_TARGET_US: u64 = 200_000;
--- a/crates/geraniumpost-core/src/placement/preemption.rs
+++ b/crates/geraniumpost-core/src/placement/preemption.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 
 /// Fixed cost of one eviction, in thousandths of a processor times milliseconds, so that a few
-/// large tasks are evicted rather than many small ones.
+/// large tasks are evicted rather than many small tasks.
 const EVICTION_COST: f64 = 20_000_000.0;
 
 /// Evictions on one worker that free enough capacity for an urgent job.
@@ -27,11 +27,12 @@
 }
 
 impl Preemption {
-    /// Returns the cheapest preemption among the workers that accept work and for which
-    /// `is_allowed` holds. Jobs for which `is_excluded` holds are not evicted.
+    /// Returns the cheapest preemption found, with at most `max_evictions` evictions, on a worker
+    /// that accepts work and for which `is_allowed` holds. Jobs for which `is_excluded` holds are
+    /// not evicted.
     ///
     /// An eviction costs the work since the latest checkpoint plus [`EVICTION_COST`], so that few
-    /// tasks are evicted, and preferably recently checkpointed ones.
+    /// tasks are evicted, preferably tasks with a recent checkpoint.
     pub fn find(
         now: Millis,
         need: &Resources,
@@ -63,7 +64,8 @@
     task.evictable && task.priority != Priority::Urgent
 }
 
-/// Returns a cheap set of evictions that makes `need` fit on a worker, or `None` if there is none.
+/// Returns a cheap set of evictions, chosen greedily, that makes `need` fit on a worker, or `None`
+/// if no set does.
 fn preemption_on(
     now: Millis,
     need: &Resources,
--- a/crates/geraniumpost-core/src/placement/queue.rs
+++ b/crates/geraniumpost-core/src/placement/queue.rs
@@ -6,14 +6,14 @@
 use super::{Fleet, PlacementPolicy, PlacementRequest, amounts};
 use crate::Millis;
 
-/// Waiting time after which a scavenger job is queued as a normal one, so that it does not starve.
+/// Waiting time after which a scavenger job is queued as a normal job, so that it does not starve.
 const SCAVENGER_AGING_MS: u64 = 600_000;
 /// Number of priority levels: urgent, normal and scavenger.
 const PRIORITY_LEVELS: usize = 3;
 
 /// Queue of waiting jobs that orders them for decisions.
 ///
-/// Jobs of a higher priority come first. Within a priority the next job is the oldest one of the
+/// Jobs of a higher priority come first. Within a priority the next job is the oldest job of the
 /// customer with the smallest dominant share in relation to its weight.
 #[derive(Debug)]
 pub struct Queue<'a> {
@@ -28,7 +28,7 @@
 struct CustomerQueue<'a> {
     customer: Name,
     /// The customer's dominant share divided by its weight.
-    share: f64,
+    weighted_share: f64,
     weight: f64,
     requests: VecDeque<&'a PlacementRequest>,
 }
@@ -55,7 +55,7 @@
         for (level_at, level) in self.levels.iter_mut().enumerate() {
             let available =
                 level.iter_mut().enumerate().filter(|(_, queue)| !queue.requests.is_empty());
-            let next = available.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
+            let next = available.min_by(|a, b| a.1.weighted_share.total_cmp(&b.1.weighted_share));
             if let Some((queue_at, queue)) = next {
                 self.last_popped = Some((level_at, queue_at));
                 return queue.requests.pop_front();
@@ -64,15 +64,15 @@
         None
     }
 
-    /// Updates the share of the customer whose job [`pop`](Self::pop) returned last, after its
-    /// start.
+    /// Updates the share of the customer whose job [`pop`](Self::pop) returned last, after the
+    /// start of that job.
     pub fn record_start(&mut self, planned: &PlannedFleet, fleet: &Fleet) {
         let Some((level, queue)) = self.last_popped else { return };
         let customer = self.levels[level][queue].customer.clone();
         let allocated =
             amounts::dominant_share(&planned.allocated_to(&customer, fleet), fleet.total());
         let queues = self.levels.iter_mut().flatten().filter(|queue| queue.customer == customer);
-        queues.for_each(|queue| queue.share = allocated / queue.weight);
+        queues.for_each(|queue| queue.weighted_share = allocated / queue.weight);
     }
 
     fn push(
@@ -94,7 +94,7 @@
             amounts::dominant_share(&fleet.allocated_to(&request.customer), fleet.total());
         level.push(CustomerQueue {
             customer: request.customer.clone(),
-            share: allocated / weight,
+            weighted_share: allocated / weight,
             weight,
             requests: VecDeque::from([request]),
         });
--- a/crates/geraniumpost-core/src/placement/reason.rs
+++ b/crates/geraniumpost-core/src/placement/reason.rs
@@ -8,13 +8,13 @@
 /// in the results of jobs.
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Reason {
-    /// The worker has the best score among those with capacity, or a good one and was chosen to
-    /// explore.
+    /// The worker has the best score among those with capacity, or a random candidate was chosen so
+    /// that the model learns more.
     #[display("least predicted harm of {considered} with room [{}]", join_candidates(best))]
     LeastInterference {
         /// Number of workers with capacity.
         considered: u32,
-        /// Up to three of the best of them, the chosen one first.
+        /// Up to three workers with the best scores, the chosen worker first.
         best: Vec<Candidate>,
     },
     /// No worker has enough free resources for the job.
@@ -41,13 +41,14 @@
         /// The resource of which the quota would be exceeded.
         resource: Resource,
     },
-    /// The job must not start yet, as it waits after a failure.
+    /// The job must not start yet because it backs off after a failure.
     #[display("backs off until {until} ms")]
     BackOff {
         /// Time at which the job may start.
         until: Millis,
     },
-    /// The planner has taken over recently, and more workers may announce themselves.
+    /// No worker is known yet, or the planner has taken over recently and more workers may announce
+    /// themselves.
     #[display("workers are still announcing themselves")]
     AwaitingWorkers,
     /// The job fits on no worker, even without other tasks.
@@ -57,9 +58,9 @@
         resource: Resource,
         /// Amount that the job needs, in the unit of `resource`.
         needed: u64,
-        /// The worker that offers most of it.
+        /// The worker that offers most of the resource.
         largest: Name,
-        /// Amount that this worker offers to batch work.
+        /// Amount that this worker offers to batch work, in the unit of `resource`.
         offered: u64,
     },
     /// The job alone exceeds its customer's quota.
@@ -71,7 +72,7 @@
         resource: Resource,
         /// Amount that the job needs, in the unit of `resource`.
         needed: u64,
-        /// Amount that the quota allows.
+        /// Amount that the quota allows, in the unit of `resource`.
         quota: u64,
     },
     /// The configuration has no such customer.
@@ -88,7 +89,7 @@
     ExcessiveInterference {
         /// The worker with the lowest increase in latency cost.
         best: Name,
-        /// Predicted p99 of its service with the job, in thousandths of the target.
+        /// Predicted p99 of the service on that worker with the job, in thousandths of the target.
         predicted_permille: u32,
     },
     /// The service's smoothed p99 has been above its target for a while.
@@ -115,13 +116,14 @@
         resource: Resource,
         /// Amount that the tasks use together, in the unit of `resource`.
         used: u64,
-        /// Amount that they may use together.
+        /// Amount that the tasks may use together, in the unit of `resource`.
         allowed: u64,
     },
-    /// Several different jobs failed on the worker, so it is quarantined.
+    /// Several different jobs, or the job of a probe, failed on the worker, which is therefore
+    /// quarantined.
     #[display("failed {jobs} different jobs in a row, probed at {until} ms")]
     WorkerFailsJobs {
-        /// Number of different jobs that failed.
+        /// Number of different jobs with recent failures on the worker.
         jobs: u32,
         /// End of the quarantine, after which the worker is probed with one job.
         until: Millis,
@@ -140,16 +142,17 @@
         /// Worker of the last of these failures.
         last: Name,
     },
-    /// The job has waited long, so a worker is reserved for it until enough tasks there have ended.
+    /// The job has waited long, so resources on a worker are reserved for the job until enough
+    /// tasks there have ended.
     #[display("waited long; {worker} is kept for it")]
     WorkerReserved {
-        /// The worker that is reserved for the job.
+        /// The worker with the reserved resources.
         worker: Name,
     },
     /// The task is evicted because an urgent job needs its resources.
     #[display("cheapest room for urgent {for_job}, losing {lost_ms} ms of work")]
     PreemptedByUrgent {
-        /// The urgent job.
+        /// Id of the urgent job.
         for_job: Name,
         /// Run time since the latest checkpoint, which is lost.
         lost_ms: u64,
--- a/crates/geraniumpost-core/src/placement/rejection.rs
+++ b/crates/geraniumpost-core/src/placement/rejection.rs
@@ -4,7 +4,8 @@
 
 impl Placer {
     /// Returns the decision on a job that must not be placed: its customer is unknown, it exceeds
-    /// the quota, fits on no worker, or has failed too often. `None` if a worker is to be searched.
+    /// the quota, fits on no worker, or has failed too often. `None` if the caller must search for
+    /// a worker.
     pub(super) fn decide_ineligible(
         &mut self,
         request: &PlacementRequest,
@@ -54,10 +55,11 @@
     Decision::Impossible { job: request.job.clone(), resource, largest: Name::default(), reason }
 }
 
-/// Rejects a job that fits on no worker, with the resource that the nearest worker lacks. If more
-/// workers are expected, the job waits for them instead.
+/// Rejects a job that fits on no worker, and names a resource of which the worker that comes
+/// closest to fitting has too little. If more workers are expected or none is known, the job waits
+/// instead.
 ///
-/// Lost workers count, as they may come back. A job that fits only on a worker that has been
+/// Lost workers count because they may come back. A job that fits only on a worker that has been
 /// removed is rejected the next time it is decided on.
 fn too_large_decision(request: &PlacementRequest, fleet: &Fleet) -> Decision {
     let job = request.job.clone();
--- a/crates/geraniumpost-core/src/placement/reservations.rs
+++ b/crates/geraniumpost-core/src/placement/reservations.rs
@@ -5,14 +5,16 @@
 use super::{Fleet, WorkerKey};
 use crate::Millis;
 
-/// Workers reserved for waiting jobs: for an urgent job until the tasks evicted for it have
-/// stopped, and for a job that has waited long until enough tasks on the worker have ended.
+/// Resources on workers that are reserved for waiting jobs: for an urgent job until the tasks
+/// evicted for it have stopped, and for a job that has waited long until enough tasks on the worker
+/// have ended.
 #[derive(Debug, Clone, Default)]
 pub struct Reservations {
     by_job: HashMap<Name, Reservation>,
 }
 
-/// A worker reserved for a job.
+/// Resources on one worker that are reserved for a waiting job. Other jobs may use the rest of the
+/// worker.
 #[derive(Debug, Clone)]
 pub struct Reservation {
     pub worker: WorkerKey,
--- a/crates/geraniumpost-core/src/placement/ridge.rs
+++ b/crates/geraniumpost-core/src/placement/ridge.rs
@@ -1,10 +1,11 @@
-/// Factor between the weights of two successive measurements, so that old ones count less: a
-/// measurement has half the weight of one made about 1,400 measurements later.
+/// Factor between the weights of two successive measurements, so that old measurements count less:
+/// a measurement has half the weight of one made about 1,400 measurements later.
 const WEIGHT_GROWTH: f64 = 1.0005;
-/// Weight of a new measurement above which all sums are divided by it, so that they stay small.
+/// Value of [`RidgeRegression::weight_scale`] above which all sums are divided by that value, so
+/// that the sums stay small.
 const RESCALE_THRESHOLD: f64 = 1e6;
-/// Number of Gauss-Seidel sweeps per solution. Few are enough, as a solution starts from the
-/// previous one.
+/// Number of Gauss-Seidel sweeps per solution. Few sweeps are enough because each solution starts
+/// from the previous solution.
 const SWEEPS_PER_SOLUTION: usize = 4;
 
 /// Weighted linear regression whose coefficients are regularized towards given prior values.
@@ -12,11 +13,11 @@
 pub struct RidgeRegression {
     /// Number of coefficients.
     size: usize,
-    /// Weighted sums of products of two inputs, row by row.
+    /// Matrix of the weighted sums of the products of each pair of inputs, in row-major order.
     products: Vec<f64>,
     /// Weighted sums of input times measured value, by coefficient.
     targets: Vec<f64>,
-    /// The coefficients as solved last.
+    /// The coefficients as of the last call of [`solve`](Self::solve).
     solution: Vec<f64>,
     /// Factor for the weight of the next measurement.
     weight_scale: f64,
@@ -107,7 +108,7 @@
         self.size = size;
     }
 
-    /// Divides all sums by the weight scale, which then is 1 again.
+    /// Divides all sums by the weight scale, and resets the scale to 1.
     fn rescale(&mut self) {
         let all = self.products.iter_mut().chain(&mut self.targets);
         all.for_each(|value| *value /= self.weight_scale);
--- a/crates/geraniumpost-core/src/placement/run_history.rs
+++ b/crates/geraniumpost-core/src/placement/run_history.rs
@@ -6,18 +6,18 @@
 use super::task_view::FULL_SPEED;
 use crate::Millis;
 
-/// Age from which ended segments are dropped, at the next end of a run on the worker. Measurements
-/// that arrive later are not attributed to the tasks of these segments.
+/// Time after its end at which a segment may be dropped; the next end of a run on the worker drops
+/// it. Measurements that arrive later are not attributed to the tasks of these segments.
 const RETENTION_MS: u64 = 60_000;
-/// Maximum number of ended segments per worker, so that a worker on which every job fails at once
-/// does not use up memory.
-const MAX_ENDED: usize = 128;
+/// Maximum number of ended segments per worker, so that a worker on which every job fails
+/// immediately does not use up memory.
+const MAX_ENDED_SEGMENTS: usize = 128;
 
 /// Records which tasks ran on each worker at which time and speed.
 ///
-/// Measurements of latency arrive late. If they were attributed to the tasks that run on arrival, a
-/// quiet task that has just started would be blamed for a noisy one that has just been evicted, and
-/// more tasks would be evicted without effect.
+/// Measurements of latency arrive late. If they were attributed to the tasks that run on arrival,
+/// interference by a noisy task that was just evicted would be attributed to a quiet task that just
+/// started, and more tasks would be evicted without effect.
 #[derive(Debug, Clone, Default)]
 pub struct RunHistory {
     /// Segments by worker.
@@ -45,14 +45,14 @@
     }
 
     /// Closes the segment of a task, and drops the worker's segments that ended [`RETENTION_MS`]
-    /// ago or exceed [`MAX_ENDED`].
+    /// ago or exceed [`MAX_ENDED_SEGMENTS`].
     pub fn record_end(&mut self, worker: &Name, job: &Name, at: Millis) {
         let Some(segments) = self.workers.get_mut(worker) else { return };
         close_segment(segments, job, at);
         segments.retain(|segment| segment.ended.is_none_or(|ended| at.since(ended) < RETENTION_MS));
         let ended = segments.iter().filter(|segment| segment.ended.is_some()).count();
-        if ended > MAX_ENDED {
-            let mut surplus = ended - MAX_ENDED;
+        if ended > MAX_ENDED_SEGMENTS {
+            let mut surplus = ended - MAX_ENDED_SEGMENTS;
             segments.retain(|segment| {
                 let drop = surplus > 0 && segment.ended.is_some();
                 surplus -= usize::from(drop);
@@ -71,7 +71,7 @@
 
     /// Closes the segment of a task whose speed was `before` and opens one with speed `permille`,
     /// both in thousandths.
-    pub fn record_throttle(
+    pub fn record_speed_change(
         &mut self,
         worker: &Name,
         job: &Name,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Closes the open segment of `job` at `at`, and returns a copy from before. `None` if the job has
-/// no open segment.
+/// Closes the open segment of `job` at `at`, and returns a copy made before the change. `None` if
+/// the job has no open segment.
 fn close_segment(segments: &mut [RunSegment], job: &Name, at: Millis) -> Option<RunSegment> {
     let segment =
         segments.iter_mut().find(|segment| segment.job == *job && segment.ended.is_none())?;
--- a/crates/geraniumpost-core/src/placement/run_segment.rs
+++ b/crates/geraniumpost-core/src/placement/run_segment.rs
@@ -15,7 +15,7 @@
 }
 
 impl RunSegment {
-    /// Returns whether the task ran in this segment at `at`; the end is exclusive.
+    /// Returns whether `at` is in the segment. The start is inclusive and the end exclusive.
     pub fn covers(&self, at: Millis) -> bool {
         self.started <= at && self.ended.is_none_or(|ended| at < ended)
     }
--- a/crates/geraniumpost-core/src/placement/scan.rs
+++ b/crates/geraniumpost-core/src/placement/scan.rs
@@ -2,22 +2,22 @@
 
 use super::interference_model::load_factor;
 use super::planned_fleet::{PlannedFleet, PlannedWorker};
-use super::proximity::Proximity;
+use super::weighted_location_counts::WeightedLocationCounts;
 use super::worker_row::NO_SERVICE;
 use super::{WorkerKey, amounts};
 
-/// Number of workers that a scan returns, and the reason of a start names.
+/// Maximum number of workers that a scan returns and that the reason of a start names.
 const MAX_CANDIDATES: usize = 3;
-/// Weight of the share of free capacity that the job leaves unused. It lets jobs fill one worker
-/// before they use another.
+/// Weight of the share of free capacity that the job leaves unused. This term lets jobs fill one
+/// worker before they use another worker.
 const PACKING_WEIGHT: f64 = 0.005;
 /// Weight of each task of the same customer and class on the same rack. Each task in the same
 /// failure domain counts half.
 const SPREADING_WEIGHT: f64 = 0.01;
-/// Processors, in thousandths, of the task size to which a slope refers.
-const UNIT_MILLI_CPUS: f64 = 16_000.0;
+/// Processors, in thousandths, of the reference task to which a slope refers.
+const REFERENCE_TASK_MILLI_CPUS: f64 = 16_000.0;
 
-/// Search over all workers for the best one for a job.
+/// Search over all workers for those with the lowest scores for a job.
 #[derive(Debug)]
 pub struct Scan<'a> {
     /// Resources to reserve for the job.
@@ -26,20 +26,20 @@
     pub slopes: &'a [f64],
     /// Workers that are not considered.
     pub skipped: &'a [WorkerKey],
-    /// The worker reserved for this job, if any.
-    pub reserved: Option<WorkerKey>,
+    /// The worker on which resources are reserved for this job, if any.
+    pub reserved_worker: Option<WorkerKey>,
     /// Whether the job may use capacity that is kept free for urgent jobs.
     pub urgent: bool,
     /// Running and planned tasks of the same customer and class, by location.
-    pub proximity: &'a Proximity,
+    pub location_counts: &'a WeightedLocationCounts,
 }
 
-/// Workers that a scan found.
+/// Number of workers with capacity that a scan found, and the best of them.
 #[derive(Debug, Clone, Default)]
 pub struct ScanResult {
     /// Number of workers with capacity.
     pub considered: u32,
-    /// Up to [`MAX_CANDIDATES`] of them with the lowest scores, best first.
+    /// Up to [`MAX_CANDIDATES`] of these workers with the lowest scores, best first.
     pub best: Vec<ScoredWorker>,
 }
 
@@ -81,7 +81,7 @@
     /// Returns the need plus the capacity on this worker that must stay free for other jobs.
     fn with_reservations(&self, row: &PlannedWorker, urgent_capacity: &Resources) -> Resources {
         let mut need = *self.need;
-        if self.reserved != Some(row.key) {
+        if self.reserved_worker != Some(row.key) {
             need = amounts::plus(&need, &row.reserved);
         }
         if row.keeps_urgent_capacity && !self.urgent {
@@ -96,7 +96,7 @@
         let unused = 1.0 - amounts::dominant_share(self.need, &row.free);
         let score = latency_cost(predicted_p99) - latency_cost(row.forecast_p99)
             + PACKING_WEIGHT * unused
-            + SPREADING_WEIGHT * self.proximity.weighted_count(row);
+            + SPREADING_WEIGHT * self.location_counts.weighted_count(row);
         ScoredWorker { index, score, added_p99, predicted_p99 }
     }
 
@@ -107,14 +107,15 @@
             return 0.0;
         }
         let slope = self.slopes.get(row.service as usize).copied().unwrap_or(0.0);
-        slope * self.need.milli_cpus as f64 / UNIT_MILLI_CPUS * load_factor(row.load)
+        slope * self.need.milli_cpus as f64 / REFERENCE_TASK_MILLI_CPUS * load_factor(row.load)
     }
 }
 
 /// Returns the cost of a p99, given as a multiple of the target.
 ///
-/// The cost is convex, as an increase near the target does more harm than one far below it. Thus
-/// two noisy tasks are placed on two workers, and a noisy task where the service is idle.
+/// The cost is convex because an increase near the target is worse than an increase far below the
+/// target. Thus two noisy tasks are placed on two workers, and a noisy task where the service is
+/// idle.
 fn latency_cost(p99: f64) -> f64 {
     p99 * p99
 }
--- a/crates/geraniumpost-core/src/placement/task_view.rs
+++ b/crates/geraniumpost-core/src/placement/task_view.rs
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Sets the resources that the planner reserved, which is the `need` of the start decision.
+    /// Sets the resources that the planner reserved, which are the `need` of
+    /// [`Decision::Start`](super::Decision::Start).
     #[must_use]
     pub const fn reserved(mut self, reserved: Resources) -> Self {
         self.reserved = reserved;
@@ -77,7 +78,7 @@
         self
     }
 
-    /// Sets whether the task may be checkpointed and stopped in favour of others.
+    /// Sets whether the task may be checkpointed and stopped to free its resources.
     #[must_use]
     pub const fn evictable(mut self, evictable: bool) -> Self {
         self.evictable = evictable;
@@ -101,7 +102,8 @@
         &self.customer
     }
 
-    /// Returns the start of the task.
+    /// Returns the start time given to [`new`](Self::new), by the planner's clock. If the planner
+    /// took over a run, this is the time of the takeover.
     pub const fn started_at(&self) -> Millis {
         self.started
     }
--- a/crates/geraniumpost-core/src/placement/urgent_demand.rs
+++ b/crates/geraniumpost-core/src/placement/urgent_demand.rs
@@ -7,7 +7,8 @@
 
 /// Time for which an urgent start counts as recent.
 const WINDOW_MS: u64 = 120_000;
-/// Number of recent urgent starts per worker that keeps capacity free, rounded up to whole workers.
+/// Number of recent urgent starts for each worker that keeps capacity free; the number of workers
+/// is rounded up.
 const STARTS_PER_WORKER: usize = 8;
 /// At most one worker in this many keeps capacity free.
 const WORKERS_PER_URGENT_RESERVATION: usize = 4;
@@ -35,9 +36,10 @@
         self.starts.len().div_ceil(STARTS_PER_WORKER).min(workers / WORKERS_PER_URGENT_RESERVATION)
     }
 
-    /// Returns the capacity that each of these workers should keep free, which suffices for any one
-    /// of the recent urgent jobs.
-    pub fn capacity(&self) -> Resources {
+    /// Returns the capacity that each worker counted by
+    /// [`workers_to_reserve`](Self::workers_to_reserve) should keep free: enough for any one of the
+    /// recent urgent jobs.
+    pub fn capacity_per_worker(&self) -> Resources {
         self.starts
             .iter()
             .fold(amounts::NONE, |capacity, (_, need)| amounts::component_max(&capacity, need))
--- a/crates/geraniumpost-core/src/placement/usage_estimates.rs
+++ b/crates/geraniumpost-core/src/placement/usage_estimates.rs
@@ -9,7 +9,8 @@
 ///
 /// Declared needs are often far too low. A class that always uses twice its declared memory would
 /// fill VMs beyond their memory, and the kernel would kill tasks. The next job of the same customer
-/// and class therefore gets as much as most of the recent ones used.
+/// and class therefore gets the memory that sufficed for 85 % of the recent jobs and the processors
+/// that sufficed for half of them.
 #[derive(Debug, Clone, Default)]
 pub struct UsageEstimates {
     /// Samples by customer and class.
--- a/crates/geraniumpost-core/src/placement/usage_sample.rs
+++ b/crates/geraniumpost-core/src/placement/usage_sample.rs
@@ -4,7 +4,7 @@
 
 /// Maximum number of tasks in a sample.
 const MAX_SAMPLED_TASKS: usize = 32;
-/// Minimum number of tasks for an estimate; with fewer the declared need is used.
+/// Minimum number of tasks for an estimate; with fewer tasks the declared need is used.
 const MIN_SAMPLED_TASKS: usize = 3;
 /// Share of the tasks for which the estimated processors suffice. A task with too few processors
 /// only runs more slowly.
@@ -18,47 +18,47 @@
 pub struct UsageSample {
     peaks: VecDeque<Peak>,
     /// Estimated ratio of used to declared processors.
-    processors: f64,
+    processors_ratio: f64,
     /// Estimated ratio of used to declared memory.
-    memory: f64,
+    memory_ratio: f64,
 }
 
 /// Peak usage of one task, relative to its declared need.
 #[derive(Debug, Clone)]
 struct Peak {
     job: Name,
-    processors: f64,
-    memory: f64,
+    processors_ratio: f64,
+    memory_ratio: f64,
 }
 
 impl UsageSample {
     /// Adds a measurement of the usage of `job`, which declared `need`.
     pub fn observe(&mut self, job: &Name, need: &Resources, usage: &Resources) {
         let ratio = |used: u64, declared: u64| used as f64 / declared.max(1) as f64;
-        let processors = ratio(usage.milli_cpus, need.milli_cpus);
-        let memory = ratio(usage.memory_mb, need.memory_mb);
+        let processors_ratio = ratio(usage.milli_cpus, need.milli_cpus);
+        let memory_ratio = ratio(usage.memory_mb, need.memory_mb);
         if let Some(peak) = self.peaks.iter_mut().find(|peak| peak.job == *job) {
-            if processors <= peak.processors && memory <= peak.memory {
+            if processors_ratio <= peak.processors_ratio && memory_ratio <= peak.memory_ratio {
                 return;
             }
-            peak.processors = peak.processors.max(processors);
-            peak.memory = peak.memory.max(memory);
+            peak.processors_ratio = peak.processors_ratio.max(processors_ratio);
+            peak.memory_ratio = peak.memory_ratio.max(memory_ratio);
         } else {
             if self.peaks.len() == MAX_SAMPLED_TASKS {
                 self.peaks.pop_front();
             }
-            self.peaks.push_back(Peak { job: job.clone(), processors, memory });
+            self.peaks.push_back(Peak { job: job.clone(), processors_ratio, memory_ratio });
         }
-        self.processors = self.quantile(PROCESSORS_QUANTILE, |peak| peak.processors);
-        self.memory = self.quantile(MEMORY_QUANTILE, |peak| peak.memory);
+        self.processors_ratio = self.quantile(PROCESSORS_QUANTILE, |peak| peak.processors_ratio);
+        self.memory_ratio = self.quantile(MEMORY_QUANTILE, |peak| peak.memory_ratio);
     }
 
     /// Returns `need` multiplied by the estimated ratios; accelerators stay as declared.
     pub fn scaled(&self, need: &Resources) -> Resources {
         let scale = |amount: u64, ratio: f64| (amount as f64 * ratio).ceil() as u64;
         Resources {
-            milli_cpus: scale(need.milli_cpus, self.processors),
-            memory_mb: scale(need.memory_mb, self.memory),
+            milli_cpus: scale(need.milli_cpus, self.processors_ratio),
+            memory_mb: scale(need.memory_mb, self.memory_ratio),
             accelerators: need.accelerators,
         }
     }
--- a/crates/geraniumpost-core/src/placement/worker_record.rs
+++ b/crates/geraniumpost-core/src/placement/worker_record.rs
@@ -4,23 +4,24 @@
 
 /// Number of different jobs whose failures quarantine a worker, if none of its current runs is
 /// unproven.
-const JOBS_TO_QUARANTINE: usize = 3;
+const FAILED_JOBS_TO_QUARANTINE: usize = 3;
 /// Number of different jobs whose failures quarantine a worker even while it has unproven runs.
-const JOBS_TO_QUARANTINE_ALWAYS: usize = 6;
+const FAILED_JOBS_TO_QUARANTINE_ALWAYS: usize = 6;
 /// A run counts as a success once it has lasted this many times as long as the longest failed run.
 const SUCCESS_FACTOR: u64 = 2;
 /// Lower limit of the time after which a run counts as a success.
 const MIN_SUCCESS_MS: u64 = 5_000;
 /// Upper limit of the time after which a run counts as a success.
 const MAX_SUCCESS_MS: u64 = 120_000;
-/// Number of different failed jobs from which a worker may have one unproven run at a time.
-const JOBS_TO_LIMIT: usize = 2;
+/// Number of different failed jobs from which a trusted worker may have only one unproven run at a
+/// time.
+const FAILED_JOBS_TO_LIMIT_RUNS: usize = 2;
 /// Age from which failures are forgotten.
 const FAILURE_WINDOW_MS: u64 = 300_000;
 /// Duration of the first quarantine; each failed probe doubles the duration.
 const FIRST_QUARANTINE_MS: u64 = 30_000;
-/// Maximum number of doublings, which limits the duration to eight minutes.
-const MAX_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings, which limits the duration of a quarantine to eight minutes.
+const MAX_QUARANTINE_DOUBLINGS: u32 = 4;
 
 /// How far a worker is trusted after failures of its runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -32,14 +33,14 @@
     Quarantined {
         /// End of the quarantine, after which the worker is probed.
         until: Millis,
-        /// Number of failed probes, at most [`MAX_DOUBLINGS`].
+        /// Number of failed probes, at most [`MAX_QUARANTINE_DOUBLINGS`].
         doublings: u32,
     },
     /// The worker is given one job at a time, to test whether runs succeed again.
     Probing {
         /// Start of the probe.
         since: Millis,
-        /// Number of failed probes before this one, at most [`MAX_DOUBLINGS`].
+        /// Number of failed probes before this probe, at most [`MAX_QUARANTINE_DOUBLINGS`].
         doublings: u32,
     },
 }
@@ -63,13 +64,13 @@
 }
 
 impl WorkerRecord {
-    /// Records a failure of `job`, which replaces an earlier one of the same job.
+    /// Records a failure of `job`, which replaces an earlier failure of the same job.
     pub fn record_failure(&mut self, job: &Name, started: Millis, at: Millis) {
         self.clear_failure(job);
         self.failures.push(Failure { job: job.clone(), started, at });
     }
 
-    /// Removes the failure of `job`, as the job has also failed on other workers.
+    /// Removes the failure of `job`, if any, so that it no longer counts against the worker.
     pub fn clear_failure(&mut self, job: &Name) {
         self.failures.retain(|failure| failure.job != *job);
     }
@@ -80,8 +81,8 @@
         (longest.unwrap_or(0) * SUCCESS_FACTOR).clamp(MIN_SUCCESS_MS, MAX_SUCCESS_MS)
     }
 
-    /// Records the success of a run that began at `started`: failures of runs that began no later
-    /// are removed, or the current probe succeeds.
+    /// Records the success of a run that began at `started`. On a trusted worker this removes the
+    /// failures of runs that began no later; a probe succeeds if the run began during the probe.
     pub fn record_success(&mut self, started: Millis) {
         match self.trust {
             TrustState::Trusted => self.failures.retain(|failure| failure.started > started),
@@ -112,16 +113,16 @@
     }
 
     /// Returns the maximum number of concurrent unproven runs, or `None` if there is no limit.
-    pub fn concurrency_limit(&self) -> Option<u32> {
+    pub fn unproven_run_limit(&self) -> Option<u32> {
         match self.trust {
             TrustState::Quarantined { .. } => Some(0),
             TrustState::Probing { .. } => Some(1),
-            TrustState::Trusted => (self.failures.len() >= JOBS_TO_LIMIT).then_some(1),
+            TrustState::Trusted => (self.failures.len() >= FAILED_JOBS_TO_LIMIT_RUNS).then_some(1),
         }
     }
 
-    /// Returns whether a current run that began at `started` is unproven, so that it could still
-    /// fail like the failed runs: it began during the probe or, without a probe, no earlier than a
+    /// Returns whether a current run that began at `started` is unproven, that is, could still fail
+    /// like the failed runs: the run began during the probe or, without a probe, no earlier than a
     /// failed run.
     pub fn is_unproven(&self, started: Millis) -> bool {
         match self.trust {
@@ -135,14 +136,18 @@
         !matches!(self.trust, TrustState::Trusted)
     }
 
-    /// Returns whether the worker is trusted and has no recent failures, so that its record can be
+    /// Returns whether the worker is trusted and has no recent failures. Such a record can be
     /// dropped.
     pub fn is_clean(&self) -> bool {
         self.trust == TrustState::Trusted && self.failures.is_empty()
     }
 
     fn next_state(&self, now: Millis, has_unproven_run: bool) -> TrustState {
-        let needed = if has_unproven_run { JOBS_TO_QUARANTINE_ALWAYS } else { JOBS_TO_QUARANTINE };
+        let needed = if has_unproven_run {
+            FAILED_JOBS_TO_QUARANTINE_ALWAYS
+        } else {
+            FAILED_JOBS_TO_QUARANTINE
+        };
         match self.trust {
             TrustState::Trusted if self.failures.len() >= needed => quarantine(now, 0),
             TrustState::Quarantined { until, doublings } if now >= until => {
@@ -151,7 +156,7 @@
             TrustState::Probing { since, doublings }
                 if self.failures.iter().any(|failure| failure.at > since) =>
             {
-                quarantine(now, (doublings + 1).min(MAX_DOUBLINGS))
+                quarantine(now, (doublings + 1).min(MAX_QUARANTINE_DOUBLINGS))
             }
             TrustState::Probing { .. } if self.probe_succeeded => TrustState::Trusted,
             trust => trust,
--- a/crates/geraniumpost-core/src/placement/worker_row.rs
+++ b/crates/geraniumpost-core/src/placement/worker_row.rs
@@ -13,15 +13,15 @@
     pub free: Resources,
     /// Index of the service, or [`NO_SERVICE`].
     pub service: u32,
-    /// Index of the rack, in one range with failure domains.
+    /// Index of the rack, in a range shared with failure domains.
     pub rack: u32,
-    /// Index of the failure domain, in one range with racks.
+    /// Index of the failure domain, in a range shared with racks.
     pub domain: u32,
     /// Busy share of the minion's slots, in thousandths.
     pub load_permille: u32,
     /// Version that each change of the worker increases, by which cached values are validated.
     pub version: u64,
-    /// Whether the worker is healthy, so that jobs may be started on it.
+    /// Whether jobs may be started on the worker, because its state is [`WorkerState::Healthy`].
     pub accepts_work: bool,
 }
 
--- a/crates/geraniumpost-core/src/placement/worker_state.rs
+++ b/crates/geraniumpost-core/src/placement/worker_state.rs
@@ -1,19 +1,20 @@
 use derive_more::Display;
 
-/// Whether jobs may be started on a worker. Only a healthy one accepts them.
+/// Whether jobs may be started on a worker. Only healthy workers accept jobs.
 #[derive(Debug, Display, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum WorkerState {
-    /// Responds and accepts new jobs.
+    /// The worker responds and accepts new jobs.
     #[default]
     #[display("healthy")]
     Healthy,
-    /// Is to be removed: its tasks continue, but no jobs are started.
+    /// The worker is to be removed: its tasks continue, but no jobs are started.
     #[display("draining")]
     Draining,
-    /// Was quarantined by an operator or by the planner, so no jobs are started.
+    /// The worker was quarantined by an operator or by the planner, so no jobs are started.
     #[display("quarantined")]
     Quarantined,
-    /// Does not respond. Jobs that fit only on lost workers wait, as these may come back.
+    /// The worker does not respond. Jobs that fit only on lost workers wait because these may come
+    /// back.
     #[display("lost")]
     Lost,
 }
--- a/crates/geraniumpost-core/src/placement/worker_view.rs
+++ b/crates/geraniumpost-core/src/placement/worker_view.rs
@@ -78,16 +78,16 @@
 
     /// Sets the resources that the agent's ledger has reserved, according to its latest heartbeat.
     ///
-    /// The ledger may reserve more for a throttled or measured task than the planner allocates.
-    /// Free capacity excludes both, as the ledger would otherwise refuse starts, and the jobs would
-    /// have to wait for a back-off.
+    /// The ledger may reserve more for a throttled or measured task than the planner allocates. For
+    /// each resource, the larger amount is subtracted from the free capacity. Otherwise the ledger
+    /// would refuse starts, and the jobs would have to wait for a back-off.
     #[must_use]
     pub const fn reserved(mut self, reserved: Resources) -> Self {
         self.reserved = reserved;
         self
     }
 
-    /// Sets the state, on which it depends whether jobs may be started.
+    /// Sets the state, which decides whether jobs may be started on the worker.
     #[must_use]
     pub const fn state(mut self, state: WorkerState) -> Self {
         self.state = state;
@@ -107,7 +107,7 @@
     }
 
     /// Returns all tasks on the worker, including those that are being started or stopped.
-    pub fn running(&self) -> &[TaskView] {
+    pub fn all_tasks(&self) -> &[TaskView] {
         &self.tasks
     }
 
--- a/crates/geraniumpost-core/tests/placement_basics.rs
+++ b/crates/geraniumpost-core/tests/placement_basics.rs
@@ -24,7 +24,7 @@
     .expect("a document")
 }
 
-/// A fleet of two idle workers, of which `w1` is the larger one.
+/// A fleet of two idle workers. `w1` is larger than `w2`.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::default();
     fleet.put_worker(WorkerView::new("w1", "surco", "r1", amount(8000, 16000)));
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -85,7 +85,7 @@
     .expect("a document")
 }
 
-/// Reference model that keeps no sums, but computes them from all tasks.
+/// Reference model that keeps no sums, but computes each sum from all tasks.
 struct ReferenceModel {
     /// Allowance and state of each worker.
     workers: BTreeMap<Name, (Resources, WorkerState)>,
@@ -100,7 +100,7 @@
         for view in fleet.workers() {
             let state = states.get(view.name()).copied().unwrap_or_default();
             workers.insert(view.name().clone(), (view.allowance(), state));
-            for task in view.running() {
+            for task in view.all_tasks() {
                 let entry = (view.name().clone(), task.customer().clone(), task.allocated());
                 tasks.insert(task.job().clone(), entry);
             }
@@ -130,13 +130,13 @@
             && self.workers.values().any(|(allowance, _)| amounts::fits(request.need(), allowance))
     }
 
-    fn within_quota(&self, request: &PlacementRequest) -> bool {
-        self.within_quota_with_reservations(request, std::iter::empty())
+    fn is_within_quota(&self, request: &PlacementRequest) -> bool {
+        self.is_within_quota_with_reservations(request, std::iter::empty())
     }
 
     /// Returns whether the job stays within its customer's quota if the quota is also used by the
     /// other jobs in `reserved`.
-    fn within_quota_with_reservations<'a>(
+    fn is_within_quota_with_reservations<'a>(
         &self,
         request: &PlacementRequest,
         reserved: impl Iterator<Item = &'a PlacementRequest>,
@@ -183,7 +183,7 @@
                     job
                 );
                 prop_assert!(amounts::fits(need, &model.free(worker)), "{worker} is overcommitted");
-                prop_assert!(model.within_quota(request), "{job} exceeds its quota");
+                prop_assert!(model.is_within_quota(request), "{job} exceeds its quota");
                 let entry = (worker.clone(), request.customer().clone(), *need);
                 prop_assert!(
                     model.tasks.insert(job.clone(), entry).is_none(),
@@ -206,7 +206,7 @@
                         let reserved = requests
                             .iter()
                             .filter(|other| reservation_holders.contains(other.job()));
-                        prop_assert!(!model.within_quota_with_reservations(request, reserved));
+                        prop_assert!(!model.is_within_quota_with_reservations(request, reserved));
                     }
                     Reason::NoCapacity { .. } | Reason::EvictionBudgetSpent { .. } => {
                         let reserved_workers =
@@ -236,9 +236,9 @@
     Ok(())
 }
 
-/// Returns the maximum number of workers that have capacity but are not available for a job: those
-/// reserved for other jobs and, unless the job is urgent, one in four that may keep capacity free
-/// for urgent jobs.
+/// Returns the maximum number of workers that have capacity but are not available for a job:
+/// workers with reservations for other jobs and, unless the job is urgent, one in four that may
+/// keep capacity free for urgent jobs.
 fn max_reserved_workers(
     reservation_holders: &BTreeSet<Name>,
     request: &PlacementRequest,
@@ -249,7 +249,7 @@
     reservation_holders.len() + for_urgent
 }
 
-/// Returns the jobs that wait with a worker reserved for them.
+/// Returns the jobs that wait while resources are reserved for them.
 fn reservation_holders(decided: &[Decision]) -> impl Iterator<Item = Name> {
     decided.iter().filter_map(|decision| match decision {
         Decision::Wait {
@@ -289,7 +289,7 @@
     queue: Vec<PlacementRequest>,
     now: u64,
     next_job: usize,
-    /// Jobs for which a worker was reserved by the last call of the placer.
+    /// Jobs for which the last call of the placer reported reserved resources.
     reservation_holders: BTreeSet<Name>,
     rng: StdRng,
 }
@@ -313,7 +313,7 @@
     }
 
     fn running(&self) -> Vec<Name> {
-        let tasks = self.fleet.workers().flat_map(|view| view.running().iter());
+        let tasks = self.fleet.workers().flat_map(|view| view.all_tasks().iter());
         let mut jobs: Vec<Name> = tasks.map(|task| task.job().clone()).collect();
         jobs.sort();
         jobs
@@ -392,17 +392,17 @@
     }
 
     /// Decisions must be reproducible from the seed of the random numbers, so that an incident can
-    /// be analysed by a replay.
+    /// be analyzed by a replay.
     #[test]
     fn same_seed_gives_same_decisions(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        let (mut one, mut other) = (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
+        let (mut first, mut second) = (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
         for step in &steps {
-            one.apply(step);
-            other.apply(step);
-            prop_assert_eq!(one.place()?, other.place()?);
+            first.apply(step);
+            second.apply(step);
+            prop_assert_eq!(first.place()?, second.place()?);
         }
     }
 }
--- a/crates/geraniumpost-core/tests/placement_faults.rs
+++ b/crates/geraniumpost-core/tests/placement_faults.rs
@@ -57,8 +57,8 @@
 }
 
 /// The disk of one VM is broken, so every run there fails within a second and the VM always has
-/// free capacity. Unless it is quarantined, it is given job after job, and healthy jobs are given
-/// up.
+/// free capacity. Without a quarantine, job after job would be started there, and healthy jobs
+/// would be given up.
 #[test]
 fn failing_worker_is_quarantined_before_it_drains_the_queue() {
     let mut planner =
@@ -78,8 +78,8 @@
     assert!(started < 30, "{started} jobs started on the failing worker");
 }
 
-/// A quarantined worker has been repaired. It is probed with one job and gets further jobs once the
-/// probe succeeds. Without probes its capacity would be lost permanently.
+/// A quarantined worker has been repaired. The worker is probed with one job and gets further jobs
+/// once the probe succeeds. Without probes its capacity would be lost permanently.
 #[test]
 fn repaired_worker_is_probed_and_released() {
     let mut planner = TestPlanner::new([worker("failing", "r1")]);
@@ -115,8 +115,8 @@
     assert_eq!(decided.iter().filter(|d| matches!(d, Decision::Start { .. })).count(), 3);
 }
 
-/// A job with a bad input fails on every worker. It must not be retried forever, and the workers on
-/// which it failed must not be quarantined.
+/// A job with a bad input fails on every worker. The job must not be retried forever, and the
+/// workers on which it failed must not be quarantined.
 #[test]
 fn always_failing_job_is_given_up_without_quarantine() {
     let mut planner =
@@ -140,7 +140,7 @@
     assert!(!decided.iter().any(|d| matches!(d, Decision::Quarantine { .. })));
 }
 
-/// Several jobs with bad inputs are submitted at once. As healthy jobs succeed on the same two
+/// Several jobs with bad inputs are submitted at once. Because healthy jobs succeed on the same two
 /// workers, the failures must not quarantine both workers.
 #[test]
 fn failing_jobs_among_healthy_ones_quarantine_at_most_one_worker() {
--- a/crates/geraniumpost-core/tests/placement_interference.rs
+++ b/crates/geraniumpost-core/tests/placement_interference.rs
@@ -46,9 +46,9 @@
     planner.fleet.set_load(&name("w1"), 500, 40_000);
 }
 
-/// A measurement of high latency arrives only after the noisy task has ended and a quiet one has
+/// A measurement of high latency arrives only after the noisy task has ended and a quiet task has
 /// started. If the measurement were attributed to the running task, the quiet class would be
-/// avoided and evicted, while the noisy one would still be placed with services.
+/// avoided and evicted, while the noisy class would still be placed with services.
 #[test]
 fn late_measurement_is_attributed_to_tasks_of_its_time() {
     let mut planner = planner();
@@ -65,7 +65,7 @@
 }
 
 /// One minion is busy and the other is idle. A noisy job starts on the worker of the idle minion,
-/// as the same task raises the latency of a busy minion more.
+/// because the same task raises the latency of a busy minion more.
 #[test]
 fn noisy_job_goes_to_idle_minion() {
     let mut planner = planner();
@@ -79,9 +79,9 @@
     }
 }
 
-/// A task raises the latency of a busy minion more than that of an idle one, so the prediction must
-/// depend on the load. Otherwise noisy tasks would be placed with busy minions, and too few with
-/// idle ones.
+/// A task raises the latency of a busy minion more than that of an idle minion, so the prediction
+/// must depend on the load. Otherwise noisy tasks would be placed with busy minions, and too few
+/// with idle minions.
 #[test]
 fn predicted_interference_grows_with_load() {
     let mut planner = TestPlanner::new([worker("w1", "r1").service("filing")]);
@@ -139,7 +139,7 @@
     assert_matches!(planner.place_on_clone(900_000, &study)[0], Decision::Start { .. });
 }
 
-/// A service's latency is high for 15 seconds. The noisy task is throttled and the quiet one is
+/// A service's latency is high for 15 seconds. The noisy task is throttled and the quiet task is
 /// not. Afterwards the noisy task is sped up to full speed; no task is evicted.
 #[test]
 fn noisy_task_is_throttled_and_sped_up_again() {
--- a/crates/geraniumpost-core/tests/placement_order.rs
+++ b/crates/geraniumpost-core/tests/placement_order.rs
@@ -28,9 +28,9 @@
     planner
 }
 
-/// An urgent job, for whose result field crews wait, arrives while batch tasks use all processors of
-/// the VM. The task that loses the least work is evicted; no other task is, and the order is not
-/// repeated.
+/// An urgent job, for whose result field crews wait, arrives while batch tasks use all processors
+/// of the VM. Only the task that loses the least work is evicted, and its eviction is not ordered
+/// twice.
 #[test]
 fn urgent_job_evicts_cheapest_task_once() {
     let mut planner = full_planner();
@@ -110,7 +110,7 @@
 }
 
 /// A large job waits while small jobs keep arriving and use all capacity that becomes free. The
-/// large job would never start, so a worker is reserved for it after a while.
+/// large job would never start, so resources on a worker are reserved for it after a while.
 #[test]
 fn large_job_does_not_starve() {
     let mut planner = TestPlanner::new([worker("w1", "r1"), worker("w2", "r2")]);
@@ -151,7 +151,7 @@
 }
 
 /// Normal jobs come before a scavenger job. After a while the scavenger job is queued as a normal
-/// one, and is then the oldest.
+/// job, and is then the oldest of them.
 #[test]
 fn scavenger_job_does_not_starve() {
     let mut planner = TestPlanner::new([worker("w1", "r1")]);
@@ -183,7 +183,7 @@
 }
 
 /// Replicas of one class are placed on different racks and failure domains, so that the loss of a
-/// rack ends only one of them.
+/// rack ends only one replica.
 #[test]
 fn replicas_are_spread_over_racks() {
     let locations = [("a", "r1"), ("b", "r1"), ("c", "r1"), ("d", "r2"), ("e", "r2"), ("f", "r3")];
@@ -199,8 +199,9 @@
     assert_eq!(requests.iter().map(rack).collect::<BTreeSet<_>>().len(), 3);
 }
 
-/// Tasks of a class use twice the memory that they declare. That much is reserved for the next job
-/// of the class, as the VM would run out of memory otherwise, but no more than a worker offers.
+/// Tasks of a class use twice the memory that they declare. Twice the declared memory is reserved
+/// for the next job of the class, or the VM would run out of memory. The reservation is limited to
+/// what a worker offers.
 #[test]
 fn learned_usage_makes_no_job_impossible() {
     let mut planner = TestPlanner::new([worker("w1", "r1")]);
--- a/crates/geraniumpost-core/tests/placement_support/mod.rs
+++ b/crates/geraniumpost-core/tests/placement_support/mod.rs
@@ -1,5 +1,5 @@
-//! Shared fixture of the placement tests: a small fleet to which decisions are applied as the
-//! planner does.
+//! Shared fixture of the placement tests: a small fleet to which decisions are applied in the way
+//! of the planner.
 
 #![allow(dead_code)]
 
@@ -144,21 +144,22 @@
     }
 }
 
-/// Returns the worker on which the job `of` is started, or `None` if it is not.
-pub fn started_on(decided: &[Decision], of: &str) -> Option<Name> {
+/// Returns the worker on which the job `job_id` is started, or `None` if the job is not started.
+pub fn started_on(decided: &[Decision], job_id: &str) -> Option<Name> {
     decided.iter().find_map(|decision| match decision {
-        Decision::Start { job, worker, .. } if job.as_str() == of => Some(worker.clone()),
+        Decision::Start { job, worker, .. } if job.as_str() == job_id => Some(worker.clone()),
         _ => None,
     })
 }
 
-/// Returns the score in the start decision for the job `of`, and panics if there is none.
-pub fn start_score(decided: &[Decision], of: &str) -> f64 {
+/// Returns the score in the start decision for the job `job_id`, and panics if there is no such
+/// decision.
+pub fn start_score(decided: &[Decision], job_id: &str) -> f64 {
     let score = decided.iter().find_map(|decision| match decision {
-        Decision::Start { job, score, .. } if job.as_str() == of => Some(*score),
+        Decision::Start { job, score, .. } if job.as_str() == job_id => Some(*score),
         _ => None,
     });
-    score.unwrap_or_else(|| panic!("{of} was not started: {decided:?}"))
+    score.unwrap_or_else(|| panic!("{job_id} was not started: {decided:?}"))
 }
 
 pub fn evicted_jobs(decided: &[Decision]) -> Vec<Name> {
--- a/crates/geraniumpost/src/planner/summary.rs
+++ b/crates/geraniumpost/src/planner/summary.rs
@@ -56,7 +56,7 @@
         "name": view.name(),
         "allowance": view.allowance(),
         "free": view.free(),
-        "tasks": view.running().len(),
+        "tasks": view.all_tasks().len(),
     })
 }
 
