--- a/crates/geraniumpost-core/src/placement/decide.rs
+++ b/crates/geraniumpost-core/src/placement/decide.rs
@@ -99,7 +99,10 @@
         };
         let slopes = planned.slopes(&request.class, compute).to_vec();
         let avoided = self.avoided_workers(context);
-        let groups = [fleet.group(&request.customer, &request.class), planned.group(request)];
+        let location_counts = [
+            fleet.location_counts(&request.customer, &request.class),
+            planned.location_counts(request),
+        ];
         let mut scan = Scan {
             need: &context.need,
             slopes: &slopes,
@@ -109,21 +112,21 @@
                 .get(&request.job)
                 .map(|reservation| reservation.worker),
             urgent: request.priority == Priority::Urgent,
-            location_counts: &WeightedLocationCounts::new(fleet.location_count(), &groups),
+            location_counts: &WeightedLocationCounts::new(fleet.location_count(), &location_counts),
         };
         let result = scan.run(planned);
         if !result.best.is_empty() || self.failures.failed_on(&request.job).is_empty() {
             return result;
         }
-        // In a small fleet the job may have failed on every worker with capacity. It may then retry
-        // on one of them.
+        // In a small fleet the job may have failed on every worker with capacity. The job may then
+        // retry on one of these workers.
         let excluded = excluded_workers(context);
         scan.skipped = &excluded;
         scan.run(planned)
     }
 
-    /// Returns the workers that a job should avoid: those that its request excludes and those on
-    /// which it failed.
+    /// Returns the workers that a job should avoid: the workers that its request excludes and the
+    /// workers on which failures count against the job.
     pub(super) fn avoided_workers(&self, context: &JobContext<'_>) -> Vec<WorkerKey> {
         let failed_on = self.failures.failed_on(&context.request.job).iter();
         let mut avoided = excluded_workers(context);
--- a/crates/geraniumpost-core/src/placement/eviction_budget.rs
+++ b/crates/geraniumpost-core/src/placement/eviction_budget.rs
@@ -5,7 +5,7 @@
 const MINUTE_MS: u64 = 60_000;
 
 /// Limits the evictions in any period of one minute, so that high latency on many workers does not
-/// cause evictions on all of them at once.
+/// cause evictions on all these workers at the same time.
 #[derive(Debug, Clone, Default)]
 pub struct EvictionBudget {
     /// Times of the evictions in the last minute.
--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -40,8 +40,8 @@
     by_job: HashMap<Name, WorkerKey>,
     /// Resources allocated to the tasks of each customer.
     allocations: HashMap<Name, Resources>,
-    /// Task groups by customer and class.
-    groups: HashMap<(Name, Name), LocationCounts>,
+    /// Locations of the tasks of each customer and class.
+    location_counts: HashMap<(Name, Name), LocationCounts>,
     services: Interner,
     /// Names of racks and failure domains.
     locations: Interner,
@@ -116,8 +116,9 @@
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
         let allocation = self.allocations.entry(task.customer.clone()).or_insert(amounts::NONE);
         *allocation = amounts::plus(allocation, &allocated);
-        let group = self.groups.entry((task.customer.clone(), task.class.clone())).or_default();
-        group.add(rack, domain);
+        let counts =
+            self.location_counts.entry((task.customer.clone(), task.class.clone())).or_default();
+        counts.add(rack, domain);
         self.by_job.insert(task.job.clone(), key);
         self.workers[key].tasks.push(task);
         self.refresh_row(key);
@@ -134,11 +135,11 @@
         self.refresh_row(key);
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
         self.release_allocation(&task.customer, &task.allocated());
-        let group_key = (task.customer.clone(), task.class.clone());
-        if let Some(group) = self.groups.get_mut(&group_key) {
-            group.remove(rack, domain);
-            if group.is_empty() {
-                self.groups.remove(&group_key);
+        let counts_key = (task.customer.clone(), task.class.clone());
+        if let Some(counts) = self.location_counts.get_mut(&counts_key) {
+            counts.remove(rack, domain);
+            if counts.is_empty() {
+                self.location_counts.remove(&counts_key);
             }
         }
         Some(task)
@@ -227,8 +228,8 @@
         self.locations.names().len()
     }
 
-    pub(super) fn group(&self, customer: &Name, class: &Name) -> Option<&LocationCounts> {
-        self.groups.get(&(customer.clone(), class.clone()))
+    pub(super) fn location_counts(&self, customer: &Name, class: &Name) -> Option<&LocationCounts> {
+        self.location_counts.get(&(customer.clone(), class.clone()))
     }
 
     /// Returns whether `need` would fit on some worker, in any state, if no tasks ran there.
--- a/crates/geraniumpost-core/src/placement/interference_model.rs
+++ b/crates/geraniumpost-core/src/placement/interference_model.rs
@@ -52,7 +52,7 @@
 }
 
 /// Returns the factor by which interference grows with the load of the service, from 0.3 for an
-/// idle service to 1 for a fully loaded one.
+/// idle service to 1 for a fully loaded service.
 ///
 /// The function is linear because there is too little data to fit a more complex function.
 pub fn load_factor(load: f64) -> f64 {
--- a/crates/geraniumpost-core/src/placement/interner.rs
+++ b/crates/geraniumpost-core/src/placement/interner.rs
@@ -21,7 +21,7 @@
         index
     }
 
-    /// Returns the index assigned to `name`, or `None` if it is unknown.
+    /// Returns the index assigned to `name`, or `None` if the name is unknown.
     pub fn get(&self, name: &Name) -> Option<u32> {
         self.indices.get(name).copied()
     }
--- a/crates/geraniumpost-core/src/placement/latency_control.rs
+++ b/crates/geraniumpost-core/src/placement/latency_control.rs
@@ -41,7 +41,7 @@
         if self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
             return None;
         }
-        if self.latency.high_for(self.now)? >= THROTTLE_AFTER_MS {
+        if self.latency.high_duration_ms(self.now)? >= THROTTLE_AFTER_MS {
             self.throttle_most_interfering()
         } else {
             None
@@ -52,7 +52,7 @@
     /// [`SPEED_UP_AFTER_MS`], the last action was at least [`ACTION_INTERVAL_MS`] ago, the
     /// predicted p99 stays within [`SPEED_UP_MAX_P99`], and the additional processors are free.
     pub fn speed_up_if_low(&self) -> Option<Decision> {
-        let low = self.latency.low_for(self.now)? >= SPEED_UP_AFTER_MS;
+        let low = self.latency.low_duration_ms(self.now)? >= SPEED_UP_AFTER_MS;
         if !low || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
             return None;
         }
@@ -60,14 +60,15 @@
         let by_interference = throttled.map(|task| (self.interference(task), task));
         let (interference, task) = by_interference.min_by(|a, b| a.0.total_cmp(&b.0))?;
         // At twice its speed the task interferes twice as much.
-        if self.latency.smoothed + interference > SPEED_UP_MAX_P99 {
+        if self.latency.smoothed_p99 + interference > SPEED_UP_MAX_P99 {
             return None;
         }
         let permille = (task.permille * 2).min(FULL_SPEED);
         if task.additional_milli_cpus(permille) > self.view.free().milli_cpus {
             return None;
         }
-        let reason = Reason::LatencyRecovered { p99_permille: to_permille(self.latency.smoothed) };
+        let reason =
+            Reason::LatencyRecovered { p99_permille: to_permille(self.latency.smoothed_p99) };
         Some(self.speed_decision(task, permille, reason))
     }
 
@@ -75,9 +76,9 @@
     /// has been high for [`EVICT_AFTER_MS`], is at least [`EVICT_MIN_P99`], and the last action was
     /// at least [`ACTION_INTERVAL_MS`] ago.
     pub fn evict_if_high(&self) -> Option<Decision> {
-        let high = self.latency.high_for(self.now)? >= EVICT_AFTER_MS;
+        let high = self.latency.high_duration_ms(self.now)? >= EVICT_AFTER_MS;
         if !high
-            || self.latency.smoothed < EVICT_MIN_P99
+            || self.latency.smoothed_p99 < EVICT_MIN_P99
             || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS
         {
             return None;
@@ -85,7 +86,7 @@
         let (interference, task) = self
             .most_interfering_task(|task| task.evictable && task.permille <= MIN_SPEED_PERMILLE)?;
         let reason = Reason::LatencyHigh {
-            p99_permille: to_permille(self.latency.smoothed),
+            p99_permille: to_permille(self.latency.smoothed_p99),
             task_permille: to_permille(interference),
         };
         Some(Decision::Evict {
@@ -101,7 +102,7 @@
         let (interference, task) =
             self.most_interfering_task(|task| task.permille > MIN_SPEED_PERMILLE)?;
         let reason = Reason::LatencyHigh {
-            p99_permille: to_permille(self.latency.smoothed),
+            p99_permille: to_permille(self.latency.smoothed_p99),
             task_permille: to_permille(interference),
         };
         let permille = (task.permille / 2).max(MIN_SPEED_PERMILLE);
--- a/crates/geraniumpost-core/src/placement/mitigation.rs
+++ b/crates/geraniumpost-core/src/placement/mitigation.rs
@@ -55,7 +55,8 @@
     }
 
     /// Returns whether a decision may be carried out, and counts an eviction against the budget. An
-    /// eviction may not be carried out if it was already ordered or the budget does not allow it.
+    /// eviction may not be carried out if the task's eviction was ordered already or the budget's
+    /// part for services and VMs is used up.
     fn admit(&mut self, now: Millis, decision: &Decision) -> bool {
         let Decision::Evict { job, .. } = decision else { return true };
         let per_minute = self.policy.evictions_per_minute();
--- a/crates/geraniumpost-core/src/placement/no_capacity.rs
+++ b/crates/geraniumpost-core/src/placement/no_capacity.rs
@@ -33,7 +33,7 @@
         if context.request.excluded.is_empty()
             && self.reservations.get(&context.request.job).is_none()
         {
-            planned.record_unfit(&context.need);
+            planned.record_unfit_need(&context.need);
         }
         vec![self.wait_or_reserve(context, planned)]
     }
--- a/crates/geraniumpost-core/src/placement/observe.rs
+++ b/crates/geraniumpost-core/src/placement/observe.rs
@@ -46,7 +46,7 @@
         let target = self.policy.target_us(service).max(1) as f64;
         let (p99, load) = (p99_us as f64 / target, f64::from(load_permille) / 1000.0);
         let mut tasks = Vec::new();
-        for segment in self.history.at(worker, at) {
+        for segment in self.history.segments_at(worker, at) {
             tasks.push((self.model.intern_class(&segment.class), segment.milli_cpus));
         }
         let excess = self.model.observe(service, load, &tasks, p99);
--- a/crates/geraniumpost-core/src/placement/planned_fleet.rs
+++ b/crates/geraniumpost-core/src/placement/planned_fleet.rs
@@ -17,8 +17,8 @@
     pub urgent_capacity: Resources,
     /// Resources of planned starts and of reservations, by customer.
     allocations: HashMap<Name, Resources>,
-    /// Planned starts by customer and class.
-    groups: HashMap<(Name, Name), LocationCounts>,
+    /// Locations of the planned starts of each customer and class.
+    location_counts: HashMap<(Name, Name), LocationCounts>,
     /// Interference slopes by class, each vector by service index.
     slopes: HashMap<Name, Vec<f64>>,
     /// Needs for which no worker has capacity. None of them fits within another.
@@ -87,7 +87,7 @@
     }
 
     /// Subtracts a job's resources from the row at `index`, and adds its interference `added_p99`
-    /// to the forecast and its task to the customer's allocation and group.
+    /// to the forecast and its task to the customer's allocation and to the location counts.
     pub fn apply_start(
         &mut self,
         index: usize,
@@ -101,8 +101,8 @@
         row.job_limit -= 1;
         let (rack, domain) = (row.rack, row.domain);
         self.add_allocation(&request.customer, need);
-        let group_key = (request.customer.clone(), request.class.clone());
-        self.groups.entry(group_key).or_default().add(rack, domain);
+        let counts_key = (request.customer.clone(), request.class.clone());
+        self.location_counts.entry(counts_key).or_default().add(rack, domain);
     }
 
     /// Reserves resources for one job, both on its worker and within its customer's quota.
@@ -138,11 +138,11 @@
     }
 
     /// Returns the planned starts of the request's customer and class, counted by location.
-    pub fn group(&self, request: &PlacementRequest) -> Option<&LocationCounts> {
-        if self.groups.is_empty() {
+    pub fn location_counts(&self, request: &PlacementRequest) -> Option<&LocationCounts> {
+        if self.location_counts.is_empty() {
             return None;
         }
-        self.groups.get(&(request.customer.clone(), request.class.clone()))
+        self.location_counts.get(&(request.customer.clone(), request.class.clone()))
     }
 
     /// Returns the interference slopes of a class by service index. They are computed on first use
@@ -159,7 +159,7 @@
 
     /// Records that no worker has capacity for `need`. This stays true for the rest of the `place`
     /// call, in which capacity only shrinks.
-    pub fn record_unfit(&mut self, need: &Resources) {
+    pub fn record_unfit_need(&mut self, need: &Resources) {
         self.unfit_needs.retain(|larger| !amounts::fits(need, larger));
         self.unfit_needs.push(*need);
     }
--- a/crates/geraniumpost-core/src/placement/preemption.rs
+++ b/crates/geraniumpost-core/src/placement/preemption.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// Returns whether a task may be evicted for an urgent job: it is evictable and not urgent itself.
+/// Returns whether a task may be evicted for an urgent job: the task must be evictable and not
+/// urgent itself.
 pub fn is_preemptible(task: &TaskView) -> bool {
     task.evictable && task.priority != Priority::Urgent
 }
--- a/crates/geraniumpost-core/src/placement/queue.rs
+++ b/crates/geraniumpost-core/src/placement/queue.rs
@@ -52,12 +52,12 @@
 
     /// Removes and returns the next job to decide on.
     pub fn pop(&mut self) -> Option<&'a PlacementRequest> {
-        for (level_at, level) in self.levels.iter_mut().enumerate() {
+        for (level_index, level) in self.levels.iter_mut().enumerate() {
             let available =
                 level.iter_mut().enumerate().filter(|(_, queue)| !queue.requests.is_empty());
             let next = available.min_by(|a, b| a.1.weighted_share.total_cmp(&b.1.weighted_share));
-            if let Some((queue_at, queue)) = next {
-                self.last_popped = Some((level_at, queue_at));
+            if let Some((queue_index, queue)) = next {
+                self.last_popped = Some((level_index, queue_index));
                 return queue.requests.pop_front();
             }
         }
--- a/crates/geraniumpost-core/src/placement/rejection.rs
+++ b/crates/geraniumpost-core/src/placement/rejection.rs
@@ -60,7 +60,7 @@
 /// instead.
 ///
 /// Lost workers count because they may come back. A job that fits only on a worker that has been
-/// removed is rejected the next time it is decided on.
+/// removed is rejected by the next decision on the job.
 fn too_large_decision(request: &PlacementRequest, fleet: &Fleet) -> Decision {
     let job = request.job.clone();
     let nearest = fleet.workers().min_by(|a, b| {
--- a/crates/geraniumpost-core/src/placement/resource.rs
+++ b/crates/geraniumpost-core/src/placement/resource.rs
@@ -1,7 +1,8 @@
 use derive_more::Display;
 use geraniumpost_schema::Resources;
 
-/// A kind of resource. Rejections name it, so that a customer knows which declared need to reduce.
+/// A kind of resource. Rejections name the resource, so that a customer knows which part of the
+/// declared need to reduce.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Resource {
     /// Processors, counted in thousandths.
--- a/crates/geraniumpost-core/src/placement/ridge.rs
+++ b/crates/geraniumpost-core/src/placement/ridge.rs
@@ -1,5 +1,5 @@
 /// Factor between the weights of two successive measurements, so that old measurements count less:
-/// a measurement has half the weight of one made about 1,400 measurements later.
+/// a measurement has half the weight of a measurement made about 1,400 measurements later.
 const WEIGHT_GROWTH: f64 = 1.0005;
 /// Value of [`RidgeRegression::weight_scale`] above which all sums are divided by that value, so
 /// that the sums stay small.
@@ -14,9 +14,9 @@
     /// Number of coefficients.
     size: usize,
     /// Matrix of the weighted sums of the products of each pair of inputs, in row-major order.
-    products: Vec<f64>,
+    product_sums: Vec<f64>,
     /// Weighted sums of input times measured value, by coefficient.
-    targets: Vec<f64>,
+    value_sums: Vec<f64>,
     /// The coefficients as of the last call of [`solve`](Self::solve).
     solution: Vec<f64>,
     /// Factor for the weight of the next measurement.
@@ -38,16 +38,16 @@
         Self { weight_scale: 1.0, ..Self::default() }
     }
 
-    /// Adds a measurement of the value `target`. Coefficients are updated by
+    /// Adds a measurement of the value `measured`. Coefficients are updated by
     /// [`solve`](Self::solve).
-    pub fn observe(&mut self, inputs: &[Input], target: f64, weight: f64) {
+    pub fn observe(&mut self, inputs: &[Input], measured: f64, weight: f64) {
         let size = inputs.iter().map(|input| input.index + 1).max().unwrap_or(0);
         self.resize(size);
         let weight = weight * self.weight_scale;
         for row in inputs {
-            self.targets[row.index] += weight * row.value * target;
+            self.value_sums[row.index] += weight * row.value * measured;
             for column in inputs {
-                self.products[row.index * self.size + column.index] +=
+                self.product_sums[row.index * self.size + column.index] +=
                     weight * row.value * column.value;
             }
         }
@@ -66,12 +66,12 @@
     ) {
         for _ in 0..SWEEPS_PER_SOLUTION {
             for index in 0..self.size {
-                let row = &self.products[index * self.size..(index + 1) * self.size];
+                let row = &self.product_sums[index * self.size..(index + 1) * self.size];
                 let others: f64 = row.iter().zip(&self.solution).map(|(a, b)| a * b).sum::<f64>()
                     - row[index] * self.solution[index];
                 let (prior_value, strength) = prior(index);
                 let strength = strength * self.weight_scale;
-                let value = (self.targets[index] - others + strength * prior_value)
+                let value = (self.value_sums[index] - others + strength * prior_value)
                     / (row[index] + strength).max(1e-9);
                 self.solution[index] = value.max(lower_bound(index));
             }
@@ -89,7 +89,7 @@
         if index >= self.size {
             0.0
         } else {
-            self.products[index * self.size + index] / self.weight_scale
+            self.product_sums[index * self.size + index] / self.weight_scale
         }
     }
 
@@ -97,20 +97,20 @@
         if size <= self.size {
             return;
         }
-        let mut products = vec![0.0; size * size];
+        let mut product_sums = vec![0.0; size * size];
         for row in 0..self.size {
-            let old = &self.products[row * self.size..(row + 1) * self.size];
-            products[row * size..row * size + self.size].copy_from_slice(old);
+            let old = &self.product_sums[row * self.size..(row + 1) * self.size];
+            product_sums[row * size..row * size + self.size].copy_from_slice(old);
         }
-        self.products = products;
-        self.targets.resize(size, 0.0);
+        self.product_sums = product_sums;
+        self.value_sums.resize(size, 0.0);
         self.solution.resize(size, 0.0);
         self.size = size;
     }
 
     /// Divides all sums by the weight scale, and resets the scale to 1.
     fn rescale(&mut self) {
-        let all = self.products.iter_mut().chain(&mut self.targets);
+        let all = self.product_sums.iter_mut().chain(&mut self.value_sums);
         all.for_each(|value| *value /= self.weight_scale);
         self.weight_scale = 1.0;
     }
--- a/crates/geraniumpost-core/src/placement/run_history.rs
+++ b/crates/geraniumpost-core/src/placement/run_history.rs
@@ -6,8 +6,8 @@
 use super::task_view::FULL_SPEED;
 use crate::Millis;
 
-/// Time after its end at which a segment may be dropped; the next end of a run on the worker drops
-/// it. Measurements that arrive later are not attributed to the tasks of these segments.
+/// Time after the end of a segment from which the next end of a run on the worker drops the
+/// segment. Measurements that arrive afterwards are not attributed to its task.
 const RETENTION_MS: u64 = 60_000;
 /// Maximum number of ended segments per worker, so that a worker on which every job fails
 /// immediately does not use up memory.
@@ -87,7 +87,7 @@
     }
 
     /// Returns the segments of the tasks that ran on `worker` at `at`.
-    pub fn at(&self, worker: &Name, at: Millis) -> impl Iterator<Item = &RunSegment> {
+    pub fn segments_at(&self, worker: &Name, at: Millis) -> impl Iterator<Item = &RunSegment> {
         self.workers.get(worker).into_iter().flatten().filter(move |segment| segment.covers(at))
     }
 }
--- a/crates/geraniumpost-core/src/placement/scan.rs
+++ b/crates/geraniumpost-core/src/placement/scan.rs
@@ -121,7 +121,7 @@
 }
 
 impl ScanResult {
-    /// Inserts a worker by score, if it is among the [`MAX_CANDIDATES`] best so far.
+    /// Inserts a worker by score, if the worker is among the [`MAX_CANDIDATES`] best so far.
     fn insert(&mut self, scored: ScoredWorker) {
         let position = self.best.iter().position(|known| scored.score < known.score);
         let position = position.unwrap_or(self.best.len());
--- a/crates/geraniumpost-core/src/placement/smoothed_latency.rs
+++ b/crates/geraniumpost-core/src/placement/smoothed_latency.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SmoothedLatency {
     /// Smoothed p99, as a multiple of the target.
-    pub smoothed: f64,
+    pub smoothed_p99: f64,
     /// Smoothed difference of the measured and the predicted p99, as a multiple of the target.
     pub excess: f64,
     /// Start of the current period of high latency; `None` if latency is not high.
@@ -28,7 +28,7 @@
     /// target.
     pub fn new(p99: f64, excess: f64, at: Millis) -> Self {
         let mut latency = Self {
-            smoothed: p99,
+            smoothed_p99: p99,
             excess,
             high_since: None,
             low_since: None,
@@ -40,19 +40,20 @@
 
     /// Adds a measurement made at `at`. `p99` and `excess` are multiples of the target.
     pub fn observe(&mut self, p99: f64, excess: f64, at: Millis) {
-        self.smoothed += SMOOTHING * (p99 - self.smoothed);
+        self.smoothed_p99 += SMOOTHING * (p99 - self.smoothed_p99);
         self.excess += SMOOTHING * (excess - self.excess);
-        self.high_since = (self.smoothed > HIGH_THRESHOLD).then(|| self.high_since.unwrap_or(at));
-        self.low_since = (self.smoothed < LOW_THRESHOLD).then(|| self.low_since.unwrap_or(at));
+        self.high_since =
+            (self.smoothed_p99 > HIGH_THRESHOLD).then(|| self.high_since.unwrap_or(at));
+        self.low_since = (self.smoothed_p99 < LOW_THRESHOLD).then(|| self.low_since.unwrap_or(at));
     }
 
-    /// Returns the milliseconds for which latency has been high, or `None` if it is not.
-    pub fn high_for(&self, now: Millis) -> Option<u64> {
+    /// Returns the milliseconds for which latency has been high, or `None` if latency is not high.
+    pub fn high_duration_ms(&self, now: Millis) -> Option<u64> {
         self.high_since.map(|since| now.since(since))
     }
 
-    /// Returns the milliseconds for which latency has been low, or `None` if it is not.
-    pub fn low_for(&self, now: Millis) -> Option<u64> {
+    /// Returns the milliseconds for which latency has been low, or `None` if latency is not low.
+    pub fn low_duration_ms(&self, now: Millis) -> Option<u64> {
         self.low_since.map(|since| now.since(since))
     }
 }
--- a/crates/geraniumpost-core/src/placement/weighted_location_counts.rs
+++ b/crates/geraniumpost-core/src/placement/weighted_location_counts.rs
@@ -16,16 +16,16 @@
 }
 
 impl WeightedLocationCounts {
-    /// Sums the tasks of `groups` by location. `location_count` exceeds all location indices.
-    pub fn new(location_count: usize, groups: &[Option<&LocationCounts>]) -> Self {
+    /// Sums `counts` by location. `location_count` exceeds all location indices.
+    pub fn new(location_count: usize, counts: &[Option<&LocationCounts>]) -> Self {
         let mut location_counts =
             Self { racks: vec![0.0; location_count], domains: vec![0.0; location_count] };
-        for group in groups.iter().flatten() {
-            for (rack, count) in &group.racks {
-                location_counts.racks[*rack as usize] += f64::from(*count);
+        for entry in counts.iter().flatten() {
+            for (rack, tasks) in &entry.racks {
+                location_counts.racks[*rack as usize] += f64::from(*tasks);
             }
-            for (domain, count) in &group.domains {
-                location_counts.domains[*domain as usize] += DOMAIN_WEIGHT * f64::from(*count);
+            for (domain, tasks) in &entry.domains {
+                location_counts.domains[*domain as usize] += DOMAIN_WEIGHT * f64::from(*tasks);
             }
         }
         location_counts
--- a/crates/geraniumpost-core/src/placement/worker_record.rs
+++ b/crates/geraniumpost-core/src/placement/worker_record.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Updates the trust state and returns it if it changed. `has_unproven_run` is whether a
-    /// current run of the worker [is unproven](Self::is_unproven).
+    /// Updates the trust state, and returns the new state if there was a change. `has_unproven_run`
+    /// is whether a current run of the worker [is unproven](Self::is_unproven).
     pub fn update_trust(&mut self, now: Millis, has_unproven_run: bool) -> Option<TrustState> {
         self.failures.retain(|failure| now.since(failure.at) < FAILURE_WINDOW_MS);
         let next = self.next_state(now, has_unproven_run);
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -237,8 +237,8 @@
 }
 
 /// Returns the maximum number of workers that have capacity but are not available for a job:
-/// workers with reservations for other jobs and, unless the job is urgent, one in four that may
-/// keep capacity free for urgent jobs.
+/// workers with reservations for other jobs and, unless the job is urgent, one worker in four,
+/// which may keep capacity free for urgent jobs.
 fn max_reserved_workers(
     reservation_holders: &BTreeSet<Name>,
     request: &PlacementRequest,
@@ -377,7 +377,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     /// Under any sequence of events no VM exceeds its allowance, no quota is exceeded, urgent jobs
-    /// start before normal ones, jobs are rejected exactly if they can never run, and no job waits
+    /// start before normal jobs, jobs are rejected exactly if they can never run, and no job waits
     /// while a worker has capacity.
     #[test]
     fn decisions_agree_with_reference_model(
--- a/crates/geraniumpost-core/tests/placement_order.rs
+++ b/crates/geraniumpost-core/tests/placement_order.rs
@@ -151,7 +151,7 @@
 }
 
 /// Normal jobs come before a scavenger job. After a while the scavenger job is queued as a normal
-/// job, and is then the oldest of them.
+/// job, and is then the oldest job of that priority.
 #[test]
 fn scavenger_job_does_not_starve() {
     let mut planner = TestPlanner::new([worker("w1", "r1")]);
