--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -16,10 +16,10 @@
 const CLASSES: [&str; 3] = ["study", "logs", "check"];
 const QUOTA: Resources = Resources { milli_cpus: 9000, memory_mb: 9000, accelerators: 2 };
 
-/// An event between two calls of the placer. Indices of tasks, workers and queued jobs are taken
-/// modulo their number.
+/// A change of the fleet, the queue or the clock between two calls of the placer. Indices of tasks,
+/// workers and queued jobs are taken modulo their number.
 #[derive(Debug, Clone)]
-enum Step {
+enum PlannerEvent {
     Submit { customer: usize, class: usize, need: Resources, priority: Priority },
     EndTask(usize),
     ReportUsage(usize, u64),
@@ -49,15 +49,15 @@
     ]
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn planner_event() -> impl Strategy<Value = PlannerEvent> {
     prop_oneof![
         6 => (0..3usize, 0..3usize, need(), priority()).prop_map(
-            |(customer, class, need, priority)| Step::Submit { customer, class, need, priority }),
-        3 => any::<usize>().prop_map(Step::EndTask),
-        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| Step::ReportUsage(index, cpus)),
-        1 => (any::<usize>(), state()).prop_map(|(index, state)| Step::SetState(index, state)),
-        1 => any::<usize>().prop_map(Step::Cancel),
-        2 => (1..20_000u64).prop_map(Step::AdvanceClock),
+            |(customer, class, need, priority)| PlannerEvent::Submit { customer, class, need, priority }),
+        3 => any::<usize>().prop_map(PlannerEvent::EndTask),
+        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| PlannerEvent::ReportUsage(index, cpus)),
+        1 => (any::<usize>(), state()).prop_map(|(index, state)| PlannerEvent::SetState(index, state)),
+        1 => any::<usize>().prop_map(PlannerEvent::Cancel),
+        2 => (1..20_000u64).prop_map(PlannerEvent::AdvanceClock),
     ]
 }
 
@@ -319,33 +319,33 @@
         jobs
     }
 
-    fn apply(&mut self, step: &Step) {
+    fn apply(&mut self, event: &PlannerEvent) {
         let running = self.running();
-        match step {
-            Step::Submit { customer, class, need, priority } => {
+        match event {
+            PlannerEvent::Submit { customer, class, need, priority } => {
                 let job = format!("job-{}", self.next_job);
                 self.next_job += 1;
                 let request =
                     PlacementRequest::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
                 self.queue.push(request.priority(*priority).submitted(Millis(self.now)));
             }
-            Step::EndTask(index) if !running.is_empty() => {
+            PlannerEvent::EndTask(index) if !running.is_empty() => {
                 self.fleet.remove_task(&running[index % running.len()]);
             }
-            Step::ReportUsage(index, cpus) if !running.is_empty() => {
+            PlannerEvent::ReportUsage(index, cpus) if !running.is_empty() => {
                 let usage = Resources { milli_cpus: *cpus, memory_mb: 1, accelerators: 0 };
                 let job = &running[index % running.len()];
                 self.fleet.update_task(job, |task| task.usage(usage));
             }
-            Step::SetState(index, state) => {
+            PlannerEvent::SetState(index, state) => {
                 let worker = Name::from(format!("w{}", index % self.fleet.workers().count()));
                 self.fleet.set_state(&worker, *state);
                 self.states.insert(worker, *state);
             }
-            Step::Cancel(index) if !self.queue.is_empty() => {
+            PlannerEvent::Cancel(index) if !self.queue.is_empty() => {
                 self.queue.swap_remove(index % self.queue.len());
             }
-            Step::AdvanceClock(ms) => self.now += ms,
+            PlannerEvent::AdvanceClock(ms) => self.now += ms,
             _ => {}
         }
     }
@@ -382,11 +382,11 @@
     #[test]
     fn decisions_agree_with_reference_model(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
-        steps in prop::collection::vec(step(), 1..80),
+        events in prop::collection::vec(planner_event(), 1..80),
     ) {
         let mut planner = SimulatedPlanner::new(&workers);
-        for step in &steps {
-            planner.apply(step);
+        for event in &events {
+            planner.apply(event);
             planner.place()?;
         }
     }
@@ -396,12 +396,12 @@
     #[test]
     fn same_seed_gives_same_decisions(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
-        steps in prop::collection::vec(step(), 1..60),
+        events in prop::collection::vec(planner_event(), 1..60),
     ) {
         let (mut first, mut second) = (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
-        for step in &steps {
-            first.apply(step);
-            second.apply(step);
+        for event in &events {
+            first.apply(event);
+            second.apply(event);
             prop_assert_eq!(first.place()?, second.place()?);
         }
     }
