--- a/crates/geraniumpost-core/src/placement/decide.rs
+++ b/crates/geraniumpost-core/src/placement/decide.rs
@@ -17,8 +17,8 @@
 const NORMAL_MAX_WAIT_MS: u64 = 600_000;
 /// Maximum time for which a scavenger job waits for a worker with less predicted interference.
 const SCAVENGER_MAX_WAIT_MS: u64 = 900_000;
-/// On average one start in this many may use a candidate other than the best, so that the model also
-/// learns about pairs of class and service that placement would otherwise avoid.
+/// Average number of starts per start that may use a candidate other than the best, so that the
+/// model also learns about pairs of class and service that placement would otherwise avoid.
 const EXPLORE_ONE_IN: u32 = 50;
 /// Predicted p99, as a multiple of the target, below which a candidate other than the best may be
 /// used.
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -19,7 +19,7 @@
 /// A change of the fleet, the queue or the clock between two calls of the placer. Indices of tasks,
 /// workers and queued jobs are taken modulo their number.
 #[derive(Debug, Clone)]
-enum PlannerEvent {
+enum Event {
     Submit { customer: usize, class: usize, need: Resources, priority: Priority },
     EndTask(usize),
     ReportUsage(usize, u64),
@@ -49,15 +49,15 @@
     ]
 }
 
-fn planner_event() -> impl Strategy<Value = PlannerEvent> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..3usize, 0..3usize, need(), priority()).prop_map(
-            |(customer, class, need, priority)| PlannerEvent::Submit { customer, class, need, priority }),
-        3 => any::<usize>().prop_map(PlannerEvent::EndTask),
-        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| PlannerEvent::ReportUsage(index, cpus)),
-        1 => (any::<usize>(), state()).prop_map(|(index, state)| PlannerEvent::SetState(index, state)),
-        1 => any::<usize>().prop_map(PlannerEvent::Cancel),
-        2 => (1..20_000u64).prop_map(PlannerEvent::AdvanceClock),
+            |(customer, class, need, priority)| Event::Submit { customer, class, need, priority }),
+        3 => any::<usize>().prop_map(Event::EndTask),
+        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| Event::ReportUsage(index, cpus)),
+        1 => (any::<usize>(), state()).prop_map(|(index, state)| Event::SetState(index, state)),
+        1 => any::<usize>().prop_map(Event::Cancel),
+        2 => (1..20_000u64).prop_map(Event::AdvanceClock),
     ]
 }
 
@@ -319,33 +319,33 @@
         jobs
     }
 
-    fn apply(&mut self, event: &PlannerEvent) {
+    fn apply(&mut self, event: &Event) {
         let running = self.running();
         match event {
-            PlannerEvent::Submit { customer, class, need, priority } => {
+            Event::Submit { customer, class, need, priority } => {
                 let job = format!("job-{}", self.next_job);
                 self.next_job += 1;
                 let request =
                     PlacementRequest::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
                 self.queue.push(request.priority(*priority).submitted(Millis(self.now)));
             }
-            PlannerEvent::EndTask(index) if !running.is_empty() => {
+            Event::EndTask(index) if !running.is_empty() => {
                 self.fleet.remove_task(&running[index % running.len()]);
             }
-            PlannerEvent::ReportUsage(index, cpus) if !running.is_empty() => {
+            Event::ReportUsage(index, cpus) if !running.is_empty() => {
                 let usage = Resources { milli_cpus: *cpus, memory_mb: 1, accelerators: 0 };
                 let job = &running[index % running.len()];
                 self.fleet.update_task(job, |task| task.usage(usage));
             }
-            PlannerEvent::SetState(index, state) => {
+            Event::SetState(index, state) => {
                 let worker = Name::from(format!("w{}", index % self.fleet.workers().count()));
                 self.fleet.set_state(&worker, *state);
                 self.states.insert(worker, *state);
             }
-            PlannerEvent::Cancel(index) if !self.queue.is_empty() => {
+            Event::Cancel(index) if !self.queue.is_empty() => {
                 self.queue.swap_remove(index % self.queue.len());
             }
-            PlannerEvent::AdvanceClock(ms) => self.now += ms,
+            Event::AdvanceClock(ms) => self.now += ms,
             _ => {}
         }
     }
@@ -382,7 +382,7 @@
     #[test]
     fn decisions_agree_with_reference_model(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
-        events in prop::collection::vec(planner_event(), 1..80),
+        events in prop::collection::vec(event(), 1..80),
     ) {
         let mut planner = SimulatedPlanner::new(&workers);
         for event in &events {
@@ -396,9 +396,10 @@
     #[test]
     fn same_seed_gives_same_decisions(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
-        events in prop::collection::vec(planner_event(), 1..60),
+        events in prop::collection::vec(event(), 1..60),
     ) {
-        let (mut first, mut second) = (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
+        let (mut first, mut second) =
+            (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
         for event in &events {
             first.apply(event);
             second.apply(event);
