--- a/crates/geraniumpost-core/src/placement/fleet.rs
+++ b/crates/geraniumpost-core/src/placement/fleet.rs
@@ -4,7 +4,7 @@
 use slotmap::{SecondaryMap, SlotMap, new_key_type};
 
 use super::interner::Interner;
-use super::task_group::TaskGroup;
+use super::location_counts::LocationCounts;
 use super::worker_row::{NO_SERVICE, WorkerRow};
 use super::{TaskView, WorkerState, WorkerView, amounts};
 
@@ -15,7 +15,8 @@
 
 /// The workers of a region with their tasks, indexed for placement.
 ///
-/// The planner applies every start, end and report to it; [`super::Placer`] only reads it.
+/// The planner applies every start, end and report to the fleet; [`super::Placer`] only reads the
+/// fleet.
 ///
 /// # Example
 ///
@@ -39,8 +40,8 @@
     by_job: HashMap<Name, WorkerKey>,
     /// Resources allocated to the tasks of each customer.
     allocations: HashMap<Name, Resources>,
-    /// Task groups by customer and class.
-    groups: HashMap<(Name, Name), TaskGroup>,
+    /// Locations of the tasks of each customer and class.
+    location_counts: HashMap<(Name, Name), LocationCounts>,
     services: Interner,
     /// Names of racks and failure domains.
     locations: Interner,
@@ -56,13 +57,13 @@
 impl Fleet {
     /// Sets whether more workers are expected to announce themselves.
     ///
-    /// A planner that has just taken over knows no workers yet. Without this flag it would reject
-    /// every job as impossible during its first second.
+    /// A planner that has just taken over knows no workers yet. Without this flag the planner would
+    /// reject every job as impossible during its first second.
     pub const fn set_awaiting_workers(&mut self, awaiting_workers: bool) {
         self.awaiting_workers = awaiting_workers;
     }
 
-    /// Returns whether more workers are expected, so that no job is rejected as too large.
+    /// Returns whether more workers are expected. If so, no job is rejected as too large.
     pub const fn awaiting_workers(&self) -> bool {
         self.awaiting_workers
     }
@@ -115,8 +116,9 @@
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
         let allocation = self.allocations.entry(task.customer.clone()).or_insert(amounts::NONE);
         *allocation = amounts::plus(allocation, &allocated);
-        let group = self.groups.entry((task.customer.clone(), task.class.clone())).or_default();
-        group.add(rack, domain);
+        let counts =
+            self.location_counts.entry((task.customer.clone(), task.class.clone())).or_default();
+        counts.add(rack, domain);
         self.by_job.insert(task.job.clone(), key);
         self.workers[key].tasks.push(task);
         self.refresh_row(key);
@@ -133,11 +135,11 @@
         self.refresh_row(key);
         let (rack, domain) = (self.rows[key].rack, self.rows[key].domain);
         self.release_allocation(&task.customer, &task.allocated());
-        let group_key = (task.customer.clone(), task.class.clone());
-        if let Some(group) = self.groups.get_mut(&group_key) {
-            group.remove(rack, domain);
-            if group.is_empty() {
-                self.groups.remove(&group_key);
+        let counts_key = (task.customer.clone(), task.class.clone());
+        if let Some(counts) = self.location_counts.get_mut(&counts_key) {
+            counts.remove(rack, domain);
+            if counts.is_empty() {
+                self.location_counts.remove(&counts_key);
             }
         }
         Some(task)
@@ -200,7 +202,7 @@
         self.allocations.get(customer).copied().unwrap_or(amounts::NONE)
     }
 
-    /// Returns the sum of [`WorkerView::allowance`] over all workers, also of lost ones.
+    /// Returns the sum of [`WorkerView::allowance`] over all workers, including lost workers.
     pub const fn total(&self) -> &Resources {
         &self.total
     }
@@ -226,8 +228,8 @@
         self.locations.names().len()
     }
 
-    pub(super) fn group(&self, customer: &Name, class: &Name) -> Option<&TaskGroup> {
-        self.groups.get(&(customer.clone(), class.clone()))
+    pub(super) fn location_counts(&self, customer: &Name, class: &Name) -> Option<&LocationCounts> {
+        self.location_counts.get(&(customer.clone(), class.clone()))
     }
 
     /// Returns whether `need` would fit on some worker, in any state, if no tasks ran there.
@@ -236,7 +238,7 @@
     }
 
     /// Returns the allowance with most memory among workers on which `need` would fit if no tasks
-    /// ran there, or `None` if there are none.
+    /// ran there, or `None` if `need` fits on no worker.
     pub(super) fn largest_allowance_for(&self, need: &Resources) -> Option<Resources> {
         let candidates = self.allowances.iter().filter(|(known, _)| amounts::fits(need, known));
         candidates
--- a/crates/geraniumpost-core/src/placement/latency_control.rs
+++ b/crates/geraniumpost-core/src/placement/latency_control.rs
@@ -14,7 +14,8 @@
 const EVICT_MIN_P99: f64 = 1.3;
 /// Time for which latency must be low before a task is sped up.
 const SPEED_UP_AFTER_MS: u64 = 8_000;
-/// Minimum time between two actions on a worker, as measurements show their effect with a delay.
+/// Minimum time between two actions on a worker, because measurements show the effect of an action
+/// with a delay.
 const ACTION_INTERVAL_MS: u64 = 6_000;
 /// Lowest speed of a throttled task, in thousandths of its full speed.
 const MIN_SPEED_PERMILLE: u32 = 250;
@@ -34,12 +35,13 @@
 }
 
 impl<'a> LatencyControl<'a> {
-    /// Throttles the task that interferes most, if latency has been high for [`THROTTLE_AFTER_MS`].
+    /// Throttles the task that interferes most, if latency has been high for [`THROTTLE_AFTER_MS`]
+    /// and the last action was at least [`ACTION_INTERVAL_MS`] ago.
     pub fn throttle_if_high(&self) -> Option<Decision> {
         if self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
             return None;
         }
-        if self.latency.high_for(self.now)? >= THROTTLE_AFTER_MS {
+        if self.latency.high_duration_ms(self.now)? >= THROTTLE_AFTER_MS {
             self.throttle_most_interfering()
         } else {
             None
@@ -47,9 +49,10 @@
     }
 
     /// Doubles the speed of the throttled task that interferes least, if latency has been low for
-    /// [`SPEED_UP_AFTER_MS`] and the processors are free.
+    /// [`SPEED_UP_AFTER_MS`], the last action was at least [`ACTION_INTERVAL_MS`] ago, the
+    /// predicted p99 stays within [`SPEED_UP_MAX_P99`], and the additional processors are free.
     pub fn speed_up_if_low(&self) -> Option<Decision> {
-        let low = self.latency.low_for(self.now)? >= SPEED_UP_AFTER_MS;
+        let low = self.latency.low_duration_ms(self.now)? >= SPEED_UP_AFTER_MS;
         if !low || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
             return None;
         }
@@ -57,23 +60,25 @@
         let by_interference = throttled.map(|task| (self.interference(task), task));
         let (interference, task) = by_interference.min_by(|a, b| a.0.total_cmp(&b.0))?;
         // At twice its speed the task interferes twice as much.
-        if self.latency.smoothed + interference > SPEED_UP_MAX_P99 {
+        if self.latency.smoothed_p99 + interference > SPEED_UP_MAX_P99 {
             return None;
         }
         let permille = (task.permille * 2).min(FULL_SPEED);
         if task.additional_milli_cpus(permille) > self.view.free().milli_cpus {
             return None;
         }
-        let reason = Reason::LatencyRecovered { p99_permille: to_permille(self.latency.smoothed) };
-        Some(self.throttle_decision(task, permille, reason))
+        let reason =
+            Reason::LatencyRecovered { p99_permille: to_permille(self.latency.smoothed_p99) };
+        Some(self.speed_decision(task, permille, reason))
     }
 
-    /// Evicts the task that interferes most among those at the lowest speed, if latency has been
-    /// high for [`EVICT_AFTER_MS`] despite the throttling.
+    /// Evicts the task that interferes most among evictable tasks at the lowest speed, if latency
+    /// has been high for [`EVICT_AFTER_MS`], is at least [`EVICT_MIN_P99`], and the last action was
+    /// at least [`ACTION_INTERVAL_MS`] ago.
     pub fn evict_if_high(&self) -> Option<Decision> {
-        let high = self.latency.high_for(self.now)? >= EVICT_AFTER_MS;
+        let high = self.latency.high_duration_ms(self.now)? >= EVICT_AFTER_MS;
         if !high
-            || self.latency.smoothed < EVICT_MIN_P99
+            || self.latency.smoothed_p99 < EVICT_MIN_P99
             || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS
         {
             return None;
@@ -81,7 +86,7 @@
         let (interference, task) = self
             .most_interfering_task(|task| task.evictable && task.permille <= MIN_SPEED_PERMILLE)?;
         let reason = Reason::LatencyHigh {
-            p99_permille: to_permille(self.latency.smoothed),
+            p99_permille: to_permille(self.latency.smoothed_p99),
             task_permille: to_permille(interference),
         };
         Some(Decision::Evict {
@@ -97,15 +102,15 @@
         let (interference, task) =
             self.most_interfering_task(|task| task.permille > MIN_SPEED_PERMILLE)?;
         let reason = Reason::LatencyHigh {
-            p99_permille: to_permille(self.latency.smoothed),
+            p99_permille: to_permille(self.latency.smoothed_p99),
             task_permille: to_permille(interference),
         };
         let permille = (task.permille / 2).max(MIN_SPEED_PERMILLE);
-        Some(self.throttle_decision(task, permille, reason))
+        Some(self.speed_decision(task, permille, reason))
     }
 
     /// Returns the eligible task that is not urgent and interferes most, with its interference.
-    /// `None` if that is below [`MIN_INTERFERENCE`].
+    /// `None` if that interference is below [`MIN_INTERFERENCE`].
     fn most_interfering_task(
         &self,
         is_eligible: impl Fn(&TaskView) -> bool,
@@ -127,7 +132,7 @@
         self.model.slope(service, class) * intensity
     }
 
-    fn throttle_decision(&self, task: &TaskView, permille: u32, reason: Reason) -> Decision {
+    fn speed_decision(&self, task: &TaskView, permille: u32, reason: Reason) -> Decision {
         let (job, worker) = (task.job.clone(), self.view.name.clone());
         Decision::Throttle { job, worker, permille, reason }
     }
--- a/crates/geraniumpost-core/src/placement/planned_fleet.rs
+++ b/crates/geraniumpost-core/src/placement/planned_fleet.rs
@@ -2,8 +2,8 @@
 
 use geraniumpost_schema::{Name, Resources};
 
+use super::location_counts::LocationCounts;
 use super::reservations::Reservation;
-use super::task_group::TaskGroup;
 use super::{Decision, Fleet, PlacementRequest, WorkerKey, amounts};
 
 /// Free capacity and allocations as they will be after the decisions made so far by one call of
@@ -17,11 +17,11 @@
     pub urgent_capacity: Resources,
     /// Resources of planned starts and of reservations, by customer.
     allocations: HashMap<Name, Resources>,
-    /// Planned starts by customer and class.
-    groups: HashMap<(Name, Name), TaskGroup>,
+    /// Locations of the planned starts of each customer and class.
+    location_counts: HashMap<(Name, Name), LocationCounts>,
     /// Interference slopes by class, each vector by service index.
     slopes: HashMap<Name, Vec<f64>>,
-    /// Needs for which no worker has capacity; none of them is larger than another.
+    /// Needs for which no worker has capacity. None of them fits within another.
     unfit_needs: Vec<Resources>,
 }
 
@@ -31,21 +31,22 @@
     pub key: WorkerKey,
     /// Resources that are free for batch work after planned starts and speed-ups.
     pub free: Resources,
-    /// Index of its service, or `NO_SERVICE`.
+    /// Index of the worker's service, or `NO_SERVICE`.
     pub service: u32,
-    /// Index of its rack in [`Proximity`](super::proximity::Proximity).
+    /// Index of the worker's rack in
+    /// [`WeightedLocationCounts`](super::weighted_location_counts::WeightedLocationCounts).
     pub rack: u32,
-    /// Index of its failure domain, in the same range as racks.
+    /// Index of the worker's failure domain, in the same range as racks.
     pub domain: u32,
     /// Busy share of the minion's slots, from 0 to 1.
     pub load: f64,
-    /// Predicted p99 of its service with planned starts, as a multiple of the target.
+    /// Predicted p99 of the worker's service with planned starts, as a multiple of the target.
     pub forecast_p99: f64,
-    /// Maximum number of further jobs to start on it; `u32::MAX` if there is no limit.
+    /// Maximum number of further jobs to start on the worker; `u32::MAX` if there is no limit.
     pub job_limit: u32,
     /// Capacity that is reserved for one waiting job; 0 of each resource if there is none.
     pub reserved: Resources,
-    /// Whether it keeps [`PlannedFleet::urgent_capacity`] free.
+    /// Whether the worker keeps [`PlannedFleet::urgent_capacity`] free.
     pub keeps_urgent_capacity: bool,
 }
 
@@ -86,7 +87,7 @@
     }
 
     /// Subtracts a job's resources from the row at `index`, and adds its interference `added_p99`
-    /// to the forecast and its task to the customer's allocation and group.
+    /// to the forecast and its task to the customer's allocation and to the location counts.
     pub fn apply_start(
         &mut self,
         index: usize,
@@ -100,8 +101,8 @@
         row.job_limit -= 1;
         let (rack, domain) = (row.rack, row.domain);
         self.add_allocation(&request.customer, need);
-        let group_key = (request.customer.clone(), request.class.clone());
-        self.groups.entry(group_key).or_default().add(rack, domain);
+        let counts_key = (request.customer.clone(), request.class.clone());
+        self.location_counts.entry(counts_key).or_default().add(rack, domain);
     }
 
     /// Reserves resources for one job, both on its worker and within its customer's quota.
@@ -137,11 +138,11 @@
     }
 
     /// Returns the planned starts of the request's customer and class, counted by location.
-    pub fn group(&self, request: &PlacementRequest) -> Option<&TaskGroup> {
-        if self.groups.is_empty() {
+    pub fn location_counts(&self, request: &PlacementRequest) -> Option<&LocationCounts> {
+        if self.location_counts.is_empty() {
             return None;
         }
-        self.groups.get(&(request.customer.clone(), request.class.clone()))
+        self.location_counts.get(&(request.customer.clone(), request.class.clone()))
     }
 
     /// Returns the interference slopes of a class by service index. They are computed on first use
@@ -150,15 +151,15 @@
         self.slopes.entry(class.clone()).or_insert_with(compute)
     }
 
-    /// Returns whether no worker has capacity for `need`, as none had for a need that was no
-    /// larger.
+    /// Returns whether no worker has capacity for `need` because no worker had capacity for a need
+    /// that is no larger in any resource.
     pub fn cannot_fit(&self, need: &Resources) -> bool {
         self.unfit_needs.iter().any(|smaller| amounts::fits(smaller, need))
     }
 
     /// Records that no worker has capacity for `need`. This stays true for the rest of the `place`
     /// call, in which capacity only shrinks.
-    pub fn record_unfit(&mut self, need: &Resources) {
+    pub fn record_unfit_need(&mut self, need: &Resources) {
         self.unfit_needs.retain(|larger| !amounts::fits(need, larger));
         self.unfit_needs.push(*need);
     }
--- a/crates/geraniumpost-core/tests/placement_differential.rs
+++ b/crates/geraniumpost-core/tests/placement_differential.rs
@@ -16,10 +16,10 @@
 const CLASSES: [&str; 3] = ["study", "logs", "check"];
 const QUOTA: Resources = Resources { milli_cpus: 9000, memory_mb: 9000, accelerators: 2 };
 
-/// An event between two calls of the placer. Indices of tasks, workers and queued jobs are taken
-/// modulo their number.
+/// A change of the fleet, the queue or the clock between two calls of the placer. Indices of tasks,
+/// workers and queued jobs are taken modulo their number.
 #[derive(Debug, Clone)]
-enum Step {
+enum Event {
     Submit { customer: usize, class: usize, need: Resources, priority: Priority },
     EndTask(usize),
     ReportUsage(usize, u64),
@@ -49,15 +49,15 @@
     ]
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..3usize, 0..3usize, need(), priority()).prop_map(
-            |(customer, class, need, priority)| Step::Submit { customer, class, need, priority }),
-        3 => any::<usize>().prop_map(Step::EndTask),
-        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| Step::ReportUsage(index, cpus)),
-        1 => (any::<usize>(), state()).prop_map(|(index, state)| Step::SetState(index, state)),
-        1 => any::<usize>().prop_map(Step::Cancel),
-        2 => (1..20_000u64).prop_map(Step::AdvanceClock),
+            |(customer, class, need, priority)| Event::Submit { customer, class, need, priority }),
+        3 => any::<usize>().prop_map(Event::EndTask),
+        1 => (any::<usize>(), 0..6000u64).prop_map(|(index, cpus)| Event::ReportUsage(index, cpus)),
+        1 => (any::<usize>(), state()).prop_map(|(index, state)| Event::SetState(index, state)),
+        1 => any::<usize>().prop_map(Event::Cancel),
+        2 => (1..20_000u64).prop_map(Event::AdvanceClock),
     ]
 }
 
@@ -85,7 +85,7 @@
     .expect("a document")
 }
 
-/// Reference model that keeps no sums, but computes them from all tasks.
+/// Reference model that keeps no sums, but computes each sum from all tasks.
 struct ReferenceModel {
     /// Allowance and state of each worker.
     workers: BTreeMap<Name, (Resources, WorkerState)>,
@@ -100,7 +100,7 @@
         for view in fleet.workers() {
             let state = states.get(view.name()).copied().unwrap_or_default();
             workers.insert(view.name().clone(), (view.allowance(), state));
-            for task in view.running() {
+            for task in view.all_tasks() {
                 let entry = (view.name().clone(), task.customer().clone(), task.allocated());
                 tasks.insert(task.job().clone(), entry);
             }
@@ -130,13 +130,13 @@
             && self.workers.values().any(|(allowance, _)| amounts::fits(request.need(), allowance))
     }
 
-    fn within_quota(&self, request: &PlacementRequest) -> bool {
-        self.within_quota_with_reservations(request, std::iter::empty())
+    fn is_within_quota(&self, request: &PlacementRequest) -> bool {
+        self.is_within_quota_with_reservations(request, std::iter::empty())
     }
 
     /// Returns whether the job stays within its customer's quota if the quota is also used by the
     /// other jobs in `reserved`.
-    fn within_quota_with_reservations<'a>(
+    fn is_within_quota_with_reservations<'a>(
         &self,
         request: &PlacementRequest,
         reserved: impl Iterator<Item = &'a PlacementRequest>,
@@ -183,7 +183,7 @@
                     job
                 );
                 prop_assert!(amounts::fits(need, &model.free(worker)), "{worker} is overcommitted");
-                prop_assert!(model.within_quota(request), "{job} exceeds its quota");
+                prop_assert!(model.is_within_quota(request), "{job} exceeds its quota");
                 let entry = (worker.clone(), request.customer().clone(), *need);
                 prop_assert!(
                     model.tasks.insert(job.clone(), entry).is_none(),
@@ -206,7 +206,7 @@
                         let reserved = requests
                             .iter()
                             .filter(|other| reservation_holders.contains(other.job()));
-                        prop_assert!(!model.within_quota_with_reservations(request, reserved));
+                        prop_assert!(!model.is_within_quota_with_reservations(request, reserved));
                     }
                     Reason::NoCapacity { .. } | Reason::EvictionBudgetSpent { .. } => {
                         let reserved_workers =
@@ -236,9 +236,9 @@
     Ok(())
 }
 
-/// Returns the maximum number of workers that have capacity but are not available for a job: those
-/// reserved for other jobs and, unless the job is urgent, one in four that may keep capacity free
-/// for urgent jobs.
+/// Returns the maximum number of workers that have capacity but are not available for a job:
+/// workers with reservations for other jobs and, unless the job is urgent, one worker in four,
+/// which may keep capacity free for urgent jobs.
 fn max_reserved_workers(
     reservation_holders: &BTreeSet<Name>,
     request: &PlacementRequest,
@@ -249,7 +249,7 @@
     reservation_holders.len() + for_urgent
 }
 
-/// Returns the jobs that wait with a worker reserved for them.
+/// Returns the jobs that wait while resources are reserved for them.
 fn reservation_holders(decided: &[Decision]) -> impl Iterator<Item = Name> {
     decided.iter().filter_map(|decision| match decision {
         Decision::Wait {
@@ -289,7 +289,7 @@
     queue: Vec<PlacementRequest>,
     now: u64,
     next_job: usize,
-    /// Jobs for which a worker was reserved by the last call of the placer.
+    /// Jobs for which the last call of the placer reported reserved resources.
     reservation_holders: BTreeSet<Name>,
     rng: StdRng,
 }
@@ -313,39 +313,39 @@
     }
 
     fn running(&self) -> Vec<Name> {
-        let tasks = self.fleet.workers().flat_map(|view| view.running().iter());
+        let tasks = self.fleet.workers().flat_map(|view| view.all_tasks().iter());
         let mut jobs: Vec<Name> = tasks.map(|task| task.job().clone()).collect();
         jobs.sort();
         jobs
     }
 
-    fn apply(&mut self, step: &Step) {
+    fn apply(&mut self, event: &Event) {
         let running = self.running();
-        match step {
-            Step::Submit { customer, class, need, priority } => {
+        match event {
+            Event::Submit { customer, class, need, priority } => {
                 let job = format!("job-{}", self.next_job);
                 self.next_job += 1;
                 let request =
                     PlacementRequest::new(job, CUSTOMERS[*customer], CLASSES[*class], *need);
                 self.queue.push(request.priority(*priority).submitted(Millis(self.now)));
             }
-            Step::EndTask(index) if !running.is_empty() => {
+            Event::EndTask(index) if !running.is_empty() => {
                 self.fleet.remove_task(&running[index % running.len()]);
             }
-            Step::ReportUsage(index, cpus) if !running.is_empty() => {
+            Event::ReportUsage(index, cpus) if !running.is_empty() => {
                 let usage = Resources { milli_cpus: *cpus, memory_mb: 1, accelerators: 0 };
                 let job = &running[index % running.len()];
                 self.fleet.update_task(job, |task| task.usage(usage));
             }
-            Step::SetState(index, state) => {
+            Event::SetState(index, state) => {
                 let worker = Name::from(format!("w{}", index % self.fleet.workers().count()));
                 self.fleet.set_state(&worker, *state);
                 self.states.insert(worker, *state);
             }
-            Step::Cancel(index) if !self.queue.is_empty() => {
+            Event::Cancel(index) if !self.queue.is_empty() => {
                 self.queue.swap_remove(index % self.queue.len());
             }
-            Step::AdvanceClock(ms) => self.now += ms,
+            Event::AdvanceClock(ms) => self.now += ms,
             _ => {}
         }
     }
@@ -377,32 +377,33 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     /// Under any sequence of events no VM exceeds its allowance, no quota is exceeded, urgent jobs
-    /// start before normal ones, jobs are rejected exactly if they can never run, and no job waits
+    /// start before normal jobs, jobs are rejected exactly if they can never run, and no job waits
     /// while a worker has capacity.
     #[test]
     fn decisions_agree_with_reference_model(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
-        steps in prop::collection::vec(step(), 1..80),
+        events in prop::collection::vec(event(), 1..80),
     ) {
         let mut planner = SimulatedPlanner::new(&workers);
-        for step in &steps {
-            planner.apply(step);
+        for event in &events {
+            planner.apply(event);
             planner.place()?;
         }
     }
 
     /// Decisions must be reproducible from the seed of the random numbers, so that an incident can
-    /// be analysed by a replay.
+    /// be analyzed by a replay.
     #[test]
     fn same_seed_gives_same_decisions(
         workers in prop::collection::vec((2..8u64, 0..3u32), 1..7),
-        steps in prop::collection::vec(step(), 1..60),
+        events in prop::collection::vec(event(), 1..60),
     ) {
-        let (mut one, mut other) = (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
-        for step in &steps {
-            one.apply(step);
-            other.apply(step);
-            prop_assert_eq!(one.place()?, other.place()?);
+        let (mut first, mut second) =
+            (SimulatedPlanner::new(&workers), SimulatedPlanner::new(&workers));
+        for event in &events {
+            first.apply(event);
+            second.apply(event);
+            prop_assert_eq!(first.place()?, second.place()?);
         }
     }
 }
