--- a/crates/geraniumpost-core/src/requests/admission.rs
+++ b/crates/geraniumpost-core/src/requests/admission.rs
@@ -12,13 +12,13 @@
     Replay(A),
     /// An attempt with the same key has run, and its answer is no longer kept.
     AnswerLost,
-    /// The attempt is already recorded, because its message arrived twice. No action is needed, as
-    /// the answer to the first copy is the only one.
+    /// The attempt is already recorded, because its message arrived twice. No action is needed: the
+    /// entry gets one answer, to the first copy.
     Duplicate,
-    /// A query barred the attempt or its key before the attempt arrived, or an attempt with its key
-    /// was refused. It does not run on this agent.
+    /// A query barred the attempt or its key before the attempt arrived, or an earlier attempt with
+    /// its key was refused or cancelled. The new attempt does not run on this agent.
     Barred,
-    /// The attempt, or another with its key, may have run, but its record has been dropped. The
-    /// attempt does not run.
+    /// The attempt, or another attempt with its key, may have run, but the record has been dropped.
+    /// The new attempt does not run.
     Forgotten,
 }
--- a/crates/geraniumpost-core/src/requests/agent_counters.rs
+++ b/crates/geraniumpost-core/src/requests/agent_counters.rs
@@ -8,8 +8,8 @@
 
 /// Value of `probe_at` while the agent is not ejected.
 const NOT_EJECTED: u64 = 0;
-/// Time for which one probe excludes further probes. After it another request may probe, so that an
-/// agent does not remain ejected forever if the caller of a probe disconnects.
+/// Time for which one probe excludes further probes. Another request may probe afterwards, so that
+/// an agent does not remain ejected forever if the caller of a probe disconnects.
 const PROBE_TIMEOUT_MS: u64 = 5_000;
 /// Time by which a probe must be overdue before a request that cannot be retried may serve as the
 /// probe.
@@ -18,8 +18,8 @@
 /// Counters of one incarnation of an agent, shared by all snapshots that contain it.
 ///
 /// A snapshot is replaced when the set of agents changes. Counters that change with every request
-/// are atomics here, so that a request neither takes a lock nor publishes a snapshot, and a
-/// decision based on an old snapshot still counts the requests that this entry has sent since.
+/// are atomics here, so that counting a request neither takes a lock nor publishes a snapshot, and
+/// a decision based on an old snapshot still counts the requests that this entry has sent since.
 #[derive(Debug, Default)]
 pub struct AgentCounters {
     in_flight: AtomicU32,
@@ -68,7 +68,7 @@
         self.reported_at.store(now.0, Relaxed);
     }
 
-    /// Returns the load in the last report of the agent, all zero before the first one.
+    /// Returns the load in the last report of the agent, all zero before the first report.
     pub fn load(&self) -> Load {
         Load {
             in_flight: self.reported_in_flight.load(Relaxed),
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Time since the agent last reported its load, in milliseconds.
+    /// Time since the agent last reported its load, in milliseconds; `now` before the first report.
     pub fn report_age_ms(&self, now: Millis) -> u64 {
         now.since(Millis(self.reported_at.load(Relaxed)))
     }
 
     /// Number of requests of other entries at the agent, as of its last report.
     ///
-    /// It is the number of requests in the report, less those that this entry had in flight when
+    /// This is the reported number of requests, less the number that this entry had in flight when
     /// the report arrived. [`Self::in_flight`] counts the requests of this entry.
     pub fn others_in_flight(&self) -> u32 {
         self.others_in_flight.load(Relaxed)
@@ -102,8 +102,8 @@
         self.failures_permille.load(Relaxed)
     }
 
-    /// Counts an attempt that succeeded or failed. Returns whether [`super::Ejector::record`] must
-    /// be called, which takes a lock; a success of an agent without failures needs no call.
+    /// Records the result of an attempt. Returns whether [`super::Ejector::record`] must be called,
+    /// which takes a lock; a success of an agent without failures needs no call.
     #[must_use]
     pub fn record_result(&self, success: bool) -> bool {
         if success {
@@ -122,7 +122,8 @@
         self.has_failures.store(has_failures, Relaxed);
     }
 
-    /// Whether the agent gets no requests except probes, because too many attempts failed there.
+    /// Whether the agent is ejected because too many attempts failed there: the agent gets only
+    /// probes, and requests for which no other agent remains.
     pub fn is_ejected(&self) -> bool {
         self.probe_at.load(Relaxed) != NOT_EJECTED
     }
--- a/crates/geraniumpost-core/src/requests/agent_view.rs
+++ b/crates/geraniumpost-core/src/requests/agent_view.rs
@@ -133,7 +133,7 @@
         &self.counters
     }
 
-    /// Whether requests other than probes may be sent to the agent: it is connected and neither
+    /// Whether the router draws the agent for ordinary requests: the agent is connected and neither
     /// draining nor ejected.
     pub fn is_routable(&self) -> bool {
         self.connected && !self.is_draining() && !self.counters.is_ejected()
--- a/crates/geraniumpost-core/src/requests/ask_reply.rs
+++ b/crates/geraniumpost-core/src/requests/ask_reply.rs
@@ -9,7 +9,7 @@
         /// Attempts with the same key, which must be refused as not run.
         joined: Vec<RequestId>,
     },
-    /// The attempt runs, or has joined one that waits or runs. Its answer follows.
+    /// The attempt runs, or has joined an attempt that waits or runs. The answer follows.
     Running,
     /// The attempt has ended with this answer.
     Finished(A),
--- a/crates/geraniumpost-core/src/requests/attempt_ledger.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_ledger.rs
@@ -9,7 +9,7 @@
 use super::{Admission, AskReply, LedgerLimits};
 use crate::Millis;
 
-/// Size and age of a kept answer, which is stored in the record of its attempt.
+/// Size and time of a kept answer. The answer itself is in the [`AttemptRecord`].
 #[derive(Debug, Clone, Copy)]
 struct KeptAnswerInfo {
     id: RequestId,
@@ -95,7 +95,7 @@
     }
 
     /// Marks a waiting attempt as running. Returns false if the attempt is not waiting, for example
-    /// because a query barred it; it must not run then.
+    /// because a query barred it; the attempt must not run then.
     #[must_use]
     pub fn start(&mut self, id: RequestId) -> bool {
         match self.records.get_mut(&id) {
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Records that a waiting attempt was refused or cancelled. Neither the attempt nor any other
-    /// one with its key runs on this agent. Returns the attempts that joined it, to be refused as
-    /// well.
+    /// Records that a waiting attempt was refused or cancelled. Neither this attempt nor any other
+    /// attempt with its key runs on this agent. Returns the attempts that joined this one, to be
+    /// refused as well. An attempt that is not waiting is ignored.
     ///
     /// The key remains barred because the entry now moves the key claim, a record in the store that
     /// names the agent for the key, to another agent. A repeat that another entry sent to this
@@ -123,7 +123,8 @@
     }
 
     /// Records that a running attempt ended at the minion, successfully or not, with `answer` of
-    /// `bytes` bytes. Returns the attempts that joined it and get the same answer.
+    /// `bytes` bytes. Returns the attempts that joined this one and get the same answer. An attempt
+    /// that is not running is ignored.
     pub fn finish(
         &mut self,
         id: RequestId,
@@ -163,7 +164,7 @@
     }
 
     /// Answers a query about `key`. `id` is an attempt of the repeated request, and `incarnation`
-    /// the one that the first request with the key was sent to.
+    /// is the incarnation of the agent that the first request with the key was sent to.
     ///
     /// If the first request waits or runs, the repeat joins it and gets its answer. A key that has
     /// never been used is barred, so that after [`AskReply::NeverStarted`] the key claim may be
@@ -240,7 +241,7 @@
         admission
     }
 
-    /// Records an attempt whose key was used by an attempt that is no longer recorded.
+    /// Records an attempt whose key has expired; the request may have run already.
     fn record_unknown_repeat(&mut self, id: RequestId) -> Admission<A> {
         self.records.insert(id, AttemptRecord::new(AttemptState::UnknownRepeat));
         self.record_ended(id, &[]);
@@ -294,7 +295,7 @@
         joined
     }
 
-    /// Appends ended attempts to the order of expiry, and drops the oldest records above the limit.
+    /// Appends attempts to `ended`, and drops the oldest records in it above the limit.
     fn record_ended(&mut self, id: RequestId, joined: &[RequestId]) {
         self.ended.push_back(id);
         self.ended.extend(joined);
--- a/crates/geraniumpost-core/src/requests/attempt_record.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_record.rs
@@ -30,7 +30,7 @@
         Self { state, joined: Vec::new() }
     }
 
-    /// Whether the attempt may still change its state.
+    /// Whether the attempt waits for a slot or runs.
     pub(super) const fn is_active(&self) -> bool {
         matches!(self.state, AttemptState::Queued | AttemptState::Running)
     }
--- a/crates/geraniumpost-core/src/requests/baseline_router.rs
+++ b/crates/geraniumpost-core/src/requests/baseline_router.rs
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`NoAgent::NoneReady`] if there is none.
+    /// Returns [`NoAgent::NoneReady`] if there is no such agent.
     pub fn choose(
         &mut self,
         service: &ServiceView,
@@ -43,7 +43,7 @@
             Self::LeastReported => least_by(&usable, reported_load),
             Self::WeightedRandom => weighted_random(&usable, query, rng),
         };
-        Ok(RoutingDecision::of(agent, RoutingReason::Baseline))
+        Ok(RoutingDecision::without_candidates(agent, RoutingReason::Baseline))
     }
 }
 
--- a/crates/geraniumpost-core/src/requests/ejection_change.rs
+++ b/crates/geraniumpost-core/src/requests/ejection_change.rs
@@ -9,7 +9,7 @@
     /// Nothing changed; no new snapshot is needed.
     #[display("unchanged")]
     None,
-    /// The agent gets no requests except probes.
+    /// The agent is ejected: it gets only probes, and requests for which no other agent remains.
     #[display("ejected probe_at={probe_at}ms ejections={ejections}")]
     Ejected {
         /// Time from which the agent may be probed.
@@ -17,7 +17,8 @@
         /// Number of recent ejections, which determines the delay before the probe.
         ejections: u32,
     },
-    /// A probe succeeded, and the agent gets all kinds of requests again.
+    /// An attempt succeeded after the probe became due, and the agent gets all kinds of requests
+    /// again.
     #[display("restored")]
     Restored,
     /// The agent exceeds the failure limits but is not ejected, because too many agents of its
--- a/crates/geraniumpost-core/src/requests/ejection_limits.rs
+++ b/crates/geraniumpost-core/src/requests/ejection_limits.rs
@@ -12,8 +12,8 @@
 
 impl EjectionLimits {
     /// Returns the defaults, for a few requests per second as well as for thousands: 5 consecutive
-    /// failures, or half of at least 20 attempts within about 10 s; at most 34 % of a service;
-    /// probes after 1 s to 30 s.
+    /// failures, or half of at least 20 attempts within about 10 s; at most 34 % of the agents of a
+    /// service, or one agent if that is more; probes after 1 s to 30 s.
     pub const fn new() -> Self {
         Self {
             consecutive_failures: 5,
@@ -33,14 +33,16 @@
         self
     }
 
-    /// Sets the share of failures, in thousandths, that ejects an agent with at least 20 attempts.
+    /// Sets the share of failures, in thousandths, at which an agent with at least 20 recent
+    /// attempts is ejected.
     #[must_use]
     pub const fn failure_permille(mut self, permille: u64) -> Self {
         self.failure_permille = permille;
         self
     }
 
-    /// Sets the maximum share of the agents of a service, in thousandths, that may be ejected.
+    /// Sets the maximum share of the agents of a service, in thousandths, that may be ejected. Of
+    /// two or more agents, one may always be ejected.
     #[must_use]
     pub const fn max_ejected_permille(mut self, permille: usize) -> Self {
         self.max_ejected_permille = permille;
--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -5,7 +5,7 @@
 use super::{AgentView, EjectionChange, EjectionLimits, ServiceView};
 use crate::Millis;
 
-/// Results of the attempts at one incarnation of an agent, and its ejections.
+/// Recent results of attempts at one incarnation of an agent, and its recent ejections.
 #[derive(Debug, Clone, Copy, Default)]
 struct AgentRecord {
     incarnation: u64,
@@ -23,8 +23,8 @@
 /// A minion that fails every request immediately is always idle, so load balancing alone would send
 /// it most of the requests. The ejector removes such an agent from routing after several
 /// consecutive failures or a high share of failures, and lets one request probe it after a delay
-/// that doubles with each ejection. It never ejects more than a share of the agents of a service:
-/// if all minions fail, the requests are at fault, and ejecting all agents would cause an outage.
+/// that doubles with each ejection. The number of ejected agents of a service is limited: if all
+/// minions fail, the requests are at fault, and ejecting all agents would cause an outage.
 ///
 /// # Example
 ///
@@ -162,9 +162,9 @@
         EjectionChange::Capped
     }
 
-    /// Ejects an agent again after a failed probe. Failures before the probe was due are those of
-    /// requests sent before the ejection. If they counted, the requests in flight at the ejection
-    /// would double the delay repeatedly.
+    /// Ejects an agent again after a failed probe. Failures before the probe was due are ignored:
+    /// they come from requests sent before the ejection or as a last resort. If they counted, the
+    /// requests in flight at the ejection would double the delay repeatedly.
     fn record_failure_while_ejected(
         &mut self,
         agent: &AgentView,
--- a/crates/geraniumpost-core/src/requests/expired_keys.rs
+++ b/crates/geraniumpost-core/src/requests/expired_keys.rs
@@ -3,8 +3,8 @@
 use geraniumpost_schema::Name;
 use sha2::{Digest as _, Sha256};
 
-/// Digests of idempotency keys whose attempts are no longer recorded, so that a repeat of a request
-/// that ran hours ago does not run again.
+/// Digests of idempotency keys that have left the key index, so that a repeat of a request that ran
+/// hours ago does not run again.
 ///
 /// A digest takes 64 bytes instead of the several hundred of a recorded key, so ten times as many
 /// keys can be remembered.
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -38,8 +38,8 @@
 /// time it has used divided by its weight, and the customer with the lowest virtual time is served
 /// next. A customer that becomes active starts a small allowance before the current virtual time,
 /// so it is served next but accumulates no credit while idle. While several customers are active,
-/// the last free slot is denied to those above their share. Otherwise a burst of one customer would
-/// occupy all slots, and every other customer would wait behind it.
+/// the last free slot is denied to customers above their share. Otherwise a burst of one customer
+/// would occupy all slots, and every other customer would wait behind it.
 ///
 /// A request is refused on arrival if, judged by smoothed service times, it would miss its
 /// deadline. The caller then learns immediately when to retry, and no slots are spent on answers
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Replaces the limits. Requests that already run or wait are not affected.
+    /// Replaces the limits. Running and waiting requests remain, even if they exceed the new
+    /// limits.
     pub fn set_limits(&mut self, limits: QueueLimits) {
         self.limits = limits;
     }
@@ -125,8 +126,8 @@
         self.service_times.load(self.running.len(), self.waiting.len())
     }
 
-    /// Accepts or refuses a request. If no returned action names the request, it waits; an action
-    /// may also refuse a waiting request that is displaced.
+    /// Accepts or refuses a request. If no returned action names the request, the request waits; an
+    /// action may also refuse a waiting request that is displaced.
     pub fn offer(&mut self, request: QueuedRequest<T>, now: Millis) -> Vec<QueueAction<T>> {
         if self.draining {
             return vec![refuse(request, Refusal::Draining, 0)];
@@ -155,7 +156,7 @@
     }
 
     /// Records that a request ended at the minion after `duration`, and returns the waiting
-    /// requests to run in its place or to refuse.
+    /// requests to run or to refuse now.
     ///
     /// `success` is false if the minion failed; the duration is then charged to the customer but
     /// not used to estimate service times. An id that is not running is ignored.
@@ -235,13 +236,13 @@
         key
     }
 
-    /// Moves the virtual time of a customer without waiting requests forward to the current one,
+    /// Moves the virtual time of a customer without waiting requests forward to that of the queue,
     /// less an allowance.
     ///
     /// The allowance grows with the slots that the customer has used recently, up to a maximum
-    /// reached at half of all slots. A customer that has used none gets no allowance: otherwise the
-    /// first requests of a burst would precede those of every other customer for several service
-    /// times.
+    /// reached at half of all slots. A customer that has used no slots gets no allowance: otherwise
+    /// the first requests of a burst would precede those of every other customer for several
+    /// service times.
     fn activate(&mut self, key: FlowKey) {
         let mean_us = self.service_times.smoothed_time().mean_us();
         let max_allowance_us = BURST_ROUNDS * self.slots().saturating_mul(mean_us);
@@ -312,11 +313,14 @@
     }
 
     /// Removes and returns the newest waiting request of the customer furthest above its share, if
-    /// that customer is further above it than `newcomer` would be with one more request.
+    /// that customer is further above its share than `newcomer` would be with one more request.
     fn displace(&mut self, newcomer: FlowKey) -> Option<QueuedRequest<T>> {
         let waiting_keys = self.waiting_flows.iter().map(|&(_, key)| key);
-        let furthest_above = waiting_keys.max_by_key(|&key| (self.flows[key].occupancy(0), key))?;
-        if self.flows[furthest_above].occupancy(0) <= self.flows[newcomer].occupancy(1) {
+        let furthest_above =
+            waiting_keys.max_by_key(|&key| (self.flows[key].weighted_request_count(0), key))?;
+        if self.flows[furthest_above].weighted_request_count(0)
+            <= self.flows[newcomer].weighted_request_count(1)
+        {
             return None;
         }
         let newest = self.flows[furthest_above].queue.back()?.id();
@@ -325,8 +329,8 @@
 
     /// Expected time until one more request of the customer `key` gets a slot, in microseconds.
     ///
-    /// The queue of the customer drains at its share among the waiting customers, and never takes
-    /// longer than all queues together.
+    /// The queue of the customer is assumed to drain at the customer's share among the waiting
+    /// customers, but not to take longer than all queues together.
     fn expected_wait_us(&self, key: FlowKey) -> u64 {
         let flow = &self.flows[key];
         let others = self.waiting_flows.iter().map(|&(_, key)| &self.flows[key]);
@@ -339,7 +343,7 @@
         wait_by_share_us.min(self.queue_drain_us())
     }
 
-    /// Expected time until every waiting request and one more have a slot, in microseconds.
+    /// Expected time until every waiting request and one more request have a slot, in microseconds.
     fn queue_drain_us(&self) -> u64 {
         (self.waiting.len() as u64 + 1).saturating_mul(self.service_times.smoothed_time().mean_us())
             / self.slots()
--- a/crates/geraniumpost-core/src/requests/flow.rs
+++ b/crates/geraniumpost-core/src/requests/flow.rs
@@ -5,10 +5,11 @@
 use super::smoothed_time::SmoothedTime;
 use crate::{Micros, Millis};
 
-/// Virtual time of one microsecond of slot time at weight 1. Also scales [`Flow::occupancy`].
+/// Virtual time of one microsecond of slot time at weight 1. Also scales
+/// [`Flow::weighted_request_count`].
 const WEIGHT_SCALE: u64 = 1024;
 
-/// Waiting requests of one customer at one minion, and its use of the slots.
+/// Waiting requests of one customer at one minion, and the slot time that the customer uses.
 #[derive(Debug)]
 pub(super) struct Flow<T> {
     pub(super) weight: u32,
@@ -54,8 +55,8 @@
         charge
     }
 
-    /// Replaces the charge of an ended run by the actual one, so that a customer with long requests
-    /// pays for the slot time used and not for the number of requests.
+    /// Replaces the charge of an ended run by the cost of its duration, so that a customer with
+    /// long requests pays for the slot time used and not for the number of requests.
     pub(super) fn settle(&mut self, charged: u64, duration: Micros, success: bool) {
         let actual = self.virtual_cost(duration.0);
         self.virtual_time = self.virtual_time.saturating_sub(charged).saturating_add(actual);
@@ -66,12 +67,12 @@
         }
     }
 
-    /// Moves the virtual time of a customer without waiting requests forward to the current one,
-    /// less a burst allowance.
+    /// Moves the virtual time of a customer without waiting requests forward to `current`, the
+    /// virtual time of the queue, less a burst allowance. A later virtual time is kept.
     ///
     /// Without moving forward, a customer could accumulate credit while idle and then lock out the
     /// others. Without the allowance, a customer that uses less than its share on average would
-    /// wait as if it used all of it whenever a few of its requests arrive together.
+    /// wait as if it used its whole share whenever a few of its requests arrive together.
     pub(super) fn activate(&mut self, current: u64, allowance_us: u64) {
         let allowance = self.virtual_cost(allowance_us);
         self.virtual_time = self.virtual_time.max(current.saturating_sub(allowance));
@@ -99,12 +100,12 @@
 
     /// Number of waiting and running requests, plus `additional`, divided by the weight; scaled by
     /// [`WEIGHT_SCALE`].
-    pub(super) fn occupancy(&self, additional: usize) -> u64 {
+    pub(super) fn weighted_request_count(&self, additional: usize) -> u64 {
         (self.queue.len() + self.running + additional) as u64 * WEIGHT_SCALE
             / u64::from(self.weight)
     }
 
-    /// Whether a request started now would probably end after `deadline`.
+    /// Whether a request started at `now` would probably end after `deadline`.
     pub(super) const fn misses_deadline(&self, deadline: Millis, now: Millis) -> bool {
         now.0 >= deadline.0
             || now.0 + self.service_time.mean_plus_deviation_us() / 1000 > deadline.0
--- a/crates/geraniumpost-core/src/requests/in_flight_guard.rs
+++ b/crates/geraniumpost-core/src/requests/in_flight_guard.rs
@@ -2,7 +2,7 @@
 
 use super::AgentCounters;
 
-/// Counts one request at an agent as in flight until it is dropped; see
+/// A request counts as in flight at an agent until its guard is dropped; see
 /// [`AgentCounters::begin_request`].
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<AgentCounters>);
--- a/crates/geraniumpost-core/src/requests/key_index.rs
+++ b/crates/geraniumpost-core/src/requests/key_index.rs
@@ -5,7 +5,7 @@
 use super::expired_keys::ExpiredKeys;
 use super::key_status::KeyStatus;
 
-/// Index from idempotency keys to the attempts that run, have run or were barred for them.
+/// Maps each idempotency key to the first attempt with that key, and keeps digests of expired keys.
 #[derive(Debug)]
 pub(super) struct KeyIndex {
     capacity: usize,
@@ -20,7 +20,7 @@
         Self { capacity, first_attempts: HashMap::new(), insertion_order: VecDeque::new(), expired }
     }
 
-    /// Returns whether `key` has been used, and its attempt if that is still recorded.
+    /// Returns whether `key` has been used, with its first attempt if the key has not expired.
     pub(super) fn status(&self, key: &Name) -> KeyStatus {
         if let Some(&first) = self.first_attempts.get(key) {
             return KeyStatus::First(first);
@@ -31,8 +31,8 @@
         if self.expired.has_dropped() { KeyStatus::PossiblyForgotten } else { KeyStatus::New }
     }
 
-    /// Records `id` as the attempt for `key`. The oldest keys above the capacity expire, except
-    /// those whose attempt still waits or runs according to `is_active`.
+    /// Records `id` as the first attempt with `key`. The oldest keys above the capacity expire,
+    /// except those whose attempt still waits or runs according to `is_active`.
     pub(super) fn insert(
         &mut self,
         key: Name,
--- a/crates/geraniumpost-core/src/requests/key_status.rs
+++ b/crates/geraniumpost-core/src/requests/key_status.rs
@@ -3,11 +3,11 @@
 /// Whether an idempotency key has been used on an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum KeyStatus {
-    /// The key has certainly never been used on this agent.
+    /// The key has certainly never been used on this incarnation of the agent.
     New,
-    /// This attempt runs, has run or was barred for the key.
+    /// The key has been used or barred, and this is the first attempt with it.
     First(RequestId),
-    /// The key has been used, and its attempt is no longer recorded.
+    /// The key has been used or barred, and only its digest is kept.
     Expired,
     /// The key is unknown but may have been used, because older keys have been dropped.
     PossiblyForgotten,
--- a/crates/geraniumpost-core/src/requests/ledger_limits.rs
+++ b/crates/geraniumpost-core/src/requests/ledger_limits.rs
@@ -1,8 +1,8 @@
 /// Limits on the attempts, answers and keys that the [`super::AttemptLedger`] of an agent keeps.
 ///
-/// The ledger never guesses about records that it has dropped: a query about one gets the reply
-/// "unknown", which is reported to the caller. With lower limits more outcomes are unknown, but no
-/// request runs a second time.
+/// The ledger never guesses about records that it has dropped: a query about a dropped record gets
+/// the reply "unknown", which is reported to the caller. With lower limits more outcomes are
+/// unknown, but no request runs a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerLimits {
     pub(super) answers: usize,
@@ -15,8 +15,8 @@
 
 impl LedgerLimits {
     /// Returns the defaults, which bound the memory to about 20 MB: answers of the last two minutes
-    /// (at most 4,096 or 8 MB), the last 16,384 attempts, 8,192 keys, and digests of 65,536 more
-    /// keys.
+    /// (at most 4,096 answers and 8 MiB), the last 16,384 ended attempts, 8,192 keys, and digests
+    /// of 65,536 more keys.
     pub const fn new() -> Self {
         Self {
             answers: 4_096,
@@ -45,8 +45,8 @@
         self
     }
 
-    /// Sets how many idempotency keys are remembered with their attempts, and for how many more it
-    /// is remembered only that they were used.
+    /// Sets how many idempotency keys are remembered with their first attempts, and how many
+    /// `expired` keys are remembered only as used.
     #[must_use]
     pub const fn keys(mut self, keys: usize, expired: usize) -> Self {
         self.keys = keys;
--- a/crates/geraniumpost-core/src/requests/location.rs
+++ b/crates/geraniumpost-core/src/requests/location.rs
@@ -1,6 +1,6 @@
 use geraniumpost_schema::Name;
 
-/// Region and failure domain of a process, from which routing determines its distance.
+/// Region and failure domain of a process, by which routing groups agents into distance tiers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Location {
     region: Name,
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -8,7 +8,7 @@
 /// Number of superseded incarnations remembered for each agent.
 const MAX_RETIRED_INCARNATIONS: usize = 8;
 
-/// State of an incarnation that has been superseded by another one of the same agent.
+/// State of an incarnation that has been superseded by another incarnation of the same agent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RetiredIncarnation {
     pub(super) incarnation: u64,
@@ -44,8 +44,8 @@
     /// Applies a newer heartbeat of the same incarnation. Returns whether a property that routing
     /// uses has changed, other than the load and the state.
     ///
-    /// Draining is final for an incarnation. A heartbeat sent before the announcement may arrive
-    /// after it; if it were applied, new work would be sent to a process that is about to exit.
+    /// Draining is final for an incarnation. Otherwise a ready state sent before the announcement
+    /// and received after it would direct new work to a process that is about to exit.
     pub(super) fn refresh(&mut self, heartbeat: &Heartbeat, now: Millis) -> bool {
         let mut updated = heartbeat.clone();
         if self.heartbeat.state == AgentState::Draining {
--- a/crates/geraniumpost-core/src/requests/membership.rs
+++ b/crates/geraniumpost-core/src/requests/membership.rs
@@ -16,9 +16,10 @@
 ///
 /// Heartbeats are datagrams: they can be lost, repeated, delayed and reordered, and an agent that
 /// was suspended or partitioned may resume where it stopped. Each heartbeat carries the incarnation
-/// of the agent and a sequence number, by which late ones are recognized and ignored. Incarnations
-/// are random and have no order: an unknown one supersedes the current one, and a superseded one
-/// becomes current again only if its sequence still advances after the current one has failed.
+/// of the agent and a sequence number, by which late heartbeats are recognized and ignored.
+/// Incarnations are random and have no order: an unknown incarnation supersedes the current one. A
+/// superseded incarnation becomes current again only if its sequence number still advances after
+/// the current incarnation has failed.
 ///
 /// See `docs/design/0102-membership.md`.
 #[derive(Debug)]
@@ -37,7 +38,7 @@
     }
 
     /// Records a heartbeat received at `now` and returns the change that it caused. A late or
-    /// repeated one is ignored.
+    /// repeated heartbeat is ignored, unless it announces that the current incarnation is draining.
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis) -> MembershipChange {
         let Some(member) = self.find_member(&heartbeat.agent) else {
             let key = self.members.insert(Member::new(heartbeat, now));
--- a/crates/geraniumpost-core/src/requests/membership_change.rs
+++ b/crates/geraniumpost-core/src/requests/membership_change.rs
@@ -3,10 +3,11 @@
 /// Change to the [`super::Membership`] caused by a heartbeat. `Display` gives the text for the log.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// The agent was unknown or had failed, and is now live.
+    /// The agent was unknown, or the same incarnation had failed, and is now live.
     #[display("joined")]
     Joined,
-    /// A new incarnation of a known agent. The old one can no longer be queried.
+    /// Another incarnation of a known agent superseded the current one, whose attempts can no
+    /// longer be queried.
     #[display("restarted previous={previous:x}")]
     Restarted {
         /// The incarnation that was superseded.
--- a/crates/geraniumpost-core/src/requests/mod.rs
+++ b/crates/geraniumpost-core/src/requests/mod.rs
@@ -2,9 +2,9 @@
 //! and when a failed attempt is retried.
 //!
 //! An entry keeps a [`Membership`] of agents, updated by heartbeats, publishes a [`Snapshot`] of
-//! it, routes each request with a [`Router`] and handles failures with a [`RetryPolicy`]. An agent
-//! records every attempt in an [`AttemptLedger`] and assigns the slots of its minion through a
-//! [`FairQueue`]. The design is described in `docs/design/0101-routing.md` and the documents that
+//! them, routes each request with a [`Router`] and handles failures with a [`RetryPolicy`]. An
+//! agent records every attempt in an [`AttemptLedger`] and assigns the slots of its minion through
+//! a [`FairQueue`]. The design is described in `docs/design/0101-routing.md` and the documents that
 //! follow it.
 
 mod admission;
--- a/crates/geraniumpost-core/src/requests/next_step.rs
+++ b/crates/geraniumpost-core/src/requests/next_step.rs
@@ -11,7 +11,7 @@
     /// Send the request to another agent under a new attempt number.
     ///
     /// For a keyed request, the entry first moves the key claim in the store from the agent that
-    /// just barred the key, by compare-and-swap on the claim as it was read. If that fails, the
+    /// just barred the key, by compare-and-swap on the claim as it was read. If the swap fails, the
     /// request follows the new claim.
     #[display("retry")]
     Retry,
--- a/crates/geraniumpost-core/src/requests/peer_load.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -27,7 +27,8 @@
         Self { others_in_flight: others_in_flight / count.max(1), service_us }
     }
 
-    /// Number of requests of other entries that is assumed at an agent whose own report is too old.
+    /// Mean number of requests of other entries per agent, which replaces the report of an agent in
+    /// proportion to the age of the report.
     pub const fn others_in_flight(&self) -> u64 {
         self.others_in_flight
     }
--- a/crates/geraniumpost-core/src/requests/permit.rs
+++ b/crates/geraniumpost-core/src/requests/permit.rs
@@ -2,7 +2,7 @@
 
 use super::CustomerLimiter;
 
-/// Counts one request of a customer as in flight until it is dropped.
+/// A request of a customer counts as in flight at the entry until its permit is dropped.
 #[derive(Debug)]
 pub struct Permit(Arc<CustomerLimiter>);
 
--- a/crates/geraniumpost-core/src/requests/queue_limits.rs
+++ b/crates/geraniumpost-core/src/requests/queue_limits.rs
@@ -18,7 +18,8 @@
         self
     }
 
-    /// Sets how many requests may wait for a slot; 0 means that requests only run or are refused.
+    /// Sets how many requests may wait for a slot; with 0, a request that cannot start immediately
+    /// is refused.
     #[must_use]
     pub const fn queue(mut self, queue: usize) -> Self {
         self.queue = queue;
--- a/crates/geraniumpost-core/src/requests/retry_budget.rs
+++ b/crates/geraniumpost-core/src/requests/retry_budget.rs
@@ -7,8 +7,9 @@
 ///
 /// When many attempts fail, unlimited retries multiply the load while capacity is missing, and the
 /// service remains overloaded after the fault has ended. Each request deposits a few thousandths of
-/// a retry and each retry withdraws a whole one, so in the long run retries remain below that
-/// share. The initial balance covers the requests that were at one agent when it failed.
+/// a retry and each retry withdraws one whole retry, so in the long run retries do not exceed that
+/// share of the requests. The initial balance covers the requests that were at one agent when it
+/// failed.
 ///
 /// # Example
 ///
--- a/crates/geraniumpost-core/src/requests/retry_limits.rs
+++ b/crates/geraniumpost-core/src/requests/retry_limits.rs
@@ -7,8 +7,8 @@
 }
 
 impl RetryLimits {
-    /// Returns the defaults: four attempts, three queries about each, and an advised delay of one
-    /// second if no agent named one.
+    /// Returns the defaults: four attempts, three queries about each since the agent last reported
+    /// it running, and an advised delay of one second if no agent named a delay.
     pub const fn new() -> Self {
         Self { attempts: 4, asks: 3, no_agent_retry_ms: 1_000 }
     }
@@ -20,7 +20,8 @@
         self
     }
 
-    /// Sets the maximum number of queries about one attempt.
+    /// Sets the maximum number of queries about one attempt since the agent last reported the
+    /// attempt running.
     #[must_use]
     pub const fn asks(mut self, asks: u32) -> Self {
         self.asks = asks;
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -72,8 +72,9 @@
 
     /// Records an event of the current attempt and returns the next action.
     ///
-    /// `budget` withdraws one retry from the [`super::RetryBudget`] and returns whether there was
-    /// one. It is called at most once, and only if a retry would increase the load of the minions.
+    /// `budget` withdraws one retry from the [`super::RetryBudget`] and returns whether a retry was
+    /// available. `budget` is called at most once, and only if a retry would increase the load of
+    /// the minions.
     #[must_use]
     pub fn on_event(
         &mut self,
@@ -222,8 +223,8 @@
         self.attempts < self.limits.attempts && now < self.deadline
     }
 
-    /// Starts the next attempt. If the current one may have run, the result of the request can no
-    /// longer be "not run".
+    /// Starts the next attempt. If the current attempt may have run, the result of the request can
+    /// no longer be "not run".
     const fn next_attempt(&mut self) -> NextStep {
         if self.may_have_run {
             self.run_result = Some(ResultCode::OutcomeUnknown);
--- a/crates/geraniumpost-core/src/requests/router.rs
+++ b/crates/geraniumpost-core/src/requests/router.rs
@@ -9,18 +9,19 @@
 
 /// Maximum number of agents drawn from one distance tier.
 const DRAWS_PER_TIER: usize = 2;
-/// Maximum share of failures, in thousandths, that the cost takes into account; it keeps the cost
-/// finite.
+/// Maximum share of failures, in thousandths, that the cost takes into account; the limit keeps the
+/// cost finite.
 const MAX_FAILURES_PERMILLE: u64 = 950;
 
 /// Routes by the power of two choices. The cost of an agent is (requests at the agent) x (smoothed
 /// service time) / (slots of its minion), increased according to its share of failures.
 ///
-/// Two agents are drawn at random from the nearest tier that has any, usually the failure domain of
-/// the entry, and two from the next farther one, whose cost includes a surcharge. A nearer agent is
-/// thus preferred until its cost exceeds the cost of a farther one plus the surcharge. Random draws
-/// keep several entries with equally old reports from sending all requests to the one agent that
-/// appeared idle; see `docs/design/0101-routing.md`.
+/// Up to two agents are drawn at random from each distance tier, beginning with the failure domain
+/// of the entry, until at least three are drawn. The cost of agents outside the failure domain of
+/// the entry includes a surcharge. A nearer agent is thus preferred until its cost exceeds the cost
+/// of a farther agent plus the surcharge. Random draws keep several entries with equally old
+/// reports from sending all requests to the one agent that appeared idle; see
+/// `docs/design/0101-routing.md`.
 ///
 /// # Example
 ///
@@ -63,7 +64,7 @@
         rng: &mut impl RngCore,
     ) -> Result<RoutingDecision, NoAgent> {
         if let Some(agent) = claim_due_probe(service, query) {
-            return Ok(RoutingDecision::of(agent, RoutingReason::Probe));
+            return Ok(RoutingDecision::without_candidates(agent, RoutingReason::Probe));
         }
         let candidates = self.draw_candidates(service, query, rng);
         let cheapest = candidates.iter().flatten().min_by_key(|candidate| candidate.cost_us);
@@ -77,10 +78,10 @@
 
     /// Expected cost of one more request at `agent`, in microseconds of waiting.
     ///
-    /// The reported number of requests of other entries is blended with the mean of the candidates,
-    /// and the older the report, the less it counts; it is ignored at an age of
-    /// `report_max_age_ms`. Otherwise all entries would send their requests to the agent that last
-    /// reported itself idle, until its next report.
+    /// The reported number of requests of other entries is blended with the mean of the candidates.
+    /// The weight of the reported number decreases with the age of the report, and is 0 from an age
+    /// of `report_max_age_ms`. Otherwise all entries would send their requests to the agent that
+    /// last reported itself idle, until its next report.
     pub fn cost_us(&self, agent: &AgentView, peers: &PeerLoad, query: &RoutingQuery<'_>) -> u64 {
         let counters = agent.counters();
         let max_age_ms = self.tuning.report_max_age_ms;
@@ -177,7 +178,7 @@
 ) -> Result<RoutingDecision, NoAgent> {
     let mut ejected = service.ejected().filter(|agent| !query.tried.contains(agent.name()));
     if let Some(agent) = ejected.next() {
-        return Ok(RoutingDecision::of(agent, RoutingReason::LastResort));
+        return Ok(RoutingDecision::without_candidates(agent, RoutingReason::LastResort));
     }
     let none_ready = service.routable_count() == 0 && service.ejected().next().is_none();
     Err(if none_ready { NoAgent::NoneReady } else { NoAgent::AllTried })
--- a/crates/geraniumpost-core/src/requests/routing_decision.rs
+++ b/crates/geraniumpost-core/src/requests/routing_decision.rs
@@ -12,10 +12,10 @@
 }
 
 impl RoutingDecision {
-    /// Maximum number of agents that one decision compares: two each of two distance tiers.
+    /// Maximum number of agents that one decision compares: at most two from each distance tier.
     pub const MAX_CANDIDATES: usize = 4;
 
-    pub(super) fn of(agent: &Arc<AgentView>, reason: RoutingReason) -> Self {
+    pub(super) fn without_candidates(agent: &Arc<AgentView>, reason: RoutingReason) -> Self {
         Self {
             agent: Arc::clone(agent),
             candidates: [const { None }; Self::MAX_CANDIDATES],
--- a/crates/geraniumpost-core/src/requests/routing_reason.rs
+++ b/crates/geraniumpost-core/src/requests/routing_reason.rs
@@ -12,7 +12,7 @@
     /// The agent is ejected and a probe was due.
     #[display("probe")]
     Probe,
-    /// The agent is ejected, but no other one remains, and an attempt is better than a certain
+    /// The agent is ejected, but no other agent remains, and an attempt is better than a certain
     /// refusal.
     #[display("last-resort")]
     LastResort,
--- a/crates/geraniumpost-core/src/requests/sequence_floors.rs
+++ b/crates/geraniumpost-core/src/requests/sequence_floors.rs
@@ -2,16 +2,16 @@
 
 use geraniumpost_schema::RequestId;
 
-/// Maximum number of entry incarnations in [`SequenceFloors`]. Once it is exceeded, any attempt of
-/// an entry that is not tracked counts as possibly dropped.
+/// Maximum number of entry incarnations in [`SequenceFloors`]. Once attempts of more incarnations
+/// are dropped, any attempt of an untracked incarnation counts as possibly dropped.
 const MAX_TRACKED_ENTRIES: usize = 65_536;
 
 /// Highest sequence number of the dropped attempts of each entry.
 ///
 /// An entry numbers its attempts in ascending order, so one number per entry covers all dropped
-/// attempts in a few bytes. Without it, an agent would mistake a dropped attempt for one that never
-/// arrived and reply "never started", and a request that must run once, such as a badge print,
-/// would run a second time.
+/// attempts in a few bytes. Without this number, an agent would mistake a dropped attempt for one
+/// that never arrived and reply "never started", and a request that must run once, such as a badge
+/// print, would run a second time.
 #[derive(Debug, Default)]
 pub(super) struct SequenceFloors {
     floors: HashMap<u64, u64>,
--- a/crates/geraniumpost-core/src/requests/service_times.rs
+++ b/crates/geraniumpost-core/src/requests/service_times.rs
@@ -3,9 +3,10 @@
 use super::smoothed_time::SmoothedTime;
 use crate::Micros;
 
-/// Each run moves the share of failures by its difference from the share divided by this number.
+/// Divisor of the exponential smoothing: each run moves the share of failures 1/16 of the way to 0
+/// or 1.
 const SMOOTHING_DIVISOR: u64 = 16;
-/// Number of successful runs from which the 99th percentile is computed.
+/// Maximum number of recent successful runs from which the 99th percentile is computed.
 const MAX_RECENT_SAMPLES: usize = 256;
 
 /// Smoothed service time, recent 99th percentile and share of failures of a minion.
--- a/crates/geraniumpost-core/src/requests/service_view.rs
+++ b/crates/geraniumpost-core/src/requests/service_view.rs
@@ -17,9 +17,9 @@
 
     /// Groups the `agents` of one service by distance from `here`, the location of the entry.
     ///
-    /// Agents that are not routable are omitted from the tiers. A decision therefore draws only
-    /// from usable agents, and the time that it takes does not grow with their number: 570 agents
-    /// take as long as 11.
+    /// Agents that are not routable are omitted from the tiers, so that a routing decision need not
+    /// search for routable agents. The duration of a decision does not grow with the number of
+    /// agents: 570 agents take as long as 11.
     pub fn new(agents: Vec<Arc<AgentView>>, here: &Location) -> Self {
         let mut view = Self::default();
         for (index, agent) in agents.iter().enumerate() {
@@ -51,7 +51,8 @@
         &self.agents[index as usize]
     }
 
-    /// Number of agents that could get requests other than probes when the view was created.
+    /// Number of agents that were connected and neither draining nor ejected when the view was
+    /// created.
     pub fn routable_count(&self) -> usize {
         self.tiers.iter().map(Vec::len).sum()
     }
--- a/crates/geraniumpost-core/src/requests/slot_reserve.rs
+++ b/crates/geraniumpost-core/src/requests/slot_reserve.rs
@@ -25,7 +25,7 @@
 ///
 /// Fair queueing decides only which request gets the next free slot; no run is interrupted. When
 /// long studies of one customer occupy every slot for seconds, a short check of another customer
-/// waits for the first study to end although that customer has used nothing. A few slots are
+/// waits for the first study to end even if the other customer has used no slot. A few slots are
 /// therefore reserved for short requests: as many as customers with short requests use plus half a
 /// slot, but not more than the share of these customers, and at least one.
 #[derive(Debug, Clone)]
@@ -53,7 +53,8 @@
         mean_us / LONG_REQUEST_FACTOR > self.shortest_mean_us
     }
 
-    /// Whether another long request may start while `running_long` of `slots` slots run long ones.
+    /// Whether another long request may start while `running_long` of `slots` slots run long
+    /// requests.
     pub(super) fn allows_long_request(&self, running_long: usize, slots: usize) -> bool {
         running_long + self.reserved_slots.min(slots.saturating_sub(1)) < slots
     }
--- a/crates/geraniumpost-core/src/requests/smoothed_time.rs
+++ b/crates/geraniumpost-core/src/requests/smoothed_time.rs
@@ -1,4 +1,4 @@
-/// Each sample moves the mean by its difference from the mean divided by this number.
+/// Divisor of the exponential smoothing: the mean moves 1/16 of the way to each sample.
 const SMOOTHING_DIVISOR: u64 = 16;
 /// A sample counts as at most this multiple of the mean, so that a single stuck request does not
 /// make every deadline appear unreachable.
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -145,7 +145,7 @@
 /// Keeps `slots` slots busy with requests of customer b for three seconds. In the first half
 /// customer a sends a request every 50 ms. Returns how many slots b occupies at the end of each
 /// half.
-fn slots_of_b(slots: usize) -> [usize; 2] {
+fn slots_of_b_while_a_is_active_and_idle(slots: usize) -> [usize; 2] {
     let mut queue = FairQueue::new(QueueLimits::new().slots(slots));
     let (mut running, mut sequence, mut slots_in_use) = (Vec::new(), 0, [0, 0]);
     for now in (0..3_000).step_by(10) {
@@ -176,8 +176,8 @@
 /// a share.
 #[test]
 fn a_reserved_slot_is_released_when_others_are_idle() {
-    assert_eq!(slots_of_b(8), [7, 8]);
-    assert_eq!(slots_of_b(2), [2, 2]);
+    assert_eq!(slots_of_b_while_a_is_active_and_idle(8), [7, 8]);
+    assert_eq!(slots_of_b_while_a_is_active_and_idle(2), [2, 2]);
 }
 
 /// If idle customers were never forgotten, the memory of the agent would grow until the agent is
--- a/crates/geraniumpost-core/tests/requests_fair_share.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_share.rs
@@ -13,7 +13,8 @@
 const MAX_GROWTH: f64 = 1.5;
 
 /// Returns the factor by which the 99th percentile of the latency of a customer below its share
-/// grows when another customer sends ten times its share, and the results of the former.
+/// grows when another customer sends ten times its share, and the results of the first customer
+/// during the burst.
 fn p99_growth(
     discipline: Discipline,
     load: f64,
@@ -81,7 +82,8 @@
 }
 
 /// A customer starts to send hundreds of requests. Without a limit on the burst allowance, its
-/// first 32 were served before those of all others, which waited four additional service times.
+/// first 32 requests (four per slot) would be served before all others, which would wait four
+/// additional service times.
 #[test]
 fn start_of_a_burst_delays_others_by_at_most_two_service_times() {
     let quiet = Source::new("quiet", CAPACITY_PER_SECOND * 0.1);
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -313,7 +313,7 @@
 }
 
 /// Returns a ledger in which one request has run under each of the keys 1 to `keys`. With low
-/// limits it has dropped the oldest ones.
+/// limits the ledger has dropped the oldest keys.
 fn ledger_with_keys(limits: LedgerLimits, keys: u64) -> AttemptLedger<u64> {
     let mut ledger = AttemptLedger::new(OWN_INCARNATION, limits);
     for n in 1..=keys {
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -19,7 +19,7 @@
 /// Whether an attempt runs, which the entry cannot observe directly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fate {
-    /// The attempt will never run.
+    /// The attempt was not sent, was refused or was barred.
     NeverRuns,
     /// The attempt runs or has run.
     Runs,
@@ -310,10 +310,11 @@
     assert_eq!(limits.in_flight("a"), 0);
 }
 
-/// Callers interpret the numbers of result codes. If two codes had one number, or a number changed,
-/// callers would see a wrong result.
+/// Callers interpret the numbers of result codes, which must be distinct. Each code has a valid
+/// HTTP status, a meaning that says whether the request did not run, and advice in a whole
+/// sentence.
 #[test]
-fn result_codes_are_distinct_and_complete() {
+fn result_codes_are_distinct_and_described() {
     let numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     assert!(numbers.is_sorted_by(|a, b| a < b), "{numbers:?}");
     for code in ResultCode::ALL {
