--- a/crates/geraniumpost-core/src/requests/ejector.rs
+++ b/crates/geraniumpost-core/src/requests/ejector.rs
@@ -124,7 +124,7 @@
     /// the number of ejections by one per window.
     ///
     /// The number of ejections is not reduced while the agent is ejected. Otherwise the delay
-    /// before a probe would stop growing once it exceeds a window.
+    /// before a probe would stop growing once the delay exceeds a window.
     fn decay(&mut self, agent: &AgentView, now: Millis, limits: &EjectionLimits) {
         let windows = now.since(self.window_start) / limits.window_ms.max(1);
         let halvings = windows.min(63) as u32;
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -202,7 +202,7 @@
         actions
     }
 
-    /// Number of customers with a flow, including recently idle ones, for tests of the memory
+    /// Number of customers with a flow, including recently idle customers, for tests of the memory
     /// bound.
     pub fn customer_count(&self) -> usize {
         self.flows.len()
--- a/crates/geraniumpost-core/src/requests/member.rs
+++ b/crates/geraniumpost-core/src/requests/member.rs
@@ -62,7 +62,7 @@
         changed
     }
 
-    /// Replaces the current incarnation by that of `heartbeat` and adds the current one to
+    /// Replaces the current incarnation by that of `heartbeat` and adds the former incarnation to
     /// `retired`.
     pub(super) fn replace_incarnation(&mut self, heartbeat: &Heartbeat, now: Millis) {
         let Heartbeat { incarnation, sequence, state, .. } = self.heartbeat;
--- a/crates/geraniumpost-core/src/requests/peer_load.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -1,6 +1,6 @@
 use super::AgentView;
 
-/// Service time in microseconds that is assumed when none of the agents has reported one.
+/// Service time in microseconds that is assumed when no agent has reported a service time.
 const UNKNOWN_SERVICE_US: u64 = 10_000;
 
 /// Load of the candidates of a routing decision as a whole, which replaces outdated or doubtful
--- a/crates/geraniumpost-core/src/requests/queue_limits.rs
+++ b/crates/geraniumpost-core/src/requests/queue_limits.rs
@@ -1,4 +1,4 @@
-/// Limits on the requests that run on one minion and on those that wait for a slot.
+/// Limits on the numbers of requests that run on one minion and that wait for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     pub(super) slots: usize,
--- a/crates/geraniumpost-core/src/requests/retry_budget.rs
+++ b/crates/geraniumpost-core/src/requests/retry_budget.rs
@@ -24,7 +24,7 @@
 /// ```
 #[derive(Debug)]
 pub struct RetryBudget {
-    permille: AtomicU64,
+    retries_permille: AtomicU64,
     burst_tokens: u64,
     tokens: AtomicU64,
 }
@@ -35,7 +35,7 @@
     pub const fn new(permille: u64, burst: u64) -> Self {
         let burst_tokens = burst * TOKENS_PER_RETRY;
         Self {
-            permille: AtomicU64::new(permille),
+            retries_permille: AtomicU64::new(permille),
             burst_tokens,
             tokens: AtomicU64::new(burst_tokens),
         }
@@ -43,18 +43,18 @@
 
     /// Sets the number of retries allowed per thousand requests, after a change of configuration.
     pub fn set_permille(&self, permille: u64) {
-        self.permille.store(permille, Relaxed);
+        self.retries_permille.store(permille, Relaxed);
     }
 
     /// Deposits the tokens for one request. Must be called once for each request that is not a
     /// retry.
     pub fn deposit(&self) {
-        let deposit = self.permille.load(Relaxed);
+        let deposit = self.retries_permille.load(Relaxed);
         let add = |tokens: u64| Some(tokens.saturating_add(deposit).min(self.burst_tokens));
         let _ = self.tokens.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Withdraws one retry, and returns whether one was available.
+    /// Withdraws one retry, and returns whether a retry was available.
     #[must_use]
     pub fn try_withdraw(&self) -> bool {
         let withdraw = |tokens: u64| tokens.checked_sub(TOKENS_PER_RETRY);
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Number of the current attempt; the first one is 1.
+    /// Number of the current attempt, from 1.
     pub const fn attempt(&self) -> u32 {
         self.attempts
     }
--- a/crates/geraniumpost-core/src/requests/slot_reserve.rs
+++ b/crates/geraniumpost-core/src/requests/slot_reserve.rs
@@ -59,8 +59,8 @@
         running_long + self.reserved_slots.min(slots.saturating_sub(1)) < slots
     }
 
-    /// Starts a new measurement window if one is due, and returns the length of the previous one in
-    /// milliseconds.
+    /// Starts a new measurement window if one is due, and returns the length of the previous window
+    /// in milliseconds.
     pub(super) fn restart_window_if_due(&mut self, now: Millis) -> Option<u64> {
         let window_ms = now.since(self.measured_at);
         if window_ms < MEASUREMENT_INTERVAL_MS {
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -172,8 +172,8 @@
 }
 
 /// One slot is kept free of customer b while customer a is active, and released once a has been
-/// idle for a second. With fewer than four slots none is kept free, because one would be too large
-/// a share.
+/// idle for a second. With fewer than four slots no slot is kept free, because one slot would be
+/// too large a share.
 #[test]
 fn a_reserved_slot_is_released_when_others_are_idle() {
     assert_eq!(slots_of_b_while_a_is_active_and_idle(8), [7, 8]);
--- a/crates/geraniumpost-core/tests/requests_fair_share.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_share.rs
@@ -152,8 +152,8 @@
     assert!(*last < 100_000, "{last} us");
 }
 
-/// A customer that was idle while another one used the whole minion must immediately get its share.
-/// It must get no credit for the idle time, or it would lock out the other one.
+/// A customer that was idle while another customer used the whole minion must immediately get its
+/// share. It must get no credit for the idle time, or it would lock out the other customer.
 #[test]
 fn a_customer_that_becomes_active_gets_its_share_and_no_credit() {
     let rate = CAPACITY_PER_SECOND * 2.0;
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -34,7 +34,7 @@
     ]
 }
 
-/// Returns the idempotency key with number `key`; 0 means none.
+/// Returns the idempotency key with number `key`, empty for 0.
 fn key_name(key: u64) -> Name {
     if key == 0 { Name::default() } else { Name::from(format!("k{key}")) }
 }
@@ -324,8 +324,9 @@
     ledger
 }
 
-/// A kiosk repeats a badge print hours later, and its entry sends it to the agent that ran the
-/// first one. The agent must still recognize the key, although it has recorded many newer ones.
+/// A kiosk repeats a badge print hours later, and its entry sends the repeat to the agent that ran
+/// the first request. The agent must still recognize the key, although it has recorded many newer
+/// keys.
 #[test]
 fn an_expired_key_does_not_run_again() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 10), 6);
@@ -336,8 +337,8 @@
     assert_eq!(ledger.admit(id(11), &key_name(7), Millis(0)), Admission::Queue);
 }
 
-/// The ledger has dropped the digests of old keys as well. A queried key that is unknown may be one
-/// of them, whose request has run.
+/// The ledger has dropped the digests of old keys as well. The request of a queried key that is
+/// unknown may therefore have run.
 #[test]
 fn an_unknown_key_may_have_been_dropped() {
     let mut ledger = ledger_with_keys(LedgerLimits::new().keys(2, 0), 3);
--- a/crates/geraniumpost-core/tests/requests_membership.rs
+++ b/crates/geraniumpost-core/tests/requests_membership.rs
@@ -157,8 +157,8 @@
     assert_eq!(membership.snapshot().service("filing").unwrap().routable_count(), 0);
 }
 
-/// A heartbeat that announces draining arrives after a later one without it. Draining is final, so
-/// the announcement must not be ignored as late.
+/// A heartbeat that announces draining arrives after a later heartbeat without it. Draining is
+/// final, so the announcement must not be ignored as late.
 #[test]
 fn a_late_announcement_of_draining_is_applied() {
     let mut membership = membership();
@@ -186,9 +186,9 @@
     assert_eq!(membership.snapshot().agent("a").unwrap().incarnation(), 8);
 }
 
-/// The first heartbeat of a new incarnation arrives before a delayed one of the old incarnation,
-/// which is unknown to this entry. The delayed heartbeat looks like a restart, but the live
-/// incarnation must prevail.
+/// The first heartbeat of a new incarnation arrives before a delayed heartbeat of the old
+/// incarnation, which is unknown to this entry. The delayed heartbeat looks like a restart, but the
+/// live incarnation must prevail.
 #[test]
 fn a_live_agent_prevails_over_a_delayed_heartbeat_of_an_unknown_incarnation() {
     let mut membership = membership();
@@ -251,8 +251,8 @@
     assert_eq!(snapshot.agent("a").unwrap().counters().load().queued, 9);
 }
 
-/// Agents are continually replaced under new names. If failed ones were never forgotten, the memory
-/// of the entry would grow without limit.
+/// Agents are continually replaced under new names. If failed agents were never forgotten, the
+/// memory of the entry would grow without limit.
 #[test]
 fn failed_agents_are_forgotten() {
     let mut membership = membership();
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -84,7 +84,8 @@
     events
 }
 
-/// Last action for a request, and what led to it.
+/// Last action for a request, and the numbers of attempts that may have run, of all attempts and of
+/// calls to the retry budget until then.
 #[derive(Debug)]
 struct RequestOutcome {
     last: NextStep,
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -359,7 +359,7 @@
     }
 }
 
-/// One of two agents is ejected and the other one fails and departs. The ejected one may still
+/// One of two agents is ejected and the other agent fails and departs. The ejected agent may still
 /// answer, which is better for the caller than a certain refusal.
 #[test]
 fn an_ejected_agent_is_the_last_resort() {
--- a/crates/geraniumpost-core/tests/requests_support/minion_model.rs
+++ b/crates/geraniumpost-core/tests/requests_support/minion_model.rs
@@ -78,14 +78,15 @@
 enum Event {
     /// A request of the source with this index arrives.
     Arrive(usize),
-    /// The job with this sequence number ends; the second value is its service time in microseconds.
+    /// The request with this sequence number ends; the second value is its service time in
+    /// microseconds.
     Finish(u64, u64),
     Tick,
 }
 
-/// One request in the model.
+/// A request that waits or runs in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Job {
+struct ModelRequest {
     source: usize,
     sequence: u64,
     arrived_us: u64,
@@ -95,12 +96,12 @@
 /// First-in, first-out queue of limited length.
 #[derive(Debug, Default)]
 struct Fifo {
-    waiting: VecDeque<Job>,
+    waiting: VecDeque<ModelRequest>,
     running: usize,
 }
 
 enum Queue {
-    Fair(Box<FairQueue<Job>>),
+    Fair(Box<FairQueue<ModelRequest>>),
     Fifo(Fifo),
 }
 
@@ -109,7 +110,7 @@
     rng: SmallRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     event_count: u64,
-    jobs: BTreeMap<u64, Job>,
+    requests: BTreeMap<u64, ModelRequest>,
     queue: Queue,
     queue_capacity: usize,
     stats: Vec<CustomerStats>,
@@ -137,7 +138,7 @@
         rng: SmallRng::seed_from_u64(seed),
         events: BinaryHeap::new(),
         event_count: 0,
-        jobs: BTreeMap::new(),
+        requests: BTreeMap::new(),
         queue,
         queue_capacity,
         stats: sources.iter().map(|_| CustomerStats::default()).collect(),
@@ -187,39 +188,48 @@
         let drawn_us = self.draw_exponential(source.mean_us as f64);
         let service_us = if source.fixed_time { source.mean_us } else { drawn_us };
         self.schedule(self.now_us + gap_us, Event::Arrive(index));
-        let job =
-            Job { source: index, sequence: self.event_count, arrived_us: self.now_us, service_us };
-        self.jobs.insert(job.sequence, job);
+        let model_request = ModelRequest {
+            source: index,
+            sequence: self.event_count,
+            arrived_us: self.now_us,
+            service_us,
+        };
+        self.requests.insert(model_request.sequence, model_request);
         let now = self.now();
         let deadline = now.plus(source.deadline_ms);
         let actions = match &mut self.queue {
             Queue::Fair(queue) => {
-                let request = QueuedRequest::new(id(job.sequence), source.name, deadline, job);
+                let request = QueuedRequest::new(
+                    id(model_request.sequence),
+                    source.name,
+                    deadline,
+                    model_request,
+                );
                 queue.offer(request.weight(source.weight), now)
             }
-            Queue::Fifo(_) => return self.arrive_fifo(job),
+            Queue::Fifo(_) => return self.arrive_fifo(model_request),
         };
         self.apply(actions);
     }
 
-    fn arrive_fifo(&mut self, job: Job) {
+    fn arrive_fifo(&mut self, model_request: ModelRequest) {
         let Queue::Fifo(fifo) = &mut self.queue else { return };
         if fifo.running < SLOTS {
             fifo.running += 1;
             self.schedule(
-                self.now_us + job.service_us,
-                Event::Finish(job.sequence, job.service_us),
+                self.now_us + model_request.service_us,
+                Event::Finish(model_request.sequence, model_request.service_us),
             );
         } else if fifo.waiting.len() < self.queue_capacity {
-            fifo.waiting.push_back(job);
+            fifo.waiting.push_back(model_request);
         } else {
-            self.record_refusal(job);
+            self.record_refusal(model_request);
         }
     }
 
     fn finish(&mut self, sequence: u64, service_us: u64) {
-        let Some(job) = self.jobs.remove(&sequence) else { return };
-        self.record_answer(job);
+        let Some(model_request) = self.requests.remove(&sequence) else { return };
+        self.record_answer(model_request);
         let now = self.now();
         match &mut self.queue {
             Queue::Fair(queue) => {
@@ -247,46 +257,46 @@
         self.schedule(self.now_us + 10_000, Event::Tick);
     }
 
-    fn apply(&mut self, actions: Vec<QueueAction<Job>>) {
+    fn apply(&mut self, actions: Vec<QueueAction<ModelRequest>>) {
         for action in actions {
             match action {
                 QueueAction::Run(request) => {
-                    let job = request.into_payload();
+                    let model_request = request.into_payload();
                     self.schedule(
-                        self.now_us + job.service_us,
-                        Event::Finish(job.sequence, job.service_us),
+                        self.now_us + model_request.service_us,
+                        Event::Finish(model_request.sequence, model_request.service_us),
                     );
                 }
                 QueueAction::Refuse { request, retry_after_ms, .. } => {
                     assert!(retry_after_ms > 0, "a refusal names a retry delay");
-                    let job = request.into_payload();
-                    self.jobs.remove(&job.sequence);
-                    self.record_refusal(job);
+                    let model_request = request.into_payload();
+                    self.requests.remove(&model_request.sequence);
+                    self.record_refusal(model_request);
                 }
             }
         }
     }
 
-    fn record_answer(&mut self, job: Job) {
-        if job.arrived_us < self.warm_up_end_us {
+    fn record_answer(&mut self, model_request: ModelRequest) {
+        if model_request.arrived_us < self.warm_up_end_us {
             return;
         }
-        let latency_us = self.now_us - job.arrived_us;
-        let in_time = latency_us <= self.sources[job.source].deadline_ms * 1000;
-        let stats = &mut self.stats[job.source];
+        let latency_us = self.now_us - model_request.arrived_us;
+        let in_time = latency_us <= self.sources[model_request.source].deadline_ms * 1000;
+        let stats = &mut self.stats[model_request.source];
         stats.latencies_us.push(latency_us);
-        stats.waits_us.push(latency_us.saturating_sub(job.service_us));
+        stats.waits_us.push(latency_us.saturating_sub(model_request.service_us));
         stats.answered_in_time += u64::from(in_time);
         stats.late += u64::from(!in_time);
-        stats.slot_us += job.service_us;
+        stats.slot_us += model_request.service_us;
     }
 
-    fn record_refusal(&mut self, job: Job) {
-        if job.arrived_us < self.warm_up_end_us {
+    fn record_refusal(&mut self, model_request: ModelRequest) {
+        if model_request.arrived_us < self.warm_up_end_us {
             return;
         }
-        let stats = &mut self.stats[job.source];
+        let stats = &mut self.stats[model_request.source];
         stats.refused += 1;
-        stats.refused_after_us.push(self.now_us - job.arrived_us);
+        stats.refused_after_us.push(self.now_us - model_request.arrived_us);
     }
 }
