--- a/crates/geraniumpost-core/src/requests/peer_load.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -1,6 +1,6 @@
 use super::AgentView;
 
-/// Service time in microseconds that is assumed when none of the agents has reported one.
+/// Service time in microseconds that is assumed when no agent has reported a service time.
 const UNKNOWN_SERVICE_US: u64 = 10_000;
 
 /// Load of the candidates of a routing decision as a whole, which replaces outdated or doubtful
@@ -27,7 +27,8 @@
         Self { others_in_flight: others_in_flight / count.max(1), service_us }
     }
 
-    /// Number of requests of other entries that is assumed at an agent whose own report is too old.
+    /// Mean number of requests of other entries per agent, which replaces the report of an agent in
+    /// proportion to the age of the report.
     pub const fn others_in_flight(&self) -> u64 {
         self.others_in_flight
     }
