--- a/crates/geraniumpost-core/src/config/adoption.rs
+++ b/crates/geraniumpost-core/src/config/adoption.rs
@@ -7,8 +7,8 @@
 /// State machine that decides which revision of the configuration is in force in a process.
 ///
 /// A lower revision is never adopted after a higher one. A process that starts while the store is
-/// unavailable receives its peers' revisions one by one. If it adopted the first, it could put an
-/// older setting in force for a short time although a newer one had been in force before the
+/// unavailable receives its peers' revisions one by one. If it adopted the first of them, it could
+/// put an older setting in force for a short time although a newer one had been in force before the
 /// restart. Therefore a starting process collects responses for some time and adopts the highest.
 ///
 /// # Example
--- a/crates/geraniumpost-core/src/config/adoption_action.rs
+++ b/crates/geraniumpost-core/src/config/adoption_action.rs
@@ -12,7 +12,7 @@
         /// Announced revision; the source may respond with a higher one.
         revision: u64,
     },
-    /// Put a document in force, in place of the one with a lower revision.
+    /// Put a document in force, in place of a document with a lower revision, if there is any.
     Adopt {
         /// Revision under which the document is stored.
         revision: u64,
--- a/crates/geraniumpost-core/src/config/change_protocol.rs
+++ b/crates/geraniumpost-core/src/config/change_protocol.rs
@@ -1,6 +1,6 @@
 use super::{Change, ChangeAction, ChangeEvent, ChangeOutcome, StoredDocument};
 
-/// Store calls after which the protocol ends without a result.
+/// Maximum number of store calls. After that, the outcome is `Unavailable` or `Uncertain`.
 const MAX_CALLS: u32 = 8;
 
 /// State machine that commits one change to the store exactly once, or reports why it was not
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Determines from the changes since the operator's revision whether this one was committed.
+    /// Determines whether the operator's change was committed, from the list of changes made since
+    /// its base revision.
     fn outcome(&self, revision: u64, changes: &[super::PastChange]) -> ChangeOutcome {
         let Some((first, later)) = changes.split_last() else {
             return ChangeOutcome::Uncertain;
--- a/crates/geraniumpost-core/src/jobs/job_record.rs
+++ b/crates/geraniumpost-core/src/jobs/job_record.rs
@@ -214,7 +214,8 @@
         self.epoch
     }
 
-    /// Returns the agent of the current or last run, empty if there is none.
+    /// Returns the agent of the current run, or of the last run of a finished job. Empty while the
+    /// job is pending, and if it finished while pending.
     pub const fn worker(&self) -> &Name {
         &self.worker
     }
@@ -260,7 +261,7 @@
         self.code
     }
 
-    /// Returns the result, or the reason of the last failed run.
+    /// Returns the result of a completed job, or the reason of its failure or last failed run.
     pub fn result(&self) -> &str {
         &self.result
     }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_action.rs
@@ -41,6 +41,6 @@
     /// This process is now the planner and must load the records.
     Acquired(Takeover),
     /// This process is no longer the planner. The shell drops the planner and stops granting agent
-    /// leases. The text is the reason for the log.
+    /// leases. The string is the reason, to be logged.
     Lost(&'static str),
 }
--- a/crates/geraniumpost-core/src/jobs/lease/lease_config.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_config.rs
@@ -3,12 +3,12 @@
 pub struct LeaseConfig {
     /// Time to live of the store lease. The holder renews it after a third of this time.
     pub ttl_ms: u64,
-    /// Interval at which a process that is not the planner checks whether there is one.
+    /// Interval at which a process that is not the planner checks whether there is a planner.
     pub poll_interval_ms: u64,
     /// How long a planner that cannot reach the store continues to grant agent leases
     /// (`outage_hold_s`).
     pub outage_hold_ms: u64,
-    /// Maximum duration of the agent leases that it grants (`hold_ms`).
+    /// Maximum duration of the agent leases that a planner grants (`hold_ms`).
     pub hold_ms: u64,
 }
 
--- a/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
@@ -14,7 +14,7 @@
     Claimed(bool),
     /// Revision and value of the term record, `None` if it is absent.
     TermRead(Option<(u64, Vec<u8>)>),
-    /// New revision of the term record, `None` if it had changed in the meantime.
+    /// New revision of the term record, `None` if the record had changed in the meantime.
     TermWritten(Option<u64>),
     /// Whether the lease still existed and was renewed.
     KeptAlive(bool),
@@ -24,8 +24,8 @@
     PredecessorsExpired,
     /// The configured times have changed; longer ones apply once the term record contains them.
     Configure(LeaseConfig),
-    /// The planner found that another one took over, or that it cannot continue.
+    /// The planner found that another planner took over, or that the stored records are unusable.
     StepDown,
-    /// This process is shutting down and another one should become the planner.
+    /// This process is shutting down and another process should become the planner.
     Resign,
 }
--- a/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/planner_lease.rs
@@ -83,13 +83,13 @@
     }
 
     /// Returns the time at which this process must stop granting agent leases unless it renews its
-    /// lease.
+    /// store lease, 0 if it holds no term.
     pub fn may_grant_until(&self) -> Millis {
         if self.held.is_some() { self.grants_until.max(self.valid_until) } else { Millis(0) }
     }
 
-    /// Returns the longest agent lease in milliseconds that may have been granted recently. The
-    /// planner has to assume this duration.
+    /// Returns the longest duration in milliseconds of an agent lease that may still be valid, 0 if
+    /// this process holds no term. The planner must assume this duration for every agent.
     ///
     /// The configured duration may be shorter, if it was lowered after a lease had been granted.
     pub fn longest_agent_lease_ms(&self) -> u64 {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Ends the term if the store was unreachable until the last permitted grant.
+    /// Ends the term once the store lease has expired and agent leases may no longer be granted.
     fn check_expiry(&mut self, now: Millis, actions: &mut Vec<LeaseAction>) {
         if self.held.is_some() && now >= self.grants_until.max(self.valid_until) {
             self.end_term("the store was unreachable for too long", actions);
@@ -135,8 +135,8 @@
         if self.held.take().is_some() {
             actions.push(LeaseAction::Lost(reason));
         }
-        // A term must not be reused. A planner that started again under it would consider the
-        // records in the store its own writes, and overwrite them with its empty ones.
+        // A term must not be reused. A planner that started again under the same term would
+        // consider the records in the store its own writes, and overwrite them with empty ones.
         self.pending_record = None;
         self.predecessors_expired = false;
         self.valid_until = Millis(0);
@@ -301,7 +301,7 @@
     }
 
     /// Counts the lease from the time at which it was requested. The store counts it from a later
-    /// time, so the holder never assumes a lease that has expired.
+    /// time, so the holder never considers an expired lease valid.
     fn on_granted(
         &mut self,
         lease: u64,
--- a/crates/geraniumpost-core/src/jobs/lease/takeover.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/takeover.rs
@@ -6,7 +6,8 @@
 pub struct Takeover {
     /// Term of the new planner, higher than those of all predecessors.
     pub term: u64,
-    /// Instant at which the new planner held the lease. No earlier holder holds it from then on.
+    /// Instant at which the new planner held the lease. No earlier holder holds the lease from then
+    /// on.
     pub at: Millis,
     /// Earlier holders that may still grant agent leases.
     pub earlier: Vec<LeaseHolder>,
--- a/crates/geraniumpost-core/src/jobs/lease/term_record.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/term_record.rs
@@ -19,9 +19,9 @@
 
 /// The term of a region's planner, as kept in the store.
 ///
-/// It also lists the earlier holders that may still grant agent leases, and how long they may do
-/// so. The next planner has to wait that long before it reassigns the runs of agents that it cannot
-/// reach.
+/// The record also lists the earlier holders that may still grant agent leases, and how long they
+/// may do so. The next planner has to wait that long before it reassigns the runs of agents that it
+/// cannot reach.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
     /// Number of the term, incremented by each new holder.
@@ -37,8 +37,8 @@
     pub outage_hold_ms: u64,
     /// Longest agent lease in milliseconds that any listed planner grants.
     pub hold_ms: u64,
-    /// Number of writes of the record. A holder that lost the response to a write compares it to
-    /// recognize its own write.
+    /// Number of writes of the record. A holder that lost the response to a write compares this
+    /// number to recognize its own write.
     pub writes: u64,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the record of the next holder, with the current one among the earlier ones.
+    /// Returns the record of the next holder, with the current holder added to the earlier holders.
     #[must_use]
     pub fn next(&self, holder: LeaseHolder, config: &LeaseConfig) -> Self {
         let mut earlier = self.earlier.clone();
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Returns the record of the same holder without earlier holders, which have all stopped
-    /// granting.
+    /// Returns the record of the same holder without earlier holders, for use once all of them have
+    /// stopped granting agent leases.
     #[must_use]
     pub fn without_earlier_holders(&self) -> Self {
         Self {
--- a/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/adoption.rs
@@ -11,7 +11,7 @@
 pub(super) enum Adoption {
     /// No list has been received.
     NotStarted,
-    /// One list, requested at this instant, has been received.
+    /// The first list has been received. The value is the instant at which it was requested.
     Listed(Millis),
     /// The ledger knows every task of the worker.
     Complete,
--- a/crates/geraniumpost-core/src/jobs/ledger/agent_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/agent_lease.rs
@@ -4,8 +4,8 @@
 
 use crate::Millis;
 
-/// Number of latest heartbeats whose acknowledgements are accepted. An acknowledgement of an older
-/// one could only extend the lease to an instant that has passed.
+/// Number of latest heartbeats whose acknowledgements are accepted. The acknowledgement of an older
+/// heartbeat could only extend the lease to an instant that has passed.
 const MAX_SENT_HEARTBEATS: usize = 512;
 
 /// The lease under which the planner lets the agent run tasks.
@@ -51,8 +51,8 @@
         now < self.until
     }
 
-    /// Returns the granted duration in milliseconds if at most half of it remains, and `None`
-    /// before and after that.
+    /// Returns the granted duration in milliseconds in the second half of the lease, and `None` in
+    /// the first half and after the expiry.
     pub(super) fn granted_ms_if_near_expiry(&self, now: Millis) -> Option<u64> {
         let remaining_ms = self.until.since(now);
         (remaining_ms > 0 && 2 * remaining_ms <= self.granted_ms).then_some(self.granted_ms)
@@ -70,7 +70,7 @@
     ///
     /// A process that just started knows no term and could accept an order of a planner that was
     /// superseded long ago. Such a planner has noticed that its lease expired and grants no agent
-    /// leases, so its orders are rejected by requiring a lease of the same term.
+    /// leases. Requiring an agent lease of the same term therefore rejects its orders.
     pub(super) fn permits_starts_under(&self, term: u64, now: Millis) -> bool {
         self.term == term && self.is_valid(now)
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
@@ -44,7 +44,7 @@
         /// Number of the job's run, assigned by the planner.
         epoch: u64,
     },
-    /// The worker refused the start, which is guaranteed not to have run.
+    /// The worker refused this start call, which therefore never starts the task.
     StartRefused {
         /// Id of the job; with the epoch it identifies the task at the worker.
         job: Name,
--- a/crates/geraniumpost-core/src/jobs/ledger/orders.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/orders.rs
@@ -15,7 +15,7 @@
         }
     }
 
-    pub(super) fn on_supersede(&mut self, term: u64, actions: &mut Vec<LedgerAction>) {
+    pub(super) fn on_new_term(&mut self, term: u64, actions: &mut Vec<LedgerAction>) {
         if !self.accept_term(term) {
             return;
         }
@@ -83,7 +83,8 @@
         None
     }
 
-    /// Records the refusal as an ended run, so that a repeated order cannot start it later.
+    /// Records the refusal as an ended run, so that a repeated order cannot start the run later. If
+    /// an earlier run of the job is live, the refusal is only reported.
     fn refuse_start(
         &mut self,
         start: &StartTask,
--- a/crates/geraniumpost-core/src/jobs/ledger/phase.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/phase.rs
@@ -27,8 +27,8 @@
         matches!(self, Self::Starting | Self::Running | Self::Checkpointing)
     }
 
-    /// Returns the state in reports to the planner, for which a task runs until its end is
-    /// confirmed.
+    /// Returns the state that is reported to the planner. A task that writes a checkpoint or is
+    /// being stopped is reported as running until its end is confirmed.
     pub(super) const fn reported_state(self) -> TaskState {
         match self {
             Self::Starting => TaskState::Starting,
--- a/crates/geraniumpost-core/src/jobs/ledger/task.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/task.rs
@@ -28,7 +28,7 @@
     pub(super) failed_checkpoints: u32,
     pub(super) start: StartCall,
     /// The previous start call, if its response was lost. The worker's response to a repeated call
-    /// does not settle the earlier one: the repeated call may be refused and the earlier one
+    /// does not settle the earlier call: the repeated call may be refused, and the earlier call
     /// accepted shortly afterwards.
     pub(super) earlier_start: StartCall,
     /// Whether a stop was sent to the worker in the current phase.
--- a/crates/geraniumpost-core/src/jobs/ledger/tick.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/tick.rs
@@ -16,7 +16,7 @@
             self.stop_without_lease(now, actions);
         }
         self.retry_stops(now, actions);
-        self.end_expired_stops(now, actions);
+        self.end_stopping_runs_after_lease_expiry(now, actions);
         self.repeat_reports(now, actions);
         self.request_sizes(now, actions);
         self.drop_old_epochs(now);
@@ -43,9 +43,8 @@
     /// lease.
     ///
     /// A VM may be lost at any time, and tasks are stopped when no planner extends the lease. The
-    /// work since the last checkpoint is then repeated, which may cause a study to miss its
-    /// deadline. If a planner renews the lease after all, only one additional checkpoint was
-    /// written.
+    /// work since the last checkpoint is then repeated, which may cause a job to miss its deadline.
+    /// If a planner extends the lease after all, the only cost is one additional checkpoint.
     fn request_checkpoints(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let interval = self.config.checkpoint_interval_ms;
         // One checkpoint is sufficient while the lease is near expiry.
@@ -106,7 +105,11 @@
 
     /// Ends runs that are being stopped once the worker's lease must have expired, in case the
     /// worker never responds.
-    fn end_expired_stops(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
+    fn end_stopping_runs_after_lease_expiry(
+        &mut self,
+        now: Millis,
+        actions: &mut Vec<LedgerAction>,
+    ) {
         let margin = self.config.worker_lease_ms;
         let expired: Vec<Name> = self
             .tasks
@@ -136,8 +139,8 @@
         }
     }
 
-    /// Sends the inventory again while sizes of tasks are unknown; the planner responds with its
-    /// orders.
+    /// Sends the inventory again while sizes of tasks are unknown. The planner responds by
+    /// repeating its start orders, which contain the sizes.
     fn request_sizes(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let due = now.since(self.last_size_request) >= self.config.repeat_interval_ms;
         if due && self.is_complete() && self.has_task_without_size() {
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -76,7 +76,7 @@
             LedgerEvent::Stop(task) => self.on_stop(&task, now, &mut actions),
             LedgerEvent::Throttle(order) => self.on_throttle(&order, &mut actions),
             LedgerEvent::Settled(task) => self.on_settled(&task, &mut actions),
-            LedgerEvent::Supersede(term) => self.on_supersede(term, &mut actions),
+            LedgerEvent::Supersede(term) => self.on_new_term(term, &mut actions),
             LedgerEvent::Drain => self.draining = true,
             LedgerEvent::Reserve(reserve) => self.reserve = reserve,
             LedgerEvent::Tick => self.on_tick(now, &mut actions),
@@ -135,8 +135,9 @@
 
     /// Returns whether the declared size of a live task is unknown, as after an adoption.
     ///
-    /// The worker's list contains only delayed usage, which may be far below the declared size. A
-    /// start that fits in addition to that usage could overcommit the VM shortly afterwards.
+    /// The worker's list contains only the measured usage, which lags and may be far below the
+    /// declared size. A new task that fits in addition to that usage could overcommit the VM
+    /// shortly afterwards.
     pub(super) fn has_task_without_size(&self) -> bool {
         self.tasks.values().any(|task| task.phase.is_live() && task.need.is_none())
     }
--- a/crates/geraniumpost-core/src/jobs/planner/agents.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agents.rs
@@ -157,8 +157,8 @@
     /// agent.
     ///
     /// The agent stops renewing at the latest when its last lease expires. A renewal in transit may
-    /// extend a worker's lease once more, and that lease then has to expire. In addition, the
-    /// clocks of the VMs may run at slightly different speeds.
+    /// extend a worker's lease once more, and the extended lease then has to expire. In addition,
+    /// the clocks of the VMs may run at slightly different speeds.
     fn runs_ended_by(&self, agent: &Name, now: Millis) -> Millis {
         let granted = self.agents.get(agent).map_or(Millis(0), |view| view.lease_until);
         let leases_until = granted.max(self.predecessors.leases_until());
@@ -167,8 +167,8 @@
         leases_until.plus(lease + drift)
     }
 
-    /// Records as lost the runs of agents whose leases must have expired, and removes agents that
-    /// have no link for the retention period after that.
+    /// Records the runs of an agent as lost once all their leases must have expired, and removes
+    /// the agent after a further retention period if it has no link.
     pub(super) fn end_expired_runs(&mut self, now: Now, actions: &mut Vec<PlannerAction>) {
         let clock = now.clock;
         let mut expired = Vec::new();
--- a/crates/geraniumpost-core/src/jobs/planner/bucket_slot.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/bucket_slot.rs
@@ -24,7 +24,7 @@
     /// Sequence number of the last commit sent.
     pub(super) sequence: u64,
     /// Whether a commit of this planner's term is known to be in the store. From then on no write
-    /// of an earlier planner can succeed, because none knows the revision.
+    /// of an earlier planner can succeed, because no earlier planner knows the new revision.
     pub(super) fenced: bool,
     pub(super) dirty: bool,
     pub(super) checkpoint_since: Option<Millis>,
@@ -70,7 +70,8 @@
         self.stage == BucketStage::Ready && (self.dirty || checkpoint_due) && paced
     }
 
-    /// Moves the effects of a commit that did not take effect back in front of the next one.
+    /// Moves the effects of a commit that did not take effect to the front of the queue for the
+    /// next commit, and makes that commit due.
     pub(super) fn requeue_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.committing);
         effects.append(&mut self.queued);
--- a/crates/geraniumpost-core/src/jobs/planner/commits.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/commits.rs
@@ -123,8 +123,10 @@
         }
     }
 
-    /// Handles a stored value that the open commit has not replaced. Marks the bucket for a new
-    /// commit, and loads the records unless a commit of this term is in the store.
+    /// Handles a value read from the store that is not the last commit of this planner.
+    ///
+    /// Requeues the effects of that commit, if any, and marks the bucket for a new commit. Loads
+    /// the records unless this planner has already written the bucket in this term.
     fn load_bucket(&mut self, bucket: usize, revision: Option<u64>, read: Bucket, now: Now) {
         let own = read.term() == self.term;
         let slot = &mut self.slots[bucket];
--- a/crates/geraniumpost-core/src/jobs/planner/job_response.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/job_response.rs
@@ -19,21 +19,21 @@
         Self { code, state: None, retry_after_ms: 0, detail: String::new() }
     }
 
-    /// Sets the state of a job that has a record.
+    /// Adds the job's state to the response.
     #[must_use]
     pub const fn state(mut self, state: JobState) -> Self {
         self.state = Some(state);
         self
     }
 
-    /// Sets the time in milliseconds after which the customer should retry.
+    /// Adds the time in milliseconds after which the customer should retry.
     #[must_use]
     pub const fn retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = ms;
         self
     }
 
-    /// Sets an explanation for the customer in addition to the code's text.
+    /// Adds an explanation for the customer to the code's text.
     #[must_use]
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
--- a/crates/geraniumpost-core/src/jobs/planner/job_view.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/job_view.rs
@@ -5,7 +5,7 @@
 pub struct JobView {
     /// Record in the planner's memory, which may be newer than the store.
     pub record: JobRecord,
-    /// Whether the store contains the record in this form.
+    /// Whether the store contains this record, except for a newer checkpoint.
     pub committed: bool,
     /// Whether the agent has reported the current run as starting or running.
     pub running: bool,
--- a/crates/geraniumpost-core/src/jobs/planner/mod.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/mod.rs
@@ -7,7 +7,7 @@
 mod effect;
 mod job_response;
 mod job_view;
-mod placing;
+mod placement_execution;
 #[expect(clippy::module_inception, reason = "the type gives the folder its name")]
 mod planner;
 mod planner_action;
--- a/crates/geraniumpost-core/src/jobs/planner/placing.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/placement_execution.rs
@@ -10,10 +10,11 @@
 };
 
 impl Planner {
-    /// Has `decide` place the pending jobs and executes its decisions.
+    /// Passes the pending jobs to `decide` and executes the returned decisions.
     ///
-    /// `decide` is the placement policy, which also logs its decisions. A start is only committed
-    /// here; its order is sent once the commit is known to be in the store.
+    /// `decide` applies the placement policy and logs its decisions. For a start, the planner only
+    /// commits the assignment here. The start order is sent once the commit is known to be in the
+    /// store.
     pub fn place(
         &mut self,
         role: LeaseRole,
@@ -114,8 +115,9 @@
         actions.push(PlannerAction::Send { agent, frame: ToAgent::Throttle(order) });
     }
 
-    /// Fails a job that no worker was large enough to run for the configured time. An accepted job
-    /// must not fail because its worker, or all workers, were unreachable for a short time.
+    /// Fails a job once placement has considered it impossible throughout the configured time. An
+    /// accepted job must not fail because its worker, or all workers, were unreachable for a short
+    /// time.
     fn on_impossible(&mut self, job: &Name, reason: String, now: Now) {
         let since = *self.impossible.entry(job.clone()).or_insert(now.clock);
         if now.clock.since(since) >= self.config.impossible_timeout_ms {
--- a/crates/geraniumpost-core/src/jobs/planner/planner.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner.rs
@@ -232,7 +232,8 @@
         counts
     }
 
-    /// Returns the number of pending jobs and the number of assigned jobs.
+    /// Returns the number of pending jobs and the number of jobs with a run, which are assigned or
+    /// being cancelled.
     pub fn queue_lengths(&self) -> (usize, usize) {
         (self.pending.len(), self.runs.len())
     }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_action.rs
@@ -36,9 +36,10 @@
     },
     /// Pass an observation to the placer.
     Observe(Observation),
-    /// Notify the lease that no earlier holder can grant agent leases any longer.
+    /// Report to [`PlannerLease`](crate::jobs::PlannerLease) that no earlier holder can grant agent
+    /// leases any longer.
     PredecessorsExpired,
-    /// Stop planning because another planner has taken over or the records cannot be read. The text
-    /// is the reason for the log.
+    /// Stop planning because another planner has taken over or the records cannot be read. The
+    /// string is the reason, to be logged.
     StepDown(&'static str),
 }
--- a/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
@@ -3,7 +3,7 @@
 pub struct PlannerConfig {
     /// Minimum time between two commits of one bucket.
     pub commit_interval_ms: u64,
-    /// Longest time until a change is committed that consists only of newer checkpoint names.
+    /// Longest delay of a commit that would change nothing but checkpoint names.
     pub max_checkpoint_delay_ms: u64,
     /// Time after which a failed store read is repeated.
     pub store_retry_interval_ms: u64,
@@ -15,11 +15,12 @@
     pub drift_margin_ms: u64,
     /// Time after the start of a term in which agents are expected to register.
     pub settling_ms: u64,
-    /// How long an agent without link and runs is kept, so that its capacity remains known.
+    /// How long an agent without a link is kept after its runs must have ended, so that its
+    /// capacity remains known.
     pub agent_retention_ms: u64,
     /// How long placement must consider a job impossible before it fails. Workers may be
-    /// temporarily unavailable, and a planner that is disconnected from its agents knows none that
-    /// could run the job.
+    /// temporarily unavailable, and a planner that is disconnected from its agents knows no worker
+    /// that could run the job.
     pub impossible_timeout_ms: u64,
     /// How long the record of a finished job is kept before a tombstone replaces it.
     pub finished_retention_ms: u64,
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -83,8 +83,7 @@
         /// Index of the bucket, below [`BUCKETS`](crate::jobs::BUCKETS).
         bucket: usize,
     },
-    /// An earlier planner no longer grants agent leases, as its entry reported or proved by
-    /// restarting.
+    /// An earlier planner no longer grants agent leases: its entry reported this, or has restarted.
     PredecessorStopped(LeaseHolder),
     /// Time has passed: reads, commits, orders and expiries that are due are handled.
     Tick,
--- a/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/predecessors.rs
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Records that an earlier planner has stopped.
+    /// Records that an earlier planner no longer grants leases. Once this is known of all earlier
+    /// planners, only the leases that they have already granted may remain.
     pub(super) fn mark_stopped(&mut self, holder: &LeaseHolder, now: Millis) {
         let known = self.earlier.len();
         self.earlier.retain(|other| other != holder);
@@ -44,7 +45,8 @@
         self.grants_until.plus(self.hold_ms)
     }
 
-    /// Returns true once, as soon as no earlier planner can grant leases any longer.
+    /// Returns true in the first call after the earlier planners can no longer grant leases, and
+    /// false in all other calls.
     pub(super) fn check_newly_expired(&mut self, now: Millis) -> bool {
         let expired = !self.reported && now >= self.grants_until;
         self.reported |= expired;
--- a/crates/geraniumpost-core/src/jobs/planner/records.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/records.rs
@@ -130,7 +130,7 @@
             self.apply_effect(effect, now.clock, actions);
         } else {
             // The state in memory may be newer than the open commit, so the effect is queued for
-            // the next one.
+            // the next commit.
             slot.dirty = true;
             slot.queued.push(effect);
         }
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -37,12 +37,12 @@
         self.reconcile_missing_runs(agent, inventory);
     }
 
-    /// Handles the runs that are missing from the agent's inventory, and sends the sizes of the
-    /// others.
+    /// Marks the agent's committed runs for a new order: a listed run needs its size, and a missing
+    /// run is started or stopped.
     ///
-    /// A lost start is sent again if it cannot have taken effect. In all other cases the run may
-    /// have begun: the agent is ordered to prevent its start, and the job waits for the
-    /// confirmation.
+    /// A missing run is started only if no earlier start order can have taken effect. Otherwise it
+    /// may have begun, so the agent is ordered to stop it or prevent its start, and the job waits
+    /// for the agent's confirmation.
     fn reconcile_missing_runs(&mut self, agent: &Name, inventory: &Inventory) {
         let listed = |job: &Name, epoch: u64| {
             inventory.tasks.iter().any(|task| task.job == *job && task.epoch == epoch)
--- a/crates/geraniumpost-core/src/jobs/planner/requests.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/requests.rs
@@ -40,7 +40,7 @@
         Some(JobResponse::new(code).retry_after_ms(RETRY_NO_PLANNER_MS))
     }
 
-    /// Returns the response to a submission that repeats an earlier one.
+    /// Returns the response to a repeated submission, or `None` if the job has no record.
     fn repeat_response(&self, spec: &JobSpec) -> Option<JobResponse> {
         let record = self.record(&spec.id)?;
         let code =
--- a/crates/geraniumpost-core/src/jobs/planner/run.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/run.rs
@@ -5,7 +5,7 @@
 
 /// State of a job's current run in addition to its record.
 ///
-/// It is not stored, because a new planner receives it with the agent's inventory.
+/// This state is not stored, because a new planner receives it with the agent's inventory.
 #[derive(Debug, Clone)]
 pub(super) struct Run {
     pub(super) agent: Name,
@@ -21,7 +21,8 @@
     pub(super) from_predecessor: bool,
     /// Whether the agent has reported the run as starting or running.
     pub(super) reported: bool,
-    /// Whether the agent's process knows the size of the run, which only a start order contains.
+    /// Whether a start order, which contains the size of the run, was sent since the agent's last
+    /// inventory.
     pub(super) size_sent: bool,
     pub(super) last_order_at: Option<Millis>,
 }
--- a/crates/geraniumpost-core/src/jobs/planner/run_goal.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/run_goal.rs
@@ -1,4 +1,4 @@
-/// The outcome that the planner's orders for a run aim at.
+/// State of a run that the planner's orders request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RunGoal {
     /// The run must start and continue.
--- a/crates/geraniumpost-core/src/jobs/store/bucket.rs
+++ b/crates/geraniumpost-core/src/jobs/store/bucket.rs
@@ -97,7 +97,7 @@
         self.jobs.get(job).map(StoredRecord::record)
     }
 
-    /// Inserts a record, or replaces the one with the same job id.
+    /// Inserts a record, or replaces the record with the same job id.
     pub fn put(&mut self, record: JobRecord) {
         let stored = StoredRecord::new(record);
         self.bytes += stored.encoded().len() + 1;
--- a/crates/geraniumpost-core/tests/jobs_lease.rs
+++ b/crates/geraniumpost-core/tests/jobs_lease.rs
@@ -100,8 +100,8 @@
 }
 
 // The time in which the holder may grant agent leases ends while it rewrites its term after an
-// outage. If it then started again under the old term, its empty planner would consider the stored
-// records its own writes and overwrite them: every accepted job would be lost.
+// outage. If the holder then started again under the old term, its empty planner would consider the
+// stored records its own writes and overwrite them, and every accepted job would be lost.
 #[test]
 fn a_lost_term_is_not_resumed() {
     let mut lease = new_leader();
--- a/crates/geraniumpost-core/tests/jobs_ledger.rs
+++ b/crates/geraniumpost-core/tests/jobs_ledger.rs
@@ -429,7 +429,8 @@
     ]
 }
 
-/// Live tasks as epoch and size by job, and the job and epoch of every run ever ordered.
+/// Reference model: the epoch and size of the live task of each job, and the job and epoch of every
+/// run that must not start again.
 #[derive(Default)]
 struct ReferenceLedger {
     live_tasks: BTreeMap<u8, (u64, u64)>,
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -116,7 +116,8 @@
     assert!(contains_settled(&fixture.actions_for(done)));
 }
 
-/// Reports a commit as of unknown outcome; reading the bucket back returns this term and sequence.
+/// Reports the outcome of a commit as unknown, and lets the read of the bucket return `term` and
+/// `sequence`.
 fn read_back_unknown_commit(term: u64, sequence: u64) -> Fixture {
     let mut fixture = Fixture::new(&[]);
     fixture.now += 1_000;
--- a/crates/geraniumpost-core/tests/jobs_record.rs
+++ b/crates/geraniumpost-core/tests/jobs_record.rs
@@ -54,9 +54,8 @@
     Transition::RunFailed { reason: "exit 1".into(), max_attempts, not_before_ms: 9_000 }
 }
 
-// A run reports its completion twice, or after its job was cancelled, because the first report or
-// its response was lost. Without the rejection the customer would see a result replaced or a
-// cancelled job done.
+// A run reports its completion twice, because the response to the first report was lost. The second
+// report must not replace the result, and a finished job cannot be cancelled.
 #[test]
 fn a_finished_job_rejects_further_transitions() {
     let mut job = assigned_record();
@@ -97,8 +96,8 @@
     assert!(!read.has_tombstone("study-8"));
 }
 
-// Submissions fill a bucket until the store refuses its value. From then on no result of its jobs
-// could be recorded, and finished jobs would run again.
+// If submissions could fill a bucket up to the limit of the store, no result of its jobs could be
+// recorded, and finished jobs would run again.
 #[test]
 fn a_bucket_is_full_before_its_value_exceeds_the_store_limit() {
     let mut bucket = Bucket::default();
--- a/crates/geraniumpost-core/tests/jobs_simulation/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/main.rs
@@ -79,9 +79,9 @@
     std::env::var("JOBS_WORLD_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(48)
 }
 
-// A store outage outlasts the time in which the only planner may grant agent leases, while it
-// rewrites its term. If it started again under its old term, its planner would overwrite all
-// records with empty ones: every accepted job would be lost.
+// A store outage outlasts the time in which the only planner may grant agent leases, while that
+// planner rewrites its term. If its process started a planner under the old term again, that
+// planner would overwrite all records with empty ones, and every accepted job would be lost.
 #[test]
 fn a_store_outage_during_a_term_rewrite_loses_no_job() {
     let simulation = simulate(10_401_606_922_207_304_795, 10, &[(602, Fault::StoreOutage(6_221))]);
@@ -181,9 +181,9 @@
     takeover_inventory_request: Supersede;
 }
 
-// A stop overtakes the start of its task. The worker reports that there is no such task and starts
-// it a moment later. Its response to the start arrives before the response to the stop, and the job
-// runs on two VMs.
+// A run is stopped while the call that starts it is in transit. If the stop overtook the start, the
+// worker would report that there is no such task, and start the task a moment later. If in addition
+// the response to the start arrived before the response to the stop, the job would run on two VMs.
 #[test]
 fn a_stop_does_not_overtake_its_start() {
     let simulation = simulate(9_631_381_433_693_569_758, 10, &[]);
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/agents.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/agents.rs
@@ -8,7 +8,7 @@
 use super::{STEP_MS, Simulation};
 
 impl Simulation {
-    pub(super) fn run_agent(&mut self, index: usize) {
+    pub(super) fn step_agent(&mut self, index: usize) {
         let now = self.now;
         if !self.agents[index].is_up(now) {
             return;
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
@@ -16,7 +16,7 @@
 use crate::store::{StoreCall, StoreResponse};
 
 impl Simulation {
-    pub(super) fn run_entry(&mut self, index: usize) {
+    pub(super) fn step_entry(&mut self, index: usize) {
         if !self.entries[index].is_up(self.now) {
             return;
         }
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/message.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/message.rs
@@ -17,8 +17,8 @@
 }
 
 impl Message {
-    /// Returns the entry and the agent that send or receive the message, as far as it names them,
-    /// or `None` if it belongs to another step.
+    /// Returns the entry and the agent that take part in `step`, each `None` if the message does
+    /// not name it. Returns `None` if the message does not belong to `step`.
     pub(super) fn participants_at(
         &self,
         step: ProtocolStep,
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/mod.rs
@@ -137,10 +137,10 @@
             self.check_invariants();
         }
         for entry in 0..self.entries.len() {
-            self.run_entry(entry);
+            self.step_entry(entry);
         }
         for agent in 0..self.agents.len() {
-            self.run_agent(agent);
+            self.step_agent(agent);
         }
         self.check_invariants();
     }
