--- a/crates/geraniumpost-core/src/config/difference.rs
+++ b/crates/geraniumpost-core/src/config/difference.rs
@@ -4,7 +4,8 @@
 
 /// Returns the dot-separated paths of all values that differ between two documents.
 ///
-/// A value that exists in only one of them is listed by its own path, without the paths inside it.
+/// A value that exists in only one of the documents is listed by its own path, without the paths
+/// inside it.
 ///
 /// # Example
 ///
--- a/crates/geraniumpost-core/src/config/stored_document.rs
+++ b/crates/geraniumpost-core/src/config/stored_document.rs
@@ -10,16 +10,16 @@
 /// proven only while the list reaches back to the operator's revision. This is more than the
 /// changes of a day.
 const MAX_CHANGES: usize = 300;
-/// Number of latest changes that keep their paths. Older ones keep only their id, operator and base
-/// revision.
+/// Number of latest changes that keep their paths. Older changes keep only their id, operator and
+/// base revision.
 const MAX_CHANGES_WITH_PATHS: usize = 32;
-/// Maximum number of paths recorded for a change; further ones are omitted.
+/// Maximum number of paths recorded for a change; further paths are omitted.
 const MAX_PATHS: usize = 12;
 
 /// The stored value of the configuration key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// The latest changes, starting with the one that wrote this value.
+    /// The latest changes, starting with the change that wrote this value.
     pub changes: Vec<PastChange>,
     /// The complete configuration document, in force once processes adopt its revision.
     pub document: Value,
--- a/crates/geraniumpost-core/src/jobs/codes.rs
+++ b/crates/geraniumpost-core/src/jobs/codes.rs
@@ -32,7 +32,7 @@
 pub const NOT_PLANNER: u16 = 3202;
 /// The store is unreachable, so the request cannot be recorded.
 pub const NOT_RECORDED: u16 = 3203;
-/// The job failed as often as its class allows, or on several sound workers.
+/// The job failed as often as its class allows, or on several healthy workers.
 pub const FAILED_TOO_OFTEN: u16 = 3301;
 /// Too many runs of the job were lost with their workers.
 pub const LOST_TOO_OFTEN: u16 = 3302;
--- a/crates/geraniumpost-core/src/jobs/job_record.rs
+++ b/crates/geraniumpost-core/src/jobs/job_record.rs
@@ -11,9 +11,9 @@
 
 /// A job as it is kept in the store.
 ///
-/// Every change goes through [`JobRecord::apply`]. The epoch numbers the runs. It is incremented
+/// Every change goes through [`JobRecord::apply`]. The epoch numbers the runs and is incremented
 /// each time a run ends without finishing the job, so that reports and orders of an earlier run can
-/// be distinguished from those of the current one.
+/// be distinguished from the reports and orders of the current run.
 ///
 /// # Example
 ///
@@ -112,7 +112,7 @@
     }
 
     /// Records a newer checkpoint of the current run and returns whether it differs from the
-    /// recorded one.
+    /// recorded checkpoint.
     pub fn record_checkpoint(&mut self, checkpoint: &Name) -> bool {
         if checkpoint.is_empty() || *checkpoint == self.checkpoint {
             return false;
--- a/crates/geraniumpost-core/src/jobs/job_spec.rs
+++ b/crates/geraniumpost-core/src/jobs/job_spec.rs
@@ -10,7 +10,7 @@
 pub struct JobSpec {
     /// Id chosen by the customer, which identifies repeated submissions.
     pub id: Name,
-    /// Customer that owns the job, against whose quota it counts.
+    /// Customer that owns the job and whose quota the job counts against.
     pub customer: Name,
     /// Name of a job class in the configuration.
     pub class: Name,
--- a/crates/geraniumpost-core/src/jobs/lease/lease_config.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_config.rs
@@ -1,7 +1,7 @@
 /// Times of a [`PlannerLease`](super::PlannerLease), in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// Time to live of the store lease. The holder renews it after a third of this time.
+    /// Time to live of the store lease. The holder renews the lease after a third of this time.
     pub ttl_ms: u64,
     /// Interval at which a process that is not the planner checks whether there is a planner.
     pub poll_interval_ms: u64,
--- a/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/lease_event.rs
@@ -22,7 +22,7 @@
     CallFailed,
     /// No earlier holder can grant agent leases any longer.
     PredecessorsExpired,
-    /// The configured times have changed; longer ones apply once the term record contains them.
+    /// The configured times have changed; longer times apply once the term record contains them.
     Configure(LeaseConfig),
     /// The planner found that another planner took over, or that the stored records are unusable.
     StepDown,
--- a/crates/geraniumpost-core/src/jobs/lease/takeover.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/takeover.rs
@@ -4,15 +4,15 @@
 /// The start of a new planner's term, with the leases that its predecessors may have granted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Takeover {
-    /// Term of the new planner, higher than those of all predecessors.
+    /// Term of the new planner, higher than the terms of all predecessors.
     pub term: u64,
     /// Instant at which the new planner held the lease. No earlier holder holds the lease from then
     /// on.
     pub at: Millis,
     /// Earlier holders that may still grant agent leases.
     pub earlier: Vec<LeaseHolder>,
-    /// Whether there are earlier holders that `earlier` does not list. Proof that the listed ones
-    /// stopped is then not sufficient.
+    /// Whether there are earlier holders that `earlier` does not list. Proof that the listed
+    /// holders stopped is then not sufficient.
     pub earlier_dropped: bool,
     /// Longest time in milliseconds for which an earlier holder grants agent leases without the
     /// store.
--- a/crates/geraniumpost-core/src/jobs/lease/term_record.rs
+++ b/crates/geraniumpost-core/src/jobs/lease/term_record.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns the record of the same holder, with its times raised to the configured ones if those
-    /// are longer.
+    /// Returns the record of the same holder, with each recorded time that is shorter than
+    /// configured raised to the configured time.
     #[must_use]
     pub fn with_raised_times(&self, config: &LeaseConfig) -> Self {
         Self {
--- a/crates/geraniumpost-core/src/jobs/ledger/agent_lease.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/agent_lease.rs
@@ -60,8 +60,8 @@
 
     /// Returns whether this process was ever granted a lease.
     ///
-    /// A process that just started has none. It neither renews nor stops the tasks that it adopted;
-    /// these end with the worker's leases, which the previous process renewed last.
+    /// A process that just started has no lease, and neither renews nor stops the tasks that it
+    /// adopted; these end with the worker's leases, which the previous process renewed last.
     pub(super) fn was_granted(&self) -> bool {
         self.until > Millis::default()
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_action.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_action.rs
@@ -44,7 +44,7 @@
         /// Number of the job's run, assigned by the planner.
         epoch: u64,
     },
-    /// Request the worker's list of tasks, including ended ones.
+    /// Request the worker's list of tasks, including ended tasks.
     List,
     /// Report one task to the planner.
     Report(TaskReport),
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_counters.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_counters.rs
@@ -1,7 +1,7 @@
 /// Events counted by a [`VmLedger`](super::VmLedger), for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LedgerCounters {
-    /// Orders and lease grants of a term below the highest one received.
+    /// Orders and lease grants of a term below the highest term received.
     pub stale_terms: u64,
     /// Start orders for an epoch that is already known.
     pub stale_epochs: u64,
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
@@ -34,7 +34,7 @@
     Listed {
         /// Time at which the list was requested. Tasks that started later may be missing from it.
         requested_at: Millis,
-        /// All tasks of the worker, including ended ones that were not deleted.
+        /// All tasks of the worker, including ended tasks that were not deleted.
         tasks: Vec<WorkerTask>,
     },
     /// The worker confirmed that it started the task, now or by an earlier call.
--- a/crates/geraniumpost-core/src/jobs/ledger/task.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/task.rs
@@ -8,7 +8,7 @@
 pub(super) struct Task {
     pub(super) job: Name,
     pub(super) epoch: u64,
-    /// Declared size. For an adopted task it is unknown until the planner sends it again.
+    /// Declared size. The size of an adopted task is unknown until the planner sends it again.
     pub(super) need: Option<Resources>,
     pub(super) usage: Resources,
     pub(super) peak: Resources,
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -13,8 +13,8 @@
 /// Tracks which tasks run on an agent's VM and which resources are free.
 ///
 /// The ledger alone decides whether a task may start. For a start order of a planner, it allocates
-/// the resources before the worker is called, and refuses the order if they are not free. No race
-/// between planners, entries or restarts can therefore overcommit the VM.
+/// the resources before the worker is called, and refuses the order if the resources are not free.
+/// No race between planners, entries or restarts can therefore overcommit the VM.
 ///
 /// # Example
 ///
@@ -120,7 +120,7 @@
         self.counters
     }
 
-    /// Returns a report of every run, including ended ones that the planner has not settled.
+    /// Returns a report of every run, including ended runs that the planner has not settled.
     pub fn reports(&self) -> Vec<TaskReport> {
         self.tasks.values().map(Task::report).collect()
     }
@@ -152,7 +152,7 @@
         fits(&need, &minus(&self.allocatable(), &self.reserved()))
     }
 
-    /// Records `term` unless a higher one was received, and returns whether its orders are
+    /// Records `term` unless a higher term was received, and returns whether orders of `term` are
     /// accepted.
     pub(super) fn accept_term(&mut self, term: u64) -> bool {
         if term < self.term {
--- a/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/worker_calls.rs
@@ -5,7 +5,8 @@
 use super::{LedgerAction, LedgerEvent, Phase, StartCall, Task, VmLedger};
 use crate::Millis;
 
-/// Failed attempts to write a checkpoint after which an eviction uses the latest one written.
+/// Number of failed attempts to write a checkpoint after which an evicted task is stopped anyway,
+/// so that its next run resumes from the latest checkpoint written.
 const MAX_CHECKPOINT_ATTEMPTS: u32 = 3;
 
 impl VmLedger {
--- a/crates/geraniumpost-core/src/jobs/ledger/worker_task.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/worker_task.rs
@@ -11,8 +11,8 @@
     pub state: TaskState,
     /// Latest checkpoint, empty if there is none.
     pub checkpoint: Name,
-    /// Result of a completed task or reason of a failed one, otherwise empty.
+    /// Result of a completed task or reason of a failed task, otherwise empty.
     pub result: String,
-    /// Measured usage, which lags behind the actual one.
+    /// Measured usage, which lags behind the actual usage.
     pub usage: Resources,
 }
--- a/crates/geraniumpost-core/src/jobs/planner/agents.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/agents.rs
@@ -15,8 +15,8 @@
     ///
     /// `hold_ms` must be at least the duration granted by the acknowledgement, see
     /// [`PlannerLease::longest_agent_lease_ms`](crate::jobs::PlannerLease::longest_agent_lease_ms).
-    /// The planner counts the lease from its acknowledgement and the agent from its heartbeat,
-    /// which is earlier, so the agent always stops first.
+    /// The planner counts the lease from its acknowledgement, and the agent from the sending of its
+    /// heartbeat. The lease therefore always expires at the agent first.
     pub fn heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
--- a/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_config.rs
@@ -18,15 +18,16 @@
     /// How long an agent without a link is kept after its runs must have ended, so that its
     /// capacity remains known.
     pub agent_retention_ms: u64,
-    /// How long placement must consider a job impossible before it fails. Workers may be
+    /// How long placement must consider a job impossible before the job fails. Workers may be
     /// temporarily unavailable, and a planner that is disconnected from its agents knows no worker
     /// that could run the job.
     pub impossible_timeout_ms: u64,
     /// How long the record of a finished job is kept before a tombstone replaces it.
     pub finished_retention_ms: u64,
-    /// Back-off after the first failed run, doubled with each further one.
+    /// Back-off after the first failed run, doubled with each further failed run.
     pub backoff_ms: u64,
-    /// Upper limit of the back-off before jitter, which varies it by up to 50 % either way.
+    /// Upper limit of the back-off before jitter, which varies the back-off by up to 50 % either
+    /// way.
     pub max_backoff_ms: u64,
 }
 
--- a/crates/geraniumpost-core/src/jobs/planner/planner_counters.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_counters.rs
@@ -3,7 +3,7 @@
 pub struct PlannerCounters {
     /// Commits sent to the store, including those that failed.
     pub commits: u64,
-    /// Bucket reads sent to the store, including repeated ones.
+    /// Bucket reads sent to the store, including repeated reads.
     pub reads: u64,
     /// Commits that conflicted or whose response was lost, so that the bucket was read back.
     pub uncertain_commits: u64,
--- a/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/planner_event.rs
@@ -16,7 +16,7 @@
     Cancel {
         /// Id under which the job was submitted.
         job: Name,
-        /// Customer that requests it, empty for an operator, who may cancel any job.
+        /// Customer that requests the cancellation, empty for an operator, who may cancel any job.
         customer: Name,
         /// Number chosen by the shell, which identifies the request in the response.
         request_id: u64,
@@ -61,7 +61,7 @@
         /// Revision that the commit created.
         revision: u64,
     },
-    /// A commit found a revision other than the expected one.
+    /// A commit found a revision other than the expected revision.
     CommitConflict {
         /// Index of the bucket, below [`BUCKETS`](crate::jobs::BUCKETS).
         bucket: usize,
--- a/crates/geraniumpost-core/src/jobs/planner/reports.rs
+++ b/crates/geraniumpost-core/src/jobs/planner/reports.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Handles a report of a run that is not the current one of its job, or of an unknown job.
+    /// Handles a report of a run that is not the current run of its job, or of an unknown job.
     fn on_stale_report(
         &mut self,
         agent: &Name,
--- a/crates/geraniumpost-core/src/jobs/transition.rs
+++ b/crates/geraniumpost-core/src/jobs/transition.rs
@@ -10,7 +10,7 @@
     },
     /// The run was checkpointed and stopped to free its resources.
     Evicted {
-        /// Checkpoint that the next run resumes from, empty to keep the recorded one.
+        /// Checkpoint that the next run resumes from, empty to keep the recorded checkpoint.
         checkpoint: Name,
     },
     /// The agent refused the run, which is guaranteed not to have started.
@@ -21,12 +21,12 @@
     },
     /// The run was stopped by an order, or was prevented from starting.
     Stopped {
-        /// Latest known checkpoint, empty to keep the recorded one.
+        /// Latest known checkpoint, empty to keep the recorded checkpoint.
         checkpoint: Name,
     },
     /// The run ended without a result because its worker was lost or the agent's lease expired.
     Lost {
-        /// Latest known checkpoint, empty to keep the recorded one.
+        /// Latest known checkpoint, empty to keep the recorded checkpoint.
         checkpoint: Name,
     },
     /// The run failed by an error of its own.
--- a/crates/geraniumpost-core/tests/config_adoption.rs
+++ b/crates/geraniumpost-core/tests/config_adoption.rs
@@ -216,8 +216,8 @@
     assert_eq!(adoption.handle(received(1, 5), Millis(600)), vec![]);
 }
 
-/// A newer version of the program has written a document that this one cannot read. Fetching it at
-/// each heartbeat would load the network without use; the next revision must still be fetched.
+/// A newer version of the program has written a document that this version cannot read. Fetching it
+/// at each heartbeat would load the network without use; the next revision must still be fetched.
 #[test]
 fn an_unreadable_revision_is_not_fetched_again() {
     let mut adoption: Adoption<u64> = Adoption::new(COLLECT_MS);
--- a/crates/geraniumpost-core/tests/config_change.rs
+++ b/crates/geraniumpost-core/tests/config_change.rs
@@ -38,7 +38,7 @@
     }
 
     fn write(&mut self, expected: u64, value: StoredDocument) -> Option<u64> {
-        // Revisions count the writes of all keys, so those of one key are not consecutive.
+        // Revisions count the writes of all keys, so the revisions of one key are not consecutive.
         self.last_revision += 3;
         (self.revision() == expected).then(|| {
             self.log.push((self.last_revision, value));
@@ -124,7 +124,7 @@
 
 /// Two operators change the document at once while responses are lost, writes are delayed and the
 /// store fails. An operator who received "committed" for a change that was not written would rely
-/// on a limit that is not in force; one who received "conflict" for a written change would
+/// on a limit that is not in force; an operator who received "conflict" for a written change would
 /// overwrite another operator's.
 fn check_reported_outcomes(steps: Vec<(bool, StoreMode)>) -> Result<(), TestCaseError> {
     let mut store = ReferenceStore::default();
@@ -210,8 +210,8 @@
 }
 
 /// The response to the first write is lost, and before the document is read back another operator
-/// has changed it further. If a conflict were reported, the first operator would apply the change a
-/// second time.
+/// has changed the document again. If a conflict were reported, the first operator would apply the
+/// change a second time.
 #[test]
 fn a_lost_response_is_resolved_after_another_operators_change() {
     let mut store = ReferenceStore::default();
--- a/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/simulation/entries.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Reports each incarnation of the other entry that has stopped planning: earlier ones, and the
-    /// current one if it is a follower.
+    /// Reports each incarnation of the other entry that has stopped planning: earlier incarnations,
+    /// and the current incarnation if it is a follower.
     pub(super) fn report_predecessor_stops(&mut self, index: usize) {
         let other = &self.entries[1 - index];
         if !other.is_up(self.now) {
--- a/crates/geraniumpost-core/tests/jobs_simulation/worker.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/worker.rs
@@ -17,7 +17,7 @@
 /// A worker that runs tasks under leases and ends a task whose lease has expired.
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// Tasks by job and epoch, also ended ones.
+    /// Tasks by job and epoch, including ended tasks.
     tasks: BTreeMap<(Name, u64), TaskEntry>,
     /// Job and epoch of every start.
     pub starts: Vec<(Name, u64)>,
