--- a/crates/geraniumpost-core/src/jobs/job_record.rs
+++ b/crates/geraniumpost-core/src/jobs/job_record.rs
@@ -11,9 +11,9 @@
 
 /// A job as it is kept in the store.
 ///
-/// Every change goes through [`JobRecord::apply`]. The epoch numbers the runs. It is incremented
+/// Every change goes through [`JobRecord::apply`]. The epoch numbers the runs and is incremented
 /// each time a run ends without finishing the job, so that reports and orders of an earlier run can
-/// be distinguished from those of the current one.
+/// be distinguished from the reports and orders of the current run.
 ///
 /// # Example
 ///
@@ -112,7 +112,7 @@
     }
 
     /// Records a newer checkpoint of the current run and returns whether it differs from the
-    /// recorded one.
+    /// recorded checkpoint.
     pub fn record_checkpoint(&mut self, checkpoint: &Name) -> bool {
         if checkpoint.is_empty() || *checkpoint == self.checkpoint {
             return false;
@@ -214,7 +214,8 @@
         self.epoch
     }
 
-    /// Returns the agent of the current or last run, empty if there is none.
+    /// Returns the agent of the current run, or of the last run of a finished job. Empty while the
+    /// job is pending, and if it finished while pending.
     pub const fn worker(&self) -> &Name {
         &self.worker
     }
@@ -260,7 +261,7 @@
         self.code
     }
 
-    /// Returns the result, or the reason of the last failed run.
+    /// Returns the result of a completed job, or the reason of its failure or last failed run.
     pub fn result(&self) -> &str {
         &self.result
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/ledger_event.rs
@@ -34,7 +34,7 @@
     Listed {
         /// Time at which the list was requested. Tasks that started later may be missing from it.
         requested_at: Millis,
-        /// All tasks of the worker, including ended ones that were not deleted.
+        /// All tasks of the worker, including ended tasks that were not deleted.
         tasks: Vec<WorkerTask>,
     },
     /// The worker confirmed that it started the task, now or by an earlier call.
@@ -44,7 +44,7 @@
         /// Number of the job's run, assigned by the planner.
         epoch: u64,
     },
-    /// The worker refused the start, which is guaranteed not to have run.
+    /// The worker refused this start call, which therefore never starts the task.
     StartRefused {
         /// Id of the job; with the epoch it identifies the task at the worker.
         job: Name,
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -13,8 +13,8 @@
 /// Tracks which tasks run on an agent's VM and which resources are free.
 ///
 /// The ledger alone decides whether a task may start. For a start order of a planner, it allocates
-/// the resources before the worker is called, and refuses the order if they are not free. No race
-/// between planners, entries or restarts can therefore overcommit the VM.
+/// the resources before the worker is called, and refuses the order if the resources are not free.
+/// No race between planners, entries or restarts can therefore overcommit the VM.
 ///
 /// # Example
 ///
@@ -76,7 +76,7 @@
             LedgerEvent::Stop(task) => self.on_stop(&task, now, &mut actions),
             LedgerEvent::Throttle(order) => self.on_throttle(&order, &mut actions),
             LedgerEvent::Settled(task) => self.on_settled(&task, &mut actions),
-            LedgerEvent::Supersede(term) => self.on_supersede(term, &mut actions),
+            LedgerEvent::Supersede(term) => self.on_new_term(term, &mut actions),
             LedgerEvent::Drain => self.draining = true,
             LedgerEvent::Reserve(reserve) => self.reserve = reserve,
             LedgerEvent::Tick => self.on_tick(now, &mut actions),
@@ -120,7 +120,7 @@
         self.counters
     }
 
-    /// Returns a report of every run, including ended ones that the planner has not settled.
+    /// Returns a report of every run, including ended runs that the planner has not settled.
     pub fn reports(&self) -> Vec<TaskReport> {
         self.tasks.values().map(Task::report).collect()
     }
@@ -135,8 +135,9 @@
 
     /// Returns whether the declared size of a live task is unknown, as after an adoption.
     ///
-    /// The worker's list contains only delayed usage, which may be far below the declared size. A
-    /// start that fits in addition to that usage could overcommit the VM shortly afterwards.
+    /// The worker's list contains only the measured usage, which lags and may be far below the
+    /// declared size. A new task that fits in addition to that usage could overcommit the VM
+    /// shortly afterwards.
     pub(super) fn has_task_without_size(&self) -> bool {
         self.tasks.values().any(|task| task.phase.is_live() && task.need.is_none())
     }
@@ -151,7 +152,7 @@
         fits(&need, &minus(&self.allocatable(), &self.reserved()))
     }
 
-    /// Records `term` unless a higher one was received, and returns whether its orders are
+    /// Records `term` unless a higher term was received, and returns whether orders of `term` are
     /// accepted.
     pub(super) fn accept_term(&mut self, term: u64) -> bool {
         if term < self.term {
