--- a/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/effects.rs
@@ -23,7 +23,7 @@
         match effect {
             Effect::Write(batch) if self.confirm_writes => self.apply_write(batch),
             Effect::Write(batch) => self.pending_writes.push(batch),
-            Effect::Reply { request_id, response } => {
+            Effect::Respond { request_id, response } => {
                 self.responses.insert(request_id, response);
             }
             Effect::Send { message: ToAgent::Order(order), .. } => self.orders.push(order),
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -5,7 +5,7 @@
 //! the agent checks the lease, the capacity and the health of the minion when each copy arrives.
 
 use assert_matches::assert_matches;
-use geraniumpost_batch::tuning::{NO_CAPACITY_BACKOFF_MS, ORDER_RESULT_TIMEOUT_MS};
+use geraniumpost_batch::tuning::{ORDER_RESULT_TIMEOUT_MS, REFUSAL_BACKOFF_MS};
 use geraniumpost_batch::{EndKind, Order, OrderKind, OrderKindTag, OrderOutcome};
 
 use crate::cluster::{COMPLETED, Cluster, step, task};
@@ -38,7 +38,7 @@
 
 fn refuse(cluster: &mut Cluster, copy: &Order, outcome: OrderOutcome) {
     cluster.report_result(copy, OrderKindTag::Start, outcome);
-    cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
+    cluster.advance(REFUSAL_BACKOFF_MS + TICK_MS);
 }
 
 fn start_order_count(cluster: &Cluster) -> usize {
@@ -61,7 +61,7 @@
             cluster.heartbeat(minion);
             cluster.poll(minion);
         }
-        cluster.advance(NO_CAPACITY_BACKOFF_MS + TICK_MS);
+        cluster.advance(REFUSAL_BACKOFF_MS + TICK_MS);
     }
     assert_matches!(cluster.running_tasks()[..], [(id, ..)] if id == task(1, 0, 0));
     cluster.end_all_runs(EndKind::Done);
@@ -159,7 +159,7 @@
 /// of the other copy.
 fn one_copy_is_refused_and_one_gets_no_response(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
-    cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::Unanswered);
+    cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::NoResponse);
     refuse(&mut cluster, &first, outcome);
     assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
     cluster.carry_out(second);
@@ -274,14 +274,14 @@
 /// be carried out later, so the task waits only for the usual backoff, without a stop and a poll.
 #[test]
 fn refusal_of_a_single_copy_needs_no_extra_order() {
-    let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
+    let pause_ms = REFUSAL_BACKOFF_MS.next_multiple_of(TICK_MS);
     assert_eq!(cost_of_refusals(1), (0, pause_ms));
 }
 
 /// After the refusal of a repeated start, which is rare, the task also waits for a stop and a poll.
 #[test]
 fn refusal_of_a_repeated_start_needs_one_stop() {
-    let pause_ms = NO_CAPACITY_BACKOFF_MS.next_multiple_of(TICK_MS);
+    let pause_ms = REFUSAL_BACKOFF_MS.next_multiple_of(TICK_MS);
     let (stops, waited_ms) = cost_of_refusals(2);
     assert_eq!(stops, 1);
     assert!(waited_ms <= pause_ms + 2 * TICK_MS, "waited {waited_ms} ms");
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -136,7 +136,7 @@
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
     cluster.submit(1, vec![step(1)]);
     let order = cluster.orders.remove(0);
-    cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::Unanswered);
+    cluster.report_result(&order, OrderKindTag::Start, OrderOutcome::NoResponse);
     cluster.advance(400);
     let copy = cluster.orders.remove(0);
     assert_eq!((copy.task, copy.run, &copy.minion), (order.task, order.run, &order.minion));
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -60,7 +60,7 @@
     cluster.take_over_from_silent_coordinator();
     cluster.join("m2", |info| info);
     cluster.advance(500);
-    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR_ADDRESS, cluster.now);
+    cluster.coordinator.record_predecessor_term_end(SILENT_COORDINATOR_ADDRESS, cluster.now);
     cluster.advance(LEASE_MS);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
@@ -75,7 +75,7 @@
     cluster.take_over_from_silent_coordinator();
     cluster.join("m2", |info| info);
     cluster.advance(LEASE_MS + STORE_OUTAGE_TOLERANCE_MS);
-    cluster.coordinator.record_predecessor_end(SILENT_COORDINATOR_ADDRESS, cluster.now);
+    cluster.coordinator.record_predecessor_term_end(SILENT_COORDINATOR_ADDRESS, cluster.now);
     assert!(cluster.orders.is_empty());
     cluster.advance(600);
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -171,7 +171,7 @@
             Event::DelayOrder => {
                 if let Some(order) = self.take_order(0) {
                     let kind_tag = OrderKindTag::from(&order.kind);
-                    self.cluster.report_result(&order, kind_tag, OrderOutcome::Unanswered);
+                    self.cluster.report_result(&order, kind_tag, OrderOutcome::NoResponse);
                     self.delay(vec![order]);
                 }
             }
@@ -355,7 +355,7 @@
             }
             OrderKind::Pace { .. } => {}
         }
-        let outcome = if response_arrives { outcome } else { OrderOutcome::Unanswered };
+        let outcome = if response_arrives { outcome } else { OrderOutcome::NoResponse };
         self.cluster.report_result(order, kind_tag, outcome);
     }
 
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -127,7 +127,7 @@
     let unanswered: Vec<_> = std::mem::take(&mut cluster.orders);
     assert_eq!(unanswered.last().map(|o| o.kind.clone()), Some(OrderKind::Pace { percent: 0 }));
     for order in unanswered {
-        cluster.report_result(&order, OrderKindTag::Pace, OrderOutcome::Unanswered);
+        cluster.report_result(&order, OrderKindTag::Pace, OrderOutcome::NoResponse);
     }
     poll_with_progress(&mut cluster, 10, 20);
     assert!(cluster.orders.iter().any(|o| o.kind == OrderKind::Pace { percent: 0 }));
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
@@ -70,7 +70,7 @@
         let departed_ms = self.cluster.now.steady_ms + DEPARTURE_DELAY_MS;
         let agent_up = self.machines[at].agent_up;
         if let Some(id) = self.terminate_minion(at).filter(|_| agent_up) {
-            self.machines[at].departures.record_leaving(&id);
+            self.machines[at].departures.record_termination_notice(&id);
             self.machines[at].deregistered = Some((departed_ms, id));
         }
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -35,7 +35,7 @@
             self.execute_order(&order);
         }
         while let Some(order) = take_due(&mut self.orders.unanswered, now_ms) {
-            self.report_result(&order, OrderOutcome::Unanswered);
+            self.report_result(&order, OrderOutcome::NoResponse);
         }
         // Orders that the coordinator sends in response are forwarded in the next step, which
         // simulates a round trip.
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -180,7 +180,7 @@
         let fence = self.cluster.coordinator.fence();
         for (address, until_ms) in self.entries.query_voters(fence, now.steady_ms) {
             if self.cluster.coordinator.leases_for_successor(now).silent.contains_key(&address) {
-                self.cluster.coordinator.record_predecessor_extension_end(address, until_ms);
+                self.cluster.coordinator.limit_predecessor_leases(address, until_ms);
             }
         }
         if now.steady_ms < self.succession.next_query_ms {
@@ -190,7 +190,7 @@
         for loss_number in self.succession.responding.iter().copied() {
             let address = coordinator_address(loss_number);
             if self.cluster.coordinator.leases_for_successor(now).silent.contains_key(&address) {
-                self.cluster.coordinator.record_predecessor_end(address, now);
+                self.cluster.coordinator.record_predecessor_term_end(address, now);
             }
         }
     }
