--- a/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort.rs
@@ -15,7 +15,7 @@
 
 /// Best-effort tasks must not keep a serving task above its latency bound, whatever the
 /// interference model predicts. All best-effort tasks on the minion of that serving task are paused
-/// within two seconds, and no further one is placed there.
+/// within two seconds, and no further best-effort task is placed on that minion.
 #[test]
 fn best_effort_tasks_are_paused_while_a_serving_task_exceeds_its_bound() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step());
--- a/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/best_effort_fleet.rs
@@ -87,7 +87,7 @@
             }
             self.cluster.advance(TICK_MS);
             self.cluster.carry_out_orders();
-            self.run_tasks(self.cluster.now.steady_ms - started_ms);
+            self.advance_tasks(self.cluster.now.steady_ms - started_ms);
             for (at, minion) in MINIONS.iter().enumerate() {
                 if tick % 4 == at as u64 % 4 {
                     self.cluster.heartbeat(minion);
@@ -95,7 +95,7 @@
                 }
             }
             self.cluster.carry_out_orders();
-            self.count_completed();
+            self.record_completed_jobs();
         }
         f64::from(self.on_time - before.1) / f64::from(self.jobs - before.0)
     }
@@ -115,8 +115,8 @@
     }
 
     /// Advances all tasks by one tick, and sets the measurements that minions report of them.
-    /// `at_ms` is the time since the start of the run, from which the load follows.
-    fn run_tasks(&mut self, at_ms: u64) {
+    /// `at_ms` is the time since the start of the run, which determines the load.
+    fn advance_tasks(&mut self, at_ms: u64) {
         for (index, name) in MINIONS.iter().enumerate() {
             let minion = Name::from(*name);
             let Some(runs) = self.cluster.running.get(&minion).cloned() else { continue };
@@ -156,7 +156,7 @@
         }
     }
 
-    fn count_completed(&mut self) {
+    fn record_completed_jobs(&mut self) {
         let now_ms = self.cluster.now.steady_ms;
         let mut open_jobs = std::mem::take(&mut self.submitted_ms);
         open_jobs.retain(|id, submitted_ms| {
@@ -170,9 +170,8 @@
 
 /// The fleet has capacity for all submitted jobs if they are placed well. Nearly all must be
 /// completed within `COMPLETION_OBJECTIVE_MS`, and serving tasks must hardly ever exceed their
-/// latency bound. In comparison, a scheduler that lets tasks wait until a minion offers nine tenths
-/// of full speed completes a quarter of these jobs in time, and one that starts tasks at any speed
-/// half of them.
+/// latency bound. In comparison, a quarter of these jobs complete in time if tasks wait until a
+/// minion offers nine tenths of full speed, and half of the jobs if tasks start at any speed.
 #[test]
 fn wide_jobs_complete_in_time_beside_varying_loads() {
     let mut fleet = Fleet::new();
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/agents.rs
@@ -17,7 +17,8 @@
     }
 
     /// Sends a message of a minion's agent to the coordinator, and performs the resulting effects.
-    /// From a heartbeat on, [`Cluster::advance`] sends further ones.
+    /// After a heartbeat that reports a responsive minion, [`Cluster::advance`] sends further
+    /// heartbeats.
     pub fn send(&mut self, minion: &str, message: FromAgent) {
         match message {
             FromAgent::Heartbeat { minion_ok: true, .. } => {
--- a/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/cluster/mod.rs
@@ -74,10 +74,10 @@
     pub store_confirms: bool,
     /// Whether [`Cluster::advance`] renews the support of a majority of entries.
     pub entries_support: bool,
-    /// Whether [`Cluster::advance`] sends heartbeats of agents that have sent one before and were
-    /// not disconnected since.
+    /// Whether [`Cluster::advance`] sends heartbeats of the agents of `heartbeating_minions`.
     pub automatic_heartbeats: bool,
-    /// Minions whose agents send automatic heartbeats.
+    /// Minions whose agents have sent a heartbeat with `minion_ok`, until the minion terminates or
+    /// becomes unresponsive, the link closes, or a test stops the heartbeats.
     heartbeating_minions: BTreeSet<String>,
     /// Ended runs that minions list, oldest first, including acknowledged ones.
     ended_tasks: BTreeMap<Name, Vec<EndedTask>>,
@@ -233,8 +233,8 @@
         self.take_over_with(&leases);
     }
 
-    /// Lets a successor take over that waits for `leases`, which its predecessors may have
-    /// extended. Orders in flight and pending writes are lost.
+    /// Lets a successor take over and wait for the expiry of `leases`, which earlier coordinators
+    /// may have extended. Orders in flight and pending writes are lost.
     pub fn take_over_with(&mut self, leases: &PredecessorLeases) {
         self.fence += 1;
         let records = self.store.iter().map(|(id, bytes)| {
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -16,7 +16,7 @@
     StepSpec { best_effort: true, image: image.into(), demand, checkpoints: true, ..step(count) }
 }
 
-/// Returns a cluster whose coordinator has learned the given interference. Each entry names a
+/// Returns a cluster whose coordinator has learned the given interference. Each element names a
 /// serving image, a best-effort image and the slope, which is the utilization that the best-effort
 /// image adds to the serving image.
 fn cluster_with_interference(slopes: &[(&str, &str, f64)]) -> Cluster {
@@ -61,8 +61,8 @@
     assert!(cluster.orders.is_empty(), "{:?}", cluster.orders);
 }
 
-/// Two best-effort images run at full speed on m1, but only `logs` also does on m2. If a `logs`
-/// task took m1, the job of the `study` image would find no minion and wait.
+/// Tasks of two best-effort images run at full speed on m1, but on m2 only `logs` tasks do. If a
+/// `logs` task took m1, the job of the `study` image would find no minion and wait.
 #[test]
 fn images_leave_capacity_to_those_with_no_alternative() {
     let mut cluster = cluster_with_interference(&[
--- a/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/diagnostic_logs.rs
@@ -46,8 +46,8 @@
     last_log_line_with(&cluster, "event=not_placed job=0000000000000007")
 }
 
-/// Checks that the log line gives the expected reason for which the only minion is rejected, and no
-/// other reason.
+/// Checks that the log line names the expected reason for rejecting the only minion, and no other
+/// reason.
 macro_rules! rejection_is_named {
     ($($case:ident: $reason:literal, $arrange:expr;)*) => {$(
         #[test]
@@ -376,8 +376,9 @@
     assert_eq!(log_lines_with(&cluster, "event=unreachable").len(), 2);
 }
 
-/// One agent does not link after a takeover from a silent predecessor. The lines give the remaining
-/// wait for predecessor leases, the unreachable minion, and that a predecessor extended its lease.
+/// One agent does not link after a takeover from a silent predecessor. The log lines contain the
+/// remaining wait for predecessor leases, name the unreachable minion, and say that a predecessor
+/// extended the minion's lease (`lease_of=predecessor`).
 #[test]
 fn wait_for_predecessor_leases_is_logged() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
--- a/crates/geraniumpost-batch/tests/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/draining.rs
@@ -19,8 +19,8 @@
 }
 
 /// A minion is draining when the coordinator changes, and its agent links to the successor before
-/// any other minion has been polled. If the successor did not look for another minion again later,
-/// a persistent task would run there until the minion departs, and be down until that is detected.
+/// any other minion has been polled. If the successor searched for another minion only once, a
+/// persistent task would stay until the minion departs, and be down until the loss is detected.
 #[test]
 fn tasks_of_a_draining_minion_move_once_a_successor_knows_other_minions() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -33,8 +33,8 @@
     assert_matches!(stop_orders(&cluster.orders)[..], [stop] if stop.task == task(1, 0, 0));
 }
 
-/// A minion drains while no other minion has capacity. As soon as there is some, its tasks move,
-/// before the minion departs.
+/// A minion drains while no other minion has capacity. As soon as another minion has capacity,
+/// the tasks move there, before the draining minion departs.
 #[test]
 fn tasks_of_a_draining_minion_move_when_capacity_appears() {
     let mut cluster = Cluster::with_running_job(&["m1"], persistent_step(1));
@@ -46,8 +46,8 @@
     assert_matches!(stop_orders(&cluster.orders)[..], [stop] if &*stop.minion == "m1");
 }
 
-/// By its estimate a task would end before its minion departs, but it runs more slowly than
-/// estimated. It moves with its checkpoint once it can no longer end in time.
+/// According to its estimate, a task would end before its minion departs, but the task runs more
+/// slowly. It moves with its checkpoint once it can no longer end in time.
 #[test]
 fn task_that_falls_behind_on_a_draining_minion_is_moved() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
--- a/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/duplicate_orders.rs
@@ -69,7 +69,7 @@
 }
 
 /// The first copy is refused while the second is still in flight; the second is carried out later.
-fn second_copy_is_carried_out(outcome: OrderOutcome) {
+fn check_late_second_copy(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     refuse(&mut cluster, &first, outcome);
     assert_eq!(start_order_count(&cluster), 0, "the second copy may still be carried out");
@@ -78,7 +78,7 @@
 }
 
 /// The second copy is carried out before the refusal of the first is reported.
-fn refusal_arrives_after_the_run_started(outcome: OrderOutcome) {
+fn check_refusal_after_start_of_run(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.carry_out(second);
     let before = cluster.running_tasks();
@@ -89,7 +89,7 @@
 }
 
 /// A poll shows the run started by the second copy before the result of either copy is reported.
-fn refusal_arrives_after_a_poll_showed_the_run(outcome: OrderOutcome) {
+fn check_refusal_after_poll_with_run(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.running.entry(second.minion.clone()).or_default().insert(second.task, second.run);
     cluster.poll(&second.minion);
@@ -101,7 +101,7 @@
 
 /// The first copy arrives too late, and the link breaks before the second has a result. A third
 /// copy is sent over the next link and refused, but the second may still be carried out.
-fn copy_is_lost_with_its_link(outcome: OrderOutcome) {
+fn check_copy_lost_with_its_link(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&first, OrderKindTag::Start, OrderOutcome::TooLate);
     let minion = second.minion.clone();
@@ -116,7 +116,7 @@
 
 /// The link is replaced between two copies, and the refusal of the first copy arrives over the new
 /// link.
-fn link_is_replaced_between_copies(outcome: OrderOutcome) {
+fn check_new_link_between_copies(outcome: OrderOutcome) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
     let first = cluster.orders.remove(0);
@@ -132,7 +132,7 @@
 
 /// The coordinator changes between two copies, and the refusal of the predecessor's copy is
 /// reported to the successor.
-fn coordinator_changes_between_copies(outcome: OrderOutcome) {
+fn check_takeover_between_copies(outcome: OrderOutcome) {
     let mut cluster = Cluster::new().with_minions(&MINIONS);
     cluster.submit(1, vec![step(1)]);
     let first = cluster.orders.remove(0);
@@ -148,7 +148,7 @@
 }
 
 /// Both copies are refused, and the task starts on another minion.
-fn both_copies_are_refused(outcome: OrderOutcome) {
+fn check_refusal_of_both_copies(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     refuse(&mut cluster, &first, outcome);
     refuse(&mut cluster, &second, OrderOutcome::NoCapacity);
@@ -157,7 +157,7 @@
 
 /// A copy to which the minion has not responded may be carried out at any time, whatever the result
 /// of the other copy.
-fn one_copy_is_refused_and_one_gets_no_response(outcome: OrderOutcome) {
+fn check_refusal_and_missing_response(outcome: OrderOutcome) {
     let (mut cluster, first, second) = cluster_with_repeated_start();
     cluster.report_result(&second, OrderKindTag::Start, OrderOutcome::NoResponse);
     refuse(&mut cluster, &first, outcome);
@@ -206,14 +206,14 @@
 }
 
 for_each_refusal!(
-    second_copy_is_carried_out,
-    refusal_arrives_after_the_run_started,
-    refusal_arrives_after_a_poll_showed_the_run,
-    copy_is_lost_with_its_link,
-    link_is_replaced_between_copies,
-    coordinator_changes_between_copies,
-    both_copies_are_refused,
-    one_copy_is_refused_and_one_gets_no_response,
+    check_late_second_copy,
+    check_refusal_after_start_of_run,
+    check_refusal_after_poll_with_run,
+    check_copy_lost_with_its_link,
+    check_new_link_between_copies,
+    check_takeover_between_copies,
+    check_refusal_of_both_copies,
+    check_refusal_and_missing_response,
 );
 
 /// A start is refused because its run is over, and the agent is killed before it polls the minion.
--- a/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/job_guarantees.rs
@@ -52,8 +52,8 @@
     );
 }
 
-/// A minion discards ended tasks once they are acknowledged. If an end was not in the store by
-/// then, a successor would run the completed task again.
+/// A minion discards ended tasks once they are acknowledged. If the end of a task were not in the
+/// store by then, a successor would run the completed task again.
 #[test]
 fn end_is_acknowledged_only_after_it_is_written() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -67,7 +67,7 @@
 }
 
 /// The coordinator fails after a placement is written and before the start order is sent. The
-/// successor sends the start with the same run number; with a new one, a delayed copy of a
+/// successor sends the start with the same run number; with a new run number, a delayed copy of a
 /// predecessor's order could start a second run.
 #[test]
 fn successor_repeats_lost_starts() {
@@ -217,8 +217,8 @@
     assert_matches!(cluster.orders[..], [ref order] if order.kind == OrderKind::Stop);
 }
 
-/// A minion is not polled for two seconds because its agent is busy. Its tasks show no progress
-/// only for lack of polls; stopping them during that time would discard their work.
+/// A minion is not polled for two seconds because its agent is busy. Its tasks seem to
+/// make no progress only because there are no polls; stopping the tasks would discard their work.
 #[test]
 fn tasks_that_were_not_polled_do_not_count_as_stalled() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -38,7 +38,7 @@
 }
 
 /// A successor cannot reach an agent whose lease the predecessor may have extended just before it
-/// was lost. It waits until such a lease must have expired.
+/// was lost. The successor waits until such a lease must have expired.
 #[test]
 fn successor_waits_for_predecessor_leases() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
@@ -208,17 +208,16 @@
     assert!(cluster.orders.iter().all(|order| order.minion != minion));
 }
 
-/// A persistent task fails while its minion is nearly full. Its capacity remains reserved for its
-/// restart: short tasks have reserved capacity of their own, and must not use that of the failed
-/// task.
+/// A persistent task fails on a nearly full minion. The task's capacity stays free for its restart:
+/// a short task must not take it, because short tasks have a reserve of their own.
 #[test]
 fn failed_persistent_task_gets_its_capacity_back() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
     cluster.submit(1, vec![persistent_step(15)]);
-    let mut large = step(1);
-    large.persistent = true;
-    large.demand.milli_cpus = 500;
-    cluster.submit(2, vec![large]);
+    let mut small = step(1);
+    small.persistent = true;
+    small.demand.milli_cpus = 500;
+    cluster.submit(2, vec![small]);
     cluster.carry_out_orders();
     assert_eq!(cluster.running_tasks().len(), 16);
     let (task, minion, _) = cluster.running_tasks()[3].clone();
@@ -254,7 +253,7 @@
 /// remainder of the agent's lease; otherwise each planned restart of a coordinator would prolong
 /// the downtime of persistent tasks by a whole lease.
 #[test]
-fn successor_learns_the_remaining_lease_of_unreached_agents() {
+fn successor_learns_the_remaining_lease_of_unreachable_agents() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
@@ -269,11 +268,11 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2");
 }
 
-/// A disconnected agent is reached again just before the coordinator steps down, and its lease is
-/// extended. A successor that still expected the earlier expiry would restart tasks elsewhere while
-/// they run, so the agent is removed from `unreached` before the extension is sent.
+/// A disconnected agent sends a heartbeat just before the coordinator steps down, and the agent's
+/// lease is extended. If the successor still expected the earlier expiry, it would restart tasks
+/// elsewhere while they run, so the coordinator first removes the agent from `unreached`.
 #[test]
-fn agent_that_is_reached_again_is_no_longer_unreached() {
+fn agent_that_sends_a_heartbeat_is_no_longer_unreachable() {
     let mut cluster = Cluster::with_running_job(&["m1"], step(1));
     cluster.disconnect_agent("m1");
     cluster.advance(3_000);
@@ -300,7 +299,7 @@
 }
 
 /// A machine is lost while its link stays open. After a few missing heartbeats of its agent, no
-/// task is placed there, because no order would be carried out.
+/// task is placed on the machine, because no order would be carried out.
 #[test]
 fn agent_without_heartbeats_gets_no_task() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -108,8 +108,8 @@
     assert_wait(longest_wait(&cluster).persistent_ms, 1_500);
 }
 
-/// A successor does not know whether a task is running until the task's agent has linked. Its wait
-/// counts from the takeover.
+/// A successor does not know whether a task is running until the task's agent has linked. The
+/// task's wait counts from the takeover.
 #[test]
 fn wait_counts_from_the_takeover() {
     let mut cluster = cluster_with_running_task();
--- a/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/random_faults.rs
@@ -83,8 +83,7 @@
             .prop_map(|(at, failed)| Event::EndTask { at, failed }),
         5 => (0..3_usize).prop_map(|minion| Event::Poll { minion }),
         3 => (50..800_u64).prop_map(|ms| Event::Advance { ms }),
-        // Up to longer than `ORDER_RESULT_TIMEOUT_MS`, after which a start without a result is sent
-        // again.
+        // May exceed `ORDER_RESULT_TIMEOUT_MS`, after which a start without a result is sent again.
         1 => (800..3_000_u64).prop_map(|ms| Event::Advance { ms }),
         1 => Just(Event::HoldWrites),
         2 => Just(Event::ConfirmWrites),
@@ -195,7 +194,7 @@
                 }
             }
             Event::Advance { ms } => {
-                // Agents that are linked and not paused renew their leases.
+                // Agents that are linked and not paused send heartbeats, which extend their leases.
                 self.cluster.advance(ms);
                 for minion in 0..MINIONS.len() {
                     self.heartbeat(minion);
@@ -231,7 +230,7 @@
         }
     }
 
-    /// Removes the order at index `at` among those whose agents are not paused.
+    /// Removes the order at index `at` among the orders to agents that are not paused.
     fn take_order(&mut self, at: usize) -> Option<Order> {
         let paused = |order: &Order| {
             let agents = MINIONS.iter().zip(&self.agents);
@@ -250,8 +249,8 @@
         taken
     }
 
-    /// Keeps orders to be carried out later, except those for minions whose lease has expired, as
-    /// their deadline has passed.
+    /// Keeps orders that are to be carried out later. Drops orders to minions whose lease has
+    /// expired, because the deadline of these orders has passed.
     fn delay(&mut self, orders: Vec<Order>) {
         let agents = MINIONS.iter().zip(&self.agents);
         let lease_ended: Vec<&str> =
@@ -281,9 +280,10 @@
         self.cluster.join(MINIONS[minion], |info| info);
     }
 
-    /// Resumes an agent. If its lease has expired, it refuses the first `refused` orders, and its
-    /// heartbeat extends the lease before it handles the others. It refuses all of them if it is
-    /// disconnected or the coordinator already considers its runs ended.
+    /// Resumes an agent. If its lease has expired, the agent refuses the first `refused` orders
+    /// and sends a heartbeat, which extends the lease, before it handles the other orders. With an
+    /// expired lease it refuses all orders if it is disconnected or the coordinator may consider
+    /// its runs ended.
     fn resume_agent(&mut self, minion: usize, refused: usize) {
         let agent = self.agents[minion];
         if !agent.paused {
@@ -334,8 +334,8 @@
         self.cluster.report_result(order, kind_tag, outcome);
     }
 
-    /// Carries out an order as a minion does: a start is refused if its run has ended there, and a
-    /// stop also prevents later starts of the same run.
+    /// Carries out an order as a minion does: a start is refused if its run has ended, and a stop
+    /// also prevents later starts of the same run.
     fn carry_out(&mut self, order: &Order, response_arrives: bool) {
         let key = (order.minion.clone(), order.task);
         let last_ended = self.ended_runs.get(&key).copied().unwrap_or(0);
--- a/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/recovery_time.rs
@@ -31,8 +31,8 @@
     assert!(report.meets_guarantee(), "{}\n{trace}", describe(events, &report));
 }
 
-/// Runs `first` followed by each event, after each of `GAPS_MS`, on the same machine and on another
-/// machine.
+/// Checks the guarantee for `first` followed by each event after each of `GAPS_MS`, once on the
+/// same machine and once on another machine.
 fn run_pairs_starting_with(first: Event) {
     let mut violations = Vec::new();
     for second in Event::ALL {
@@ -137,7 +137,7 @@
 
 /// The coordinator's machine and a minion are lost together. The successor cannot tell whether its
 /// predecessor still runs: it waits until a running predecessor would have stopped extending leases
-/// for lack of the store, and then for the duration of a lease.
+/// because it cannot reach the store, and then for the duration of a lease.
 #[test]
 fn loss_of_coordinator_and_minion_is_recovered_in_time() {
     check_guarantee(&[
@@ -154,7 +154,7 @@
     check_guarantee(&[(0, Event::Crash, FIRST_TASK), (7_000, Event::Crash, 2)]);
 }
 
-/// Events for which no sequence is known to violate the guarantee.
+/// Events of which no combination is known to violate the guarantee; see `event_sequences`.
 const TOLERATED_EVENTS: [Event; 20] = [
     Event::Deregister,
     Event::CoordinatorIsolated,
--- a/crates/geraniumpost-batch/tests/coordinator/regressions.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/regressions.rs
@@ -155,9 +155,9 @@
     assert_eq!(cluster.paces.get(&task(2, 0, 0)), Some(&100), "{:?}", cluster.running_tasks());
 }
 
-/// The end of a task is written while its agent has no link, so the acknowledgement is not sent. If
-/// it were not sent when the agent reports the end over its next link, the minion would continue to
-/// list the end, and the agent would read it seven times a second until another task ends there.
+/// The end of a task is written while its agent has no link, so the acknowledgement is not sent. It
+/// must be sent when the agent reports the end over its next link. Otherwise the minion would list
+/// the end, and the agent read it seven times a second, until another task of the minion ends.
 #[test]
 fn lost_acknowledgement_is_repeated() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
@@ -176,9 +176,9 @@
 }
 
 /// A minion refuses a start because its run is over, and its agent is restarted before the next
-/// poll. The new process counts its results from 0. If the coordinator compared that count with the
-/// one of the refusal to find out which poll is later, it would place the task only after as many
-/// further orders to that agent, and never on an idle minion.
+/// poll. The new process counts its results from 0. If the coordinator compared this count with the
+/// count at the refusal to detect later polls, it would not place the task again until the agent
+/// had reported as many further results, which never happens on an idle minion.
 #[test]
 fn refused_task_restarts_although_its_agent_was_replaced() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/agents.rs
@@ -47,8 +47,8 @@
         self.settle_departures();
     }
 
-    /// Opens the agent's link if it has none and one is possible, and reports over it the present
-    /// minion and unsettled departures.
+    /// Opens a link if the agent has none and can open one. Over the new link the agent reports the
+    /// present minion and unsettled departures.
     pub(super) fn link_agent(&mut self, at: usize) {
         let can_link = self.can_link(at) && !self.succession.is_vacant();
         let machine = &mut self.machines[at];
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/coordinator_loss.rs
@@ -15,7 +15,7 @@
     /// The coordinator's process is killed. Links to it are refused until the process is running
     /// again. As a fault of the network may also refuse links, the successor treats it as silent.
     Killed,
-    /// As `Killed`, but agents link to the successor 0.6 s apart instead of 0.1 s.
+    /// Like `Killed`, but agents link to the successor 0.6 s apart instead of 0.1 s.
     KilledSlowRelink,
     /// The coordinator's process pauses.
     Paused,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/entries.rs
@@ -23,7 +23,7 @@
     unavailable_until_ms: u64,
 }
 
-/// State of the query that determines until when voters support a silent coordinator.
+/// Query of a silent coordinator's voters for the end of their support.
 #[derive(Debug)]
 struct PredecessorQuery {
     releases: Releases,
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct Entries {
     all: Vec<Entry>,
-    /// Index of the coordinator in `all`, or of the one that was lost last.
+    /// Index of the coordinator in `all`, or of the coordinator that was lost last.
     coordinator: usize,
     /// Support of the current coordinator by the other entries.
     support: Support,
@@ -115,8 +115,9 @@
         self.queries = self.voters.iter().map(new_query).collect();
     }
 
-    /// Queries all available entries for the coordinator of `term`, if a query is due. Returns the
-    /// addresses of silent coordinators for which the end of support is known, and its time.
+    /// Queries all available entries on behalf of the coordinator of `term`, if a query is due.
+    /// Returns the addresses of silent coordinators whose end of support is known, each with that
+    /// time.
     pub(super) fn query_voters(&mut self, term: u64, now_ms: u64) -> Vec<(SocketAddr, u64)> {
         if now_ms < self.next_query_ms {
             return Vec::new();
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/event.rs
@@ -60,7 +60,7 @@
     /// Orders that are sent within a second are carried out only 2.5 s later, after agents have
     /// reported them as unanswered.
     OrdersDelayed,
-    /// All machines except the event's offer no free capacity for three seconds.
+    /// The other machines offer no free capacity for three seconds.
     OtherMachinesFull,
 }
 
@@ -94,8 +94,8 @@
         Self::OtherMachinesFull,
     ];
 
-    /// Returns the duration of the fault in milliseconds, from whose end the guaranteed recovery
-    /// time counts, or `None` if the event is planned work or no fault.
+    /// Returns the duration of the fault in milliseconds, or `None` if the event is planned work or
+    /// no fault. The guaranteed recovery time counts from the end of the fault.
     pub(super) const fn fault_duration_ms(self) -> Option<u64> {
         match self {
             Self::Idle
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/fault_injection.rs
@@ -56,7 +56,7 @@
             Action::StoreDown => self.set_store_available(false),
             Action::StoreUp => self.set_store_available(true),
             Action::DelayOrders(delay) => self.orders.delay_orders = delay,
-            Action::LimitOtherMachines(limit) => self.limit_other_machines(at, limit),
+            Action::LimitOtherMachines(limit) => self.limit_capacity_of_others(at, limit),
         }
     }
 
@@ -114,9 +114,9 @@
         }
     }
 
-    /// Reduces the capacity of all machines except `at` to the processors in use there if `limit`
-    /// is set, otherwise restores it.
-    fn limit_other_machines(&mut self, at: usize, limit: bool) {
+    /// Limits the capacity of each machine except `at` to the processors in use on that machine, or
+    /// restores the full capacity if `limit` is false.
+    fn limit_capacity_of_others(&mut self, at: usize, limit: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != at) {
             let used = self.used_milli_cpus(other);
             self.machines[other].milli_cpus = if limit { used } else { MACHINE_MILLI_CPUS };
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Returns the agent's next description of its minion, or `None` if it has discovered no
-    /// minion.
+    /// Returns the agent's next description of its minion, or `None` if the agent has discovered
+    /// no minion.
     pub(super) fn next_minion_info(&mut self) -> Option<MinionInfo> {
         let id = self.known_minion.clone()?;
         self.sequence += 1;
@@ -132,8 +132,8 @@
         self.linked = false;
     }
 
-    /// Returns whether nothing is pending: the agent is linked, or the minion holds no lease, whose
-    /// expiry would end its runs.
+    /// Returns whether nothing is pending: the agent is linked, or the minion holds no lease. The
+    /// expiry of a lease would end the minion's runs.
     pub(super) fn is_stable(&self) -> bool {
         self.linked || self.minion.as_ref().is_none_or(|minion| minion.lease_until_ms == 0)
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/mod.rs
@@ -20,7 +20,7 @@
 //! - `batch/coordination/term.rs`: which predecessors a coordinator queries;
 //! - `batch/coordination/coordinator_key.rs`: when the coordinator's store key names the voters;
 //! - `batch/coordination/release_requester.rs`: how the voters of a silent coordinator are queried;
-//! - `batch/coordination/peer_listener.rs`: that a dead link that was not closed is not detected;
+//! - `batch/coordination/peer_listener.rs`: that dead links are detected only when they close;
 //! - `batch/agent/state.rs`: what an agent reports.
 
 mod action;
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/orders.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns whether an agent refuses an order without sending it to the minion: it forwards no
-    /// start to a draining minion or without a lease.
+    /// Returns whether an agent refuses an order without sending it to the minion: the agent
+    /// forwards no start to a draining minion or without a lease.
     fn is_refused_by_agent(&self, at: usize, order: &Order) -> bool {
         let machine = &self.machines[at];
         let starts = OrderKindTag::from(&order.kind) == OrderKindTag::Start;
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/polling.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records the departure of the incarnation `id`, if it is the one that the agent knows.
+    /// Records the departure of the incarnation `id`, if the agent knows this incarnation.
     pub(super) fn detect_departure(&mut self, at: usize, id: &Name) {
         if self.machines[at].known_minion.as_ref() == Some(id) {
             self.record_departure(at, id);
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/recovery_check.rs
@@ -1,4 +1,4 @@
-//! Check of the guarantees that no task runs twice at once and none is down for too long.
+//! Check of the guarantees that no task runs twice at once or is down for too long.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 /// A task may be down until the later of the two limits.
 const RECOVERY_LIMIT_AFTER_FAULT_MS: u64 = 7_000;
 
-/// State of the check that lasts from step to step. Times are on the monotonic clock.
+/// State that the check keeps between simulation steps. Times are on the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryChecker {
     /// Start and end of each fault, in milliseconds.
@@ -23,7 +23,7 @@
     last_machine: BTreeMap<TaskId, usize>,
     /// Start of the downtime of each checked task that is down, in milliseconds.
     down_since: BTreeMap<TaskId, u64>,
-    /// Start of the present time with capacity for one more task, or `None` without capacity.
+    /// Time since which some machine has had capacity for one more task, or `None` if none has.
     capacity_since_ms: Option<u64>,
     /// Number of the coordinator's log lines that are already in the trace.
     traced_lines: usize,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Returns the time until which a task may be down that has been down since `since_ms`, with
-    /// capacity for it all the time.
+    /// Returns the latest time by which a task must run again if it could have been placed ever
+    /// since it went down at `since_ms`.
     fn recovery_deadline_ms(&self, since_ms: u64, now_ms: u64) -> u64 {
         let started = self.faults.iter().filter(|(start_ms, _)| *start_ms <= now_ms);
         let recovered_by_ms =
@@ -121,7 +121,7 @@
         running
     }
 
-    /// Updates the start of the time with capacity for one more task.
+    /// Starts or ends the period in which some machine has capacity for one more task.
     fn update_capacity_since(&mut self) {
         let since_ms = self.checker.capacity_since_ms.unwrap_or(self.cluster.now.steady_ms);
         self.checker.capacity_since_ms = self.has_capacity().then_some(since_ms);
@@ -139,8 +139,8 @@
         })
     }
 
-    /// Returns whether the store holds a step in which a task that was never placed precedes a task
-    /// that was placed.
+    /// Returns whether, in some stored step, a task that was never placed has a lower index than a
+    /// task that was placed.
     fn has_placement_gap(&self) -> bool {
         self.cluster.store.values().any(|record| {
             let record = JobRecord::decode(record).expect("the stored record is valid");
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/report.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/report.rs
@@ -8,7 +8,8 @@
     pub overdue: Option<(u64, TaskId, u64)>,
     /// Description of the first task that was found running on two minions at once.
     pub duplicate_run: Option<String>,
-    /// Whether a stored step has a task that was never placed before a task that was placed.
+    /// Whether, in some stored step, a task that was never placed has a lower index than a task
+    /// that was placed.
     pub has_placement_gap: bool,
     /// Events and log lines in order, each preceded by its time in seconds.
     pub trace: Vec<String>,
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -66,8 +66,8 @@
         let until_ms = now_ms + loss.vacancy_ms();
         let relink_ms =
             if loss.is_silent() { until_ms.max(now_ms + COORDINATOR_TIMEOUT_MS) } else { until_ms };
-        // During a vacancy the entry about to take over is lost. The store key still names the
-        // coordinator that was lost first.
+        // If there is already a vacancy, the entry about to take over is lost, and the store key
+        // still names the coordinator that was lost first.
         let (loss, loss_number) = match &self.vacancy {
             Some(before) => (before.loss, before.loss_number),
             None => (loss, self.losses),
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -226,8 +226,8 @@
     assert_eq!(cluster.running_tasks().len(), 18);
 }
 
-/// Two members of a gang fail in the same run. Together they count as one failed attempt, of the
-/// two attempts that the queue allows.
+/// Two members of a gang fail in the same run. Together they count as one failed attempt; the
+/// queue allows two attempts.
 #[test]
 fn gang_failure_counts_one_attempt_per_run() {
     let mut cluster = Cluster::new().with_minions(&["m1", "m2"]);
