--- a/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
+++ b/crates/geraniumpost/src/batch/agent/coordinator_lookup.rs
@@ -12,7 +12,8 @@
 
 /// Timeout of one read of the coordinator's key.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause between two reads while there is no link or the coordinator is silent.
+/// Pause between two reads of the coordinator's key while there is no link or the coordinator is
+/// silent.
 const SEARCH_PAUSE: Duration = Duration::from_millis(200);
 /// Silence of the coordinator after which the agent looks for a successor in the store, in
 /// milliseconds: one missing response. A VM without power does not reset its connections, and
@@ -21,7 +22,8 @@
 const LOOKUP_SILENCE_MS: u64 = 700;
 /// Pause between two checks of whether the link still works.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between two reads while the linked coordinator may have a successor.
+/// Pause between two reads of the coordinator's key while the linked coordinator may have a
+/// successor.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Reads the coordinator's key while there is no link, or the linked coordinator may have a
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -107,7 +107,7 @@
             let requested_ms = BootClock.now_ms();
             match self.store.get(COORDINATOR_KEY, self.timeout.get()).await {
                 Ok(item) => {
-                    let revision = self.check_own_term(item)?;
+                    let revision = self.own_term_revision(item)?;
                     let changed = revision != self.revision;
                     self.revision = revision;
                     self.report_confirmed(requested_ms).await;
@@ -130,7 +130,7 @@
         match self.store.get(COORDINATOR_KEY, self.timeout.get()).await {
             Ok(item) => {
                 self.timeout.record_response(started_at.elapsed());
-                self.revision = self.check_own_term(item)?;
+                self.revision = self.own_term_revision(item)?;
                 self.report_confirmed(requested_ms).await;
             }
             Err(error) => spdlog::debug!("event=confirm_failed why=\"{error}\""),
@@ -162,7 +162,7 @@
     }
 
     /// Returns the revision of the coordinator's key if it still names this term.
-    fn check_own_term(&self, item: Option<KeyValue>) -> Result<u64, TermLost> {
+    fn own_term_revision(&self, item: Option<KeyValue>) -> Result<u64, TermLost> {
         let item = item.ok_or(TermLost)?;
         let record = CoordinatorRecord::decode(&item.value).map_err(|_| TermLost)?;
         let is_own_term =
--- a/crates/geraniumpost/src/batch/coordination/driver.rs
+++ b/crates/geraniumpost/src/batch/coordination/driver.rs
@@ -175,7 +175,7 @@
     /// Updates the support by other entries and checks for a process pause, before any decision is
     /// made.
     fn begin_round(&mut self) {
-        let (until_ms, supporters) = self.support.supported_until_and_count();
+        let (until_ms, supporters) = self.support.support_end_and_supporter_count();
         self.coordinator.set_supported_until(until_ms, supporters);
         if let Some(gap_ms) = self.process_pause.begin_round(BootClock.now_ms()) {
             spdlog::warn!("event=process_paused gap_ms={gap_ms}");
@@ -197,7 +197,7 @@
         let LongestWait { persistent_ms, other_ms } = self.coordinator.longest_wait(now);
         let [persistent, other] = [persistent_ms, other_ms].map(Duration::from_millis);
         self.metrics.longest_wait(persistent, other);
-        self.metrics.lease_supporters(self.support.supported_until_and_count().1 as u64);
+        self.metrics.lease_supporters(self.support.support_end_and_supporter_count().1 as u64);
     }
 
     fn handle(&mut self, input: Input) {
--- a/crates/geraniumpost/src/batch/coordination/peers.rs
+++ b/crates/geraniumpost/src/batch/coordination/peers.rs
@@ -56,8 +56,8 @@
     format!("{ENTRY_PREFIX}{node}")
 }
 
-/// Pause between two reads of the registry. Entries are added and removed at intervals of minutes,
-/// and the first reads find only some of the entries that start at the same time.
+/// Pause between two reads of the registry. Entries change only every few minutes, but the pause
+/// must not be much longer: when entries start together, the first reads miss some of them.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
 /// Timeout of one read of a page of the registry, and of one registration.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
--- a/crates/geraniumpost/src/batch/coordination/term_support.rs
+++ b/crates/geraniumpost/src/batch/coordination/term_support.rs
@@ -53,7 +53,7 @@
 
     /// Returns the time until which a majority supports the term, on the monotonic clock, and the
     /// number of other entries that support it now.
-    pub fn supported_until_and_count(&self) -> (u64, usize) {
+    pub fn support_end_and_supporter_count(&self) -> (u64, usize) {
         let support = self.lock();
         (support.supported_until_ms(), support.supporter_count(BootClock.now_ms()))
     }
--- a/crates/geraniumpost/src/batch/entry/caller_requests.rs
+++ b/crates/geraniumpost/src/batch/entry/caller_requests.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 
 use super::super::http_server::{HttpResponse, empty_response};
-use super::Shared;
+use super::EntryState;
 use super::relay::NoResponse;
 
 /// Deadline of requests without the header [`DEADLINE_HEADER`], in milliseconds.
@@ -29,7 +29,7 @@
 const RETRY_AFTER_S: u64 = 1;
 
 /// Responds to a request of a caller, and counts the response in the metrics.
-pub async fn respond(req: Request<Incoming>, shared: Arc<Shared>) -> HttpResponse {
+pub async fn respond(req: Request<Incoming>, shared: Arc<EntryState>) -> HttpResponse {
     let stopping = *shared.stop.borrow();
     let started_at = tokio::time::Instant::now();
     let method = req.method().clone();
@@ -42,7 +42,7 @@
     response
 }
 
-async fn handle(req: Request<Incoming>, shared: &Shared) -> HttpResponse {
+async fn handle(req: Request<Incoming>, shared: &EntryState) -> HttpResponse {
     let Some(routes) = shared.configuration.routes() else {
         return refuse("no configuration was read yet");
     };
@@ -74,7 +74,7 @@
 
 async fn submit(
     req: Request<Incoming>,
-    shared: &Shared,
+    shared: &EntryState,
     job: JobId,
     route: &Route,
     max_body_bytes: usize,
@@ -100,7 +100,7 @@
 
 /// Relays a request to the coordinator, and translates the response to HTTP.
 async fn relay(
-    shared: &Shared,
+    shared: &EntryState,
     request: CallerRequest,
     response_timeout: Duration,
 ) -> HttpResponse {
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -8,7 +8,7 @@
 };
 
 use super::super::{BootClock, hedged_read};
-use super::{ActiveConfiguration, Shared};
+use super::{ActiveConfiguration, EntryState};
 
 /// Maximum time for which the store waits for a change before it responds to a watch. A broken
 /// connection is noticed only after this time.
@@ -30,7 +30,7 @@
 const MAX_WATCH_BYTES: usize = 64 * 1024;
 
 /// Follows the configuration until the process exits.
-pub async fn follow_configuration(store: Arc<Store>, shared: Arc<Shared>) {
+pub async fn follow_configuration(store: Arc<Store>, shared: Arc<EntryState>) {
     let mut follower =
         Follower { store: &store, configuration: &shared.configuration, failed_attempts: 0 };
     loop {
--- a/crates/geraniumpost/src/batch/entry/mod.rs
+++ b/crates/geraniumpost/src/batch/entry/mod.rs
@@ -40,7 +40,7 @@
 
 /// State that the entry's tasks share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct EntryState {
     /// The active configuration, with the age of its last confirmation.
     pub configuration: Arc<ActiveConfiguration>,
     /// Time within which an acknowledged configuration must become active, in milliseconds.
@@ -53,7 +53,7 @@
     pub stop: watch::Receiver<bool>,
 }
 
-impl Shared {
+impl EntryState {
     /// Returns whether the active configuration may be outdated: the time allowed for activating a
     /// newer version is over, or neither the store nor the coordinator, which both report newer
     /// versions, has responded within that time.
@@ -82,7 +82,7 @@
     let configuration = Arc::new(ActiveConfiguration::new(Arc::clone(&metrics)));
     let promises = Arc::new(LocalPromises::new(settings.node.clone(), rand::rng().random()));
     let relay = Relay::start(Arc::clone(&promises), known_coordinator, Arc::clone(&configuration));
-    let shared = Arc::new(Shared {
+    let shared = Arc::new(EntryState {
         configuration: Arc::clone(&configuration),
         config_apply_ms: settings.bounds.config_apply_ms,
         relay,
--- a/crates/geraniumpost/src/batch/entry/readiness.rs
+++ b/crates/geraniumpost/src/batch/entry/readiness.rs
@@ -3,7 +3,7 @@
 use hyper::body::Incoming;
 
 use super::super::http_server::{HttpResponse, empty_response};
-use super::Shared;
+use super::EntryState;
 
 /// Maximum silence of the coordinator for which this entry is ready, in milliseconds. The balancer
 /// stops sending requests to an entry only after two failed checks a second apart, and a takeover
@@ -12,7 +12,7 @@
 
 /// Responds to the balancer's readiness check. The entry is ready if its configuration is not
 /// outdated, the coordinator responds, and the process was not asked to stop.
-pub fn respond(req: &Request<Incoming>, shared: &Shared) -> HttpResponse {
+pub fn respond(req: &Request<Incoming>, shared: &EntryState) -> HttpResponse {
     if req.uri().path() != READY_PATH {
         return empty_response(StatusCode::NOT_FOUND);
     }
--- a/crates/geraniumpost/src/batch/entry/relay.rs
+++ b/crates/geraniumpost/src/batch/entry/relay.rs
@@ -130,8 +130,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if no response arrives: after `unsent_timeout` if the request could not be sent,
-    /// otherwise after `timeout`. The error says whether the request may have had an effect.
+    /// Fails at once if the request queue is full or closed. Fails if no response arrives: after
+    /// `unsent_timeout` if the request could not be sent, otherwise after `timeout`. The error
+    /// says whether the request may have had an effect.
     pub async fn request(
         &self,
         request: CallerRequest,
--- a/crates/geraniumpost/src/batch/peer_message.rs
+++ b/crates/geraniumpost/src/batch/peer_message.rs
@@ -19,8 +19,8 @@
         /// Name of the agent's VM.
         node: Name,
     },
-    /// Asks the receiver whether the coordinator responds to it. No other message is sent on this
-    /// link.
+    /// Asks whether the receiver gets responses from the coordinator. No other message is sent on
+    /// this link.
     Probe,
     /// Requests that the receiver stop supporting the coordinators of all earlier terms. No other
     /// message is sent on this link.
