--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -34,9 +34,9 @@
     cluster
 }
 
-/// One of three serving tasks briefly shows a tail latency several times that of the others, for a
-/// reason other than interference. If the highest tail latency counted, best-effort tasks would be
-/// slowed down and moved needlessly.
+/// One of three serving tasks briefly has a tail latency several times as high as the others have,
+/// for a reason other than interference. If the highest tail latency counted, best-effort tasks
+/// would be slowed down and moved needlessly.
 #[test]
 fn single_high_tail_latency_slows_no_best_effort_task() {
     let mut cluster = Cluster::with_running_job(&["m1"], serving_step("kiosk", 3));
--- a/crates/geraniumpost-batch/tests/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/leases.rs
@@ -22,7 +22,7 @@
     assert_matches!(cluster.orders[..], [ref order] if &*order.minion == "m2" && order.run == 2);
 }
 
-/// The agent links again before its lease expires, and its task has been running throughout.
+/// The agent links again before its lease expires, and the task has been running throughout.
 #[test]
 fn task_of_a_returning_agent_keeps_running() {
     let mut cluster = Cluster::with_running_job(&["m1", "m2"], step(1));
--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -14,8 +14,7 @@
     cluster.coordinator.longest_wait(cluster.now)
 }
 
-/// Checks that a wait that started `since_ms` ago is reported as that long, less at most the
-/// detection delay.
+/// Checks that the reported wait is `since_ms`, or less by at most the detection delay.
 #[track_caller]
 fn assert_wait(wait_ms: u64, since_ms: u64) {
     assert!(
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/incarnation.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/incarnation.rs
@@ -20,8 +20,8 @@
         Self { id: name.into(), draining: false, lease_until_ms: 0, ended_runs: BTreeMap::new() }
     }
 
-    /// Returns whether `run` or a later run of `task` was stopped or has ended, so that an order to
-    /// start it is refused.
+    /// Returns whether `run` or a later run of `task` was stopped or has ended. In that case an
+    /// order to start `run` is refused.
     pub(super) fn has_ended(&self, task: TaskId, run: u32) -> bool {
         run <= self.ended_runs.get(&task).copied().unwrap_or(0)
     }
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/machine.rs
@@ -27,8 +27,8 @@
     pub(super) network_up: bool,
     /// Whether the agent considers its link open.
     pub(super) linked: bool,
-    /// Whether the coordinator considers a link of the agent open. It does not detect a dead link
-    /// that was not closed.
+    /// Whether the coordinator considers a link of the agent open. The coordinator does not detect
+    /// a dead link that was not closed.
     pub(super) coordinator_sees_link: bool,
     /// Earliest time at which the agent opens its next link, on the monotonic clock.
     pub(super) next_link_ms: u64,
--- a/crates/geraniumpost-batch/tests/coordinator/steps.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/steps.rs
@@ -99,7 +99,7 @@
     assert_eq!(cluster.orders.len(), 16);
 }
 
-/// Repetitions start when they are due, and the job completes after the last one.
+/// Repetitions start when they are due, and the job completes after the last repetition.
 #[test]
 fn repetitions_start_when_due() {
     let mut cluster = Cluster::new().with_minions(&["m1"]);
