--- a/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/longest_wait.rs
@@ -14,8 +14,7 @@
     cluster.coordinator.longest_wait(cluster.now)
 }
 
-/// Checks that a wait that started `since_ms` ago is reported as that long, less at most the
-/// detection delay.
+/// Checks that the reported wait is `since_ms`, or less by at most the detection delay.
 #[track_caller]
 fn assert_wait(wait_ms: u64, since_ms: u64) {
     assert!(
@@ -108,8 +107,8 @@
     assert_wait(longest_wait(&cluster).persistent_ms, 1_500);
 }
 
-/// A successor does not know whether a task is running until the task's agent has linked. Its wait
-/// counts from the takeover.
+/// A successor does not know whether a task is running until the task's agent has linked. The
+/// task's wait counts from the takeover.
 #[test]
 fn wait_counts_from_the_takeover() {
     let mut cluster = cluster_with_running_task();
