--- a/crates/geraniumpost-batch/src/coordinator/approvals.rs
+++ b/crates/geraniumpost-batch/src/coordinator/approvals.rs
@@ -1,8 +1,7 @@
 //! Approval of steps by an admission service, for each minion.
 //!
-//! An approval is valid for all tasks of a step for some time; one request covers them all. A
-//! request takes longer with each minion that it lists, and the service handles one request at a
-//! time.
+//! One request covers all tasks of a step, and an approval is valid for a limited time. A request
+//! takes longer with each minion that it lists, and the service handles one request at a time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,12 +10,13 @@
 use super::{Coordinator, Effect};
 use crate::{JobId, Now, StepSpec, TaskId};
 
-/// Maximum number of minions in a request: a step seldom needs more, and each minion takes time.
+/// Maximum number of minions in a request: a step seldom needs more, and each minion lengthens the
+/// request.
 const MAX_MINIONS_PER_REQUEST: usize = 30;
 /// Time after which a request without a response is repeated, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Minimum remaining validity of a ticket that is used, in milliseconds, because the start order
-/// takes time to arrive.
+/// Minimum remaining validity with which a ticket is used, in milliseconds; the start order takes
+/// time to arrive.
 const MIN_TICKET_VALIDITY_MS: u64 = 250;
 
 /// Identifies a step of one occurrence: job, number of the occurrence, number of the step.
--- a/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/best_effort_placement.rs
@@ -38,14 +38,14 @@
     pub(super) fn is_job_idle(&self, task: TaskId, now: Now) -> bool {
         let since_ms = self.jobs.get(&task.job).and_then(|job| job.idle_since_ms);
         since_ms.is_some_and(|since| now.steady_ms >= since + IDLE_JOB_TIMEOUT_MS)
-            && self.runs_of_job(task.job).is_empty()
+            && self.tasks_with_runs(task.job).is_empty()
     }
 
-    /// Returns whether no minion accepts a best-effort step, because all minions rejected a similar
-    /// step in this round.
+    /// Returns whether no minion accepts a best-effort step, because all minions rejected a step of
+    /// the same service and image with no larger demand in this round.
     ///
     /// Under overload hundreds of steps wait for the same few kinds of minions, and checking every
-    /// minion for each of them would take most of a small VM's processor.
+    /// minion for each step would take most of a small VM's processor.
     pub(super) fn is_unplaceable(&self, id: JobId, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|_| spec.best_effort) else { return false };
         let key = (job.record.terms.service.clone(), spec.image.clone());
--- a/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
+++ b/crates/geraniumpost-batch/src/coordinator/caller_requests.rs
@@ -36,7 +36,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             // A retry or a late copy of a submission is accepted once the record of the first
             // submission is committed, and creates no second job.
-            if job.is_durable() {
+            if job.has_durable_record() {
                 self.respond(request_id, CallerResponse::Accepted);
             } else {
                 job.after_commit
@@ -88,7 +88,7 @@
 
     fn state_response(&self, id: JobId) -> CallerResponse {
         match self.jobs.get(&id) {
-            Some(job) if job.is_durable() => CallerResponse::State(job.reported_state()),
+            Some(job) if job.has_durable_record() => CallerResponse::State(job.reported_state()),
             _ => CallerResponse::Unknown,
         }
     }
@@ -96,7 +96,7 @@
     fn pending_job_count(&self, queue: &Name) -> u64 {
         let is_queued = |job: &&Job| {
             job.record.terms.queue == *queue
-                && job.is_durable()
+                && job.has_durable_record()
                 && job.reported_state() == JobState::Queued
         };
         self.jobs.values().filter(is_queued).count() as u64
--- a/crates/geraniumpost-batch/src/coordinator/draining.rs
+++ b/crates/geraniumpost-batch/src/coordinator/draining.rs
@@ -62,8 +62,8 @@
         self.log_evacuation(id, remaining_ms, stopped, tasks_without_place);
     }
 
-    /// Logs an evacuation, unless no run was stopped and as many tasks as before have no other
-    /// place.
+    /// Logs an evacuation, unless no run was stopped and the number of tasks that no other minion
+    /// accepts is unchanged.
     fn log_evacuation(
         &mut self,
         id: &Name,
@@ -91,7 +91,8 @@
         let Some(started_ms) = run.started_ms else { return Some(estimate_ms) };
         let ran_ms = now.steady_ms.saturating_sub(started_ms);
         let percent = u64::from(run.progress_percent);
-        // Declared estimates may be far off; from 10% progress on, the progress is more accurate.
+        // Declared estimates may be far off; from 10% progress on, an estimate from the progress is
+        // more accurate.
         let is_accurate = percent >= 10;
         Some(if is_accurate { ran_ms * (100 - percent.min(100)) / percent } else { estimate_ms })
     }
--- a/crates/geraniumpost-batch/src/coordinator/eligibility.rs
+++ b/crates/geraniumpost-batch/src/coordinator/eligibility.rs
@@ -1,6 +1,6 @@
 //! Checks of whether a minion can take a task.
 //!
-//! Placement and the log lines on waiting tasks share these checks, and their results cannot
+//! Placement and the log lines on waiting tasks share these checks, so that their results cannot
 //! differ. The checks are inlined across modules, because every minion is checked for each waiting
 //! task.
 
@@ -103,7 +103,7 @@
 /// Returns why a minion has no capacity for a task of a step, or `None` if it has capacity.
 #[inline]
 fn capacity_rejection(minion: &Minion, spec: &StepSpec) -> Option<Rejection> {
-    if spec.best_effort && minion.over_bound_ms > 0 {
+    if spec.best_effort && minion.over_latency_bound_ms > 0 {
         return Some(Rejection::LatencyOverBound);
     }
     let fits = reserved_resources(spec).fits(available_resources(minion, spec));
--- a/crates/geraniumpost-batch/src/coordinator/headroom.rs
+++ b/crates/geraniumpost-batch/src/coordinator/headroom.rs
@@ -9,7 +9,7 @@
 use crate::tuning::MAX_SERVING_TAIL_LATENCY_RATIO;
 use crate::{StepSpec, TaskId};
 
-/// Minimum headroom that is used as a divisor, as a utilization.
+/// Lower bound of the headroom in a division, as a utilization: headroom may be zero or negative.
 const MIN_HEADROOM_DIVISOR: f64 = 0.01;
 
 /// Additional utilization that one group of serving tasks tolerates.
--- a/crates/geraniumpost-batch/src/coordinator/job.rs
+++ b/crates/geraniumpost-batch/src/coordinator/job.rs
@@ -22,9 +22,9 @@
     /// Actions to run once the current version is committed.
     pub(super) after_commit: Vec<DeferredAction>,
     /// Per-task state for the next placement.
-    pub(super) placement_hints: HashMap<TaskId, PlacementHint>,
-    /// Start of the time without any run, as seen by placement rounds, on the monotonic clock;
-    /// `None` while the job has runs.
+    pub(super) next_placements: HashMap<TaskId, NextPlacement>,
+    /// Time of the first placement round that found the job without runs, on the monotonic clock;
+    /// `None` if the last round found runs.
     pub(super) idle_since_ms: Option<u64>,
     /// Estimated duration of the longest chain of steps, in milliseconds.
     pub(super) critical_path_ms: u64,
@@ -32,7 +32,7 @@
 
 /// State of a task that its next placement takes into account.
 #[derive(Debug, Clone, Default)]
-pub(super) struct PlacementHint {
+pub(super) struct NextPlacement {
     /// Id of the last checkpoint; empty for none.
     pub(super) checkpoint: Name,
     /// Earliest time of the next placement, on the monotonic clock.
@@ -52,7 +52,7 @@
             write_in_flight: false,
             started: false,
             after_commit: Vec::new(),
-            placement_hints: HashMap::new(),
+            next_placements: HashMap::new(),
             idle_since_ms: None,
             critical_path_ms,
         }
@@ -65,7 +65,7 @@
         Self { durable_version: 1, started, ..Self::new(record) }
     }
 
-    pub(super) fn is_durable(&self) -> bool {
+    pub(super) fn has_durable_record(&self) -> bool {
         self.durable_version > 0
     }
 
--- a/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
+++ b/crates/geraniumpost-batch/src/coordinator/lease_basis.rs
@@ -26,7 +26,8 @@
 pub(super) enum LeaseBasis {
     /// A majority of entries has promised to follow no successor.
     Entries,
-    /// The store has confirmed the term within [`STORE_CONFIRMATION_VALIDITY_MS`].
+    /// The store has confirmed the term, by a request sent less than
+    /// [`STORE_CONFIRMATION_VALIDITY_MS`] ago.
     Store,
 }
 
--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -4,7 +4,7 @@
 
 use super::minion::Minion;
 use super::{Coordinator, Effect};
-use crate::tuning::{LEASE_EXPIRY_MARGIN_MS, LEASE_EXPIRY_PERCENT, MAX_CONFIRMATION_AGE_MS};
+use crate::tuning::{LEASE_EXPIRY_BOUND_PERCENT, LEASE_EXPIRY_MARGIN_MS, MAX_CONFIRMATION_AGE_MS};
 use crate::{EndKind, Now, ToAgent};
 
 /// Time that an agent has after its link opened to report its minion's lists, in milliseconds; most
@@ -14,7 +14,7 @@
 /// Returns the time in milliseconds after which a lease of `lease_ms` has expired even on the
 /// slowest clock that a minion may have.
 pub const fn lease_expiry_bound_ms(lease_ms: u64) -> u64 {
-    lease_ms * LEASE_EXPIRY_PERCENT / 100 + LEASE_EXPIRY_MARGIN_MS
+    lease_ms * LEASE_EXPIRY_BOUND_PERCENT / 100 + LEASE_EXPIRY_MARGIN_MS
 }
 
 impl Coordinator {
@@ -67,13 +67,15 @@
     }
 
     /// Returns whether a minion is about to be polled, because its agent has just linked. The
-    /// minion's lists show which runs ended before the lease expired; these need not be repeated.
+    /// minion's lists show which runs ended before the lease expired; the tasks of these runs need
+    /// not run again.
     fn is_awaiting_poll(&self, minion: &Minion, now: Now) -> bool {
         let opened_ms = self.agents.get(&minion.agent).map_or(0, |agent| agent.link_opened_ms);
         minion.linked && !minion.polled && now.steady_ms < opened_ms + POLL_GRACE_MS
     }
 
-    /// Ends the runs on minions whose leases have certainly expired.
+    /// Treats the runs on minions whose leases have certainly expired as ended, except on minions
+    /// that are about to be polled.
     pub(super) fn expire_leases(&mut self, now: Now) {
         let expired: Vec<Name> = self
             .minions
--- a/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
+++ b/crates/geraniumpost-batch/src/coordinator/longest_wait.rs
@@ -8,7 +8,7 @@
     /// or its minion is unreachable.
     pub persistent_ms: u64,
     /// Longest wait of any other task for a placement, counted from the last placement of a task of
-    /// its step.
+    /// its step; if none was placed yet, from the check that first found the step waiting.
     pub other_ms: u64,
 }
 
--- a/crates/geraniumpost-batch/src/coordinator/measurements.rs
+++ b/crates/geraniumpost-batch/src/coordinator/measurements.rs
@@ -17,7 +17,7 @@
     /// Share of the minion's processors that each best-effort image used.
     cpu_shares: BTreeMap<Name, f64>,
     /// Serving tasks, and whether they are over their latency bounds.
-    over_bound: Vec<(TaskId, bool)>,
+    over_latency_bound: Vec<(TaskId, bool)>,
 }
 
 impl Coordinator {
@@ -48,11 +48,12 @@
         });
     }
 
-    /// Updates the interference model with the last measurements of a minion's runs.
+    /// Updates the interference model with the last measurements of a minion's runs, and the
+    /// minion's tail latencies and times over the latency bound, which pacing reads.
     pub(super) fn learn_from_measurements(&mut self, id: &Name, now: Now) {
-        let MinionMeasurements { tail_latency_ratios, cpu_shares, over_bound } =
+        let MinionMeasurements { tail_latency_ratios, cpu_shares, over_latency_bound } =
             self.collect_measurements(id);
-        self.update_over_bound_times(id, over_bound, now);
+        self.update_times_over_latency_bound(id, over_latency_bound, now);
         let mut worst: BTreeMap<Name, f64> = BTreeMap::new();
         for ((image, group), tail_latency_ratios) in tail_latency_ratios {
             let tail_latency_ratio = lower_median(tail_latency_ratios);
@@ -85,7 +86,7 @@
                     f64::from(run.measurement) / f64::from(step.latency_bound_ms);
                 let group = (step.image.clone(), ServingGroup::of(*task, id));
                 measurements.tail_latency_ratios.entry(group).or_default().push(tail_latency_ratio);
-                measurements.over_bound.push((*task, tail_latency_ratio > 1.0));
+                measurements.over_latency_bound.push((*task, tail_latency_ratio > 1.0));
             } else if step.best_effort && run.started_ms.is_some() {
                 let cpu_shares = measurements.cpu_shares.entry(step.image.clone()).or_default();
                 *cpu_shares += f64::from(run.measurement) / milli_cpus;
@@ -95,18 +96,24 @@
     }
 
     /// Updates the time at which each serving run began to exceed its latency bound, and the
-    /// longest such excess on the minion.
-    fn update_over_bound_times(&mut self, id: &Name, over_bound: Vec<(TaskId, bool)>, now: Now) {
+    /// longest time for which any run on the minion has exceeded its bound.
+    fn update_times_over_latency_bound(
+        &mut self,
+        id: &Name,
+        over_latency_bound: Vec<(TaskId, bool)>,
+        now: Now,
+    ) {
         let mut longest_ms = 0;
-        for (task, is_over) in over_bound {
+        for (task, is_over) in over_latency_bound {
             let Some(run) = self.runs.get_mut(&task) else { continue };
-            run.over_bound_since_ms =
-                is_over.then(|| run.over_bound_since_ms.unwrap_or(now.steady_ms));
-            let since_ms = run.over_bound_since_ms.map_or(0, |since| now.steady_ms - since + 1);
+            run.over_latency_bound_since_ms =
+                is_over.then(|| run.over_latency_bound_since_ms.unwrap_or(now.steady_ms));
+            let since_ms =
+                run.over_latency_bound_since_ms.map_or(0, |since| now.steady_ms - since + 1);
             longest_ms = longest_ms.max(since_ms);
         }
         if let Some(minion) = self.minions.get_mut(id) {
-            minion.over_bound_ms = longest_ms;
+            minion.over_latency_bound_ms = longest_ms;
         }
     }
 }
--- a/crates/geraniumpost-batch/src/coordinator/minion.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion.rs
@@ -13,7 +13,7 @@
 pub(super) struct Minion {
     pub(super) info: MinionInfo,
     pub(super) agent: Name,
-    /// Whether the link from its agent is open.
+    /// Whether the link from the minion's agent is open.
     pub(super) linked: bool,
     /// Whether the minion has been reported to this coordinator; otherwise it is known only from
     /// job records.
@@ -42,8 +42,8 @@
     pub(super) resend_acknowledgement: bool,
     /// Failures since the last successful run; consecutive failures of one job count once.
     pub(super) consecutive_failures: u32,
-    /// Job of the last failed run; its further failures are not counted until another job fails or
-    /// a run succeeds.
+    /// Job of the last counted failure; further failures of this job are not counted until another
+    /// job fails or a run succeeds.
     pub(super) last_failed_job: Option<JobId>,
     /// Time before which no task is placed on the minion, on the monotonic clock.
     pub(super) quarantined_until_ms: u64,
@@ -55,7 +55,7 @@
     pub(super) tasks_without_place: u32,
     /// Longest time for which any serving run has been over its latency bound, in milliseconds; 0
     /// if none is.
-    pub(super) over_bound_ms: u64,
+    pub(super) over_latency_bound_ms: u64,
     /// Number and tail latency of the serving runs, by image.
     pub(super) serving_images: BTreeMap<Name, ServingTasks>,
     /// Headroom of each group of serving runs at the current paces of the best-effort runs.
@@ -88,7 +88,7 @@
             drain_deadline_ms: 0,
             last_evacuation_ms: 0,
             tasks_without_place: 0,
-            over_bound_ms: 0,
+            over_latency_bound_ms: 0,
             serving_images: BTreeMap::new(),
             headroom: Vec::new(),
             best_effort_images: BTreeMap::new(),
--- a/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
+++ b/crates/geraniumpost-batch/src/coordinator/minion_lifecycle.rs
@@ -7,14 +7,15 @@
 use super::minion::Minion;
 use crate::{EndKind, MinionInfo, Now};
 
-/// Minimum remaining time of a lease, in milliseconds; with less, the lease may expire before an
-/// order arrives.
+/// Minimum remaining lease with which a newly reported minion counts as responsive before a
+/// heartbeat reports on it, in milliseconds; with less, the lease may expire before an order
+/// arrives.
 const MIN_REMAINING_LEASE_MS: u64 = 1_000;
 
 impl Coordinator {
     /// Handles a report of a minion's properties, which may show a new incarnation or the start of
     /// draining.
-    pub(super) fn update_minion(&mut self, agent: &Name, info: MinionInfo, now: Now) {
+    pub(super) fn handle_minion_info(&mut self, agent: &Name, info: MinionInfo, now: Now) {
         let id = info.id.clone();
         let previous = self.agents.entry(agent.clone()).or_default().minion.replace(id.clone());
         if let Some(previous) = previous.filter(|previous| *previous != id) {
--- a/crates/geraniumpost-batch/src/coordinator/mod.rs
+++ b/crates/geraniumpost-batch/src/coordinator/mod.rs
@@ -58,9 +58,10 @@
 /// Decides which task runs where, for one service or several, while its fencing token is the
 /// highest.
 ///
-/// Two processes may both believe that they are the coordinator. Correctness does not depend on
-/// when a lease ends, but on the store, which writes a batch only for the holder of the
-/// coordinator's key, and on minions, which accept orders only with the highest token. See
+/// Two processes may both believe that they are the coordinator. Writes and orders stay correct
+/// even then: the store writes a batch only for the holder of the coordinator's key, and minions
+/// accept orders only with the highest token. Only the replacement of runs on unreachable minions
+/// relies on time bounds ([`lease_expiry_bound_ms`]). See
 /// docs/design/0601-jobs-on-a-shared-store.md.
 #[derive(Debug)]
 pub struct Coordinator {
@@ -68,7 +69,7 @@
     lease_ms: u64,
     max_open_jobs: usize,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have not reached a final state and may have waiting tasks.
+    /// Jobs that have not reached a final state.
     open_jobs: BTreeSet<JobId>,
     /// Jobs whose record differs from the store's.
     dirty: BTreeSet<JobId>,
@@ -182,7 +183,7 @@
             FromAgent::Heartbeat { sent_at_ms, minion_ok } => {
                 self.handle_heartbeat(agent, sent_at_ms, minion_ok, now);
             }
-            FromAgent::Minion(info) => self.update_minion(agent, info, now),
+            FromAgent::Minion(info) => self.handle_minion_info(agent, info, now),
             FromAgent::MinionTerminated { minion } => {
                 self.handle_minion_terminated(agent, &minion, now);
             }
@@ -211,9 +212,10 @@
     /// Records that the store confirmed this coordinator. The confirmation was requested at
     /// `requested_ms`, and its response was read at `steady_ms`, both on the monotonic clock.
     ///
-    /// The confirmation is valid only for the time of the request. The response may take seconds to
-    /// arrive, and another entry may take over meanwhile; that successor then waits for as long as
-    /// leases may be extended without the store, counted from its takeover.
+    /// The confirmation proves only that this coordinator held the key when the request was sent,
+    /// so its validity counts from `requested_ms`. The response may take seconds to arrive, and
+    /// another entry may take over meanwhile; the successor then waits for as long as leases may be
+    /// extended without the store, counted from its takeover.
     pub fn record_store_confirmation(&mut self, requested_ms: u64, steady_ms: u64) {
         self.confirmation_requested_ms = self.confirmation_requested_ms.max(requested_ms);
         self.confirmed_ms = self.confirmed_ms.max(steady_ms);
--- a/crates/geraniumpost-batch/src/coordinator/order_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/order_results.rs
@@ -58,7 +58,8 @@
                 self.record_started(task, now);
             }
             OrderOutcome::RunIsOver => run.order = OrderState::Ended { results_reported },
-            // Another copy was carried out; the minion's lists decide about the run.
+            // Another copy of the start order was carried out; polls of the minion show the state
+            // of the run.
             _ if run.has_started() => {}
             OrderOutcome::NoResponse => {
                 run.start_unresolved = true;
--- a/crates/geraniumpost-batch/src/coordinator/orders.rs
+++ b/crates/geraniumpost-batch/src/coordinator/orders.rs
@@ -6,8 +6,8 @@
 use super::{Coordinator, Effect};
 use crate::{Now, Order, OrderKind, TaskId, ToAgent};
 
-/// Pace below which a task counts as throttled, in percent: at a lower pace it takes longer than a
-/// move and a run elsewhere.
+/// Pace below which a task counts as throttled, in percent: slower than this, the task finishes
+/// later than if it is moved to another minion.
 const THROTTLED_BELOW_PERCENT: u8 = 50;
 
 impl Coordinator {
@@ -31,9 +31,9 @@
         let kind = OrderKind::Start {
             payload: job.record.spec.payload.clone(),
             checkpoint: job
-                .placement_hints
+                .next_placements
                 .get(&task)
-                .map_or_else(Name::default, |hint| hint.checkpoint.clone()),
+                .map_or_else(Name::default, |next| next.checkpoint.clone()),
             ticket,
         };
         let sent = self.send_order(task, kind);
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -8,7 +8,8 @@
 
 /// Pace below which tasks are suspended, in percent.
 const MIN_PACE_PERCENT: u8 = 8;
-/// Smallest change of pace for which an order is sent, in percent.
+/// Smallest change of pace for which an order is sent, in percentage points; changes to or from
+/// suspension or full speed are always sent.
 const MIN_PACE_CHANGE_PERCENT: u8 = 10;
 /// How long a task is throttled before it is moved, in milliseconds: longer than it takes to revert
 /// most changes of pace, but short, because each second of delay makes a whole job late.
@@ -22,25 +23,26 @@
 /// How long the tail latency of a serving task may exceed its bound before all best-effort tasks on
 /// its minion are suspended, in milliseconds: four polls, in which pacing by learned interference
 /// has not helped.
-const MAX_OVER_BOUND_MS: u64 = 1_600;
+const MAX_OVER_LATENCY_BOUND_MS: u64 = 1_600;
 
 impl Coordinator {
     /// Sets the paces of best-effort tasks on a minion by the tail latencies of its serving tasks.
     ///
     /// A best-effort task that uses too much of a minion slows the serving tasks there, and only
     /// their measured tail latency shows it. Learned interference determines which image to
-    /// throttle and how far. It is applied to the measured processor use, so that a change of pace
-    /// that has no visible effect yet is not made twice. If a tail latency stays over its bound
-    /// nevertheless, all best-effort tasks on the minion are suspended.
+    /// throttle and how far. The user load is estimated by subtracting the interference of the
+    /// measured processor use from the measured utilization, so that a change of pace that has no
+    /// visible effect yet is not made twice. If a tail latency stays over its bound nevertheless,
+    /// all best-effort tasks on the minion are suspended.
     pub(super) fn adjust_paces(&mut self, id: &Name, now: Now) {
         self.learn_from_measurements(id, now);
         self.order_due_pace_changes(id, now);
         self.refresh_headroom(id);
     }
 
-    /// Orders the paces that serving tasks tolerate, for images whose current pace differs enough.
-    /// Suspends all best-effort tasks if a tail latency has exceeded its bound for
-    /// [`MAX_OVER_BOUND_MS`].
+    /// Sends pace orders for the images whose tolerated pace differs enough from their current pace
+    /// (see [`is_pace_order_due`]). Suspends all best-effort tasks if a tail latency has exceeded
+    /// its bound for [`MAX_OVER_LATENCY_BOUND_MS`].
     fn order_due_pace_changes(&mut self, id: &Name, now: Now) {
         let Some(minion) = self.minions.get(id) else { return };
         if minion.best_effort_images.is_empty() {
@@ -51,7 +53,7 @@
             .values()
             .map(|serving| serving.tail_latency_ratio)
             .fold(0.0, f64::max);
-        let suspend = minion.over_bound_ms >= MAX_OVER_BOUND_MS;
+        let suspend = minion.over_latency_bound_ms >= MAX_OVER_LATENCY_BOUND_MS;
         let mut changes = Vec::new();
         for (image, tolerated) in self.tolerated_paces(minion) {
             let current =
@@ -81,7 +83,7 @@
         if before == percent {
             return;
         }
-        let tasks = self.best_effort_runs(id, image);
+        let tasks = self.best_effort_tasks_of_image(id, image);
         self.log(format!(
             "decision=pace minion={id} image={image} from={before} to={percent} tasks={} \
              worst_tail_latency_ratio={tail_latency_ratio:.2}",
@@ -92,7 +94,7 @@
         }
     }
 
-    fn best_effort_runs(&self, id: &Name, image: &Name) -> Vec<TaskId> {
+    fn best_effort_tasks_of_image(&self, id: &Name, image: &Name) -> Vec<TaskId> {
         let Some(minion) = self.minions.get(id) else { return Vec::new() };
         let matches = |task: &&TaskId| {
             self.step_spec(**task).is_some_and(|s| s.best_effort && s.image == *image)
--- a/crates/geraniumpost-batch/src/coordinator/placement.rs
+++ b/crates/geraniumpost-batch/src/coordinator/placement.rs
@@ -68,7 +68,7 @@
     }
 
     fn place_job(&mut self, id: JobId, now: Now) {
-        let idle = self.runs_of_job(id).is_empty();
+        let idle = self.tasks_with_runs(id).is_empty();
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.idle_since_ms = idle.then(|| job.idle_since_ms.unwrap_or(now.steady_ms));
         let ready = ready_steps(&job.record);
@@ -144,7 +144,7 @@
     fn tasks_to_place(&self, first: TaskId, spec: &StepSpec, now: Now) -> Vec<TaskId> {
         let Some(job) = self.jobs.get(&first.job) else { return Vec::new() };
         let is_ready = |task: &TaskId| {
-            job.placement_hints.get(task).is_none_or(|hint| hint.not_before_ms <= now.steady_ms)
+            job.next_placements.get(task).is_none_or(|next| next.not_before_ms <= now.steady_ms)
         };
         let waits = |task: &TaskId| {
             !self.runs.contains_key(task)
@@ -197,7 +197,7 @@
         let job = self.jobs.get(&task.job)?;
         let requirements = self.requirements(task, spec)?;
         let avoided_minion =
-            job.placement_hints.get(&task).and_then(|hint| hint.avoided_minion.as_ref());
+            job.next_placements.get(&task).and_then(|next| next.avoided_minion.as_ref());
         let is_eligible =
             |minion: &&Minion| self.task_rejection(&requirements, minion, now).is_none();
         let penalty = |minion: &&Minion| -> PlacementPenalty {
@@ -221,8 +221,8 @@
     /// serving task goes where it leaves the most headroom for best-effort tasks, and any other
     /// task where the most processors are free.
     fn placement_cost(&self, minion: &Minion, spec: &StepSpec) -> i64 {
-        /// Weight of one level of [`mixing_cost`], in thousandths of a processor.
-        const MIXING_WEIGHT: i64 = 1_000_000;
+        /// Weight of one level of [`image_mixing_cost`], in thousandths of a processor.
+        const IMAGE_MIXING_WEIGHT: i64 = 1_000_000;
         let free_milli_cpus = minion.unreserved().milli_cpus;
         if spec.best_effort {
             let BestEffortSpeed { speed_on_unused_cpus, tolerated_speed, headroom_share } =
@@ -235,13 +235,14 @@
             return (cost * COST_SCALE) as i64 - unused_milli_cpus / MILLI_CPUS_PER_CPU;
         }
         if spec.is_serving() {
-            return mixing_cost(minion, &spec.image) * MIXING_WEIGHT + free_milli_cpus;
+            return image_mixing_cost(minion, &spec.image) * IMAGE_MIXING_WEIGHT + free_milli_cpus;
         }
         -free_milli_cpus + minion.best_effort_milli_cpus
     }
 
-    /// Returns the rack on which a step's tasks should run: the rack that stores its data, the rack
-    /// of a task that is already placed, or the rack with capacity for most of its tasks.
+    /// Returns the preferred rack of a step: the rack that stores its data, or for a step with
+    /// `same_rack` the rack of a placed task, else the rack that can take the largest number of the
+    /// tasks. Returns `None` if the step prefers no rack or no rack has an eligible minion.
     pub(super) fn preferred_rack(
         &self,
         first: TaskId,
@@ -386,7 +387,7 @@
 /// A best-effort image has to be harmless to every serving image of its minion, and about two pairs
 /// of images in five are harmless. Serving tasks of one image are therefore placed on the same
 /// minions, and the other serving images share minions that already run several of them.
-fn mixing_cost(minion: &Minion, image: &Name) -> i64 {
+fn image_mixing_cost(minion: &Minion, image: &Name) -> i64 {
     let has_image = minion.serving_images.contains_key(image);
     match (has_image, minion.serving_images.len()) {
         (true, 1) => 0,
--- a/crates/geraniumpost-batch/src/coordinator/poll_results.rs
+++ b/crates/geraniumpost-batch/src/coordinator/poll_results.rs
@@ -77,9 +77,9 @@
         if !row.checkpoint.is_empty()
             && let Some(job) = self.jobs.get_mut(&row.task.job)
         {
-            let hint = job.placement_hints.entry(row.task).or_default();
-            if hint.checkpoint != row.checkpoint {
-                hint.checkpoint = row.checkpoint;
+            let next = job.next_placements.entry(row.task).or_default();
+            if next.checkpoint != row.checkpoint {
+                next.checkpoint = row.checkpoint;
             }
         }
     }
--- a/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/predecessor_leases.rs
@@ -14,8 +14,8 @@
 /// once.
 const UNREACHED_TIMEOUT_MS: u64 = 1_500;
 
-/// Term of a silent coordinator, and the time on the monotonic clock by which the leases that this
-/// coordinator may extend have expired.
+/// Term of a silent coordinator, and the time on the monotonic clock by which all leases that the
+/// silent coordinator may still extend have expired.
 #[derive(Debug, Clone, Copy)]
 struct SilentLeaseExpiry {
     term: u64,
@@ -67,7 +67,7 @@
 
     /// Returns the time by which leases from earlier coordinators have expired for an agent that
     /// the direct predecessor did not report as unreached.
-    pub(super) fn lease_expiry_of_reached_agents_ms(&self) -> u64 {
+    pub(super) fn lease_expiry_unless_unreached_ms(&self) -> u64 {
         self.silent
             .values()
             .map(|expiry| expiry.expiry_ms)
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -24,8 +24,8 @@
     pub(super) last_seen_ms: u64,
     /// Pace of the last pace order, in percent of full speed.
     pub(super) pace_percent: u8,
-    /// Whether the minion has confirmed that pace. False if the order failed or had no response,
-    /// and after a takeover.
+    /// Whether the minion has confirmed [`Self::pace_percent`]. False if the order failed or had no
+    /// response, and after a takeover.
     pub(super) pace_confirmed: bool,
     /// Start of the current suspension or throttling, on the monotonic clock.
     pub(super) throttled_since_ms: Option<u64>,
@@ -33,7 +33,7 @@
     /// task in thousandths of a processor.
     pub(super) measurement: u32,
     /// Start of the current excess of the tail latency over its bound, on the monotonic clock.
-    pub(super) over_bound_since_ms: Option<u64>,
+    pub(super) over_latency_bound_since_ms: Option<u64>,
     /// Number of copies of the start order that this coordinator has sent, over all links.
     pub(super) start_count: u32,
     /// Number of copies of the start order that were sent over the current link and have no result
@@ -57,7 +57,7 @@
     /// `results_reported` order results lists the run or its end.
     Started { results_reported: u64 },
     /// The minion reports that the run has ended. A poll that began after the agent had reported
-    /// `results_reported` order results lists its end.
+    /// `results_reported` order results lists this end.
     Ended { results_reported: u64 },
     /// A stop was sent, and the minion has not accepted it yet.
     Stopping { at_ms: u64 },
@@ -89,7 +89,7 @@
             pace_confirmed: true,
             throttled_since_ms: None,
             measurement: 0,
-            over_bound_since_ms: None,
+            over_latency_bound_since_ms: None,
             start_count: 0,
             starts_in_flight: 0,
             start_unresolved: false,
--- a/crates/geraniumpost-batch/src/coordinator/run_ends.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run_ends.rs
@@ -8,8 +8,8 @@
 use crate::{EndKind, EndedTask, JobId, JobState, Now, StepSpec, TaskId, TaskPhase, TaskRecord};
 
 impl Coordinator {
-    /// Handles the end of a run that a minion lists. An end that was handled before is only
-    /// acknowledged again.
+    /// Handles the end of a run that a minion lists. An end that was handled before has no effect,
+    /// except that an acknowledged end is acknowledged again.
     pub(super) fn handle_run_end(&mut self, minion: &Name, end: EndedTask, now: Now) {
         let Some(state) = self.minions.get_mut(minion) else { return };
         if end.sequence <= state.last_end_sequence {
@@ -61,9 +61,9 @@
         let failed = matches!(kind, EndKind::Failed | EndKind::LeaseExpired);
         let avoided = run.filter(|_| failed).map(|run| run.place.minion);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            let hint = job.placement_hints.entry(task).or_default();
-            hint.not_before_ms = now.steady_ms + if failed { FAILURE_BACKOFF_MS } else { 0 };
-            hint.avoided_minion = avoided;
+            let next = job.next_placements.entry(task).or_default();
+            next.not_before_ms = now.steady_ms + if failed { FAILURE_BACKOFF_MS } else { 0 };
+            next.avoided_minion = avoided;
         }
         match kind {
             EndKind::Done if !spec.persistent => self.complete_task(task, &spec, now),
@@ -77,7 +77,7 @@
         let all = spec.gang;
         self.update_tasks(task, all, |record| record.phase = TaskPhase::Done);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        job.placement_hints.remove(&task);
+        job.next_placements.remove(&task);
         job.record.occurrences.retain(|occurrence| !occurrence.is_done());
         let finished = job.record.occurrences.is_empty()
             && job.record.next_occurrence >= job.record.occurrence_count();
@@ -105,6 +105,7 @@
         }
     }
 
+    /// Marks a task as waiting. If the step is a gang, also stops the runs of all its members.
     fn mark_waiting(&mut self, task: TaskId, spec: &StepSpec, now: Now) {
         self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
         self.open_jobs.insert(task.job);
@@ -118,11 +119,11 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.record.state = state;
         job.record.finished_ms = now.wall_ms;
-        job.placement_hints.clear();
+        job.next_placements.clear();
         self.approvals.remove_job(id);
         self.open_jobs.remove(&id);
         self.log(format!("decision=finish job={id} state={state}"));
-        for task in self.runs_of_job(id) {
+        for task in self.tasks_with_runs(id) {
             self.stop_run(task, now);
         }
         self.mark_finished_record_dirty(id);
@@ -131,7 +132,7 @@
     /// Compacts the record of a finished job if the job has no runs left, and marks it as changed.
     /// Returns the record's new version.
     fn mark_finished_record_dirty(&mut self, id: JobId) -> u64 {
-        let has_runs = !self.runs_of_job(id).is_empty();
+        let has_runs = !self.tasks_with_runs(id).is_empty();
         if let Some(job) = self.jobs.get_mut(&id)
             && !has_runs
         {
@@ -140,22 +141,22 @@
         self.mark_dirty(id)
     }
 
-    /// Marks a task as waiting, which removes the minion from its record.
+    /// Marks a task as waiting, which removes the minion from the task's record.
     pub(super) fn clear_placement(&mut self, task: TaskId) {
         self.update_tasks(task, false, |record| record.phase = TaskPhase::Waiting);
     }
 
-    /// Ends a run that does not exist on its minion, and lets its task wait for another run. With
-    /// `avoid`, the run's minion is chosen last for that run.
+    /// Ends a run that does not exist on its minion, and lets its task wait for the next run. With
+    /// `avoid`, the next run is placed on the same minion only if no other minion accepts the task.
     pub(super) fn requeue(&mut self, task: TaskId, delay_ms: u64, avoid: bool, now: Now) {
         let minion = self.runs.get(&task).map(|run| run.place.minion.clone());
         self.end_run(task, EndKind::Stopped, &Name::default(), now);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && !job.record.state.is_final()
         {
-            let hint = job.placement_hints.entry(task).or_default();
-            hint.not_before_ms = now.steady_ms + delay_ms;
-            hint.avoided_minion = minion.filter(|_| avoid);
+            let next = job.next_placements.entry(task).or_default();
+            next.not_before_ms = now.steady_ms + delay_ms;
+            next.avoided_minion = minion.filter(|_| avoid);
         }
     }
 
@@ -165,7 +166,7 @@
         // the same checkpoint.
         let indices = if spec.gang { 0..spec.count } else { task.index..task.index + 1 };
         for index in indices {
-            job.placement_hints.entry(TaskId { index, ..task }).or_default().checkpoint =
+            job.next_placements.entry(TaskId { index, ..task }).or_default().checkpoint =
                 checkpoint.clone();
         }
     }
@@ -226,7 +227,7 @@
         }
     }
 
-    pub(super) fn runs_of_job(&self, id: JobId) -> Vec<TaskId> {
+    pub(super) fn tasks_with_runs(&self, id: JobId) -> Vec<TaskId> {
         let first = TaskId { job: id, occurrence: 0, step: 0, index: 0 };
         let last = TaskId { job: id, occurrence: u32::MAX, step: u16::MAX, index: u32::MAX };
         self.runs.range(first..=last).map(|(task, _)| *task).collect()
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -122,7 +122,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            if !self.expired_jobs.contains(&id) && self.runs_of_job(id).is_empty() {
+            if !self.expired_jobs.contains(&id) && self.tasks_with_runs(id).is_empty() {
                 self.expired_jobs.push(id);
             }
         }
--- a/crates/geraniumpost-batch/src/coordinator/unreachable.rs
+++ b/crates/geraniumpost-batch/src/coordinator/unreachable.rs
@@ -26,8 +26,8 @@
 }
 
 impl Coordinator {
-    /// Logs how long this coordinator waits for a predecessor's leases, and how many minions with
-    /// runs that wait may affect.
+    /// Logs how long this coordinator waits for a predecessor's leases, how many minions have runs,
+    /// and how many of these minions are not linked.
     pub(super) fn log_predecessor_wait(&mut self, now: Now) {
         let Some(after_ms) =
             PREDECESSOR_WAIT_LOG_DELAYS_MS.get(self.wait_state.predecessor_wait_lines)
@@ -36,7 +36,7 @@
         };
         let wait_ms = self
             .predecessor_expiry
-            .lease_expiry_of_reached_agents_ms()
+            .lease_expiry_unless_unreached_ms()
             .saturating_sub(now.steady_ms);
         if wait_ms == 0 || now.steady_ms < self.wait_state.started_ms + after_ms {
             return;
@@ -52,8 +52,8 @@
         ));
     }
 
-    /// Logs each unreachable minion with runs, and logs it again only after it has been reachable
-    /// or without runs.
+    /// Logs each unreachable minion with runs, and logs the same minion again only after it was
+    /// reachable or had no runs in between.
     pub(super) fn log_unreachable(&mut self, now: Now) {
         if now.steady_ms < self.wait_state.started_ms + LINK_GRACE_MS {
             return;
--- a/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_monitor.rs
@@ -20,7 +20,7 @@
 const PERSISTENT_LOG_DELAY_MS: u64 = 2_000;
 /// Wait of any other task after which it is logged, in milliseconds; these tasks ordinarily wait
 /// for free resources.
-const OTHER_LOG_DELAY_MS: u64 = 5_000;
+const NON_PERSISTENT_LOG_DELAY_MS: u64 = 5_000;
 /// Interval between two lines on the same step, in milliseconds.
 const STEP_LOG_INTERVAL_MS: u64 = 5_000;
 /// Maximum number of lines of one kind in one check: with two checks a second, four lines a second.
@@ -45,8 +45,7 @@
     }
 
     /// Records the end of a run of a persistent task. If the run had not started or its minion was
-    /// unreachable, the task was down before that end, and the earlier start of the downtime is
-    /// kept.
+    /// unreachable, the task was down already, and the start of its downtime is kept.
     pub(super) fn record_persistent_run_end(&mut self, task: TaskId, run: Option<&Run>, now: Now) {
         let persistent = self.step_spec(task).is_some_and(|step| step.persistent);
         if !persistent || !self.open_jobs.contains(&task.job) {
@@ -145,7 +144,7 @@
     fn log_not_placed(&mut self, now: Now) {
         let is_due = |wait: &WaitingStep| {
             let delay_ms =
-                if wait.persistent { PERSISTENT_LOG_DELAY_MS } else { OTHER_LOG_DELAY_MS };
+                if wait.persistent { PERSISTENT_LOG_DELAY_MS } else { NON_PERSISTENT_LOG_DELAY_MS };
             now.steady_ms >= wait.since_ms + delay_ms
                 && wait
                     .last_logged_ms
@@ -199,8 +198,8 @@
 
     /// Returns the remaining backoff of a task before it may be placed, in milliseconds.
     fn remaining_backoff_ms(&self, task: TaskId, now: Now) -> u64 {
-        let hint = self.jobs.get(&task.job).and_then(|job| job.placement_hints.get(&task));
-        hint.map_or(0, |hint| hint.not_before_ms.saturating_sub(now.steady_ms))
+        let next = self.jobs.get(&task.job).and_then(|job| job.next_placements.get(&task));
+        next.map_or(0, |next| next.not_before_ms.saturating_sub(now.steady_ms))
     }
 
     /// Returns how many minions reject a task, by reason, and how many accept it, formatted as
--- a/crates/geraniumpost-batch/src/coordinator/wait_state.rs
+++ b/crates/geraniumpost-batch/src/coordinator/wait_state.rs
@@ -17,10 +17,11 @@
     pub(super) last_check_ms: Option<u64>,
     /// Steps with waiting tasks, if the steps that they depend on are done.
     pub(super) steps: BTreeMap<StepKey, WaitingStep>,
-    /// Start of the current downtime of each persistent task that is down, on the monotonic clock:
-    /// it has no started run, or the run's minion is unreachable.
+    /// Start of the current downtime of each persistent task that is down, on the monotonic clock.
+    /// A task is down if it has no started run or the run's minion is unreachable.
     pub(super) down_since_ms: BTreeMap<TaskId, u64>,
-    /// Unreachable minions with runs that were logged, and are not logged again while they stay so.
+    /// Unreachable minions with runs that were logged, and are not logged again while they stay
+    /// unreachable.
     pub(super) logged_unreachable: BTreeSet<Name>,
     /// Number of lines logged on the wait for a predecessor's leases; index of the next delay in
     /// `PREDECESSOR_WAIT_LOG_DELAYS_MS`.
@@ -34,8 +35,8 @@
     pub(super) persistent: bool,
     /// Index of the first waiting task.
     pub(super) first_index: u32,
-    /// Start of the wait of that task, on the monotonic clock; for a persistent step the earliest
-    /// start of a downtime of its waiting tasks.
+    /// Start of the wait of the first waiting task, on the monotonic clock; for a persistent step
+    /// the earliest start of a downtime of any waiting task.
     pub(super) since_ms: u64,
     /// Time at which the step was last logged, on the monotonic clock; `None` if never.
     pub(super) last_logged_ms: Option<u64>,
--- a/crates/geraniumpost-batch/src/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/predecessor_leases.rs
@@ -76,8 +76,8 @@
         self
     }
 
-    /// Returns the leases without the unreached agents, for the record of a running coordinator,
-    /// which may still reach any agent.
+    /// Returns these leases without the unreached agents. A running coordinator stores this form,
+    /// because it may still reach any of these agents and extend their leases.
     #[must_use]
     pub fn while_coordinating(mut self) -> Self {
         self.unreached.clear();
--- a/crates/geraniumpost-batch/src/quorum/promises.rs
+++ b/crates/geraniumpost-batch/src/quorum/promises.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
+use crate::tuning::{ENTRY_PROMISE_DURATION_PERCENT, PROMISE_DURATION_MS};
 
 /// Promises of one entry to support coordinators.
 ///
@@ -24,7 +24,8 @@
             return false;
         }
         let until_ms = self.until_ms.entry(term).or_default();
-        *until_ms = (*until_ms).max(heard_ms + PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100);
+        *until_ms =
+            (*until_ms).max(heard_ms + PROMISE_DURATION_MS * ENTRY_PROMISE_DURATION_PERCENT / 100);
         true
     }
 
--- a/crates/geraniumpost-batch/src/quorum/releases.rs
+++ b/crates/geraniumpost-batch/src/quorum/releases.rs
@@ -3,7 +3,7 @@
 use geraniumpost_schema::Name;
 
 use super::Voters;
-use crate::tuning::{KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS};
+use crate::tuning::{ENTRY_PROMISE_DURATION_PERCENT, PROMISE_DURATION_MS};
 
 /// Voters of a silent coordinator and, for those that have responded to a release request, the end
 /// of their last promise.
@@ -30,8 +30,11 @@
     pub fn record(&mut self, entry: &Name, incarnation: u64, remaining_ms: u64, now_ms: u64) {
         let Some(voter) = self.voters.incarnation(entry) else { return };
         let same = voter == incarnation;
-        let remaining_ms =
-            if same { remaining_ms } else { PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100 };
+        let remaining_ms = if same {
+            remaining_ms
+        } else {
+            PROMISE_DURATION_MS * ENTRY_PROMISE_DURATION_PERCENT / 100
+        };
         self.promise_ends_ms.entry(entry.clone()).or_insert(now_ms + remaining_ms);
     }
 
--- a/crates/geraniumpost-batch/src/tuning.rs
+++ b/crates/geraniumpost-batch/src/tuning.rs
@@ -25,9 +25,9 @@
 pub const REFUSAL_BACKOFF_MS: u64 = 150;
 /// Time until a lease has expired on any minion's clock, in percent of its duration: clocks may be
 /// 2% slow.
-pub const LEASE_EXPIRY_PERCENT: u64 = 103;
-/// Margin on top of [`LEASE_EXPIRY_PERCENT`] in milliseconds, for the delay of the last call that
-/// extended the lease.
+pub const LEASE_EXPIRY_BOUND_PERCENT: u64 = 103;
+/// Margin on top of [`LEASE_EXPIRY_BOUND_PERCENT`] in milliseconds, for the delay of the last call
+/// that extended the lease.
 pub const LEASE_EXPIRY_MARGIN_MS: u64 = 250;
 /// Consecutive failed runs of different jobs after which a minion is quarantined. About one run in
 /// a hundred fails through a fault of its own task; two such failures in a row occur in one case in
@@ -45,8 +45,8 @@
 pub const MAX_BEST_EFFORT_MEMORY_PERCENT: i64 = 85;
 /// Maximum share of a minion's processors that may be reserved once a new persistent task is
 /// placed, in percent. Persistent tasks never release their processors; without this limit, short
-/// urgent tasks would wait indefinitely. Short urgent tasks usually need about a twentieth of the
-/// fleet.
+/// urgent tasks would wait indefinitely. The limit reserves 3% for short urgent tasks, which
+/// usually need about a twentieth of the fleet.
 pub const MAX_PERSISTENT_CPU_PERCENT: i64 = 97;
 /// Share of its reserved processors that a serving task is assumed to leave idle, in percent:
 /// submitters declare the demand at peak load.
@@ -66,9 +66,11 @@
 /// Time after which a refused caller is told to retry, in milliseconds: with [`MAX_OPEN_JOBS`] jobs
 /// open, some end each second.
 pub const RETRY_AFTER_MS: u64 = 1_000;
-/// How long a coordinator extends leases without a confirmation from the store, in milliseconds.
-/// This covers the store outages that operators report; running tasks survive such outages. A
-/// successor waits for this time before it considers runs on unreachable minions ended.
+/// How long a coordinator with the support of a majority of entries extends leases without a
+/// confirmation from the store, in milliseconds. This covers the store outages that operators
+/// report; running tasks survive such outages. A successor of a silent coordinator waits at most
+/// for this time plus the expiry of the last lease before it considers runs on unreachable minions
+/// ended.
 pub const STORE_OUTAGE_TOLERANCE_MS: u64 = 8_000;
 /// Time for which a confirmation by the store alone permits a coordinator to extend leases, in
 /// milliseconds, counted from the request. This time may be shorter than the interval between two
@@ -79,9 +81,9 @@
 /// coordinator sent the pong that the entry responds to. This covers three pings, and ends before
 /// an entry considers a silent coordinator lost.
 pub const PROMISE_DURATION_MS: u64 = 900;
-/// Time for which an entry keeps a promise, in percent of [`PROMISE_DURATION_MS`], for which the
-/// coordinator relies on the promise: clocks may be 2% apart.
-pub const KEPT_PROMISE_PERCENT: u64 = 104;
+/// Time for which an entry keeps a promise, in percent of [`PROMISE_DURATION_MS`]. The entry keeps
+/// the promise longer than the coordinator relies on it, because clocks may be 2% apart.
+pub const ENTRY_PROMISE_DURATION_PERCENT: u64 = 104;
 /// Age of an entry's last promise at which the entry stops being a voter, in milliseconds.
 pub const VOTER_TIMEOUT_MS: u64 = 3_000;
 /// Time without a response from an entry after which the coordinator removes it from the store's
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -16,7 +16,7 @@
 const IDLE_TAIL_LATENCY_RATIO: f64 = 0.2;
 /// Interval between the measurements of a minion, in milliseconds.
 const MEASUREMENT_INTERVAL_MS: u64 = 400;
-/// Period of the load by each minion's users, in milliseconds.
+/// Period of each minion's user load, in milliseconds.
 const LOAD_PERIOD_MS: f64 = 14_000.0;
 /// Share of a minion's processors that a running best-effort image uses.
 const BEST_EFFORT_SHARE: f64 = 0.2;
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -3,12 +3,12 @@
 
 use geraniumpost_batch::quorum::{Promises, Releases, Support, Voters};
 use geraniumpost_batch::tuning::{
-    KEPT_PROMISE_PERCENT, PROMISE_DURATION_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
+    ENTRY_PROMISE_DURATION_PERCENT, PROMISE_DURATION_MS, VOTER_CHANGE_INTERVAL_MS, VOTER_TIMEOUT_MS,
 };
 use geraniumpost_schema::Name;
 
 /// How long an entry keeps a promise, on its own clock.
-const KEPT_PROMISE_MS: u64 = PROMISE_DURATION_MS * KEPT_PROMISE_PERCENT / 100;
+const ENTRY_PROMISE_DURATION_MS: u64 = PROMISE_DURATION_MS * ENTRY_PROMISE_DURATION_PERCENT / 100;
 const INCARNATION: u64 = 7;
 
 fn entry(number: usize) -> Name {
@@ -128,11 +128,11 @@
 fn released_promise_is_not_renewed() {
     let mut promises = Promises::default();
     assert!(promises.promise(5, 1_000));
-    assert_eq!(promises.release(8, 1_100), KEPT_PROMISE_MS - 100);
+    assert_eq!(promises.release(8, 1_100), ENTRY_PROMISE_DURATION_MS - 100);
     assert!(!promises.promise(5, 1_200) && !promises.promise(7, 1_200));
     assert!(promises.promise(8, 1_200));
-    assert_eq!(promises.release(8, 1_000 + KEPT_PROMISE_MS), 0);
-    assert_eq!(promises.release(9, 1_000 + KEPT_PROMISE_MS), 200);
+    assert_eq!(promises.release(8, 1_000 + ENTRY_PROMISE_DURATION_MS), 0);
+    assert_eq!(promises.release(9, 1_000 + ENTRY_PROMISE_DURATION_MS), 200);
 }
 
 /// A successor knows when its predecessor loses support as soon as the voters that have not
@@ -154,7 +154,7 @@
 fn restarted_voter_counts_as_a_promise_of_full_duration() {
     let mut releases = Releases::new(voters(1));
     releases.record(&entry(1), INCARNATION + 1, 0, 1_000);
-    assert_eq!(releases.support_end_ms(), Some(1_000 + KEPT_PROMISE_MS));
+    assert_eq!(releases.support_end_ms(), Some(1_000 + ENTRY_PROMISE_DURATION_MS));
 }
 
 /// A coordinator without voters may extend leases without the store, and no entry can report when
--- a/crates/geraniumpost-batch/tests/succession/fleet.rs
+++ b/crates/geraniumpost-batch/tests/succession/fleet.rs
@@ -14,13 +14,13 @@
 const SETTLE_DURATION_MS: u64 = 4_000;
 /// Interval between two pings of an entry, in milliseconds.
 const PING_INTERVAL_MS: u64 = 250;
-/// Interval between two confirmations by the store, in milliseconds.
+/// Interval between two requests for a confirmation by the store, in milliseconds.
 const CONFIRM_INTERVAL_MS: u64 = 600;
 /// Interval between two release requests to each entry, in milliseconds.
 const RELEASE_REQUEST_INTERVAL_MS: u64 = 300;
 /// Interval between two attempts to write the voters, in milliseconds.
 const VOTER_WRITE_INTERVAL_MS: u64 = 500;
-/// Average number of messages of which one is lost.
+/// On average, one in this many messages is lost.
 const MESSAGES_PER_LOSS: u32 = 12;
 
 /// Faults of processes, links and the connection to the store.
@@ -197,7 +197,7 @@
         }
     }
 
-    fn is_lost(&mut self) -> bool {
+    fn draw_loss(&mut self) -> bool {
         self.rng.random_ratio(1, MESSAGES_PER_LOSS)
     }
 
@@ -206,7 +206,7 @@
         self.cuts.retain(|(.., until_ms)| *until_ms > self.now_ms);
         let cut = self.cuts.iter().any(|(a, b, _)| (*a, *b) == (from, to));
         let at_ms = self.now_ms + self.delay_ms();
-        if !self.is_lost() && !cut {
+        if !self.draw_loss() && !cut {
             let incarnation = self.processes[to].incarnation;
             self.in_flight.push((at_ms, Some(to), incarnation, message));
         }
@@ -225,7 +225,7 @@
     /// Sends a response from the store to an entry, with a random delay. The response may be lost.
     fn respond(&mut self, to: usize, incarnation: u64, message: Message) {
         let at_ms = self.now_ms + self.delay_ms();
-        if !self.is_lost() && self.processes[to].store_cut_until_ms <= self.now_ms {
+        if !self.draw_loss() && self.processes[to].store_cut_until_ms <= self.now_ms {
             self.in_flight.push((at_ms, Some(to), incarnation, message));
         }
     }
--- a/crates/geraniumpost-batch/tests/succession/main.rs
+++ b/crates/geraniumpost-batch/tests/succession/main.rs
@@ -2,7 +2,8 @@
 //! time at which its successor assumes that the coordinator has stopped extending them.
 //!
 //! The rules are those of [`quorum`](geraniumpost_batch::quorum). Entries freeze and restart,
-//! messages are delayed, reordered and lost, the store responds late, and clocks run 2% apart.
+//! messages are delayed, reordered and lost, the store responds late, and each clock runs up to 1%
+//! fast or slow.
 
 mod fleet;
 mod process;
@@ -55,7 +56,7 @@
 /// extending leases, and coordinators that extend leases without the store. Otherwise the
 /// simulation would pass with wrong rules.
 #[test]
-fn simulation_covers_ends_and_extensions() {
+fn simulation_covers_lease_extensions_without_the_store() {
     let outcomes = (0..40).map(|seed| {
         let faults = [(4_000, Fault::StoreCut(0, 6_000)), (3_000, Fault::TakeOver(1))];
         Fleet::new(5, seed).run(&faults)
