--- a/crates/geraniumpost-batch/src/coordinator/leases.rs
+++ b/crates/geraniumpost-batch/src/coordinator/leases.rs
@@ -32,8 +32,8 @@
         let lease_ms = if extend { self.lease_ms } else { 0 };
         if extend {
             self.record_agent_reached(agent);
-            // The agent's lease begins when it sent the heartbeat, and so expires before this
-            // bound.
+            // The agent's lease begins when the agent sent the heartbeat, and so expires before
+            // this bound.
             let lease_expiry_ms = now.steady_ms + lease_expiry_bound_ms(lease_ms);
             let state = self.agents.entry(agent.clone()).or_default();
             state.lease_expiry_ms = state.lease_expiry_ms.max(lease_expiry_ms);
--- a/crates/geraniumpost-batch/src/coordinator/pacing.rs
+++ b/crates/geraniumpost-batch/src/coordinator/pacing.rs
@@ -29,8 +29,8 @@
     /// Sets the paces of best-effort tasks on a minion by the tail latencies of its serving tasks.
     ///
     /// A best-effort task that uses too much of a minion slows the serving tasks there, and only
-    /// their measured tail latency shows it. Learned interference determines which image to
-    /// throttle and how far. The user load is estimated by subtracting the interference of the
+    /// their measured tail latency shows the slowdown. Learned interference determines which image
+    /// to throttle and how far. The user load is estimated by subtracting the interference of the
     /// measured processor use from the measured utilization, so that a change of pace that has no
     /// visible effect yet is not made twice. If a tail latency stays over its bound nevertheless,
     /// all best-effort tasks on the minion are suspended.
@@ -102,11 +102,12 @@
         minion.runs.iter().filter(matches).copied().collect()
     }
 
-    /// Stops throttled tasks that another minion accepts, so that they continue there.
+    /// Stops throttled tasks that another minion accepts, so that the tasks continue on that
+    /// minion.
     ///
     /// A task is throttled when the user load of serving tasks on its minion rises after its
-    /// placement. Its job would be delayed while the load is high, although other minions have free
-    /// resources.
+    /// placement. The task's job would be delayed while the load is high, although other minions
+    /// have free resources.
     pub(super) fn move_throttled_tasks(&mut self, now: Now) {
         let throttled: Vec<TaskId> = self
             .runs
--- a/crates/geraniumpost-batch/src/coordinator/run.rs
+++ b/crates/geraniumpost-batch/src/coordinator/run.rs
@@ -131,9 +131,9 @@
         self.start_unresolved || self.starts_in_flight > 0
     }
 
-    /// Returns whether the minion has started the run or reports that it has ended. Results of
-    /// other copies of the start order do not change that, because a minion starts a run at most
-    /// once.
+    /// Returns whether the minion has started the run or reports that the run has ended. Results of
+    /// other copies of the start order do not change this state, because a minion starts a run at
+    /// most once.
     pub(super) const fn has_started(&self) -> bool {
         matches!(self.order, OrderState::Started { .. } | OrderState::Ended { .. })
     }
--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -74,7 +74,7 @@
         minion.is_some_and(|minion| minion.polled)
     }
 
-    /// Stops runs that make no progress, so that they continue elsewhere.
+    /// Stops runs that make no progress, so that their tasks continue on other minions.
     ///
     /// Tasks may stall on a minion that appears healthy otherwise. Their runs never end, and
     /// callers would wait forever. A run counts as stalled if its progress did not change from poll
--- a/crates/geraniumpost-batch/tests/interference.rs
+++ b/crates/geraniumpost-batch/tests/interference.rs
@@ -113,8 +113,8 @@
         prop_assert!((known - slope).abs() < 0.25, "estimated slope {known}, true slope {slope}");
     }
 
-    /// The load by a group's users must be separated from the effect of best-effort tasks, even if
-    /// the load has a different phase on each minion.
+    /// The user load of a group must be separated from the effect of best-effort tasks, even if the
+    /// user load has a different phase on each minion.
     #[test]
     fn user_loads_are_separated(
         slope in 0.0_f64..1.2,
--- a/crates/geraniumpost-batch/tests/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/tests/predecessor_leases.rs
@@ -46,7 +46,7 @@
 }
 
 /// A coordinator stops responding, recovers and takes over again. Its earlier term has ended, and
-/// it must not wait for the leases of that term.
+/// the coordinator must not wait for the leases of that term.
 #[test]
 fn coordinator_does_not_wait_for_itself() {
     let second =
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -38,8 +38,8 @@
     half_of_many_others_is_needed: 34 others => 17 support, 18 release;
 }
 
-/// For the coordinator a promise begins when it sent the pong that the entry responds to: a delayed
-/// response may arrive after the promise has expired.
+/// For the coordinator a promise begins when the coordinator sent the pong that the entry responds
+/// to: a delayed response may arrive after the promise has expired.
 #[test]
 fn promise_counts_from_the_sending_of_the_pong() {
     let mut support = Support::new(voters(2), 0);
@@ -50,8 +50,8 @@
     assert_eq!(support.supported_until_ms(), 5_000 + PROMISE_DURATION_MS);
 }
 
-/// A majority of the voters supports the coordinator until the first of the promises that are
-/// needed expires.
+/// A majority of the voters supports the coordinator until so many promises have expired that the
+/// remaining promises are no majority.
 #[test]
 fn majority_ends_with_its_first_expired_promise() {
     let mut support = Support::new(voters(4), 0);
