--- a/crates/geraniumpost-batch/src/interference/baseline.rs
+++ b/crates/geraniumpost-batch/src/interference/baseline.rs
@@ -1,15 +1,15 @@
 /// Variance of the error of a measured utilization.
 const MEASUREMENT_VARIANCE: f64 = 0.000_9;
-/// Growth of the variance of the estimated user load per second: the load changes by half within
-/// tens of seconds.
+/// Growth of the variance of the estimated user load per second: the user load changes by half
+/// within tens of seconds.
 const USER_LOAD_VARIANCE_PER_S: f64 = 0.003;
-/// Utilization by the users of serving tasks that is assumed before the first measurement.
+/// Utilization by user load that is assumed before the first measurement.
 const INITIAL_USER_UTILIZATION: f64 = 0.5;
 /// Variance of [`INITIAL_USER_UTILIZATION`] around the true value.
 const INITIAL_USER_UTILIZATION_VARIANCE: f64 = 0.06;
 
 /// Running means of the measurements of serving tasks that have the same users, for estimating the
-/// load by these users.
+/// user load.
 ///
 /// This is a one-dimensional Kalman filter for the user load. The measurements also contain the
 /// effect of best-effort tasks, whose slopes are learned at the same time. The filter therefore
@@ -68,7 +68,7 @@
         Deviation { utilization: deviation, shares: share_deviations, variance: expected }
     }
 
-    /// Returns the estimated utilization by the users, given the slopes of the best-effort images,
+    /// Returns the estimated utilization by user load, given the slopes of the best-effort images,
     /// plus a margin that grows with the uncertainty of the estimate.
     pub fn user_utilization(&self, slope: impl Fn(usize) -> f64) -> f64 {
         /// Number of standard deviations that are added to the estimate.
--- a/crates/geraniumpost-batch/src/interference/model.rs
+++ b/crates/geraniumpost-batch/src/interference/model.rs
@@ -60,8 +60,8 @@
         self.serving.get(image).unwrap_or(&unseen).utilization(tail_latency_ratio)
     }
 
-    /// Returns the estimated utilization of a group by its users, without the effect of best-effort
-    /// tasks.
+    /// Returns the estimated utilization of a group by its user load, without the effect of
+    /// best-effort tasks.
     pub fn user_utilization(&self, image: &Name, group: &ServingGroup) -> f64 {
         let unseen = ServingImage::default();
         self.serving.get(image).unwrap_or(&unseen).user_utilization(group)
--- a/crates/geraniumpost-batch/src/interference/serving_image.rs
+++ b/crates/geraniumpost-batch/src/interference/serving_image.rs
@@ -4,8 +4,8 @@
 use super::{Baseline, ServingGroup, Slope, Slopes};
 use crate::TaskId;
 
-/// Assumed tail latency of an idle serving task, as a multiple of its bound, until a lower one is
-/// measured.
+/// Assumed tail latency of an idle serving task, as a multiple of its bound, until a lower tail
+/// latency is measured.
 const INITIAL_IDLE_TAIL_LATENCY_RATIO: f64 = 0.2;
 /// Maximum utilization that is derived from a measurement. At a higher utilization a queue has
 /// built up, and the tail latency depends on the duration of the overload more than on its cause.
@@ -87,7 +87,8 @@
         self.slopes.observe(if step.is_load_even() { &of_step } else { &of_group });
     }
 
-    /// Returns the estimated utilization of a group by its users.
+    /// Returns the estimated utilization of a group by its user load, or a default estimate for an
+    /// unknown group.
     pub fn user_utilization(&self, group: &ServingGroup) -> f64 {
         let step = self.steps.get(&group.step).filter(|step| step.is_load_even());
         let baseline = step.map(|step| &step.baseline).or_else(|| self.groups.get(group));
--- a/crates/geraniumpost-batch/src/interference/slopes.rs
+++ b/crates/geraniumpost-batch/src/interference/slopes.rs
@@ -22,7 +22,7 @@
 
 impl Slopes {
     /// Returns the slope of the best-effort image with this index, or [`Slope::UNKNOWN`] if the
-    /// image has none yet.
+    /// image has no slope yet.
     pub fn get(&self, index: usize) -> Slope {
         match self.means.get(index) {
             Some(mean) => {
--- a/crates/geraniumpost-batch/tests/quorum.rs
+++ b/crates/geraniumpost-batch/tests/quorum.rs
@@ -51,7 +51,7 @@
 }
 
 /// A majority of the voters supports the coordinator until so many promises have expired that the
-/// remaining promises are no majority.
+/// remaining voters form no majority with the coordinator.
 #[test]
 fn majority_ends_with_its_first_expired_promise() {
     let mut support = Support::new(voters(4), 0);
