--- a/crates/geraniumpost-batch/src/coordinator/timers.rs
+++ b/crates/geraniumpost-batch/src/coordinator/timers.rs
@@ -74,7 +74,7 @@
         minion.is_some_and(|minion| minion.polled)
     }
 
-    /// Stops runs that make no progress, so that they continue elsewhere.
+    /// Stops runs that make no progress, so that their tasks continue on other minions.
     ///
     /// Tasks may stall on a minion that appears healthy otherwise. Their runs never end, and
     /// callers would wait forever. A run counts as stalled if its progress did not change from poll
@@ -122,7 +122,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            if !self.expired_jobs.contains(&id) && self.runs_of_job(id).is_empty() {
+            if !self.expired_jobs.contains(&id) && self.tasks_with_runs(id).is_empty() {
                 self.expired_jobs.push(id);
             }
         }
