--- a/crates/geraniumpost-core/src/placement/decide.rs
+++ b/crates/geraniumpost-core/src/placement/decide.rs
@@ -9,7 +9,7 @@
 use crate::Millis;
 
 /// Predicted p99, as a multiple of the target, above which a job waits for a better worker.
-const MAX_PREDICTED_P99: f64 = 0.85;
+const MAX_PREDICTED_P99_RATIO: f64 = 0.85;
 /// Predicted increase of the p99, as a multiple of the target, up to which a job starts without
 /// waiting for a better worker.
 const NEGLIGIBLE_INTERFERENCE: f64 = 0.02;
@@ -22,7 +22,7 @@
 const EXPLORE_ONE_IN: u32 = 50;
 /// Predicted p99, as a multiple of the target, below which a candidate other than the best may be
 /// used.
-const EXPLORE_MAX_P99: f64 = 0.7;
+const EXPLORE_MAX_P99_RATIO: f64 = 0.7;
 
 impl Placer {
     /// Returns the decisions on one job: any evictions for the job, then its start, wait, rejection
@@ -46,7 +46,7 @@
             self.release_reservation(request, planned);
             return vec![wait_decision(request, reason)];
         }
-        if self.cannot_fit(&context, planned) {
+        if self.can_skip_scan(&context, planned) {
             return vec![self.wait_or_reserve(&context, planned)];
         }
         let result = self.find_workers(&context, planned);
@@ -57,8 +57,8 @@
     }
 
     /// Returns the resources to reserve for a job: the estimate from measured usage, limited by the
-    /// quota and by the allowance with the most memory that fits the job, but at least the declared
-    /// need.
+    /// quota and by the largest allowance, in memory, among those that the declared need fits into.
+    /// The result is never below the declared need.
     fn reserved_need(&self, request: &PlacementRequest, fleet: &Fleet) -> Resources {
         let Some(largest) = fleet.largest_allowance_for(&request.need) else { return request.need };
         let quota =
@@ -83,10 +83,10 @@
 
     /// Returns whether the scan can be skipped, because no worker had capacity for a need that is
     /// no larger in any resource. Urgent jobs and jobs with a reservation are always scanned.
-    fn cannot_fit(&self, context: &JobContext<'_>, planned: &PlannedFleet) -> bool {
+    fn can_skip_scan(&self, context: &JobContext<'_>, planned: &PlannedFleet) -> bool {
         context.request.priority != Priority::Urgent
             && self.reservations.get(&context.request.job).is_none()
-            && planned.cannot_fit(&context.need)
+            && planned.is_known_unfit(&context.need)
     }
 
     /// Scores the workers with capacity that the job should not avoid. If there are none, workers
@@ -185,19 +185,19 @@
         Priority::Scavenger => SCAVENGER_MAX_WAIT_MS,
     };
     let waited = now.since(request.submitted.max(request.not_before));
-    best.predicted_p99 > MAX_PREDICTED_P99
+    best.predicted_p99 > MAX_PREDICTED_P99_RATIO
         && best.added_p99 > NEGLIGIBLE_INTERFERENCE
         && waited < max_wait_ms
 }
 
 /// Swaps a random candidate to the front in one of [`EXPLORE_ONE_IN`] calls, unless its predicted
-/// p99 is [`EXPLORE_MAX_P99`] or more.
+/// p99 is [`EXPLORE_MAX_P99_RATIO`] or more.
 fn explore<R: Rng + ?Sized>(ranked: &mut [ScoredWorker], rng: &mut R) {
     if ranked.len() < 2 || rng.random_range(0..EXPLORE_ONE_IN) != 0 {
         return;
     }
     let other = rng.random_range(1..ranked.len());
-    if ranked[other].predicted_p99 < EXPLORE_MAX_P99 {
+    if ranked[other].predicted_p99 < EXPLORE_MAX_P99_RATIO {
         ranked.swap(0, other);
     }
 }
--- a/crates/geraniumpost-core/src/placement/failure_attribution.rs
+++ b/crates/geraniumpost-core/src/placement/failure_attribution.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns how many more jobs may be started on `worker` now, or `None` if there is no limit.
-    pub fn job_limit(&self, worker: &Name) -> Option<u32> {
+    pub fn remaining_job_starts(&self, worker: &Name) -> Option<u32> {
         let record = self.workers.get(worker)?;
         let limit = record.unproven_run_limit()?;
         let running = self
@@ -117,7 +117,8 @@
         Some(limit.saturating_sub(running.count() as u32))
     }
 
-    /// Returns the workers for which [`job_limit`](Self::job_limit) returns a limit.
+    /// Returns the workers for which [`remaining_job_starts`](Self::remaining_job_starts) returns
+    /// a limit.
     pub fn limited_workers(&self) -> impl Iterator<Item = &Name> {
         self.workers.iter().filter(|(_, r)| r.unproven_run_limit().is_some()).map(|(name, _)| name)
     }
--- a/crates/geraniumpost-core/src/placement/interference_model.rs
+++ b/crates/geraniumpost-core/src/placement/interference_model.rs
@@ -47,7 +47,7 @@
 struct ServiceModel {
     ridge: RidgeRegression,
     /// Number of measurements since the last solution. A new model starts at
-    /// [`MEASUREMENTS_PER_SOLUTION`], so its first measurement is solved immediately.
+    /// [`MEASUREMENTS_PER_SOLUTION`], so the regression is solved right after the first measurement.
     unsolved_measurements: u32,
 }
 
--- a/crates/geraniumpost-core/src/placement/latency_control.rs
+++ b/crates/geraniumpost-core/src/placement/latency_control.rs
@@ -11,7 +11,7 @@
 /// Time for which latency must be high before a task is evicted.
 const EVICT_AFTER_MS: u64 = 20_000;
 /// Smoothed p99, as a multiple of the target, from which an eviction is worth its cost.
-const EVICT_MIN_P99: f64 = 1.3;
+const EVICT_MIN_P99_RATIO: f64 = 1.3;
 /// Time for which latency must be low before a task is sped up.
 const SPEED_UP_AFTER_MS: u64 = 8_000;
 /// Minimum time between two actions on a worker, because measurements show the effect of an action
@@ -23,7 +23,7 @@
 /// evicted.
 const MIN_INTERFERENCE: f64 = 0.05;
 /// Predicted p99, as a multiple of the target, up to which a task is sped up.
-const SPEED_UP_MAX_P99: f64 = 1.0;
+const SPEED_UP_MAX_P99_RATIO: f64 = 1.0;
 
 /// Decides whether to throttle, speed up or evict a task, to control the latency of the service on
 /// the worker's VM.
@@ -50,7 +50,8 @@
 
     /// Doubles the speed of the throttled task that interferes least, if latency has been low for
     /// [`SPEED_UP_AFTER_MS`], the last action was at least [`ACTION_INTERVAL_MS`] ago, the
-    /// predicted p99 stays within [`SPEED_UP_MAX_P99`], and the additional processors are free.
+    /// predicted p99 stays within [`SPEED_UP_MAX_P99_RATIO`], and the additional processors are
+    /// free.
     pub fn speed_up_if_low(&self) -> Option<Decision> {
         let low = self.latency.low_duration_ms(self.now)? >= SPEED_UP_AFTER_MS;
         if !low || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS {
@@ -60,7 +61,7 @@
         let by_interference = throttled.map(|task| (self.interference(task), task));
         let (interference, task) = by_interference.min_by(|a, b| a.0.total_cmp(&b.0))?;
         // At twice its speed the task interferes twice as much.
-        if self.latency.smoothed_p99 + interference > SPEED_UP_MAX_P99 {
+        if self.latency.smoothed_p99 + interference > SPEED_UP_MAX_P99_RATIO {
             return None;
         }
         let permille = (task.permille * 2).min(FULL_SPEED);
@@ -73,12 +74,12 @@
     }
 
     /// Evicts the task that interferes most among evictable tasks at the lowest speed, if latency
-    /// has been high for [`EVICT_AFTER_MS`], is at least [`EVICT_MIN_P99`], and the last action was
-    /// at least [`ACTION_INTERVAL_MS`] ago.
+    /// has been high for [`EVICT_AFTER_MS`], is at least [`EVICT_MIN_P99_RATIO`], and the last action
+    /// was at least [`ACTION_INTERVAL_MS`] ago.
     pub fn evict_if_high(&self) -> Option<Decision> {
         let high = self.latency.high_duration_ms(self.now)? >= EVICT_AFTER_MS;
         if !high
-            || self.latency.smoothed_p99 < EVICT_MIN_P99
+            || self.latency.smoothed_p99 < EVICT_MIN_P99_RATIO
             || self.now.since(self.latency.last_action) < ACTION_INTERVAL_MS
         {
             return None;
--- a/crates/geraniumpost-core/src/placement/mitigation.rs
+++ b/crates/geraniumpost-core/src/placement/mitigation.rs
@@ -13,7 +13,8 @@
 
 impl Placer {
     /// Throttles, speeds up or evicts tasks on workers whose service latency was measured since the
-    /// last call, and on VMs whose tasks use more than their allowance.
+    /// last call. Throttles or evicts tasks on VMs where a task was measured above its need since
+    /// the last call and the tasks together use more than is available to them.
     pub(super) fn mitigate(&mut self, now: Millis, fleet: &Fleet) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for worker in std::mem::take(&mut self.measured) {
@@ -36,7 +37,8 @@
         decisions
     }
 
-    /// Throttles or evicts one task on each VM whose tasks together use more than their allowance.
+    /// Throttles or evicts one task on each VM where a task was measured above its need and the
+    /// tasks together use more than the [`current_allowance`].
     fn mitigate_overuse(&mut self, now: Millis, fleet: &Fleet) -> Vec<Decision> {
         let over_need = std::mem::take(&mut self.over_need);
         let mut visited: BTreeSet<Name> = BTreeSet::new();
--- a/crates/geraniumpost-core/src/placement/no_capacity.rs
+++ b/crates/geraniumpost-core/src/placement/no_capacity.rs
@@ -79,7 +79,7 @@
         let avoided = self.avoided_workers(context);
         let is_allowed = |key: WorkerKey| {
             let row = planned.rows.iter().find(|row| row.key == key);
-            row.is_some_and(|row| row.job_limit > 0 && !row.is_reserved())
+            row.is_some_and(|row| row.remaining_job_starts > 0 && !row.is_reserved())
                 && !avoided.contains(&key)
         };
         let is_excluded = |job: &Name| self.evicting.contains_key(job);
@@ -152,7 +152,7 @@
         let available = planned
             .rows
             .iter()
-            .filter(|row| !row.is_reserved() && row.job_limit > 0 && could_fit(row.key));
+            .filter(|row| !row.is_reserved() && row.remaining_job_starts > 0 && could_fit(row.key));
         let shortfall = |row: &super::planned_fleet::PlannedWorker| {
             amounts::dominant_share(&amounts::minus(&context.need, &row.free), &context.need)
         };
--- a/crates/geraniumpost-core/src/placement/placer.rs
+++ b/crates/geraniumpost-core/src/placement/placer.rs
@@ -69,7 +69,7 @@
 const EVICTION_TIMEOUT_MS: u64 = 30_000;
 /// State of departed workers is dropped once latencies are kept for more than twice the number of
 /// workers plus this number.
-const CLEANUP_SURPLUS: usize = 64;
+const EXTRA_LATENCIES_BEFORE_CLEANUP: usize = 64;
 
 impl Placer {
     /// Creates a placer with the policy of `document` and without any measurements.
@@ -156,7 +156,7 @@
     /// reservations that have expired.
     fn forget_departed(&mut self, now: Millis, requests: &[PlacementRequest], fleet: &Fleet) {
         // VMs are replaced under new names, so the state of old VMs would accumulate.
-        if self.latencies.len() > fleet.rows().len() * 2 + CLEANUP_SURPLUS {
+        if self.latencies.len() > fleet.rows().len() * 2 + EXTRA_LATENCIES_BEFORE_CLEANUP {
             let is_present = |worker: &Name| fleet.worker(worker).is_some();
             self.latencies.retain(|worker, _| is_present(worker));
             self.history.retain_workers(is_present);
@@ -193,7 +193,7 @@
                 domain: row.domain,
                 load: f64::from(row.load_permille) / 1000.0,
                 forecast_p99,
-                job_limit: u32::MAX,
+                remaining_job_starts: u32::MAX,
                 reserved: amounts::NONE,
                 keeps_urgent_capacity: false,
             });
@@ -202,12 +202,13 @@
         planned
     }
 
-    /// Sets the job limits of workers with recent failures, and applies all reservations.
+    /// Limits the job starts on workers that are quarantined, being probed or have recent failures
+    /// of several jobs, and applies all reservations.
     fn apply_limits_and_reservations(&self, fleet: &Fleet, planned: &mut PlannedFleet) {
         let mut apply_limit = |name: &Name| {
             let key = fleet.key(name)?;
             let row = planned.rows.iter_mut().find(|row| row.key == key)?;
-            row.job_limit = self.failures.job_limit(name)?;
+            row.remaining_job_starts = self.failures.remaining_job_starts(name)?;
             Some(())
         };
         self.failures.limited_workers().for_each(|name| {
--- a/crates/geraniumpost-core/src/placement/planned_fleet.rs
+++ b/crates/geraniumpost-core/src/placement/planned_fleet.rs
@@ -43,7 +43,7 @@
     /// Predicted p99 of the worker's service with planned starts, as a multiple of the target.
     pub forecast_p99: f64,
     /// Maximum number of further jobs to start on the worker; `u32::MAX` if there is no limit.
-    pub job_limit: u32,
+    pub remaining_job_starts: u32,
     /// Capacity that is reserved for one waiting job; 0 of each resource if there is none.
     pub reserved: Resources,
     /// Whether the worker keeps [`PlannedFleet::urgent_capacity`] free.
@@ -62,8 +62,11 @@
     /// smallest shortfall of processors.
     pub fn reserve_for_urgent(&mut self, workers: usize, capacity: Resources) {
         self.urgent_capacity = capacity;
-        let available =
-            self.rows.iter().enumerate().filter(|(_, row)| !row.is_reserved() && row.job_limit > 0);
+        let available = self
+            .rows
+            .iter()
+            .enumerate()
+            .filter(|(_, row)| !row.is_reserved() && row.remaining_job_starts > 0);
         let mut shortfalls: Vec<(u64, usize)> = available
             .map(|(index, row)| (amounts::minus(&capacity, &row.free).milli_cpus, index))
             .collect();
@@ -98,7 +101,7 @@
         let row = &mut self.rows[index];
         row.free = amounts::minus(&row.free, need);
         row.forecast_p99 += added_p99;
-        row.job_limit -= 1;
+        row.remaining_job_starts -= 1;
         let (rack, domain) = (row.rack, row.domain);
         self.add_allocation(&request.customer, need);
         let counts_key = (request.customer.clone(), request.class.clone());
@@ -153,7 +156,7 @@
 
     /// Returns whether no worker has capacity for `need` because no worker had capacity for a need
     /// that is no larger in any resource.
-    pub fn cannot_fit(&self, need: &Resources) -> bool {
+    pub fn is_known_unfit(&self, need: &Resources) -> bool {
         self.unfit_needs.iter().any(|smaller| amounts::fits(smaller, need))
     }
 
--- a/crates/geraniumpost-core/src/placement/scan.rs
+++ b/crates/geraniumpost-core/src/placement/scan.rs
@@ -72,7 +72,7 @@
     }
 
     fn is_eligible(&self, row: &PlannedWorker, urgent_capacity: &Resources) -> bool {
-        row.job_limit > 0
+        row.remaining_job_starts > 0
             && amounts::fits(self.need, &row.free)
             && amounts::fits(&self.with_reservations(row, urgent_capacity), &row.free)
             && !self.skipped.contains(&row.key)
@@ -114,8 +114,8 @@
 /// Returns the cost of a p99, given as a multiple of the target.
 ///
 /// The cost is convex because an increase near the target is worse than an increase far below the
-/// target. Thus two noisy tasks are placed on two workers, and a noisy task where the service is
-/// idle.
+/// target. Two noisy tasks are therefore placed on different workers, and a single noisy task is
+/// placed on a worker whose service has little load.
 fn latency_cost(p99: f64) -> f64 {
     p99 * p99
 }
--- a/crates/geraniumpost-core/src/placement/smoothed_latency.rs
+++ b/crates/geraniumpost-core/src/placement/smoothed_latency.rs
@@ -3,9 +3,9 @@
 /// Weight of a new measurement in the exponentially smoothed values.
 const SMOOTHING: f64 = 0.3;
 /// Smoothed p99, as a multiple of the target, above which latency counts as high.
-const HIGH_THRESHOLD: f64 = 1.0;
+const HIGH_P99_RATIO: f64 = 1.0;
 /// Smoothed p99, as a multiple of the target, below which latency counts as low.
-const LOW_THRESHOLD: f64 = 0.85;
+const LOW_P99_RATIO: f64 = 0.85;
 
 /// Recent latency of a service on one worker. Between the two thresholds latency is neither high
 /// nor low, so that fluctuations around the target cause no action.
@@ -43,8 +43,8 @@
         self.smoothed_p99 += SMOOTHING * (p99 - self.smoothed_p99);
         self.excess += SMOOTHING * (excess - self.excess);
         self.high_since =
-            (self.smoothed_p99 > HIGH_THRESHOLD).then(|| self.high_since.unwrap_or(at));
-        self.low_since = (self.smoothed_p99 < LOW_THRESHOLD).then(|| self.low_since.unwrap_or(at));
+            (self.smoothed_p99 > HIGH_P99_RATIO).then(|| self.high_since.unwrap_or(at));
+        self.low_since = (self.smoothed_p99 < LOW_P99_RATIO).then(|| self.low_since.unwrap_or(at));
     }
 
     /// Returns the milliseconds for which latency has been high, or `None` if latency is not high.
--- a/crates/geraniumpost-core/src/placement/task_view.rs
+++ b/crates/geraniumpost-core/src/placement/task_view.rs
@@ -71,7 +71,8 @@
         self
     }
 
-    /// Sets the time of the latest checkpoint. An eviction loses the work since then.
+    /// Sets the time of the latest checkpoint. An eviction loses the work since then if no further
+    /// checkpoint succeeds.
     #[must_use]
     pub const fn checkpointed(mut self, at: Millis) -> Self {
         self.checkpointed = at;
--- a/crates/geraniumpost-core/src/placement/usage_estimates.rs
+++ b/crates/geraniumpost-core/src/placement/usage_estimates.rs
@@ -8,9 +8,9 @@
 /// Estimates needs of jobs from the measured usage of recent jobs of the same customer and class.
 ///
 /// Declared needs are often far too low. A class that always uses twice its declared memory would
-/// fill VMs beyond their memory, and the kernel would kill tasks. The next job of the same customer
-/// and class therefore gets the memory that sufficed for 85 % of the recent jobs and the processors
-/// that sufficed for half of them.
+/// fill VMs beyond their memory, and the kernel would kill tasks. The declared need of the next job
+/// of the same customer and class is therefore multiplied by the ratio of used to declared
+/// resources that sufficed for 85 % of the recent jobs (memory) or for half of them (processors).
 #[derive(Debug, Clone, Default)]
 pub struct UsageEstimates {
     /// Samples by customer and class.
--- a/crates/geraniumpost-core/src/placement/usage_sample.rs
+++ b/crates/geraniumpost-core/src/placement/usage_sample.rs
@@ -2,7 +2,7 @@
 
 use geraniumpost_schema::{Name, Resources};
 
-/// Maximum number of tasks in a sample.
+/// Number of latest tasks from which usage is estimated; a new task replaces the oldest.
 const MAX_SAMPLED_TASKS: usize = 32;
 /// Minimum number of tasks for an estimate; with fewer tasks the declared need is used.
 const MIN_SAMPLED_TASKS: usize = 3;
--- a/crates/geraniumpost-core/src/placement/worker_record.rs
+++ b/crates/geraniumpost-core/src/placement/worker_record.rs
@@ -8,11 +8,11 @@
 /// Number of different jobs whose failures quarantine a worker even while it has unproven runs.
 const FAILED_JOBS_TO_QUARANTINE_ALWAYS: usize = 6;
 /// A run counts as a success once it has lasted this many times as long as the longest failed run.
-const SUCCESS_FACTOR: u64 = 2;
+const SUCCESS_DURATION_FACTOR: u64 = 2;
 /// Lower limit of the time after which a run counts as a success.
-const MIN_SUCCESS_MS: u64 = 5_000;
+const MIN_SUCCESS_DURATION_MS: u64 = 5_000;
 /// Upper limit of the time after which a run counts as a success.
-const MAX_SUCCESS_MS: u64 = 120_000;
+const MAX_SUCCESS_DURATION_MS: u64 = 120_000;
 /// Number of different failed jobs from which a trusted worker may have only one unproven run at a
 /// time.
 const FAILED_JOBS_TO_LIMIT_RUNS: usize = 2;
@@ -78,7 +78,8 @@
     /// Returns the duration in milliseconds from which a run counts as a success of the worker.
     pub fn success_after_ms(&self) -> u64 {
         let longest = self.failures.iter().map(|failure| failure.at.since(failure.started)).max();
-        (longest.unwrap_or(0) * SUCCESS_FACTOR).clamp(MIN_SUCCESS_MS, MAX_SUCCESS_MS)
+        (longest.unwrap_or(0) * SUCCESS_DURATION_FACTOR)
+            .clamp(MIN_SUCCESS_DURATION_MS, MAX_SUCCESS_DURATION_MS)
     }
 
     /// Records the success of a run that began at `started`. On a trusted worker this removes the
@@ -92,7 +93,7 @@
     }
 
     /// Updates the trust state, and returns the new state if there was a change. `has_unproven_run`
-    /// is whether a current run of the worker [is unproven](Self::is_unproven).
+    /// says whether any current run of the worker [is unproven](Self::is_unproven).
     pub fn update_trust(&mut self, now: Millis, has_unproven_run: bool) -> Option<TrustState> {
         self.failures.retain(|failure| now.since(failure.at) < FAILURE_WINDOW_MS);
         let next = self.next_state(now, has_unproven_run);
--- a/crates/geraniumpost-core/src/placement/worker_row.rs
+++ b/crates/geraniumpost-core/src/placement/worker_row.rs
@@ -19,7 +19,8 @@
     pub domain: u32,
     /// Busy share of the minion's slots, in thousandths.
     pub load_permille: u32,
-    /// Version that each change of the worker increases, by which cached values are validated.
+    /// Value of the fleet's change counter at the last change of this worker. A cached value is
+    /// valid while its version equals this one.
     pub version: u64,
     /// Whether jobs may be started on the worker, because its state is [`WorkerState::Healthy`].
     pub accepts_work: bool,
--- a/crates/geraniumpost-core/src/requests/ask_reply.rs
+++ b/crates/geraniumpost-core/src/requests/ask_reply.rs
@@ -1,10 +1,11 @@
 use geraniumpost_schema::{AskVerdict, RequestId};
 
-/// Reply of an agent to a query about an attempt.
+/// Reply of an agent to a query about an attempt or an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AskReply<A> {
-    /// The attempt has not started and never will, because the query barred it. The agent must
-    /// remove it from the queue, and refuse the attempts in `joined`, which waited for its answer.
+    /// The attempt has not started and never will, because the query prevents a later start. The
+    /// agent must remove the attempt from the queue, and refuse the attempts in `joined`, which
+    /// waited for its answer.
     NeverStarted {
         /// Attempts with the same key, which must be refused as not run.
         joined: Vec<RequestId>,
--- a/crates/geraniumpost-core/src/requests/attempt_event.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_event.rs
@@ -1,7 +1,7 @@
 use geraniumpost_schema::{AskVerdict, Outcome};
 
 /// Event that an entry observes for the current attempt of a request, from which
-/// [`super::RetryPolicy`] decides the next action.
+/// [`super::RetryPolicy`] decides the next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
     /// Routing found no agent that accepts the request.
--- a/crates/geraniumpost-core/src/requests/attempt_ledger.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_ledger.rs
@@ -85,7 +85,7 @@
         if !key.is_empty() {
             match self.keys.status(key) {
                 KeyStatus::First(first) => return self.join(id, first),
-                KeyStatus::Expired => return self.record_unknown_repeat(id),
+                KeyStatus::Expired => return self.record_attempt_with_expired_key(id),
                 KeyStatus::New | KeyStatus::PossiblyForgotten => {}
             }
         }
@@ -242,8 +242,8 @@
     }
 
     /// Records an attempt whose key has expired; the request may have run already.
-    fn record_unknown_repeat(&mut self, id: RequestId) -> Admission<A> {
-        self.records.insert(id, AttemptRecord::new(AttemptState::UnknownRepeat));
+    fn record_attempt_with_expired_key(&mut self, id: RequestId) -> Admission<A> {
+        self.records.insert(id, AttemptRecord::new(AttemptState::KeyExpired));
         self.record_ended(id, &[]);
         Admission::Forgotten
     }
@@ -254,7 +254,7 @@
             Some(AttemptState::Finished(Some(answer))) => AskReply::Finished(answer.clone()),
             Some(AttemptState::Barred) => AskReply::NeverStarted { joined: Vec::new() },
             Some(AttemptState::Finished(None)) => AskReply::AnswerLost,
-            Some(AttemptState::Joined(_) | AttemptState::UnknownRepeat) | None => AskReply::Unknown,
+            Some(AttemptState::Joined(_) | AttemptState::KeyExpired) | None => AskReply::Unknown,
         }
     }
 
--- a/crates/geraniumpost-core/src/requests/attempt_record.rs
+++ b/crates/geraniumpost-core/src/requests/attempt_record.rs
@@ -15,7 +15,7 @@
     Joined(RequestId),
     /// The key has been used by an attempt that may have run and is no longer recorded, so this
     /// attempt does not run.
-    UnknownRepeat,
+    KeyExpired,
 }
 
 /// State of an attempt, and the attempts with the same key that wait for its answer.
--- a/crates/geraniumpost-core/src/requests/fair_queue.rs
+++ b/crates/geraniumpost-core/src/requests/fair_queue.rs
@@ -366,8 +366,9 @@
         self.reserve.allows_long_request(running_long, self.limits.slots)
     }
 
-    /// Whether at most one slot is free and the customer `key`, which already uses its share of the
-    /// slots, must leave it to other active customers.
+    /// Whether the last free slot is denied to the customer `key`, because both its running
+    /// requests and its smoothed use of slots have reached its share among the active customers.
+    /// Never with fewer than [`MIN_SLOTS_FOR_RESERVE`] slots.
     ///
     /// Requests of equal length that start together also end together. Without a reserved slot, a
     /// request of a customer with little load would wait for up to a full run of the others.
--- a/crates/geraniumpost-core/src/requests/membership.rs
+++ b/crates/geraniumpost-core/src/requests/membership.rs
@@ -55,7 +55,7 @@
     /// Records that the incarnation `incarnation` of `agent` announced over a link that it is
     /// draining. Returns whether a new snapshot must be published.
     pub fn mark_draining(&mut self, agent: &str, incarnation: u64) -> bool {
-        let Some(member) = self.find_incarnation(agent, incarnation) else { return false };
+        let Some(member) = self.find_member_if_current(agent, incarnation) else { return false };
         let previous = std::mem::replace(&mut member.heartbeat.state, AgentState::Draining);
         previous != AgentState::Draining
     }
@@ -63,7 +63,7 @@
     /// Records whether a link to the incarnation `incarnation` of `agent` is up. Returns whether a
     /// new snapshot must be published.
     pub fn set_connected(&mut self, agent: &str, incarnation: u64, connected: bool) -> bool {
-        let Some(member) = self.find_incarnation(agent, incarnation) else { return false };
+        let Some(member) = self.find_member_if_current(agent, incarnation) else { return false };
         std::mem::replace(&mut member.connected, connected) != connected
     }
 
@@ -101,7 +101,7 @@
         self.members.get_mut(*self.by_name.get(agent)?)
     }
 
-    fn find_incarnation(&mut self, agent: &str, incarnation: u64) -> Option<&mut Member> {
+    fn find_member_if_current(&mut self, agent: &str, incarnation: u64) -> Option<&mut Member> {
         self.find_member(agent).filter(|member| member.heartbeat.incarnation == incarnation)
     }
 }
--- a/crates/geraniumpost-core/src/requests/next_step.rs
+++ b/crates/geraniumpost-core/src/requests/next_step.rs
@@ -2,7 +2,7 @@
 
 use crate::ResultCode;
 
-/// Next action of an entry for a request. `Display` gives the text for the log.
+/// Next step of an entry for a request. `Display` gives the text for the log.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Return the answer of the minion to the caller.
--- a/crates/geraniumpost-core/src/requests/peer_load.rs
+++ b/crates/geraniumpost-core/src/requests/peer_load.rs
@@ -3,8 +3,9 @@
 /// Service time in microseconds that is assumed when no agent has reported a service time.
 const UNKNOWN_SERVICE_US: u64 = 10_000;
 
-/// Load of the candidates of a routing decision as a whole, which replaces outdated or doubtful
-/// reports of single agents.
+/// Mean number of requests of other entries and shortest reported service time of the candidates of
+/// a routing decision. The mean replaces old reports of single agents; the shortest time replaces
+/// missing service times and those up to twice as long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerLoad {
     others_in_flight: u64,
--- a/crates/geraniumpost-core/src/requests/permit.rs
+++ b/crates/geraniumpost-core/src/requests/permit.rs
@@ -2,7 +2,8 @@
 
 use super::CustomerLimiter;
 
-/// A request of a customer counts as in flight at the entry until its permit is dropped.
+/// Permission for one request of a customer, which counts as in flight at the entry until the
+/// permit is dropped.
 #[derive(Debug)]
 pub struct Permit(Arc<CustomerLimiter>);
 
--- a/crates/geraniumpost-core/src/requests/retry_policy.rs
+++ b/crates/geraniumpost-core/src/requests/retry_policy.rs
@@ -15,7 +15,7 @@
     Budget,
 }
 
-/// State of one request at an entry, which decides the next action after each event.
+/// State of one request at an entry, which decides the next step after each event.
 ///
 /// A request is reported as "not run" only if no attempt can have run. As soon as any attempt may
 /// have run, later refusals are no longer reported as "not run". When the entry gives up, the
@@ -70,7 +70,7 @@
         self.attempts
     }
 
-    /// Records an event of the current attempt and returns the next action.
+    /// Records an event of the current attempt and returns the next step.
     ///
     /// `budget` withdraws one retry from the [`super::RetryBudget`] and returns whether a retry was
     /// available. `budget` is called at most once, and only if a retry would increase the load of
@@ -133,9 +133,10 @@
         self.retry_or_answer(RetryCost::Free, now, budget)
     }
 
-    /// Sends an idempotent request to another agent immediately if attempts, time and budget allow,
-    /// which is faster than a query. Otherwise queries the agent, which adds no load to the
-    /// minions, or gives up if the queries or the time are used up.
+    /// Returns the next step after the link to the agent was lost. For an idempotent request this
+    /// is a new attempt at another agent if attempts, time and budget allow, because that is faster
+    /// than a query. Otherwise it is a query, which adds no load to the minions, or the final
+    /// failure if the queries or the time are used up.
     fn on_link_lost(&mut self, now: Millis, budget: impl FnOnce() -> bool) -> NextStep {
         self.may_have_run = true;
         let may_resend = self.kind == RequestKind::Idempotent && self.may_retry(now);
--- a/crates/geraniumpost-core/src/requests/sequence_floors.rs
+++ b/crates/geraniumpost-core/src/requests/sequence_floors.rs
@@ -4,7 +4,7 @@
 
 /// Maximum number of entry incarnations in [`SequenceFloors`]. Once attempts of more incarnations
 /// are dropped, any attempt of an untracked incarnation counts as possibly dropped.
-const MAX_TRACKED_ENTRIES: usize = 65_536;
+const MAX_TRACKED_ENTRY_INCARNATIONS: usize = 65_536;
 
 /// Highest sequence number of the dropped attempts of each entry.
 ///
@@ -22,7 +22,7 @@
     /// Records that `id` was dropped from the ledger.
     pub(super) fn record_dropped(&mut self, id: RequestId) {
         let is_tracked = self.floors.contains_key(&id.entry);
-        if !is_tracked && self.floors.len() >= MAX_TRACKED_ENTRIES {
+        if !is_tracked && self.floors.len() >= MAX_TRACKED_ENTRY_INCARNATIONS {
             self.overflowed = true;
             return;
         }
--- a/crates/geraniumpost-core/src/requests/service_view.rs
+++ b/crates/geraniumpost-core/src/requests/service_view.rs
@@ -18,8 +18,7 @@
     /// Groups the `agents` of one service by distance from `here`, the location of the entry.
     ///
     /// Agents that are not routable are omitted from the tiers, so that a routing decision need not
-    /// search for routable agents. The duration of a decision does not grow with the number of
-    /// agents: 570 agents take as long as 11.
+    /// search for them. A decision therefore takes as long with 570 routable agents as with 11.
     pub fn new(agents: Vec<Arc<AgentView>>, here: &Location) -> Self {
         let mut view = Self::default();
         for (index, agent) in agents.iter().enumerate() {
--- a/crates/geraniumpost-core/src/requests/slot_reserve.rs
+++ b/crates/geraniumpost-core/src/requests/slot_reserve.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Whether requests with this mean service time count as long.
+    /// Whether `mean_us` is more than [`LONG_REQUEST_FACTOR`] times the shortest mean service time
+    /// of the active customers.
     pub(super) const fn is_long(&self, mean_us: u64) -> bool {
         mean_us / LONG_REQUEST_FACTOR > self.shortest_mean_us
     }
--- a/crates/geraniumpost-core/tests/placement_interference.rs
+++ b/crates/geraniumpost-core/tests/placement_interference.rs
@@ -22,7 +22,8 @@
 }
 
 /// Runs tasks of a noisy class (`study`) and a quiet class (`logs`) in turns on `w1`. Each
-/// measurement arrives five seconds late, when a task of the other class is running.
+/// measurement of `w1` within the turns arrives five seconds late, when a task of the other class
+/// is running.
 fn learn_interference(planner: &mut TestPlanner) {
     let (noisy, quiet) = (
         normal_request("noisy", "study", HALF_WORKER),
--- a/crates/geraniumpost-core/tests/requests_fair_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_fair_queue.rs
@@ -135,9 +135,9 @@
             for [actual, expected] in pair.step(&step) {
                 prop_assert_eq!(actual, expected, "{:?}", step);
             }
-            let sizes = (pair.queue.running(), pair.queue.queued());
-            prop_assert_eq!(sizes, pair.reference.sizes());
-            prop_assert!(sizes.0 <= slots && sizes.1 <= queue_capacity);
+            let counts = (pair.queue.running(), pair.queue.queued());
+            prop_assert_eq!(counts, pair.reference.running_and_waiting_counts());
+            prop_assert!(counts.0 <= slots && counts.1 <= queue_capacity);
         }
     }
 }
--- a/crates/geraniumpost-core/tests/requests_ledger.rs
+++ b/crates/geraniumpost-core/tests/requests_ledger.rs
@@ -260,8 +260,9 @@
     }
 }
 
-/// A badge print runs, and so many attempts follow that the ledger drops its record. If a query
-/// over a new link then got the reply "never started", the badge would be printed a second time.
+/// A badge print runs, and so many attempts follow that the ledger drops the record of the print.
+/// If a query over a new link then got the reply "never started", the badge would be printed a
+/// second time.
 #[test]
 fn a_dropped_attempt_is_unknown_and_not_never_started() {
     let mut ledger = AttemptLedger::<u64>::new(OWN_INCARNATION, LedgerLimits::new().records(4));
--- a/crates/geraniumpost-core/tests/requests_retry.rs
+++ b/crates/geraniumpost-core/tests/requests_retry.rs
@@ -84,8 +84,8 @@
     events
 }
 
-/// Last action for a request, and the numbers of attempts that may have run, of all attempts and of
-/// calls to the retry budget until then.
+/// Result of one simulated request: the last step, how many attempts were made, how many of these
+/// may have run, and how often the retry budget was asked.
 #[derive(Debug)]
 struct RequestOutcome {
     last: NextStep,
@@ -94,7 +94,7 @@
     budget_calls: u32,
 }
 
-/// Passes events of the attempts to `decide` until it returns a final action. The budget allows
+/// Passes events of the attempts to `decide` until it returns a final step. The budget allows
 /// `budget_limit` retries.
 fn simulate(
     attempts: &[Attempt],
--- a/crates/geraniumpost-core/tests/requests_routing.rs
+++ b/crates/geraniumpost-core/tests/requests_routing.rs
@@ -380,8 +380,8 @@
     assert_eq!(Router::default().choose(service, &query, &mut rng).unwrap_err(), NoAgent::AllTried);
 }
 
-/// A failing minion has been repaired. Its agent must get its share of requests again, and earlier
-/// ejections must not lengthen later delays.
+/// A failing minion has been repaired. Its agent must get its share of requests again, and the
+/// earlier ejection must not lengthen the probe delay of an ejection a minute later.
 #[test]
 fn a_repaired_agent_is_restored() {
     let snapshot = fleet(3);
--- a/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
+++ b/crates/geraniumpost-core/tests/requests_support/reference_queue.rs
@@ -77,7 +77,7 @@
         Self { slots, queue_capacity, ..Self::default() }
     }
 
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn running_and_waiting_counts(&self) -> (usize, usize) {
         (self.running.len(), self.waiting.len())
     }
 
@@ -101,7 +101,7 @@
             return vec![Decision::Refuse(sequence, Refusal::Deadline, 1)];
         }
         self.now_ms = now_ms;
-        let customer = self.customer(customer_id, weight);
+        let customer = self.find_or_add_customer(customer_id, weight);
         self.customers[customer].last_request_ms = now_ms;
         let request = QueuedRequest { sequence, customer, deadline_ms };
         if self.queued(customer) == 0 && self.may_start(customer) {
@@ -196,7 +196,7 @@
         }
     }
 
-    fn customer(&mut self, id: usize, weight: u64) -> usize {
+    fn find_or_add_customer(&mut self, id: usize, weight: u64) -> usize {
         let known = self.customers.iter().position(|other| other.id == id);
         known.unwrap_or_else(|| {
             let service_times = self.service_times;
@@ -273,7 +273,7 @@
         self.waiting.iter().filter(|request| request.customer == customer).count() as u64
     }
 
-    fn occupancy(&self, customer: usize, additional: u64) -> u64 {
+    fn weighted_request_count(&self, customer: usize, additional: u64) -> u64 {
         let running = self.running.iter().filter(|run| run.1 == customer).count() as u64;
         (self.queued(customer) + running + additional) * 1024 / self.customers[customer].weight
     }
@@ -281,8 +281,10 @@
     fn displaced_by(&self, newcomer: usize) -> Option<u64> {
         let furthest_above = (0..self.customers.len())
             .filter(|&customer| self.queued(customer) > 0)
-            .max_by_key(|&customer| (self.occupancy(customer, 0), customer))?;
-        if self.occupancy(furthest_above, 0) <= self.occupancy(newcomer, 1) {
+            .max_by_key(|&customer| (self.weighted_request_count(customer, 0), customer))?;
+        if self.weighted_request_count(furthest_above, 0)
+            <= self.weighted_request_count(newcomer, 1)
+        {
             return None;
         }
         self.waiting
