--- a/crates/geraniumpost-batch/src/interference/baseline.rs
+++ b/crates/geraniumpost-batch/src/interference/baseline.rs
@@ -31,7 +31,7 @@
 /// running means.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Deviation {
-    /// Deviation of the utilization.
+    /// Measured utilization minus its running mean before the update, as a share of the time.
     pub utilization: f64,
     /// Deviation of the processor share, by index of the best-effort image.
     pub shares: Vec<f64>,
--- a/crates/geraniumpost-batch/src/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/src/predecessor_leases.rs
@@ -79,7 +79,7 @@
     /// Returns these leases without the unreached agents. A running coordinator stores this form,
     /// because it may still reach any of these agents and extend their leases.
     #[must_use]
-    pub fn while_coordinating(mut self) -> Self {
+    pub fn without_unreached(mut self) -> Self {
         self.unreached.clear();
         self
     }
--- a/crates/geraniumpost-batch/tests/coordinator/contention.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/contention.rs
@@ -64,7 +64,7 @@
 /// Tasks of two best-effort images run at full speed on m1, but on m2 only `logs` tasks do. If a
 /// `logs` task took m1, the job of the `study` image would find no minion and wait.
 #[test]
-fn images_leave_capacity_to_those_with_no_alternative() {
+fn minion_is_left_to_tasks_that_fit_nowhere_else() {
     let mut cluster = cluster_with_interference(&[
         ("kiosk", "logs", 0.0),
         ("gate", "logs", 0.7),
--- a/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
+++ b/crates/geraniumpost-batch/tests/coordinator/simulation/succession.rs
@@ -160,7 +160,7 @@
         let leases = predecessor_leases.after_takeover(silent, own_address, LEASE_MS);
         self.cluster.take_over_with(&leases);
         self.entries.take_over(silent.map(|(address, _)| address), self.cluster.now.steady_ms);
-        self.succession.predecessor_leases = leases.while_coordinating();
+        self.succession.predecessor_leases = leases.without_unreached();
         self.succession.next_query_ms = self.cluster.now.steady_ms + PREDECESSOR_QUERY_INTERVAL_MS;
         self.trace(&format!("coordinator has taken over after {:?}", vacancy.loss));
         let mut next_link_ms = vacancy.relink_ms.max(self.cluster.now.steady_ms) + 200;
--- a/crates/geraniumpost-batch/tests/predecessor_leases.rs
+++ b/crates/geraniumpost-batch/tests/predecessor_leases.rs
@@ -64,7 +64,7 @@
     reported.unreached.insert("agent-1".into(), 2_000);
     let planned = reported.clone().aged_by(500).after_takeover(None, address(2), LEASE_MS);
     assert_eq!(planned.unreached.get("agent-1"), Some(&1_500));
-    assert!(planned.while_coordinating().unreached.is_empty());
+    assert!(planned.without_unreached().unreached.is_empty());
     assert!(
         reported.after_takeover(Some((address(1), 1)), address(2), LEASE_MS).unreached.is_empty()
     );
--- a/crates/geraniumpost-core/src/jobs/job_spec.rs
+++ b/crates/geraniumpost-core/src/jobs/job_spec.rs
@@ -21,7 +21,7 @@
 }
 
 impl JobSpec {
-    /// Returns whether the id is safe in paths, store keys and log lines.
+    /// Returns whether the id has 1 to 128 ASCII letters, digits, dots, dashes or underscores.
     pub fn has_valid_id(&self) -> bool {
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
         (1..=MAX_ID_BYTES).contains(&self.id.len()) && self.id.bytes().all(allowed)
--- a/crates/geraniumpost-core/src/jobs/ledger/lists.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/lists.rs
@@ -29,7 +29,7 @@
             return;
         }
         self.adoption = self.adoption.after_list(requested_at, self.config.settle_ms);
-        if self.is_complete() && std::mem::take(&mut self.inventory_requested) {
+        if self.is_adoption_complete() && std::mem::take(&mut self.inventory_requested) {
             actions.push(self.inventory_action());
         }
     }
--- a/crates/geraniumpost-core/src/jobs/ledger/orders.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/orders.rs
@@ -19,7 +19,7 @@
         if !self.accept_term(term) {
             return;
         }
-        if self.is_complete() {
+        if self.is_adoption_complete() {
             actions.push(self.inventory_action());
         } else {
             self.inventory_requested = true;
@@ -32,7 +32,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accept_term(start.term) || !self.is_complete() {
+        if !self.accept_term(start.term) || !self.is_adoption_complete() {
             return;
         }
         if self.knows_epoch(&start.job, start.epoch) {
@@ -133,7 +133,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accept_term(order.term) || !self.is_complete() {
+        if !self.accept_term(order.term) || !self.is_adoption_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
@@ -161,7 +161,7 @@
         now: Millis,
         actions: &mut Vec<LedgerAction>,
     ) {
-        if !self.accept_term(order.term) || !self.is_complete() {
+        if !self.accept_term(order.term) || !self.is_adoption_complete() {
             return;
         }
         let Some(task) = self.tasks.get_mut(&order.job).filter(|t| t.epoch == order.epoch) else {
@@ -190,7 +190,7 @@
             return;
         }
         let task = self.tasks.get(&order.job).filter(|task| task.epoch == order.epoch);
-        if task.is_some_and(|task| task.phase.should_continue()) {
+        if task.is_some_and(|task| task.phase.is_before_stop()) {
             let (job, epoch) = (order.job.clone(), order.epoch);
             actions.push(LedgerAction::Throttle { job, epoch, permille: order.permille });
         }
--- a/crates/geraniumpost-core/src/jobs/ledger/phase.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/phase.rs
@@ -22,8 +22,10 @@
         !matches!(self, Self::Ended(_))
     }
 
-    /// Returns whether the task is meant to continue, so that its lease is renewed.
-    pub(super) const fn should_continue(self) -> bool {
+    /// Returns whether the task has neither ended nor begun to stop. Once the worker has confirmed
+    /// the start, the lease of such a task is renewed, even while it writes a checkpoint before its
+    /// eviction.
+    pub(super) const fn is_before_stop(self) -> bool {
         matches!(self, Self::Starting | Self::Running | Self::Checkpointing)
     }
 
--- a/crates/geraniumpost-core/src/jobs/ledger/tick.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/tick.rs
@@ -31,7 +31,7 @@
 
     fn renew_tasks(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let interval = self.config.worker_lease_ms / 3;
-        for task in self.tasks.values_mut().filter(|task| task.phase.should_continue()) {
+        for task in self.tasks.values_mut().filter(|task| task.phase.is_before_stop()) {
             if task.phase != Phase::Starting && now.since(task.last_renewal) >= interval {
                 task.last_renewal = now;
                 actions.push(LedgerAction::Renew { job: task.job.clone(), epoch: task.epoch });
@@ -83,7 +83,7 @@
     ///
     /// The next planner relies on this: it assigns the jobs to other workers after that time.
     fn stop_without_lease(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
-        for task in self.tasks.values_mut().filter(|task| task.phase.should_continue()) {
+        for task in self.tasks.values_mut().filter(|task| task.phase.is_before_stop()) {
             self.counters.lease_expired += 1;
             if task.begin_stop(TaskState::Lapsed, now, &self.config) {
                 actions.push(LedgerAction::Stop { job: task.job.clone(), epoch: task.epoch });
@@ -143,7 +143,7 @@
     /// repeating its start orders, which contain the sizes.
     fn request_sizes(&mut self, now: Millis, actions: &mut Vec<LedgerAction>) {
         let due = now.since(self.last_size_request) >= self.config.repeat_interval_ms;
-        if due && self.is_complete() && self.has_task_without_size() {
+        if due && self.is_adoption_complete() && self.has_task_without_size() {
             self.last_size_request = now;
             actions.push(self.inventory_action());
         }
--- a/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
+++ b/crates/geraniumpost-core/src/jobs/ledger/vm_ledger.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns whether the adoption of the worker's tasks is complete.
-    pub fn is_complete(&self) -> bool {
+    pub fn is_adoption_complete(&self) -> bool {
         self.adoption == Adoption::Complete
     }
 
--- a/crates/geraniumpost-core/tests/jobs_lease.rs
+++ b/crates/geraniumpost-core/tests/jobs_lease.rs
@@ -32,7 +32,7 @@
     assert_matches!(&acquired[..], [LeaseAction::Acquired(takeover)] => takeover.clone())
 }
 
-fn new_leader() -> PlannerLease {
+fn acquired_lease() -> PlannerLease {
     let mut lease = PlannerLease::new(holder(1), CONFIG);
     acquire(&mut lease, None, 1_000);
     lease
@@ -51,7 +51,7 @@
 // checked its clock, two planners would assign jobs.
 #[test]
 fn a_holder_paused_past_its_lease_loses_its_role() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     assert_eq!(lease.role(Millis(6_999)), LeaseRole::Leader { term: 1 });
     assert_eq!(lease.role(Millis(7_000)), LeaseRole::Disconnected { term: 1 });
     assert_eq!(lease.role(Millis(61_000)), LeaseRole::Follower);
@@ -63,7 +63,7 @@
 // renewal; a holder that counted from the response would assume a lease that has expired.
 #[test]
 fn a_renewal_counts_from_when_it_was_sent() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     let renewal = lease.handle(LeaseEvent::Tick, Millis(3_000));
     assert_eq!(renewal, [LeaseAction::KeepAlive { lease: 5 }]);
     lease.handle(LeaseEvent::KeptAlive(true), Millis(6_500));
@@ -75,7 +75,7 @@
 // holder must stop assigning at once, while running tasks continue.
 #[test]
 fn a_lease_unknown_to_the_store_ends_assignment_at_once() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     lease.handle(LeaseEvent::Tick, Millis(3_000));
     lease.handle(LeaseEvent::KeptAlive(false), Millis(3_100));
     assert_eq!(lease.role(Millis(3_100)), LeaseRole::Disconnected { term: 1 });
@@ -85,7 +85,7 @@
 // its own term, a takeover would disturb running tasks without need.
 #[test]
 fn a_holder_resumes_its_term_after_a_store_outage() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     let own = TermRecord::first(holder(1), &CONFIG);
     let at = Millis(30_000);
     assert_eq!(lease.handle(LeaseEvent::Tick, at), [LeaseAction::ReadAlive]);
@@ -104,7 +104,7 @@
 // stored records its own writes and overwrite them, and every accepted job would be lost.
 #[test]
 fn a_lost_term_is_not_resumed() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     let own = TermRecord::first(holder(1), &CONFIG);
     let at = Millis(60_000);
     lease.handle(LeaseEvent::Tick, at);
@@ -122,7 +122,7 @@
 // reach, and delay the takeover of their tasks.
 #[test]
 fn a_holder_gives_up_its_term_when_another_process_plans() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     lease.handle(LeaseEvent::Tick, Millis(30_000));
     let actions =
         lease.handle(LeaseEvent::AliveRead(Some(b"entry-2#2 8".to_vec())), Millis(30_000));
@@ -164,7 +164,7 @@
 // record says, so the longer lease must be recorded before it is first granted.
 #[test]
 fn a_longer_agent_lease_is_recorded_before_it_is_granted() {
-    let mut lease = new_leader();
+    let mut lease = acquired_lease();
     let longer = LeaseConfig { hold_ms: 50_000, ..CONFIG };
     lease.handle(LeaseEvent::Configure(longer), Millis(1_500));
     assert_eq!(lease.agent_lease_ms(), 10_000);
--- a/crates/geraniumpost-core/tests/jobs_planner/fixture.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/fixture.rs
@@ -13,7 +13,7 @@
 };
 
 pub const AGENT_LEASE_MS: u64 = 10_000;
-pub const OUTAGE_HOLD_MS: u64 = 60_000;
+pub const STORE_OUTAGE_TOLERANCE_MS: u64 = 60_000;
 pub const WORKER_LEASE_MS: u64 = 6_000;
 pub const NEED: Resources = Resources { milli_cpus: 1_000, memory_mb: 100, accelerators: 0 };
 
@@ -50,7 +50,7 @@
 impl Fixture {
     pub fn new(records: &[JobRecord]) -> Self {
         let config = LeaseConfig {
-            outage_hold_ms: OUTAGE_HOLD_MS,
+            outage_hold_ms: STORE_OUTAGE_TOLERANCE_MS,
             hold_ms: AGENT_LEASE_MS,
             ..Default::default()
         };
--- a/crates/geraniumpost-core/tests/jobs_planner/main.rs
+++ b/crates/geraniumpost-core/tests/jobs_planner/main.rs
@@ -4,8 +4,8 @@
 
 use assert_matches::assert_matches;
 use fixture::{
-    AGENT_LEASE_MS, Fixture, NEED, OUTAGE_HOLD_MS, WORKER_LEASE_MS, assigned_record, job_spec,
-    report,
+    AGENT_LEASE_MS, Fixture, NEED, STORE_OUTAGE_TOLERANCE_MS, WORKER_LEASE_MS, assigned_record,
+    job_spec, report,
 };
 use geraniumpost_core::jobs::{
     BUCKETS, Bucket, JobRecord, JobSpec, JobState, LeaseHolder, PlannerAction, PlannerEvent,
@@ -40,7 +40,8 @@
 #[test]
 fn a_run_on_an_unreachable_agent_waits_for_the_predecessors_leases() {
     let mut fixture = Fixture::new(&[assigned_record("study-1")]);
-    let leases_until = 1_000 + OUTAGE_HOLD_MS + OUTAGE_HOLD_MS / 100 + AGENT_LEASE_MS;
+    let leases_until =
+        1_000 + STORE_OUTAGE_TOLERANCE_MS + STORE_OUTAGE_TOLERANCE_MS / 100 + AGENT_LEASE_MS;
     fixture.tick_at(leases_until + WORKER_LEASE_BOUND_MS - 1);
     assert_eq!(fixture.job_state("study-1"), (JobState::Assigned, 1));
     fixture.tick_at(leases_until + WORKER_LEASE_BOUND_MS);
--- a/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
+++ b/crates/geraniumpost-core/tests/jobs_simulation/entry.rs
@@ -9,7 +9,7 @@
 use crate::worker::WORKER_LEASE_MS;
 
 pub const AGENT_LEASE_MS: u64 = 3_000;
-pub const OUTAGE_HOLD_MS: u64 = 8_000;
+pub const STORE_OUTAGE_TOLERANCE_MS: u64 = 8_000;
 
 /// An entry process with its planner lease, and a planner while it holds the lease.
 pub struct Entry {
@@ -102,7 +102,7 @@
     LeaseConfig {
         ttl_ms: 2_000,
         poll_interval_ms: 500,
-        outage_hold_ms: OUTAGE_HOLD_MS,
+        outage_hold_ms: STORE_OUTAGE_TOLERANCE_MS,
         hold_ms: AGENT_LEASE_MS,
     }
 }
--- a/crates/geraniumpost/src/batch/coordination/candidate.rs
+++ b/crates/geraniumpost/src/batch/coordination/candidate.rs
@@ -18,7 +18,7 @@
 use super::super::entry::{ActiveConfiguration, LinkState};
 use super::coordinator_loss::{COORDINATOR_LOSS_MS, CoordinatorLoss, detect_loss};
 use super::local_promises::LocalPromises;
-use super::peer_listener::{CurrentTermInputs, PeerListener};
+use super::peer_listener::{CurrentTermDestinations, PeerListener};
 use super::peers::Peers;
 use super::record::CoordinatorRecord;
 use super::term::Term;
@@ -121,9 +121,9 @@
     /// Runs until the process exits. After `stop` turns true, the candidate no longer takes over,
     /// and follows the current coordinator only to serve the remaining callers.
     pub async fn run(self, listener: TcpListener, stop: watch::Receiver<bool>) {
-        let (inputs_tx, inputs) = watch::channel::<CurrentTermInputs>(None);
+        let (destinations_tx, destinations) = watch::channel::<CurrentTermDestinations>(None);
         let peer_listener = PeerListener {
-            inputs,
+            destinations,
             confirmed_ms: Arc::clone(&self.confirmed_ms),
             link: self.link.clone(),
             configuration: Arc::clone(&self.configuration),
@@ -138,7 +138,7 @@
         tokio::spawn(Arc::clone(&self.peers).refresh_periodically(Arc::clone(&self.store)));
         let mut observations = StoreObservations::default();
         loop {
-            self.run_once(&inputs_tx, &stop, &mut observations).await;
+            self.run_once(&destinations_tx, &stop, &mut observations).await;
         }
     }
 
@@ -146,7 +146,7 @@
     /// if allowed.
     async fn run_once(
         &self,
-        inputs: &watch::Sender<CurrentTermInputs>,
+        destinations: &watch::Sender<CurrentTermDestinations>,
         stop: &watch::Receiver<bool>,
         observations: &mut StoreObservations,
     ) {
@@ -157,20 +157,20 @@
         };
         let Some((record, revision)) = decode_record(item.as_ref()) else {
             self.await_takeover_delay().await;
-            self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
+            self.take_over(item.as_ref(), CoordinatorLoss::Ended, destinations, stop).await;
             return;
         };
         if record.stepped_down {
             // Without a random delay two candidates may compete. The second one's transaction
             // fails, which costs only one call.
             tokio::time::sleep(Duration::from_millis(self.takeover_delay_ms)).await;
-            self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
+            self.take_over(item.as_ref(), CoordinatorLoss::Ended, destinations, stop).await;
             return;
         }
         if record.node == self.node {
             // The record is from an earlier process of this entry, or from an earlier term of this
             // process.
-            self.take_over(item.as_ref(), CoordinatorLoss::Ended, inputs, stop).await;
+            self.take_over(item.as_ref(), CoordinatorLoss::Ended, destinations, stop).await;
             return;
         }
         let coordinator = KnownCoordinator { address: record.address, fence: record.term };
@@ -185,7 +185,7 @@
         }
         if self.may_take_over(&record, loss, observations).await {
             self.await_takeover_delay().await;
-            self.take_over(item.as_ref(), loss, inputs, stop).await;
+            self.take_over(item.as_ref(), loss, destinations, stop).await;
         }
     }
 
@@ -267,7 +267,7 @@
         &self,
         item: Option<&KeyValue>,
         loss: CoordinatorLoss,
-        inputs: &watch::Sender<CurrentTermInputs>,
+        destinations: &watch::Sender<CurrentTermDestinations>,
         stop: &watch::Receiver<bool>,
     ) {
         if *stop.borrow() {
@@ -312,7 +312,7 @@
         );
         self.known_coordinator
             .send_replace(Some(KnownCoordinator { address: self.address, fence }));
-        term.run(inputs, stop.clone()).await;
+        term.run(destinations, stop.clone()).await;
         self.known_coordinator.send_replace(None);
     }
 
@@ -349,7 +349,7 @@
             term,
             barrier: 0,
             stepped_down: false,
-            predecessor_leases: predecessor_leases.clone().while_coordinating(),
+            predecessor_leases: predecessor_leases.clone().without_unreached(),
             voters,
         };
         record.prune_voters();
--- a/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
+++ b/crates/geraniumpost/src/batch/coordination/coordinator_key.rs
@@ -67,7 +67,7 @@
         loop {
             self.record.barrier += 1;
             self.record.predecessor_leases =
-                self.successor_leases.remaining_at(BootClock.now_ms()).while_coordinating();
+                self.successor_leases.remaining_at(BootClock.now_ms()).without_unreached();
             self.record.prune_voters();
             let transaction = Transaction {
                 expect: vec![(COORDINATOR_KEY.to_owned(), self.revision)],
--- a/crates/geraniumpost/src/batch/coordination/peer_listener.rs
+++ b/crates/geraniumpost/src/batch/coordination/peer_listener.rs
@@ -25,13 +25,13 @@
 const MAX_COORDINATOR_SILENCE_MS: u64 = 800;
 
 /// Destinations of messages in the current term; `None` while this entry does not coordinate.
-pub type CurrentTermInputs = Option<TermInputs>;
+pub type CurrentTermDestinations = Option<TermDestinations>;
 
 /// Destinations of the messages that arrive during one term.
 #[derive(Debug, Clone)]
-pub struct TermInputs {
+pub struct TermDestinations {
     /// Queue of the coordinator's driver.
-    pub inputs: mpsc::Sender<Input>,
+    pub driver_inputs: mpsc::Sender<Input>,
     /// Record of the other entries' promises to support this term.
     pub support: Arc<TermSupport>,
 }
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct PeerListener {
     /// Destinations of messages in the current term, set when a term begins and ends.
-    pub inputs: watch::Receiver<CurrentTermInputs>,
+    pub destinations: watch::Receiver<CurrentTermDestinations>,
     /// Time at which the store last confirmed this entry's term, on the monotonic clock.
     pub confirmed_ms: Arc<AtomicU64>,
     /// State of this entry's own link to the coordinator.
@@ -92,7 +92,7 @@
         mut rx: LinkReceiver<FromPeer>,
     ) {
         let Ok(Some(hello)) = tokio::time::timeout(HELLO_TIMEOUT, rx.next()).await else { return };
-        let term = self.inputs.borrow().clone();
+        let term = self.destinations.borrow().clone();
         let response = match hello.head {
             FromPeer::Probe => Some(self.probe_response()),
             FromPeer::Release { term } => Some(self.release_response(term)),
@@ -111,12 +111,12 @@
             FromPeer::AgentHello { node } => (Peer::Agent { node, link }, 0),
             _ => return,
         };
-        if term.inputs.send(Input::LinkOpened(peer.clone(), tx.clone())).await.is_err() {
+        if term.driver_inputs.send(Input::LinkOpened(peer.clone(), tx.clone())).await.is_err() {
             return;
         }
         let link = Link { peer, incarnation, tx };
         self.forward_messages(&link, &term, &mut rx).await;
-        let _ = term.inputs.send(Input::LinkClosed(link.peer)).await;
+        let _ = term.driver_inputs.send(Input::LinkClosed(link.peer)).await;
     }
 
     fn probe_response(&self) -> ToPeer {
@@ -138,15 +138,15 @@
     async fn forward_messages(
         &self,
         link: &Link,
-        term: &TermInputs,
+        term: &TermDestinations,
         rx: &mut LinkReceiver<FromPeer>,
     ) {
         let Link { peer, incarnation, tx } = link;
-        let TermInputs { inputs, support } = term;
+        let TermDestinations { driver_inputs, support } = term;
         loop {
             let message = tokio::select! {
                 message = rx.next() => message,
-                () = inputs.closed() => None,
+                () = driver_inputs.closed() => None,
             };
             let Some(message) = message else { return };
             let input = match (message.head, peer) {
@@ -178,7 +178,7 @@
                 }
                 _ => return,
             };
-            if inputs.send(input).await.is_err() {
+            if driver_inputs.send(input).await.is_err() {
                 return;
             }
         }
@@ -191,7 +191,7 @@
     /// Returns whether the coordinator responds to this entry. If this entry coordinates itself,
     /// returns whether the store has confirmed its term recently.
     fn coordinator_responds(&self) -> bool {
-        if self.inputs.borrow().is_some() {
+        if self.destinations.borrow().is_some() {
             return self.store_silent_ms() < MAX_CONFIRMATION_AGE_MS;
         }
         let link = *self.link.borrow();
--- a/crates/geraniumpost/src/batch/coordination/term.rs
+++ b/crates/geraniumpost/src/batch/coordination/term.rs
@@ -16,7 +16,7 @@
 use super::adaptive_timeout::AdaptiveTimeout;
 use super::driver::{ApprovalRequest, Driver, Input};
 use super::local_promises::LocalPromises;
-use super::peer_listener::{CurrentTermInputs, TermInputs};
+use super::peer_listener::{CurrentTermDestinations, TermDestinations};
 use super::peers::{Peers, probe_entry};
 use super::record::CoordinatorRecord;
 use super::release_requester::{ReleaseRequester, SilentTerm};
@@ -70,7 +70,7 @@
     /// Coordinates until the term is lost or the process is asked to stop.
     pub async fn run(
         self,
-        term_inputs: &watch::Sender<CurrentTermInputs>,
+        destinations: &watch::Sender<CurrentTermDestinations>,
         stop: watch::Receiver<bool>,
     ) {
         let (tx, mut rx) = mpsc::channel(INPUT_QUEUE_CAPACITY);
@@ -80,13 +80,15 @@
         let voters = self.record.voters_of(self.record.term);
         let support =
             Arc::new(TermSupport::new(self.record.node.clone(), self.record.term, voters));
-        term_inputs
-            .send_replace(Some(TermInputs { inputs: tx.clone(), support: Arc::clone(&support) }));
+        destinations.send_replace(Some(TermDestinations {
+            driver_inputs: tx.clone(),
+            support: Arc::clone(&support),
+        }));
         self.query_silent_coordinators(&tx);
         let (records, interference) =
             tokio::join!(self.read_records(stop.clone()), self.read_interference());
         let Some(records) = records else {
-            term_inputs.send_replace(None);
+            destinations.send_replace(None);
             return;
         };
         let now = BootClock.now();
@@ -112,7 +114,7 @@
             ));
         }
         let successor_leases = Arc::new(SuccessorLeases::new(
-            self.predecessor_leases.clone().while_coordinating(),
+            self.predecessor_leases.clone().without_unreached(),
             self.began.steady_ms,
         ));
         let mut writer = Writer {
@@ -154,7 +156,7 @@
             Ok(()) => writer.step_down().await,
             Err(error) => spdlog::warn!("event=term_lost why=\"{error}\""),
         }
-        term_inputs.send_replace(None);
+        destinations.send_replace(None);
         self.metrics.planner_term(0);
         self.metrics.longest_wait(Duration::ZERO, Duration::ZERO);
         self.metrics.lease_supporters(0);
--- a/crates/geraniumpost/src/batch/entry/configuration.rs
+++ b/crates/geraniumpost/src/batch/entry/configuration.rs
@@ -13,10 +13,10 @@
 /// Maximum time for which the store waits for a change before it responds to a watch. A broken
 /// connection is noticed only after this time.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
-/// Interval at which further attempts to read start, until one succeeds.
+/// Time after which another attempt to read starts if no earlier attempt has succeeded.
 const READ_ATTEMPT_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval at which further attempts to watch start: [`WATCH_WAIT`] plus about the duration of a
-/// read.
+/// Time after which another watch starts if no earlier one has succeeded: [`WATCH_WAIT`] plus about
+/// the duration of a read.
 const WATCH_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_700);
 /// Maximum time without new bytes while the body of a response is received.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
